--- a/cmd/terntray-settings/main.go
+++ b/cmd/terntray-settings/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"terntray/installation"
+	"terntray/config"
 )
 
 func main() {
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			i, err := installation.Parse(text)
+			i, err := config.Parse(text)
 			if err != nil {
 				return err
 			}
@@ -52,7 +52,7 @@
 	var lasts time.Duration
 	certs := &cobra.Command{Use: "certs DIR", Short: "Make a CA and certificates for trying things out on loopback",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			return installation.MakeCertificates(args[0], hosts, lasts)
+			return config.MakeCertificates(args[0], hosts, lasts)
 		}}
 	certs.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "names and addresses of the box's certificate")
 	certs.Flags().DurationVar(&lasts, "lasts", 24*time.Hour, "until the certificates run out")
--- a/cmd/terntray-settings/render.go
+++ b/cmd/terntray-settings/render.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-jsonnet"
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"terntray/installation"
+	"terntray/config"
 )
 
 // rendered renders a template and checks what comes out: by the schema, then by what it means.
@@ -39,14 +39,14 @@
 	if err := schema.Validate(value); err != nil { // names path, found and wanted
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if _, err := installation.Parse([]byte(text)); err != nil {
+	if _, err := config.Parse([]byte(text)); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return []byte(text), nil
 }
 
 func compiled() (*jsonschema.Schema, error) {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(installation.Schema))
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(config.Schema))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"terntray/installation"
-	"terntray/internal/dialect"
+	"terntray/config"
+	"terntray/internal/replicaproto"
 )
 
 func TestTemplateOfTheRepositoryRenders(t *testing.T) {
@@ -19,11 +19,11 @@
 	if err := replace(out, text); err != nil {
 		t.Fatal(err)
 	}
-	i, err := installation.Read(out)
+	i, err := config.Read(out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, _ := i.Speaks("zone-h2-large", "10.0.0.1:1"); d != dialect.HTTP2 {
+	if d, _ := i.Speaks("zone-h2-large", "10.0.0.1:1"); d != replicaproto.HTTP2 {
 		t.Errorf("a model of the template speaks %s", d)
 	}
 }
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 func TestRequestsInPiecesAndInARowOnOneConnection(t *testing.T) {
@@ -146,7 +146,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	a.Does(func(s *standin.Replica, c standin.Call) {
+	a.Does(func(s *fake.Replica, c fake.Call) {
 		if c.ID != "open.3" {
 			fulfil(s, c)
 		}
@@ -250,7 +250,7 @@
 // What one client does not read holds up nobody else.
 func TestClientThatReadsNothingHoldsUpNobody(t *testing.T) {
 	var asked atomic.Int32
-	a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) {
+	a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 		asked.Add(1)
 		s.Reply(c, "OK", strings.Repeat("v", 60000))
 	})
--- a/cmd/terntray/commands.go
+++ b/cmd/terntray/commands.go
@@ -12,8 +12,8 @@
 	"runtime/debug"
 	"syscall"
 
+	"terntray/config"
 	"terntray/coordinator"
-	"terntray/installation"
 )
 
 const (
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Installation, err = installation.Read(file)
+	d.Installation, err = config.Read(file)
 	return d, err
 }
 
--- a/cmd/terntray/crossings_test.go
+++ b/cmd/terntray/crossings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 // Where the form has no place for a reference, a request with one is refused, and nothing of it runs.
@@ -62,7 +62,7 @@
 		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch waits for 1 s
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
 		p := newProgram(t, env)
-		(<-old.Calls).Tell(listing(5, true, []*standin.Replica{a, b}))
+		(<-old.Calls).Tell(listing(5, true, []*fake.Replica{a, b}))
 		<-old.Calls // the watch, which gets no answer
 		silent := time.Now()
 		a.State = "draining"
@@ -82,7 +82,7 @@
 		if strings.Contains(call.Path, "from") {
 			t.Errorf("moved %t: %s asks for no whole list", moved, call.Path)
 		}
-		call.Tell(listing(7, true, []*standin.Replica{a, b}))
+		call.Tell(listing(7, true, []*fake.Replica{a, b}))
 		until(t, "the list is told", func() bool { return strings.Contains(p.logged(), "rev=7 ") })
 		c := p.connect()
 		for n := range 6 {
@@ -102,7 +102,7 @@
 	a, agent := newStandin(t, "s-a", 0, fulfil), newAgent(t)
 	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch waits for 1 s
 	newProgram(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
-	(<-agent.Calls).Tell(listing(5, true, []*standin.Replica{a}))
+	(<-agent.Calls).Tell(listing(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
 		t.Fatalf("%s is no watch that waits for 1 s", call.Path)
 	}
@@ -112,8 +112,8 @@
 	}
 }
 
-func newAgent(t *testing.T) *standin.Agent {
-	a, err := standin.NewAgent()
+func newAgent(t *testing.T) *fake.Agent {
+	a, err := fake.NewAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 		cuts = append(cuts, frame-4+n)
 	}
 	for _, n := range cuts {
-		for _, s := range []*standin.Replica{a, b} {
+		for _, s := range []*fake.Replica{a, b} {
 			s.Mu.Lock()
 			s.Cut = func() int { return n }
 			s.Mu.Unlock()
@@ -143,7 +143,7 @@
 		c.send(query("claim", id, 10, 3))
 		r := c.receive()
 		ran := 0
-		for _, s := range []*standin.Replica{a, b} {
+		for _, s := range []*fake.Replica{a, b} {
 			for _, part := range s.Seen() {
 				if part.ID == id+".3" {
 					ran++
@@ -186,7 +186,7 @@
 // An answer whose rest was lost on its way and comes a little later is as good as any; single-use parts depend on it.
 func TestAnswerInPiecesIsTaken(t *testing.T) {
 	a := newStandin(t, "s-a", 0, nil)
-	a.Does(func(s *standin.Replica, c standin.Call) {
+	a.Does(func(s *fake.Replica, c fake.Call) {
 		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", c.ID, value(s, c.Shard)))
 		io.WriteString(c.Conn, text[:len(text)/2])
 		time.Sleep(220 * time.Millisecond) // as long as machines wait before they send again
@@ -205,7 +205,7 @@
 	c := p.connect()
 	c.send(query("claim", "q1", 10, 3))
 	c.expect(map[int]string{3: value(a, 3)})
-	a.Does(func(s *standin.Replica, c standin.Call) {
+	a.Does(func(s *fake.Replica, c fake.Call) {
 		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", c.ID, value(s, c.Shard)))
 		io.WriteString(c.Conn, text[:len(text)/2])
 		time.Sleep(20 * time.Millisecond)
@@ -219,7 +219,7 @@
 // An answer that goes on and on, a byte at a time, ends its connection within a bound: nothing waits behind it for a whole
 // cut-off. A part that may run again is answered elsewhere, one that may not is given up for good.
 func TestAnswerWithoutEndEndsItsConnectionSoon(t *testing.T) {
-	a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) {
+	a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 		go func() {
 			io.WriteString(c.Conn, "\x00\x00\xff\xffY")
 			for {
--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -15,21 +15,21 @@
 	"testing"
 	"time"
 
-	"terntray/installation"
-	"terntray/internal/standin"
+	"terntray/config"
+	"terntray/internal/fake"
 )
 
 const allHTTP2 = `{"replicas":[{"model":"h2","dialect":"http2"}],"http2":{"streams":100}}`
 
 // boxes are stand-ins that speak HTTP/2.
-func newBox(t *testing.T, uid string, cell int, act func(*standin.Replica, standin.Call)) *standin.Replica {
+func newBox(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
 	s := newStandin(t, uid, cell, act)
 	s.Model = "h2"
 	return s
 }
 
 // installed starts the program with an installation file.
-func installed(t *testing.T, settings, file string, sockets int, replicas ...*standin.Replica) (*program, *standin.Roster) {
+func installed(t *testing.T, settings, file string, sockets int, replicas ...*fake.Replica) (*program, *fake.Roster) {
 	r := newRoster(t, "127.0.0.1:0", replicas...)
 	name := filepath.Join(t.TempDir(), "installation.json")
 	if err := os.WriteFile(name, []byte(file), 0o600); err != nil {
@@ -53,9 +53,9 @@
 // A box that ends abruptly, with no notice or between GOAWAY and the end, may have run what was out: single-use parts do
 // not go again, replayable ones do.
 func TestBoxThatEndsAbruptly(t *testing.T) {
-	for name, ends := range map[string]func(*standin.Replica){
-		"no notice": func(s *standin.Replica) { s.CutAll(true) },
-		"goaway":    func(s *standin.Replica) { s.GoAway(true, true) },
+	for name, ends := range map[string]func(*fake.Replica){
+		"no notice": func(s *fake.Replica) { s.CutAll(true) },
+		"goaway":    func(s *fake.Replica) { s.GoAway(true, true) },
 	} {
 		a := newBox(t, "s-a", 0, silent)
 		p, _ := installed(t, settings, allHTTP2, 1024, a)
@@ -84,9 +84,9 @@
 // What GOAWAY or a refused stream proves never ran goes again, single-use as it is, and is answered.
 func TestSingleUsePartsGoAgainOnEvidence(t *testing.T) {
 	var first atomic.Bool
-	a := newBox(t, "s-a", 0, func(s *standin.Replica, c standin.Call) {
+	a := newBox(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 		if first.CompareAndSwap(false, true) {
-			standin.Refuse(s, c)
+			fake.Refuse(s, c)
 			return
 		}
 		fulfil(s, c)
@@ -136,7 +136,7 @@
 	c.send(hinted("q1", shards(60)))
 	until(t, "many are out", func() bool { return len(a.Seen()) >= 40+25 })
 	a.Limit(3)
-	a.Does(standin.After(time.Millisecond, fulfil))
+	a.Does(fake.After(time.Millisecond, fulfil))
 	for _, part := range a.Seen()[40:] {
 		fulfil(a, part)
 	}
@@ -243,9 +243,9 @@
 func TestFewerDescriptorsThanFrames(t *testing.T) {
 	held := map[string]int{}
 	for _, model := range []string{"frames", "h2"} {
-		var all []*standin.Replica
+		var all []*fake.Replica
 		for n := range 8 {
-			s := newStandin(t, fmt.Sprint("s-", n), n, standin.After(30*time.Millisecond, fulfil))
+			s := newStandin(t, fmt.Sprint("s-", n), n, fake.After(30*time.Millisecond, fulfil))
 			s.Model = model
 			all = append(all, s)
 		}
@@ -289,7 +289,7 @@
 // that does not take h2 is told of; a bad new file leaves the old in force.
 func TestLibrarysServerOverTLS(t *testing.T) {
 	folder := t.TempDir()
-	if err := installation.MakeCertificates(folder, []string{"127.0.0.1"}, time.Hour); err != nil {
+	if err := config.MakeCertificates(folder, []string{"127.0.0.1"}, time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	in := func(name string) string { return filepath.Join(folder, name) }
--- a/cmd/terntray/leaving_test.go
+++ b/cmd/terntray/leaving_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 // Clients that leave while their requests wait: wherever that is, nothing of it reaches a replica 0.3 s later.
@@ -39,7 +39,7 @@
 }
 
 // nothingReaches checks that of what clients left nothing came, while what another asks for does.
-func nothingReaches(t *testing.T, what string, a *standin.Replica, lives string) {
+func nothingReaches(t *testing.T, what string, a *fake.Replica, lives string) {
 	t.Helper()
 	until(t, what+": the other one's part comes", func() bool { return a.Saw(lives) })
 	time.Sleep(20 * time.Millisecond) // for what would come beside it
@@ -149,7 +149,7 @@
 				continue // two ways will do
 			}
 			what := fmt.Sprintf("%s, read on %v later", way, later)
-			a := newStandin(t, "s-a", 0, standin.After(3*time.Millisecond, fulfil)) // no jitter of this machine stands out
+			a := newStandin(t, "s-a", 0, fake.After(3*time.Millisecond, fulfil)) // no jitter of this machine stands out
 			if err := a.Narrow(); err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/terntray/list_test.go
+++ b/cmd/terntray/list_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 func TestDrainToldByAChangeIsKept(t *testing.T) {
@@ -38,7 +38,7 @@
 	c.send(query("look", "q1", 10, 1))
 	c.expect(map[int]string{1: value(a, 1)})
 	r.Mu.Lock()
-	r.All = []*standin.Replica{moved}
+	r.All = []*fake.Replica{moved}
 	r.Mu.Unlock()
 	r.Change(moved, "ready")
 	until(t, "the change is told", func() bool { return strings.Contains(p.logged(), "rev=6 ") })
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
-func value(s *standin.Replica, shard int) string { return fmt.Sprintf("v<%s.%d>", s.UID, shard) }
+func value(s *fake.Replica, shard int) string { return fmt.Sprintf("v<%s.%d>", s.UID, shard) }
 
 func TestRetrievalIsFulfilledWithTheValuesAsGiven(t *testing.T) {
 	a := newStandin(t, "s-a", 0, fulfil)
@@ -104,9 +104,9 @@
 // for no longer than an answer may take to be read.
 func TestAnswerThatIsReadSlowlyAcrossTheEndArrivesWhole(t *testing.T) {
 	for _, reads := range []bool{true, false} {
-		a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) { s.Reply(c, "OK", strings.Repeat("v", 60_000)) })
+		a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) { s.Reply(c, "OK", strings.Repeat("v", 60_000)) })
 		p, _ := deployed(t, settings, a)
-		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return standin.Narrowed(raw) }}
+		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.Narrowed(raw) }}
 		conn, err := narrow.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/terntray/move_test.go
+++ b/cmd/terntray/move_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 // The steps of docs/migration.md, as an operator takes them, with what is to be watched at each and the way back.
@@ -31,7 +31,7 @@
 		t.Errorf("step 2 counts %v", n)
 	}
 	told := strings.Replace(strings.Replace(settings, `"balancers":1`, `"balancers":2`, 1), `"bounds":{`, `"bounds":{"peers":true,`, 1)
-	one, two := standin.FreePort("udp4"), standin.FreePort("udp4")
+	one, two := fake.FreePort("udp4"), fake.FreePort("udp4")
 	file := func(listen, other string) string {
 		return fmt.Sprintf(`{"peers":{"listen":%q,"others":[%q]}}`, listen, other)
 	}
--- a/cmd/terntray/questions_test.go
+++ b/cmd/terntray/questions_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const phasesOn = `{"phases":{"tracks":["look"]}}`
@@ -26,15 +26,15 @@
 }
 
 // boxesWithData starts boxes of the given moods: for summaries, then for answers, each by replica.
-func boxesWithData(t *testing.T, data *standin.Blocks, mood func(s *standin.Replica, c standin.Call, summary bool) standin.Mood) (a, b *standin.Replica) {
+func boxesWithData(t *testing.T, data *fake.Blocks, mood func(s *fake.Replica, c fake.Call, summary bool) fake.Mood) (a, b *fake.Replica) {
 	act := data.Answer(mood, func(bool, int) time.Duration { return 2 * time.Millisecond })
 	return newStandin(t, "s-a", 0, act), newStandin(t, "s-b", 0, act)
 }
 
-func honest(*standin.Replica, standin.Call, bool) standin.Mood { return standin.Honest }
+func honest(*fake.Replica, fake.Call, bool) fake.Mood { return fake.Honest }
 
 // whole checks that an answer is the one that all blocks would have given.
-func (c *client) whole(data *standin.Blocks, best int, shards ...int) {
+func (c *client) whole(data *fake.Blocks, best int, shards ...int) {
 	c.t.Helper()
 	a := c.receive()
 	if want := data.Truth(shards, 0, &best); a.status != http.StatusOK || strings.TrimSpace(a.body) != want {
@@ -45,14 +45,14 @@
 // Blocks that are silent in the first phase and answer in the second, that differ, lie or die: the answer is whole and
 // right, or there is none.
 func TestQuestionsWhateverSummariesAre(t *testing.T) {
-	for name, mood := range map[string]standin.Mood{"honest": standin.Honest, "silent": standin.NoSummary, "malformed": standin.Malformed,
-		"loose": standin.Loose, "stale": standin.Stale, "dying behind its summary": standin.Dying, "late": standin.Late} {
-		data := standin.NewBlocks(3, 24, 6, 0.4)
-		a, b := boxesWithData(t, data, func(s *standin.Replica, c standin.Call, summary bool) standin.Mood {
+	for name, mood := range map[string]fake.Mood{"honest": fake.Honest, "silent": fake.NoSummary, "malformed": fake.Malformed,
+		"loose": fake.Loose, "stale": fake.Stale, "dying behind its summary": fake.Dying, "late": fake.Late} {
+		data := fake.NewBlocks(3, 24, 6, 0.4)
+		a, b := boxesWithData(t, data, func(s *fake.Replica, c fake.Call, summary bool) fake.Mood {
 			if summary && c.Shard%3 == 0 {
 				return mood
 			}
-			return standin.Honest
+			return fake.Honest
 		})
 		p, _ := installed(t, wide, phasesOn, 1024, a, b)
 		for n := range 3 {
@@ -68,16 +68,16 @@
 
 // A box whose answer is above its own bound is found out: the question is refused, and its summaries are not used again.
 func TestFalseSummariesSpoilTheQuestionAndTheBox(t *testing.T) {
-	data := standin.NewBlocks(3, 24, 6, 1)
+	data := fake.NewBlocks(3, 24, 6, 1)
 	lying := 0
 	for len(data.Records[lying]) == 0 {
 		lying++
 	}
-	a, b := boxesWithData(t, data, func(_ *standin.Replica, c standin.Call, summary bool) standin.Mood {
+	a, b := boxesWithData(t, data, func(_ *fake.Replica, c fake.Call, summary bool) fake.Mood {
 		if summary && c.Shard == lying {
-			return standin.Liar
+			return fake.Liar
 		}
-		return standin.Honest
+		return fake.Honest
 	})
 	p, _ := installed(t, wide, phasesOn, 1024, a, b)
 	refused := 0
@@ -103,7 +103,7 @@
 
 // Nothing wanted, nothing that matches, more wanted than matches: whole answers, empty where they are.
 func TestQuestionsAtTheEdges(t *testing.T) {
-	data := standin.NewBlocks(3, 24, 6, 0) // nothing of score 0 or more anywhere
+	data := fake.NewBlocks(3, 24, 6, 0) // nothing of score 0 or more anywhere
 	a, b := boxesWithData(t, data, honest)
 	p, _ := installed(t, wide, phasesOn, 1024, a, b)
 	c := p.connect()
@@ -137,10 +137,10 @@
 
 // A first phase that takes nearly all of the time: the second is not begun, and the refusal comes at once.
 func TestSecondPhaseIsNotBegunTooLate(t *testing.T) {
-	data := standin.NewBlocks(3, 24, 6, 1)
-	slow := standin.Honest
+	data := fake.NewBlocks(3, 24, 6, 1)
+	slow := fake.Honest
 	act := data.Answer(honest, func(summary bool, _ int) time.Duration {
-		if !summary || slow == standin.Honest {
+		if !summary || slow == fake.Honest {
 			return 150 * time.Millisecond
 		}
 		return time.Hour // no summary
@@ -153,7 +153,7 @@
 		c.send(question(fmt.Sprint("w", n), 5, 2, 0, 1, 2, 3, 4))
 		c.receive()
 	}
-	slow = standin.NoSummary
+	slow = fake.NoSummary
 	began := time.Now()
 	c.send(question("late", 0.2, 2, 0, 1, 2, 3, 4)) // no time for both
 	got := c.receive()
@@ -165,7 +165,7 @@
 // A client that leaves in the gap, and a co-ordinator that is told to drain, reload and end between the phases: what is open
 // is answered whole, nothing goes on for who has left.
 func TestBetweenThePhases(t *testing.T) {
-	data := standin.NewBlocks(3, 24, 6, 1)
+	data := fake.NewBlocks(3, 24, 6, 1)
 	act := data.Answer(honest, func(summary bool, _ int) time.Duration {
 		if summary {
 			return 300 * time.Millisecond
@@ -186,7 +186,7 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	stays.whole(data, 3, 0, 1, 2, 3, 4)
 	p.ends(t)
-	for _, s := range []*standin.Replica{a, b} {
+	for _, s := range []*fake.Replica{a, b} {
 		for _, call := range s.Seen() {
 			var asked struct{ Ask string }
 			line, _, _ := strings.Cut(call.Text, "\n")
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 // A connection that breaks once a part is written may have let it run; a part that is no single-use one goes
@@ -77,7 +77,7 @@
 		"a huge value":       "\xb2\xd0\x5e\x00Yq1.3 OK 0 -\n" + strings.Repeat("x", 100000),
 		"noise":              "tL\xdc\x7f\xe8\r\n",
 	} {
-		a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) { io.WriteString(c.Conn, frame) })
+		a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) { io.WriteString(c.Conn, frame) })
 		p, _ := deployed(t, settings, a)
 		c := p.connect()
 		c.send(query("claim", "q1", 10, 3))
@@ -103,7 +103,7 @@
 // What comes right behind a sound answer is no answer to anything, and ends nothing that is sent later.
 func TestWhatComesBehindAnAnswerIsDropped(t *testing.T) {
 	for name, behind := range map[string]string{"a copy": "", "noise": "tL\xdc\x7f\xe8\r\n"} {
-		a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) {
+		a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 			fulfil(s, c)
 			if io.WriteString(c.Conn, behind); behind == "" {
 				fulfil(s, c)
@@ -238,7 +238,7 @@
 // A connection that drops under a replica that lives costs its parts some time, not their query.
 func TestDroppedConnectionOfALivingReplicaEndsNoReplayableRetrieval(t *testing.T) {
 	var drops atomic.Int32
-	a := newStandin(t, "s-a", 0, func(s *standin.Replica, c standin.Call) {
+	a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 		if drops.Add(1) == 1 {
 			time.Sleep(20 * time.Millisecond) // sooner it would pass for an idle connection
 			reset(s, c)
--- a/cmd/terntray/standins_test.go
+++ b/cmd/terntray/standins_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const (
@@ -45,10 +45,10 @@
 }
 
 // The scripted peers, ended with their test.
-var fulfil, silent, reset, listing = standin.Fulfil, standin.Silent, standin.Reset, standin.Listing
+var fulfil, silent, reset, listing = fake.Fulfil, fake.Silent, fake.Reset, fake.Listing
 
-func newStandin(t *testing.T, uid string, cell int, act func(*standin.Replica, standin.Call)) *standin.Replica {
-	s, err := standin.NewReplica(uid, cell, act)
+func newStandin(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
+	s, err := fake.NewReplica(uid, cell, act)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 	return s
 }
 
-func newRoster(t *testing.T, at string, replicas ...*standin.Replica) *standin.Roster {
-	r, err := standin.NewRoster(at, replicas...)
+func newRoster(t *testing.T, at string, replicas ...*fake.Replica) *fake.Roster {
+	r, err := fake.NewRoster(at, replicas...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 }
 
 // configure writes a configuration and returns the variables that name it.
-func configure(t *testing.T, discovery string, sockets int, settings string, known ...*standin.Replica) []string {
+func configure(t *testing.T, discovery string, sockets int, settings string, known ...*fake.Replica) []string {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
@@ -153,7 +153,7 @@
 }
 
 // deployed starts the program among replicas and discovery.
-func deployed(t *testing.T, settings string, replicas ...*standin.Replica) (*program, *standin.Roster) {
+func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*program, *fake.Roster) {
 	r := newRoster(t, "127.0.0.1:0", replicas...)
 	p := start(t, configure(t, r.Listener.Addr().String(), 1024, settings, replicas...))
 	until(t, "a watch stands", func() bool { return r.Watched() > 0 })
--- a/installation/certificates.go
+++ b/config/certificates.go
@@ -1,4 +1,4 @@
-package installation
+package config
 
 import (
 	"crypto/ecdsa"
--- a/installation/installation.go
+++ b/config/config.go
@@ -1,10 +1,10 @@
-// Package installation is the project's own settings file: what the platform's file does not say. It is written as a
+// Package config is the project's own settings file: what the platform's file does not say. It is written as a
 // Jsonnet template (deploy/terntray.jsonnet), rendered and checked against schema.json by terntray-settings, and read
 // here as JSON. Without a file all is as the zero value says: frames to every replica, no TLS.
 //
 // Read checks what the schema cannot: patterns, references, limits that fit together. It opens no file but the one
 // named; what TLS needs is read by Files.Load (tls.go).
-package installation
+package config
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"path"
 	"slices"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 // Schema is the JSON Schema (draft 2020-12) of a rendered file.
@@ -66,10 +66,10 @@
 
 // Rule says what replicas speak. A pattern is path.Match's; an empty one fits all.
 type Rule struct {
-	Model    string       `json:"model"`    // as discovery tells it
-	Endpoint string       `json:"endpoint"` // host:port
-	Dialect  dialect.Name `json:"dialect"`
-	TLS      string       `json:"tls"` // names an entry of TLS; empty: cleartext
+	Model    string            `json:"model"`    // as discovery tells it
+	Endpoint string            `json:"endpoint"` // host:port
+	Dialect  replicaproto.Name `json:"dialect"`
+	TLS      string            `json:"tls"` // names an entry of TLS; empty: cleartext
 }
 
 // HTTP2 bounds its connections.
@@ -159,8 +159,8 @@
 				wrong(at+"."+name, "found %q, wanted a pattern: %v", pattern, err)
 			}
 		}
-		if r.Dialect != dialect.Frames && r.Dialect != dialect.HTTP2 {
-			wrong(at+".dialect", "found %q, wanted %q or %q", r.Dialect, dialect.Frames, dialect.HTTP2)
+		if r.Dialect != replicaproto.Frames && r.Dialect != replicaproto.HTTP2 {
+			wrong(at+".dialect", "found %q, wanted %q or %q", r.Dialect, replicaproto.Frames, replicaproto.HTTP2)
 		}
 		if r.TLS == "" {
 			continue
@@ -169,8 +169,8 @@
 		if _, ok := i.TLS[r.TLS]; !ok {
 			wrong(at+".tls", "found %q, wanted one of %v under tls", r.TLS, slices.Sorted(maps.Keys(i.TLS)))
 		}
-		if r.Dialect != dialect.HTTP2 {
-			wrong(at+".tls", "found %q with %s, wanted %s: frames have no TLS", r.TLS, r.Dialect, dialect.HTTP2)
+		if r.Dialect != replicaproto.HTTP2 {
+			wrong(at+".tls", "found %q with %s, wanted %s: frames have no TLS", r.TLS, r.Dialect, replicaproto.HTTP2)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(i.TLS)) {
@@ -213,13 +213,13 @@
 }
 
 // Speaks tells what a replica speaks and which entry of TLS holds for it.
-func (i *Installation) Speaks(model, endpoint string) (dialect.Name, string) {
+func (i *Installation) Speaks(model, endpoint string) (replicaproto.Name, string) {
 	for _, r := range i.Replicas {
 		if fits(r.Model, model) && fits(r.Endpoint, endpoint) {
 			return r.Dialect, r.TLS
 		}
 	}
-	return dialect.Frames, ""
+	return replicaproto.Frames, ""
 }
 
 func fits(pattern, value string) bool {
--- a/installation/installation_test.go
+++ b/config/config_test.go
@@ -1,10 +1,10 @@
-package installation
+package config
 
 import (
 	"strings"
 	"testing"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 const sample = `{"replicas":[{"model":"m2*","dialect":"http2","tls":"boxes"},{"endpoint":"10.1.*:8081","dialect":"http2"}],
@@ -17,10 +17,10 @@
 	}
 	for _, one := range []struct {
 		model, endpoint string
-		want            dialect.Name
+		want            replicaproto.Name
 		tls             string
 	}{
-		{"m2x", "10.1.0.1:8081", dialect.HTTP2, "boxes"}, {"m1", "10.1.0.1:8081", dialect.HTTP2, ""}, {"m1", "10.2.0.1:8081", dialect.Frames, ""},
+		{"m2x", "10.1.0.1:8081", replicaproto.HTTP2, "boxes"}, {"m1", "10.1.0.1:8081", replicaproto.HTTP2, ""}, {"m1", "10.2.0.1:8081", replicaproto.Frames, ""},
 	} {
 		if d, name := i.Speaks(one.model, one.endpoint); d != one.want || name != one.tls {
 			t.Errorf("%+v: %s %q", one, d, name)
@@ -78,7 +78,7 @@
 		if i.HTTP2.Streams < 1 || i.HTTP2.Connections < 1 {
 			t.Errorf("%+v", i.HTTP2)
 		}
-		if d, name := i.Speaks("m", "a:1"); name != "" && (d != dialect.HTTP2 || i.TLS[name].CA == "") {
+		if d, name := i.Speaks("m", "a:1"); name != "" && (d != replicaproto.HTTP2 || i.TLS[name].CA == "") {
 			t.Errorf("%s, TLS %q", d, name)
 		}
 	})
--- a/pool/choice.go
+++ b/connpool/choice.go
@@ -1,10 +1,10 @@
-package pool
+package connpool
 
 import (
 	"slices"
 	"time"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 // choose picks the connection for an attempt: of those that are up, have room and do not know the part's id already the
@@ -39,7 +39,7 @@
 	if best != nil {
 		return best
 	}
-	if dialect.Of(r.dialect).Shares && takes >= p.limits.ConnsShared {
+	if replicaproto.Of(r.dialect).Shares && takes >= p.limits.ConnsShared {
 		if shared == nil {
 			return nil
 		}
@@ -71,7 +71,7 @@
 // open has a connection opened.
 func (p *Pool) open(r *replica) *conn {
 	p.last++
-	c := &conn{id: p.last, replica: r, addr: r.addr, dialect: r.dialect, traits: dialect.Of(r.dialect), room: p.limits.Multiplex,
+	c := &conn{id: p.last, replica: r, addr: r.addr, dialect: r.dialect, traits: replicaproto.Of(r.dialect), room: p.limits.Multiplex,
 		resets: resetBurst, resetsAt: p.now, pingedAt: -1, wakeAt: forEver, aliveAt: p.now}
 	if c.traits.Shares {
 		c.room = p.limits.Streams
--- a/pool/happens.go
+++ b/connpool/events.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
 )
 
 // Up tells that a connection has come up: calls may go.
@@ -49,7 +49,7 @@
 		c.out = slices.Delete(c.out, n, n+1)
 		l.conn = nil
 		if lost && l.moved {
-			p.ends(l, decide.TurnedAway, p.now)
+			p.ends(l, scheduler.TurnedAway, p.now)
 			continue
 		}
 		l.moved = l.moved || lost
@@ -141,9 +141,9 @@
 		return
 	}
 	c.owed = slices.DeleteFunc(c.owed, func(o *Attempt) bool { return o == l })
-	how := decide.Erred
+	how := scheduler.Erred
 	if neverRan {
-		how = decide.TurnedAway
+		how = scheduler.TurnedAway
 	}
 	p.ends(l, how, at)
 	p.forget(l, true)
@@ -172,9 +172,9 @@
 	if len(c.out) > 0 && !c.closed && !c.going {
 		p.staleAfter(c)
 	}
-	never := decide.Unreachable
+	never := scheduler.Unreachable
 	if errors.Is(cause, ErrShortage) {
-		never = decide.Moot
+		never = scheduler.Moot
 	}
 	out := c.out
 	c.out, c.owed, c.closed = nil, nil, true
@@ -182,10 +182,10 @@
 	for _, l := range out {
 		switch {
 		case l.over:
-		case p.host.Stage(id, l) == dialect.Written:
+		case p.host.Stage(id, l) == replicaproto.Written:
 			ran = append(ran, l)
 		case c.up && !l.moved && !r.left && !r.drains:
-			l.moved, l.conn, l.Call.Stage, l.Call.Stream = true, nil, dialect.Waiting, 0
+			l.moved, l.conn, l.Call.Stage, l.Call.Stream = true, nil, replicaproto.Waiting, 0
 			again = append(again, l)
 		default:
 			p.ends(l, never, at)
@@ -194,19 +194,19 @@
 	p.again(r, c, again, never, at)
 	switch {
 	case c.spoilt:
-		p.broke(ran, decide.Spoilt, at)
+		p.broke(ran, scheduler.Spoilt, at)
 	case p.lives(r):
 		p.dying[id] = &death{r, ran, at}
 		p.host.Wake(id, deathShows)
 	default:
-		p.broke(ran, decide.Reset, at)
+		p.broke(ran, scheduler.Reset, at)
 	}
 	p.unlist(r)
 }
 
 // again has attempts go on another connection, or wait for a place; where none can be had, or the one that ended
 // never came up and was the last, nothing is there for any: they end so.
-func (p *Pool) again(r *replica, ended *conn, attempts []*Attempt, how decide.Outcome, at time.Duration) {
+func (p *Pool) again(r *replica, ended *conn, attempts []*Attempt, how scheduler.Outcome, at time.Duration) {
 	if !ended.traits.Limited {
 		for _, l := range attempts {
 			if !p.place(l, r) {
@@ -226,7 +226,7 @@
 	}
 }
 
-func (p *Pool) broke(attempts []*Attempt, how decide.Outcome, at time.Duration) {
+func (p *Pool) broke(attempts []*Attempt, how scheduler.Outcome, at time.Duration) {
 	for _, l := range attempts {
 		p.ends(l, how, at)
 	}
@@ -244,9 +244,9 @@
 	p.now = now
 	if d := p.dying[id]; d != nil {
 		delete(p.dying, id)
-		how := decide.Reset
+		how := scheduler.Reset
 		if p.lives(d.replica) {
-			how = decide.Spoilt
+			how = scheduler.Spoilt
 		}
 		p.broke(d.attempts, how, d.at)
 		return
--- a/pool/model_test.go
+++ b/connpool/model_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
 )
 
 // world plays what may happen in any order against a pool, and judges by what connections and attempts saw alone.
@@ -15,7 +15,7 @@
 	*farm
 	chance *rand.Rand
 	limits Limits
-	kind   dialect.Name
+	kind   replicaproto.Name
 	drains bool
 	left   bool
 	all    []*Attempt
@@ -31,7 +31,7 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{chance: rand.New(rand.NewPCG(seed, 7)), took: map[AttemptID]bool{}, given: map[AttemptID]bool{},
 		word: map[AttemptID]bool{}, puts: map[AttemptID]int{}, room: map[ConnID]int{}, up: map[ConnID]bool{}, gone: map[ConnID]bool{}}
-	w.kind = []dialect.Name{dialect.Frames, dialect.HTTP2}[w.chance.IntN(2)]
+	w.kind = []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2}[w.chance.IntN(2)]
 	w.limits = Limits{Within: 250 * time.Millisecond, Idle: time.Duration(w.chance.IntN(3)) * time.Second,
 		Multiplex: 1 + w.chance.IntN(8), Conns: 2 + w.chance.IntN(6), Streams: 1 + w.chance.IntN(20), ConnsShared: 1 + w.chance.IntN(2)}
 	w.farm = newFarm(t, w.limits)
@@ -58,15 +58,15 @@
 		w.t.Errorf("leg %d is put on a connection to a replica that wants nothing new", l.ID)
 	case w.gone[c] || w.shut[c]:
 		w.t.Errorf("leg %d is put on a connection that has ended", l.ID)
-	case w.puts[l.ID] > 2 && w.kind == dialect.Frames:
+	case w.puts[l.ID] > 2 && w.kind == replicaproto.Frames:
 		w.t.Errorf("leg %d is put on a connection for the third time", l.ID)
-	case w.kind == dialect.HTTP2 && waits:
+	case w.kind == replicaproto.HTTP2 && waits:
 		w.t.Errorf("leg %d goes before one that waits for longer", l.ID)
 	}
-	if most, told := w.room[c]; told && w.kind == dialect.HTTP2 && open > 0 && len(w.p.conns[c].out) > most {
+	if most, told := w.room[c]; told && w.kind == replicaproto.HTTP2 && open > 0 && len(w.p.conns[c].out) > most {
 		w.t.Errorf("%d legs on a connection that takes %d", len(w.p.conns[c].out), most)
 	}
-	if w.kind == dialect.Frames {
+	if w.kind == replicaproto.Frames {
 		for _, o := range w.p.conns[c].out {
 			if o != l && o.Call.Wire == l.Call.Wire {
 				w.t.Errorf("two legs of %s on one connection", l.Call.Wire)
@@ -76,12 +76,12 @@
 }
 
 func (w *world) GiveUp(c ConnID, l *Attempt) {
-	if l.Call.Stage == dialect.Waiting {
+	if l.Call.Stage == replicaproto.Waiting {
 		w.t.Errorf("the far side is told of leg %d, of which it never heard", l.ID)
 	}
 }
 
-func (w *world) Open(c ConnID, to decide.ReplicaID, addr string, d dialect.Name) {
+func (w *world) Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Name) {
 	w.farm.Open(c, to, addr, d)
 	stand := 0
 	for _, o := range w.stands() {
@@ -95,14 +95,14 @@
 }
 
 // Ends judges what is told of an attempt.
-func (w *world) Ends(l AttemptID, how decide.Outcome, took time.Duration) {
+func (w *world) Ends(l AttemptID, how scheduler.Outcome, took time.Duration) {
 	w.farm.Ends(l, how, took)
 	attempt := w.all[l-1]
-	never := how == decide.TurnedAway || how == decide.Unreachable
+	never := how == scheduler.TurnedAway || how == scheduler.Unreachable
 	switch {
 	case len(w.ended[l]) > 1 || w.given[l]:
 		w.t.Errorf("leg %d ended %v, given up %t", l, w.ended[l], w.given[l])
-	case never && attempt.Call.Stage == dialect.Written && !w.word[l]:
+	case never && attempt.Call.Stage == replicaproto.Written && !w.word[l]:
 		w.t.Errorf("leg %d was written whole and is told as never run", l)
 	}
 }
@@ -142,16 +142,16 @@
 		}
 	case n < 45 && len(on) > 0 && w.up[c]:
 		l := on[w.chance.IntN(len(on))]
-		l.Call.Stage = max(l.Call.Stage, dialect.Stage(1+w.chance.IntN(2)))
+		l.Call.Stage = max(l.Call.Stage, replicaproto.Stage(1+w.chance.IntN(2)))
 	case n < 60 && len(on) > 0 && w.up[c]:
 		l := on[w.chance.IntN(len(on))]
-		l.Call.Stage = dialect.Written
+		l.Call.Stage = replicaproto.Written
 		id, wire := l.ID, l.Call.Wire
-		if w.kind == dialect.Frames {
+		if w.kind == replicaproto.Frames {
 			id = 0
 		}
 		if got, _ := w.p.Answered(w.now, c, id, wire, w.now); got != nil {
-			w.Ends(got.ID, decide.Fulfilled, 0)
+			w.Ends(got.ID, scheduler.Fulfilled, 0)
 		}
 	case n < 66 && len(w.all) > 0:
 		l := w.all[w.chance.IntN(len(w.all))]
@@ -168,14 +168,14 @@
 	case n < 78 && c > 0:
 		w.gone[c] = true
 		w.p.Ended(w.now, c, errors.New("as if"), w.now)
-	case n < 82 && c > 0 && w.up[c] && w.kind == dialect.HTTP2 && !w.shut[c]:
+	case n < 82 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
 		w.room[c] = w.chance.IntN(5)
 		w.p.Room(w.now, c, w.room[c])
-	case n < 84 && c > 0 && w.up[c] && w.kind == dialect.HTTP2 && !w.shut[c]:
+	case n < 84 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
 		w.p.GoesAway(w.now, c, "as if")
-	case n < 87 && len(on) > 0 && w.up[c] && w.kind == dialect.HTTP2:
+	case n < 87 && len(on) > 0 && w.up[c] && w.kind == replicaproto.HTTP2:
 		l := on[w.chance.IntN(len(on))]
-		if l.Call.Stage != dialect.Waiting {
+		if l.Call.Stage != replicaproto.Waiting {
 			w.word[l.ID] = w.chance.IntN(2) == 0
 			w.p.Settled(w.now, c, l.ID, w.word[l.ID], w.now)
 		}
--- a/pool/pool.go
+++ b/connpool/pool.go
@@ -1,4 +1,4 @@
-// Package pool decides about connections to replicas: which one carries an attempt, when one is opened, doubted, rested or
+// Package connpool decides about connections to replicas: which one carries an attempt, when one is opened, doubted, rested or
 // ended, how many attempts go on it, and what its end proves of each. It is told what happens, one method for each thing that
 // can happen with the time in it, and acts through a small Host. It does no I/O, has no clock and no goroutine, and knows
 // neither frames nor streams: of a dialect it sees the traits alone.
@@ -8,8 +8,8 @@
 // attempt goes to another connection at most once after it was put on one that ended or that takes nothing new, and only if
 // it was not written whole; attempts that wait for a place go in order of sending; no more connections stand than Limits
 // allow; nothing is put on a connection to a replica that wants nothing new. It never decides which replica gets an attempt,
-// nor whether a part is tried again: that is package decide.
-package pool
+// nor whether a part is tried again: that is package scheduler.
+package connpool
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 	"slices"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
 )
 
 const (
@@ -46,7 +46,7 @@
 // Attempt is one attempt at a part, as it is to be sent. Its Call is for the host to write; the pool reads its id on the wire.
 type Attempt struct {
 	ID     AttemptID
-	Call   *dialect.Call
+	Call   *replicaproto.Call
 	Single bool          // it may not run twice
 	SentAt time.Duration // since the start
 
@@ -75,18 +75,18 @@
 
 // Host carries out what a Pool decides, at once.
 type Host interface {
-	Open(c ConnID, to decide.ReplicaID, addr string, d dialect.Name) // Up or Ended follow
-	Close(c ConnID)                                                  // Ended follows
-	Write(c ConnID, l *Attempt)                                      // queues it there
-	Withdraw(c ConnID, l *Attempt) bool                              // takes it back, unless it is begun
-	GiveUp(c ConnID, l *Attempt)                                     // has the far side told that nobody waits for it
-	Stage(c ConnID, l *Attempt) dialect.Stage
+	Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Name) // Up or Ended follow
+	Close(c ConnID)                                                          // Ended follows
+	Write(c ConnID, l *Attempt)                                              // queues it there
+	Withdraw(c ConnID, l *Attempt) bool                                      // takes it back, unless it is begun
+	GiveUp(c ConnID, l *Attempt)                                             // has the far side told that nobody waits for it
+	Stage(c ConnID, l *Attempt) replicaproto.Stage
 	Lives(c ConnID) bool // the far side has not ended it, as far as the machine knows
 	Ping(c ConnID)
 	Wake(c ConnID, in time.Duration) // Wakes follows
-	Ends(l AttemptID, how decide.Outcome, took time.Duration)
-	Gone(r decide.ReplicaID) // nothing is held of it any more
-	Notes(c ConnID, to decide.ReplicaID, what Note, out int, cause error)
+	Ends(l AttemptID, how scheduler.Outcome, took time.Duration)
+	Gone(r scheduler.ReplicaID) // nothing is held of it any more
+	Notes(c ConnID, to scheduler.ReplicaID, what Note, out int, cause error)
 }
 
 // Limits bound all connections.
@@ -101,9 +101,9 @@
 
 // replica is one as the list tells it.
 type replica struct {
-	id      decide.ReplicaID
+	id      scheduler.ReplicaID
 	addr    string
-	dialect dialect.Name
+	dialect replicaproto.Name
 	left    bool // it is gone from the list
 	drains  bool
 	conns   []*conn
@@ -116,8 +116,8 @@
 	id        ConnID
 	replica   *replica
 	addr      string
-	dialect   dialect.Name
-	traits    dialect.Traits
+	dialect   replicaproto.Name
+	traits    replicaproto.Traits
 	out       []*Attempt // without a reply
 	idleSince time.Duration
 	rested    time.Duration // before the first of what is out
@@ -151,7 +151,7 @@
 type Pool struct {
 	host     Host
 	limits   Limits
-	replicas map[decide.ReplicaID]*replica
+	replicas map[scheduler.ReplicaID]*replica
 	conns    map[ConnID]*conn
 	order    []*conn // in order of opening
 	now      time.Duration
@@ -170,7 +170,7 @@
 
 // New makes a pool without any connection.
 func New(host Host, limits Limits) *Pool {
-	p := &Pool{host: host, limits: limits, replicas: map[decide.ReplicaID]*replica{}, conns: map[ConnID]*conn{},
+	p := &Pool{host: host, limits: limits, replicas: map[scheduler.ReplicaID]*replica{}, conns: map[ConnID]*conn{},
 		dying: map[ConnID]*death{}, idle: limits.Idle}
 	p.limits.Multiplex, p.limits.Conns = max(1, limits.Multiplex), max(2, limits.Conns)
 	p.limits.ConnsShared = max(1, limits.ConnsShared)
@@ -188,7 +188,7 @@
 
 // Listed tells where a replica is, what it speaks there, and whether it drains: then nothing new goes to it, and what
 // has not been begun is taken back.
-func (p *Pool) Listed(now time.Duration, id decide.ReplicaID, addr string, d dialect.Name, drains bool) {
+func (p *Pool) Listed(now time.Duration, id scheduler.ReplicaID, addr string, d replicaproto.Name, drains bool) {
 	p.now = now
 	r := p.replicas[id]
 	if r == nil {
@@ -213,7 +213,7 @@
 }
 
 // Left tells that a replica is gone from the list: what is idle is closed; the rest ends with its attempts.
-func (p *Pool) Left(now time.Duration, id decide.ReplicaID) {
+func (p *Pool) Left(now time.Duration, id scheduler.ReplicaID) {
 	p.now = now
 	r := p.replicas[id]
 	if r == nil {
@@ -245,7 +245,7 @@
 		for _, l := range slices.Clone(c.out) {
 			if !l.over && p.host.Withdraw(c.id, l) {
 				p.forget(l, false)
-				p.ends(l, decide.TurnedAway, p.now)
+				p.ends(l, scheduler.TurnedAway, p.now)
 			}
 		}
 	}
@@ -256,14 +256,14 @@
 	waiting := r.waiting
 	r.waiting = nil
 	for _, l := range waiting {
-		p.ends(l, decide.TurnedAway, p.now)
+		p.ends(l, scheduler.TurnedAway, p.now)
 	}
 }
 
 // Restarted tells when a replica's process started. Connections that are older are closed. Guards against: a machine
 // that vanished and came back, whose old connections stay silent until written to, and then reset what is. Should also
 // cover: replicas replaced at the same address. Could hurt: if discovery's starts were wrong.
-func (p *Pool) Restarted(now time.Duration, id decide.ReplicaID, at time.Duration) {
+func (p *Pool) Restarted(now time.Duration, id scheduler.ReplicaID, at time.Duration) {
 	p.now = now
 	if r := p.replicas[id]; r != nil {
 		for _, c := range slices.Clone(r.conns) {
@@ -275,7 +275,7 @@
 }
 
 // Send takes an attempt for a replica; it fails where there is no connection for it and none can be had: it never ran.
-func (p *Pool) Send(now time.Duration, l *Attempt, to decide.ReplicaID) bool {
+func (p *Pool) Send(now time.Duration, l *Attempt, to scheduler.ReplicaID) bool {
 	p.now = now
 	r := p.replicas[to]
 	return r != nil && r.addr != "" && !r.left && !r.drains && p.place(l, r)
@@ -284,14 +284,14 @@
 // place puts an attempt on a connection, or has it wait for a place where the far side says how many it takes.
 func (p *Pool) place(l *Attempt, r *replica) bool {
 	l.at = r
-	if dialect.Of(r.dialect).Limited && len(r.waiting) > 0 {
+	if replicaproto.Of(r.dialect).Limited && len(r.waiting) > 0 {
 		return p.wait(l, r)
 	}
 	if c := p.choose(r, l); c != nil {
 		p.put(l, c)
 		return true
 	}
-	return dialect.Of(r.dialect).Limited && slices.ContainsFunc(r.conns, func(c *conn) bool { return c.dialect == r.dialect }) && p.wait(l, r)
+	return replicaproto.Of(r.dialect).Limited && slices.ContainsFunc(r.conns, func(c *conn) bool { return c.dialect == r.dialect }) && p.wait(l, r)
 }
 
 func (p *Pool) wait(l *Attempt, r *replica) bool {
@@ -333,7 +333,7 @@
 }
 
 // ends has an attempt's end told, once; at is when.
-func (p *Pool) ends(l *Attempt, how decide.Outcome, at time.Duration) {
+func (p *Pool) ends(l *Attempt, how scheduler.Outcome, at time.Duration) {
 	if !l.over {
 		l.over = true
 		p.host.Ends(l.ID, how, at-l.SentAt)
@@ -355,7 +355,7 @@
 		return
 	}
 	gone := past{wire: l.Call.Wire}
-	if !answered && !c.traits.Limited && p.host.Stage(c.id, l) == dialect.Written {
+	if !answered && !c.traits.Limited && p.host.Stage(c.id, l) == replicaproto.Written {
 		gone.until = l.Call.Deadline
 	}
 	if len(c.recent) == recentIDs {
@@ -402,7 +402,7 @@
 // Withheld tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere else.
 func (p *Pool) Withheld(now time.Duration, l *Attempt) {
 	p.now = now
-	p.ends(l, decide.Moot, now)
+	p.ends(l, scheduler.Moot, now)
 	p.forget(l, false)
 }
 
@@ -412,7 +412,7 @@
 
 // Went tells whether an attempt was written whole, as far as that is known.
 func (p *Pool) Went(l *Attempt) bool {
-	return l.conn != nil && p.host.Stage(l.conn.id, l) == dialect.Written
+	return l.conn != nil && p.host.Stage(l.conn.id, l) == replicaproto.Written
 }
 
 // GiveUp tells that nobody waits for an attempt any more; the far side is told, if it has been begun, and nothing more is told
@@ -512,10 +512,10 @@
 			back = append(back, l)
 		}
 	}
-	if !slices.ContainsFunc(c.out, func(l *Attempt) bool { return p.host.Stage(id, l) == dialect.Written }) {
+	if !slices.ContainsFunc(c.out, func(l *Attempt) bool { return p.host.Stage(id, l) == replicaproto.Written }) {
 		p.close(c)
 	}
-	p.again(r, c, back, decide.Unreachable, now)
+	p.again(r, c, back, scheduler.Unreachable, now)
 }
 
 // noise is what a reply to nothing that is out makes of a connection.
--- a/pool/pool_test.go
+++ b/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
 )
 
 // farm is a Host whose connections do what a test says; it keeps a ledger.
@@ -16,12 +16,12 @@
 	p        *Pool
 	now      time.Duration
 	queue    map[ConnID][]*Attempt
-	kind     map[ConnID]dialect.Name
-	to       map[ConnID]decide.ReplicaID
+	kind     map[ConnID]replicaproto.Name
+	to       map[ConnID]scheduler.ReplicaID
 	open     []ConnID // in order
 	shut     map[ConnID]bool
 	dead     map[ConnID]bool // the far side has ended it
-	ended    map[AttemptID][]decide.Outcome
+	ended    map[AttemptID][]scheduler.Outcome
 	gave     []AttemptID // the far side was told that they are given up
 	pings    map[ConnID]int
 	wakes    map[ConnID][]time.Duration
@@ -31,8 +31,8 @@
 }
 
 func newFarm(t *testing.T, l Limits) *farm {
-	f := &farm{t: t, queue: map[ConnID][]*Attempt{}, kind: map[ConnID]dialect.Name{}, to: map[ConnID]decide.ReplicaID{},
-		shut: map[ConnID]bool{}, dead: map[ConnID]bool{}, ended: map[AttemptID][]decide.Outcome{}, pings: map[ConnID]int{},
+	f := &farm{t: t, queue: map[ConnID][]*Attempt{}, kind: map[ConnID]replicaproto.Name{}, to: map[ConnID]scheduler.ReplicaID{},
+		shut: map[ConnID]bool{}, dead: map[ConnID]bool{}, ended: map[AttemptID][]scheduler.Outcome{}, pings: map[ConnID]int{},
 		wakes: map[ConnID][]time.Duration{}}
 	if l.Within == 0 {
 		l.Within = 250 * time.Millisecond
@@ -41,7 +41,7 @@
 	return f
 }
 
-func (f *farm) Open(c ConnID, to decide.ReplicaID, _ string, d dialect.Name) {
+func (f *farm) Open(c ConnID, to scheduler.ReplicaID, _ string, d replicaproto.Name) {
 	f.open, f.kind[c], f.to[c] = append(f.open, c), d, to
 }
 func (f *farm) Close(c ConnID)              { f.shut[c] = true }
@@ -52,28 +52,28 @@
 		f.p.Alive(f.now, c, f.now)
 	}
 }
-func (f *farm) Lives(c ConnID) bool   { return !f.dead[c] }
-func (f *farm) Gone(decide.ReplicaID) {}
+func (f *farm) Lives(c ConnID) bool      { return !f.dead[c] }
+func (f *farm) Gone(scheduler.ReplicaID) {}
 func (f *farm) Withdraw(_ ConnID, l *Attempt) bool {
-	return l.Call.Stage == dialect.Waiting
+	return l.Call.Stage == replicaproto.Waiting
 }
-func (f *farm) Stage(_ ConnID, l *Attempt) dialect.Stage { return l.Call.Stage }
-func (f *farm) Wake(c ConnID, in time.Duration)          { f.wakes[c] = append(f.wakes[c], f.now+in) }
-func (f *farm) Ends(l AttemptID, how decide.Outcome, _ time.Duration) {
+func (f *farm) Stage(_ ConnID, l *Attempt) replicaproto.Stage { return l.Call.Stage }
+func (f *farm) Wake(c ConnID, in time.Duration)               { f.wakes[c] = append(f.wakes[c], f.now+in) }
+func (f *farm) Ends(l AttemptID, how scheduler.Outcome, _ time.Duration) {
 	f.ended[l] = append(f.ended[l], how)
 }
-func (f *farm) Notes(_ ConnID, _ decide.ReplicaID, n Note, _ int, _ error) {
+func (f *farm) Notes(_ ConnID, _ scheduler.ReplicaID, n Note, _ int, _ error) {
 	f.notes = append(f.notes, n)
 }
 
-func (f *farm) listed(d dialect.Name) decide.ReplicaID {
+func (f *farm) listed(d replicaproto.Name) scheduler.ReplicaID {
 	f.p.Listed(f.now, 1, "a:1", d, false)
 	return 1
 }
 
 func (f *farm) attempt(wire string) *Attempt {
 	f.attempts++
-	return &Attempt{ID: f.attempts, SentAt: f.now, Call: &dialect.Call{Attempt: uint64(f.attempts), Wire: wire, Deadline: f.now + time.Second}}
+	return &Attempt{ID: f.attempts, SentAt: f.now, Call: &replicaproto.Call{Attempt: uint64(f.attempts), Wire: wire, Deadline: f.now + time.Second}}
 }
 
 // send sends an attempt and returns it with the connection that carries it, 0 for none.
@@ -81,7 +81,7 @@
 	l := f.attempt(wire)
 	l.Single = single
 	if !f.p.Send(f.now, l, 1) {
-		f.ended[l.ID] = append(f.ended[l.ID], decide.Unreachable)
+		f.ended[l.ID] = append(f.ended[l.ID], scheduler.Unreachable)
 	}
 	if l.conn == nil {
 		return l, 0
@@ -91,7 +91,7 @@
 
 func (f *farm) written(attempts ...*Attempt) {
 	for _, l := range attempts {
-		l.Call.Stage = dialect.Written
+		l.Call.Stage = replicaproto.Written
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-func (f *farm) expect(l *Attempt, want ...decide.Outcome) {
+func (f *farm) expect(l *Attempt, want ...scheduler.Outcome) {
 	f.t.Helper()
 	if fmt.Sprint(f.ended[l.ID]) != fmt.Sprint(want) {
 		f.t.Errorf("leg %s ended %v, want %v", l.Call.Wire, f.ended[l.ID], want)
@@ -132,35 +132,35 @@
 // Of the attempts on a connection that ended, those whose last byte went may have run; another carries the others, once.
 func TestEndOfAConnectionProvesWhatWasNotWritten(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
 	b, _ := f.send("q.2", false)
 	c, _ := f.send("q.3", false)
 	f.p.Up(f.now, one)
-	a.Call.Stage, b.Call.Stage = dialect.Written, dialect.Begun
+	a.Call.Stage, b.Call.Stage = replicaproto.Written, replicaproto.Begun
 	f.p.Ended(f.now, one, net.ErrClosed, f.now)
-	f.expect(a, decide.Reset)
-	if b.conn == nil || b.conn.id == one || c.conn != b.conn || b.Call.Stage != dialect.Waiting {
+	f.expect(a, scheduler.Reset)
+	if b.conn == nil || b.conn.id == one || c.conn != b.conn || b.Call.Stage != replicaproto.Waiting {
 		t.Fatal("what was not written whole is on no other connection")
 	}
 	f.p.Up(f.now, b.conn.id)
 	f.p.Ended(f.now, b.conn.id, net.ErrClosed, f.now)
-	f.expect(b, decide.Unreachable)
-	f.expect(c, decide.Unreachable)
+	f.expect(b, scheduler.Unreachable)
+	f.expect(c, scheduler.Unreachable)
 }
 
 // What a connection ends with unwritten goes nowhere else once it is not wanted, whatever its dialect.
 func TestLegThatIsNotWantedElsewhereEndsWithItsConnection(t *testing.T) {
-	for _, d := range []dialect.Name{dialect.Frames, dialect.HTTP2} {
+	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
 		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
 		f.listed(d)
 		a, one := f.send("q.1", false)
 		b, _ := f.send("q.2", false)
 		f.p.Up(f.now, one)
-		a.Call.Stage, b.Call.Stage = dialect.Begun, dialect.Begun
+		a.Call.Stage, b.Call.Stage = replicaproto.Begun, replicaproto.Begun
 		f.p.Stays(a)
 		f.p.Ended(f.now, one, nil, f.now)
-		f.expect(a, decide.Unreachable)
+		f.expect(a, scheduler.Unreachable)
 		f.expect(b)
 		if a.conn != nil && a.conn.id != one || b.conn == nil || b.conn.id == one {
 			t.Errorf("%s: the one is on %v, the other on %v", d, a.conn, b.conn)
@@ -171,7 +171,7 @@
 // A rested connection that breaks at its next write teaches how long one may rest, also if that shows by the write.
 func TestWriteThatFailsAfterARestShortensRests(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 8, Conns: 9, Idle: time.Minute})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
 	f.p.Up(f.now, one)
 	f.written(a)
@@ -192,7 +192,7 @@
 
 // A connection that takes nothing is left at once by what was not begun; it ends at once where nothing on it can have run.
 func TestConnectionThatTakesNothingIsLeftAtOnce(t *testing.T) {
-	for _, d := range []dialect.Name{dialect.Frames, dialect.HTTP2} {
+	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
 		for _, ran := range []bool{true, false} {
 			f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
 			f.listed(d)
@@ -200,10 +200,10 @@
 			b, _ := f.send("q.2", false)
 			c, _ := f.send("q.3", false)
 			f.p.Up(f.now, one)
-			if a.Call.Stage = dialect.Begun; ran {
-				a.Call.Stage = dialect.Written
+			if a.Call.Stage = replicaproto.Begun; ran {
+				a.Call.Stage = replicaproto.Written
 			}
-			b.Call.Stage = dialect.Begun
+			b.Call.Stage = replicaproto.Begun
 			f.p.Doubt(f.now, one)
 			f.expect(a)
 			f.expect(b)
@@ -226,25 +226,25 @@
 // An attempt that waits when the replica is told to drain must not go out after the grace: not from a connection, not from
 // before a far side's limit, and not by a move.
 func TestNothingNewGoesToAReplicaThatDrains(t *testing.T) {
-	for _, kind := range []dialect.Name{dialect.Frames, dialect.HTTP2} {
+	for _, kind := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
 		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
 		f.listed(kind)
 		a, one := f.send("q.1", false)
 		f.p.Up(f.now, one)
-		if kind == dialect.HTTP2 {
+		if kind == replicaproto.HTTP2 {
 			f.p.Room(f.now, one, 2)
 		}
 		b, _ := f.send("q.2", false)
 		c, _ := f.send("q.3", false)
 		f.written(a)
-		b.Call.Stage = dialect.Begun
+		b.Call.Stage = replicaproto.Begun
 		f.p.Listed(f.now, 1, "a:1", kind, true)
 		f.expect(a)
 		f.expect(b)
-		f.expect(c, decide.TurnedAway)
+		f.expect(c, scheduler.TurnedAway)
 		f.p.Ended(f.now, one, net.ErrClosed, f.now)
-		f.expect(a, decide.Reset)
-		f.expect(b, decide.Unreachable)
+		f.expect(a, scheduler.Reset)
+		f.expect(b, scheduler.Unreachable)
 		d := f.attempt("q.4")
 		if f.p.Send(f.now, d, 1) || len(f.open) != 1 {
 			t.Errorf("%s: a leg goes to a replica that drains, or a connection was opened", kind)
@@ -255,7 +255,7 @@
 // Parts with the same id on the wire never share a connection where replies name parts, or an answer could end the wrong attempt.
 func TestTwoLegsOfOnePartAtOneReplicaAreKeptApart(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
 	f.p.Up(f.now, one)
 	f.written(a)
@@ -278,7 +278,7 @@
 // Connections that break at the first write after a rest are not left to rest as long again.
 func TestRestsGetShorterWhereConnectionsBreakAfterThem(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 8, Conns: 9, Idle: 15 * time.Second})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	for n, step := range []struct {
 		rested, took time.Duration
 		heard        bool
@@ -306,7 +306,7 @@
 // A connection that stays silent while later attempts are answered on another gets no further attempt.
 func TestConnectionThatLaterLegsHavePassedIsInDoubt(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 1, Conns: 2})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	first, dead := f.send("q.0", false)
 	f.p.Up(f.now, dead)
 	f.written(first)
@@ -330,7 +330,7 @@
 // Few attempts share a connection as long as there are descriptors for more.
 func TestLegsAreSpreadOverConnections(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 100, Conns: 3})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	on := map[ConnID]int{}
 	for n := range 5 * fewAttempts {
 		_, c := f.send(fmt.Sprint("q.", n), false)
@@ -347,7 +347,7 @@
 // that breaks while another to its replica is up is not the replica's death.
 func TestRestedConnectionsThatBreakAreNoDeathsAndNotTrusted(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 1, Conns: 9, Idle: time.Minute})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	rested, one := f.send("q.1", false)
 	other, two := f.send("q.2", false)
 	for _, c := range []ConnID{one, two} {
@@ -364,7 +364,7 @@
 	f.written(again)
 	f.p.Ended(f.now, c, net.ErrClosed, f.now)
 	f.later(2 * deathShows)
-	f.expect(again, decide.Spoilt)
+	f.expect(again, scheduler.Spoilt)
 	fresh, three := f.send("q.4", true)
 	if fresh.conn.up {
 		t.Error("a single-use leg goes on a rested connection")
@@ -374,13 +374,13 @@
 	f.dead[one], f.dead[two] = true, true // its process is dying
 	f.p.Ended(f.now, three, net.ErrClosed, f.now)
 	f.later(2 * deathShows)
-	f.expect(fresh, decide.Reset)
+	f.expect(fresh, scheduler.Reset)
 }
 
 // What was given up may still take a place at its replica, until it is answered or its time is over.
 func TestLegsGivenUpHoldTheirPlacesOnAConnection(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 9, Conns: 1})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	var attempts []*Attempt
 	for n := range 3 {
 		l, c := f.send(fmt.Sprint("q.", n), false)
@@ -411,7 +411,7 @@
 // up opens a shared connection that takes so many.
 func shared(t *testing.T, room int) (*farm, ConnID) {
 	f := newFarm(t, Limits{Multiplex: 4, Conns: 9, Streams: 100, ConnsShared: 1})
-	f.listed(dialect.HTTP2)
+	f.listed(replicaproto.HTTP2)
 	l, c := f.send("q.first", false)
 	f.p.Up(f.now, c)
 	f.p.Room(f.now, c, room)
@@ -461,7 +461,7 @@
 	f.later(200 * time.Millisecond)
 	f.expect(l)
 	f.later(100 * time.Millisecond)
-	f.expect(l, decide.TurnedAway)
+	f.expect(l, scheduler.TurnedAway)
 }
 
 // GOAWAY: what was not begun goes on another connection, once; what is out stays until it is answered or told of.
@@ -476,10 +476,10 @@
 		t.Fatal("what was not begun stays, or the connection is closed under what is out")
 	}
 	f.p.Settled(f.now, c, above.ID, true, f.now)
-	f.expect(above, decide.TurnedAway)
+	f.expect(above, scheduler.TurnedAway)
 	f.expect(out)
 	f.p.GoesAway(f.now, waits.conn.id, "NO_ERROR")
-	f.expect(waits, decide.TurnedAway)
+	f.expect(waits, scheduler.TurnedAway)
 	f.p.Answered(f.now, c, out.ID, "", f.now)
 	if !f.shut[c] {
 		t.Error("it is kept without legs")
@@ -504,7 +504,7 @@
 		t.Fatal("a silent connection is kept")
 	}
 	f.p.Ended(f.now, c, net.ErrClosed, f.now)
-	f.expect(l, decide.Spoilt)
+	f.expect(l, scheduler.Spoilt)
 }
 
 // Cancels in a rush are paced, and what is not told yet holds its place.
@@ -537,7 +537,7 @@
 // What was not begun for a replica's old address goes to the new one. Guards against: parts that reach whoever has that
 // address now. What was begun there stays, and the connection ends with it.
 func TestLegsFollowAReplicaToItsNewAddress(t *testing.T) {
-	for _, d := range []dialect.Name{dialect.Frames, dialect.HTTP2} {
+	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
 		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
 		f.listed(d)
 		a, old := f.send("q.1", false)
@@ -559,15 +559,15 @@
 
 // What a connection was to carry that this machine could not open never ran, and does not count against its replica.
 func TestShortageCountsAgainstNobody(t *testing.T) {
-	for _, d := range []dialect.Name{dialect.Frames, dialect.HTTP2} {
+	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
 		f := newFarm(t, Limits{Multiplex: 4, Conns: 8})
 		f.listed(d)
 		l, conn := f.send("q.1", false)
-		if d == dialect.HTTP2 && conn == 0 {
+		if d == replicaproto.HTTP2 && conn == 0 {
 			conn = f.open[0]
 		}
 		f.p.Ended(f.now, conn, fmt.Errorf("%w: as if", ErrShortage), f.now)
-		if got := f.ended[l.ID]; len(got) != 1 || got[0] != decide.Moot {
+		if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.Moot {
 			t.Errorf("%s: ended %v", d, got)
 		}
 	}
@@ -576,14 +576,14 @@
 // What is refused as it is about to be written never ran, goes nowhere else, and ends once.
 func TestWithheldLegEndsOnce(t *testing.T) {
 	f := newFarm(t, Limits{Multiplex: 4, Conns: 8})
-	f.listed(dialect.Frames)
+	f.listed(replicaproto.Frames)
 	l, conn := f.send("q.1", false)
 	f.p.Up(f.now, conn)
-	l.Call.Stage = dialect.Withheld
+	l.Call.Stage = replicaproto.Withheld
 	f.p.Withheld(f.now, l)
 	f.p.Ended(f.now, conn, net.ErrClosed, f.now)
 	f.later(time.Second)
-	if got := f.ended[l.ID]; len(got) != 1 || got[0] != decide.Moot || len(f.open) != 1 {
+	if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.Moot || len(f.open) != 1 {
 		t.Errorf("ended %v, %d connections", got, len(f.open))
 	}
 }
--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
+	"terntray/scheduler"
 )
 
 // withSettings makes a coordinator whose settings have some others.
-func withSettings(t *testing.T, others map[string]string, targets ...protocol.Target) *Coordinator {
+func withSettings(t *testing.T, others map[string]string, targets ...wire.Target) *Coordinator {
 	t.Helper()
 	c := set(t, others)
 	c.deployment.Known.Targets = targets
@@ -27,8 +27,8 @@
 	sent := 0
 	for n := range 4 {
 		k := c.client(t)
-		query := &protocol.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
-			Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
+			Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		q := c.byQuery[query.ID]
 		if q == nil {
@@ -37,7 +37,7 @@
 		for range 3 { // each attempt fails, having run
 			for _, l := range q.parts[0].attempts {
 				if !l.over {
-					c.giveUp(l, decide.Erred)
+					c.giveUp(l, scheduler.Erred)
 				}
 			}
 			time.Sleep(220 * time.Millisecond) // longer than a retry waits after an error
@@ -55,11 +55,11 @@
 	}
 }
 
-func twoReplicas() []protocol.Target {
+func twoReplicas() []wire.Target {
 	cell := 0
-	return []protocol.Target{
-		{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell},
-		{UID: "s-b", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell},
+	return []wire.Target{
+		{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell},
+		{UID: "s-b", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell},
 	}
 }
 
@@ -73,8 +73,8 @@
 		c := withSettings(t, others, target)
 		for n := range 60 {
 			k := c.client(t)
-			query := &protocol.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
-				Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+			query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
+				Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 			c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 			if panics && n%10 == 9 {
 				c.broken("as if")
@@ -111,7 +111,7 @@
 	c := fronted(t)
 	c.born = c.born.Add(-10 * time.Second)
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: 100 * time.Millisecond, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: 100 * time.Millisecond, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now-200*time.Millisecond) }, c.endTurn)
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
 		t.Error("it is not refused")
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"terntray/guard"
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
+	"terntray/invariant"
 )
 
 const (
@@ -39,7 +39,7 @@
 type client struct {
 	c        *Coordinator
 	conn     net.Conn
-	requests protocol.Requests
+	requests wire.Requests
 	busy     bool      // a request is out that the other goroutine answers
 	dropped  int       // bytes that came beyond what may come ahead: the connection ends with its answer
 	asked    int       // requests so far
@@ -100,7 +100,7 @@
 
 // turnedBack makes the answer that trying again is harmless.
 func turnedBack(words string) func(last bool) []byte {
-	return func(last bool) []byte { return protocol.TurnBackWith(0, words, last) }
+	return func(last bool) []byte { return wire.TurnBackWith(0, words, last) }
 }
 
 // wake has the connection's goroutine look up from its reading.
@@ -157,7 +157,7 @@
 		default:
 			reason := k.silentReason()
 			if reason == closedSlowRequest {
-				k.refuse(&protocol.Fault{Status: http.StatusRequestTimeout, Words: "the request did not come whole in time"})
+				k.refuse(&wire.Fault{Status: http.StatusRequestTimeout, Words: "the request did not come whole in time"})
 			}
 			return reason
 		}
@@ -299,7 +299,7 @@
 	}
 	if k.large = k.c.front.enlarge(); !k.large && !k.busy { // while a request is open, read drops what is too much
 		k.c.post(func() { k.c.counts.Bad++ })
-		k.give(answer{protocol.TurnBackWith(0, "too many large requests", true), true})
+		k.give(answer{wire.TurnBackWith(0, "too many large requests", true), true})
 	}
 	return k.large || k.busy
 }
@@ -311,7 +311,7 @@
 }
 
 // dispatch answers a request or hands it over; it tells whether the connection goes on.
-func (k *client) dispatch(r *protocol.Request, at time.Duration) bool {
+func (k *client) dispatch(r *wire.Request, at time.Duration) bool {
 	k.begins(r.Close)
 	defer func() { k.letIn = false }()
 	track, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
@@ -327,9 +327,9 @@
 	case r.Path == "/beliefs" && r.Method == http.MethodGet:
 		return k.c.post(func() { k.answer(plainly(http.StatusOK, k.c.beliefs())) })
 	case r.Path == "/up" || r.Path == "/counters" || r.Path == "/beliefs" || known && r.Method != http.MethodPost:
-		return k.refuse(&protocol.Fault{Status: http.StatusMethodNotAllowed, Words: "this is for another method"})
+		return k.refuse(&wire.Fault{Status: http.StatusMethodNotAllowed, Words: "this is for another method"})
 	case !known:
-		return k.refuse(&protocol.Fault{Status: http.StatusNotFound, Words: "no track is called so"})
+		return k.refuse(&wire.Fault{Status: http.StatusNotFound, Words: "no track is called so"})
 	}
 	if !k.letIn && !k.c.lets() {
 		return k.give(k.answerWith(turnedBack("busy")))
@@ -337,14 +337,14 @@
 	lacks := ""
 	if k.c.stepped[track] {
 		lacks = "the protocol has no second step"
-	} else if k.c.effects[track] == guard.Keyed && r.Header.Get(reference) != "" { // without it a repeat would run
+	} else if k.c.effects[track] == invariant.Keyed && r.Header.Get(reference) != "" { // without it a repeat would run
 		lacks = "a reference cannot be passed on to replicas"
 	}
 	if lacks != "" {
 		k.c.post(func() { k.c.counts.Bad++ })
 		return k.give(k.answerWith(plainly(http.StatusNotImplemented, lacks)))
 	}
-	query, err := protocol.ReadQuery(r, k.c.longest, k.c.questions.takes)
+	query, err := wire.ReadQuery(r, k.c.longest, k.c.questions.takes)
 	if err != nil {
 		return k.refuse(err)
 	}
@@ -389,9 +389,9 @@
 }
 
 func refuse(err error, last bool) []byte {
-	var f *protocol.Fault
+	var f *wire.Fault
 	if !errors.As(err, &f) {
-		f = &protocol.Fault{Status: http.StatusBadRequest, Words: err.Error()}
+		f = &wire.Fault{Status: http.StatusBadRequest, Words: err.Error()}
 	}
 	return refusal(f.Status, f.Words, last)
 }
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"terntray/guard"
+	"terntray/invariant"
 )
 
 // closeReason says why a client's connection was closed from this side, or ended.
@@ -61,11 +61,11 @@
 
 // noteClosed counts why a connection has ended, and whether it was allowed to.
 func (k *client) noteClosed(reason closeReason) {
-	closing := guard.ClientClose{RequestOpen: k.busy, ClientGone: k.gone.Load() || k.unwritable}
+	closing := invariant.ClientClose{RequestOpen: k.busy, ClientGone: k.gone.Load() || k.unwritable}
 	refused, id := closing.Close(), k.conn.RemoteAddr()
 	k.c.post(func() {
 		k.c.counts.Closed[reason]++
-		if refused != guard.Allowed {
+		if refused != invariant.Allowed {
 			k.c.violated(refused, "close", fmt.Sprint(id, " ", reason), 0)
 		}
 	})
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"terntray/bootclock"
-	"terntray/decide"
-	"terntray/gate"
-	"terntray/guard"
+	"terntray/incarnation"
+	"terntray/invariant"
+	"terntray/overload"
+	"terntray/scheduler"
 )
 
 const (
@@ -38,31 +38,31 @@
 	Trace      bool // a line for each query and attempt; to be set before Serve
 
 	peers       *peers
-	module      *decide.Coordinator
-	tracks      map[string]decide.TrackIndex
-	zones       map[string]decide.ZoneIndex
-	tenants     map[string]decide.TenantIndex
+	module      *scheduler.Coordinator
+	tracks      map[string]scheduler.TrackIndex
+	zones       map[string]scheduler.ZoneIndex
+	tenants     map[string]scheduler.TenantIndex
 	shards      int
-	longest     map[string]time.Duration // by track: what a client may say that it waits
-	effects     map[string]guard.Effect  // by track: what a repeat would do
-	stepped     map[string]bool          // tracks with a second step, which the protocol has not: nothing of them can be answered
-	agreed      map[string]time.Duration // times, by track
+	longest     map[string]time.Duration    // by track: what a client may say that it waits
+	effects     map[string]invariant.Effect // by track: what a repeat would do
+	stepped     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
+	agreed      map[string]time.Duration    // times, by track
 	maxOpen     int
 	maxAttempts int // of a subquery; 0: any number
 	counts      Counts
 	core        core
-	gate        gate.Gate
+	gate        overload.Gate
 	share       atomic.Uint64 // of arrivals to let in, as bits; read by all
 	asked       atomic.Uint64 // arrivals so far; by all
 	busied      atomic.Uint64 // of them, not let in; by all
 
-	queries    map[decide.RequestID]*openQuery // open ones
-	byQuery    map[string]*openQuery           // the same by the client's id
-	parts      map[decide.RequestID]*part      // of open queries, or with attempts out
-	arriving   *client                         // whose request is looked at in this turn and is not among them yet
-	held       int                             // open queries, and parts of theirs that are not in
-	lastID     decide.RequestID
-	lastNumber decide.QueryNumber
+	queries    map[scheduler.RequestID]*openQuery // open ones
+	byQuery    map[string]*openQuery              // the same by the client's id
+	parts      map[scheduler.RequestID]*part      // of open queries, or with attempts out
+	arriving   *client                            // whose request is looked at in this turn and is not among them yet
+	held       int                                // open queries, and parts of theirs that are not in
+	lastID     scheduler.RequestID
+	lastNumber scheduler.QueryNumber
 
 	questions questions
 	fleet     fleet
@@ -83,26 +83,26 @@
 }
 
 // effects are the settings' words for what running a subquery twice would do.
-var effects = map[string]guard.Effect{
-	"pure": guard.Idempotent, "token": guard.Keyed, "side_effect": guard.NonIdempotent,
+var effects = map[string]invariant.Effect{
+	"pure": invariant.Idempotent, "token": invariant.Keyed, "side_effect": invariant.NonIdempotent,
 }
 
 // New makes a co-ordinator; it opens nothing yet.
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		turns: newTurns(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:  map[string]decide.TrackIndex{},
+		tracks:  map[string]scheduler.TrackIndex{},
 		longest: map[string]time.Duration{},
-		effects: map[string]guard.Effect{},
+		effects: map[string]invariant.Effect{},
 		stepped: map[string]bool{},
 		agreed:  map[string]time.Duration{},
-		zones:   map[string]decide.ZoneIndex{},
-		tenants: map[string]decide.TenantIndex{},
-		queries: map[decide.RequestID]*openQuery{},
+		zones:   map[string]scheduler.ZoneIndex{},
+		tenants: map[string]scheduler.TenantIndex{},
+		queries: map[scheduler.RequestID]*openQuery{},
 		byQuery: map[string]*openQuery{},
-		parts:   map[decide.RequestID]*part{},
-		list:    list{boots: bootclock.New()},
-		counts:  Counts{Withheld: map[guard.Reason]int{}},
+		parts:   map[scheduler.RequestID]*part{},
+		list:    list{boots: incarnation.New()},
+		counts:  Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
@@ -113,7 +113,7 @@
 	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
 	for n, name := range d.names("lanes") {
 		c.stepped[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
-		c.tracks[name] = decide.TrackIndex(n)
+		c.tracks[name] = scheduler.TrackIndex(n)
 		cutOff, err := d.span(fmt.Sprintf("lanes.%d.deadline", n), 0)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
@@ -125,10 +125,10 @@
 		c.effects[name] = effects[d.settings[fmt.Sprintf("lanes.%d.effect", n)]]
 	}
 	for n, name := range d.names("zones") {
-		c.zones[name] = decide.ZoneIndex(n)
+		c.zones[name] = scheduler.ZoneIndex(n)
 	}
 	for n, name := range d.names("orgs") {
-		c.tenants[name] = decide.TenantIndex(n)
+		c.tenants[name] = scheduler.TenantIndex(n)
 	}
 	var err, bad error
 	c.shards, err = d.whole("familyInfo.ranges", 0)
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	module, err := decide.New(c, c.deployment.seed(), settings)
+	module, err := scheduler.New(c, c.deployment.seed(), settings)
 	if err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
@@ -223,7 +223,7 @@
 
 // lets tells whether one more arrival is let in. It is called by clients' goroutines.
 func (c *Coordinator) lets() bool {
-	if gate.Lets(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
+	if overload.Lets(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
 		return true
 	}
 	c.busied.Add(1)
@@ -243,7 +243,7 @@
 	for _, q := range c.inOrder() {
 		for _, p := range q.parts {
 			for n := range p.attempts {
-				c.Cancel(p.id, decide.AttemptNumber(n))
+				c.Cancel(p.id, scheduler.AttemptNumber(n))
 			}
 		}
 		c.Scrap(q.id)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
 )
 
 // The same settings as the simulator words them and as they stand in a configuration.
@@ -46,16 +46,16 @@
 	}
 }
 
-func deployment(t *testing.T, targets ...protocol.Target) *Deployment {
+func deployment(t *testing.T, targets ...wire.Target) *Deployment {
 	settings, err := Flatten([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &Deployment{Name: "n0", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "8c1f", Nested: json.RawMessage(nested),
-		Known: protocol.Listing{All: true, Targets: targets}, settings: settings}
+		Known: wire.Listing{All: true, Targets: targets}, settings: settings}
 }
 
-func made(t *testing.T, targets ...protocol.Target) *Coordinator {
+func made(t *testing.T, targets ...wire.Target) *Coordinator {
 	c, err := New(deployment(t, targets...), log.New(io.Discard, "", 0))
 	if err != nil {
 		t.Fatal(err)
@@ -145,10 +145,10 @@
 // A client that asks to wait for a day and leaves must not be remembered for as long.
 func TestNothingOfARetrievalStaysOnceItsLegsHaveEnded(t *testing.T) {
 	cell := 0
-	c := made(t, protocol.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell})
+	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 	defer c.fleet.stop()
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: 24 * time.Hour, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: 24 * time.Hour, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	if c.counts.Attempts != 1 || len(c.timers) < 2 {
 		t.Fatalf("%d legs, %d timers", c.counts.Attempts, len(c.timers))
@@ -172,14 +172,14 @@
 	c.list.c = c
 	cell, sizes := 0, ""
 	for n := range 3000 {
-		gone := protocol.Target{UID: fmt.Sprint("s-", n-1), State: protocol.Gone}
-		next := protocol.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell}
+		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Gone}
+		next := wire.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
 		near, far := net.Pipe()
 		k := newClient(c, near)
-		query := &protocol.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: time.Second,
-			Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: time.Second,
+			Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 		c.turn(func() {
-			c.list.tell(&protocol.Listing{Rev: int64(n), Targets: []protocol.Target{gone, next}}, false)
+			c.list.tell(&wire.Listing{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
 			c.arrives(k, query, c.now)
 		}, c.endTurn)
 		c.turn(func() { c.clientLeaves(k) }, c.endTurn)
@@ -211,7 +211,7 @@
 	}
 	defer l.Close()
 	cell := 0
-	d := deployment(t, protocol.Target{UID: "s-a", Endpoint: l.Addr().String(), State: protocol.Ready, Cell: &cell})
+	d := deployment(t, wire.Target{UID: "s-a", Endpoint: l.Addr().String(), State: wire.Ready, Cell: &cell})
 	var lines strings.Builder
 	listening := make(chan string, 100)
 	c, err := New(d, log.New(writer(func(b []byte) { lines.Write(b); listening <- string(b) }), "", 0))
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"terntray/guard"
+	"terntray/invariant"
 )
 
 // Counts is what was taken in, sent and answered. Taken is the sum of Fulfilled, TurnedBack, Scrapped, Left
@@ -14,17 +14,17 @@
 type Counts struct {
 	Taken, Fulfilled, Partial, TurnedBack, Scrapped, Left int
 
-	HeldBack   int                  // turned back or scrapped in the second half of their time, without an attempt that went
-	Full       int                  // of those turned back: by the bound on what is open
-	Expired    int                  // of those turned back: their time was over before they could be read
-	Bad        int                  // requests that were none
-	Attempts   int                  // sent
-	Retries    int                  // of them, after another of the same subquery had ended
-	Hedges     int                  // of them, beside another of the same subquery
-	Withheld   map[guard.Reason]int // of them, refused when decided or as they were about to be written
-	Violations int                  // actions that a rule forbids and that were decided all the same: 0, or a fault of this program
-	Outcomes   [9]int               // of attempts, by how they ended
-	Late       int                  // replies to attempts that had ended
+	HeldBack   int                      // turned back or scrapped in the second half of their time, without an attempt that went
+	Full       int                      // of those turned back: by the bound on what is open
+	Expired    int                      // of those turned back: their time was over before they could be read
+	Bad        int                      // requests that were none
+	Attempts   int                      // sent
+	Retries    int                      // of them, after another of the same subquery had ended
+	Hedges     int                      // of them, beside another of the same subquery
+	Withheld   map[invariant.Reason]int // of them, refused when decided or as they were about to be written
+	Violations int                      // actions that a rule forbids and that were decided all the same: 0, or a fault of this program
+	Outcomes   [9]int                   // of attempts, by how they ended
+	Late       int                      // replies to attempts that had ended
 
 	Opened, Refused, Dropped int // connections to replicas
 	Spoilt                   int // of them, ended by what came
@@ -53,7 +53,7 @@
 	s := fmt.Sprintf("taken=%d fulfilled=%d partial=%d turned_back=%d full=%d expired=%d scrapped=%d left=%d open=%d",
 		n.Taken, n.Fulfilled, n.Partial, n.TurnedBack, n.Full, n.Expired, n.Scrapped, n.Left, open)
 	s += fmt.Sprintf(" held_back=%d bad=%d legs=%d retries=%d hedges=%d violations=%d", n.HeldBack, n.Bad, n.Attempts, n.Retries, n.Hedges, n.Violations)
-	for _, reason := range guard.Reasons() {
+	for _, reason := range invariant.Reasons() {
 		s += fmt.Sprintf(" withheld_%s=%d", reason, n.Withheld[reason])
 	}
 	for i, name := range outcomeNames {
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/dialect"
-	"terntray/internal/protocol"
+	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
+	"terntray/scheduler"
 )
 
 // After a panic in a turn the attempts that were out hold no places.
@@ -20,10 +20,10 @@
 	}
 	defer l.Close()
 	cell := 0
-	c := made(t, protocol.Target{UID: "s-a", Endpoint: l.Addr().String(), State: protocol.Ready, Cell: &cell})
+	c := made(t, wire.Target{UID: "s-a", Endpoint: l.Addr().String(), State: wire.Ready, Cell: &cell})
 	defer c.fleet.stop()
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	c.turn(<-c.inbox, c.endTurn) // the connection is up
 	if len(c.fleet.attempts) != 1 {
@@ -39,8 +39,8 @@
 func TestRequestAtWhichATurnBreaksIsAnswered(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}},
-		Question: &protocol.Question{}} // which this track does not take, so that nothing is ready for it
+	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}},
+		Question: &wire.Question{}} // which this track does not take, so that nothing is ready for it
 	cause := recovered(func() { c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn) })
 	if cause == "" {
 		t.Fatal("nothing breaks")
@@ -61,11 +61,11 @@
 func TestWhatABrokenTurnWasToTellIsTold(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	for _, l := range c.fleet.attempts {
 		c.next = append(c.next, func() { panic("as if") })
-		c.giveUp(l, decide.TimedOut)
+		c.giveUp(l, scheduler.TimedOut)
 	}
 	if cause := recovered(c.turnWith); cause == "" || len(c.fleet.attempts) != 1 {
 		t.Fatalf("it breaks by %q with %d legs", cause, len(c.fleet.attempts))
@@ -84,10 +84,10 @@
 	near, far := pair(t)
 	near.SetWriteBuffer(4 << 10)
 	far.SetReadBuffer(4 << 10)
-	k := newLink(c, 1, c.fleet.named("s-a"), "127.0.0.1:1", dialect.Frames)
-	var calls []*dialect.Call
+	k := newLink(c, 1, c.fleet.named("s-a"), "127.0.0.1:1", replicaproto.Frames)
+	var calls []*replicaproto.Call
 	for n := range 60 {
-		calls = append(calls, &dialect.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), Wire: protocol.PartID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
+		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), Wire: wire.PartID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
 		k.session.Queue(calls[n])
 	}
 	began := time.Now()
@@ -96,7 +96,7 @@
 		t.Errorf("it is written to for %v", took)
 	}
 	last := calls[len(calls)-1]
-	if last.Stage != dialect.Waiting || !k.session.Withdraw(last) {
+	if last.Stage != replicaproto.Waiting || !k.session.Withdraw(last) {
 		t.Errorf("the last of what waits is at stage %v", last.Stage)
 	}
 }
@@ -107,7 +107,7 @@
 	for _, leaves := range []bool{true, false} {
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
-		query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		ended := <-c.inbox // of its connection, which is as good as one that was up and broke
 		q := c.byQuery["q"]
@@ -115,7 +115,7 @@
 			c.fleet.pool.Up(c.now, id)
 		}
 		l := q.parts[0].attempts[0]
-		l.call.Stage = dialect.Begun
+		l.call.Stage = replicaproto.Begun
 		if leaves {
 			c.turn(func() { c.clientLeaves(k) }, c.endTurn)
 		} else {
@@ -136,7 +136,7 @@
 	for _, begun := range []bool{true, false} {
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
-		query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
+		query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		p := c.byQuery["q"].parts[0]
 		<-c.inbox // the end of its connection; they are as good as ones that stand
@@ -144,7 +144,7 @@
 		<-c.inbox
 		first, other := p.attempts[0], p.attempts[1]
 		if begun {
-			other.call.Stage = dialect.Begun
+			other.call.Stage = replicaproto.Begun
 		}
 		var on, beside *link
 		for id, l := range c.fleet.links {
@@ -157,7 +157,7 @@
 			}
 		}
 		c.turn(func() {
-			c.replied(on, &dialect.Event{Kind: dialect.Answered, Wire: first.call.Wire, End: dialect.OK, Value: []byte("v"), Busy: -1}, c.now)
+			c.replied(on, &replicaproto.Event{Kind: replicaproto.Answered, Wire: first.call.Wire, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.now)
 		}, func() {})
 		if !p.in {
 			t.Fatal("the part is not in")
--- a/coordinator/crossings_list_test.go
+++ b/coordinator/crossings_list_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"terntray/internal/protocol"
-	"terntray/internal/standin"
+	"terntray/internal/fake"
+	"terntray/internal/wire"
 )
 
 // The next call of discovery goes out while what the last one told waits for its turn. Guards against: a full inbox that
 // lets a watch lapse.
 func TestWatchGoesOnWhileItsListWaitsForItsTurn(t *testing.T) {
-	a, err := standin.NewAgent()
+	a, err := fake.NewAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	waits, ended := make(chan struct{}), make(chan struct{})
 	go func() {
-		c.list.calls(ctx, a.Listener.Addr().String(), func(*protocol.Listing) { <-waits })
+		c.list.calls(ctx, a.Listener.Addr().String(), func(*wire.Listing) { <-waits })
 		close(ended)
 	}()
 	(<-a.Calls).Tell(`{"rev":5,"all":true,"targets":[]}`)
@@ -45,7 +45,7 @@
 // An agent that swallows a call, as while discovery is down, is asked again before what it tells at its return is late.
 // Guards against: a drain that counts as told while a call hangs. 0.6 s is some more than an agent is waited for.
 func TestCallThatHangsIsMadeAgainSoon(t *testing.T) {
-	a, err := standin.NewAgent()
+	a, err := fake.NewAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		c.list.hold = wait
 		ended := make(chan error)
 		go func() {
-			ended <- c.list.calls(context.Background(), a.Listener.Addr().String(), func(*protocol.Listing) {})
+			ended <- c.list.calls(context.Background(), a.Listener.Addr().String(), func(*wire.Listing) {})
 		}()
 		call := <-a.Calls
 		if wait > 0 {
@@ -72,16 +72,16 @@
 // A list that states no length ends with its connection; one that is reset on the way has no end, whatever of it came.
 func TestListWithoutALengthEndsWithItsConnectionAlone(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		a, err := standin.NewAgent()
+		a, err := fake.NewAgent()
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := fronted(t)
 		c.list.hold = time.Minute
 		ctx, stop := context.WithCancel(context.Background())
-		told, ended := make(chan *protocol.Listing, 9), make(chan error, 1)
+		told, ended := make(chan *wire.Listing, 9), make(chan error, 1)
 		go func() {
-			ended <- c.list.calls(ctx, a.Listener.Addr().String(), func(l *protocol.Listing) { told <- l })
+			ended <- c.list.calls(ctx, a.Listener.Addr().String(), func(l *wire.Listing) { told <- l })
 		}()
 		call := <-a.Calls
 		io.WriteString(call.Conn, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":5,\"all\":true,\"targets\":[]}")
@@ -112,12 +112,12 @@
 // A new process serves nobody by its old list as long as a newer one may be had at once.
 func TestReadyOnlyOnceTheListIsKnownAnew(t *testing.T) {
 	for _, told := range []bool{true, false} {
-		a, err := standin.NewAgent()
+		a, err := fake.NewAgent()
 		if err != nil {
 			t.Fatal(err)
 		}
 		cell := 0
-		d := deployment(t, protocol.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell})
+		d := deployment(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 		d.Discovery = a.Listener.Addr().String()
 		c, err := New(d, log.New(io.Discard, "", 0))
 		if err != nil {
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
 )
 
 // pair is a connection over loopback, the near end first.
@@ -45,7 +45,7 @@
 // fronted makes a coordinator with clients' places, whose turns the test takes.
 func fronted(t *testing.T) *Coordinator {
 	cell := 0
-	c := made(t, protocol.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell})
+	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 	t.Cleanup(c.fleet.stop)
 	c.list.c, c.list.held = c, c.deployment.Known
 	c.list.retell()
@@ -98,8 +98,8 @@
 func TestNothingGoesOutForAClientWhoseLeavingStillWaits(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := func(id string) *protocol.Query {
-		return &protocol.Query{ID: id, Track: "look", Deadline: time.Second, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := func(id string) *wire.Query {
+		return &wire.Query{ID: id, Track: "look", Deadline: time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	}
 	c.turn(func() { k.gone.Store(true); c.arrives(k, query("q"), c.now) }, c.endTurn)
 	if c.counts.Attempts > 0 || c.counts.Left != 1 {
@@ -122,7 +122,7 @@
 		if far.Close(); waited > 0 {
 			sees(t, near, ended)
 		}
-		query := &protocol.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 		c.born = c.born.Add(-10 * time.Second)
 		c.turn(func() { c.arrives(k, query, c.now-waited) }, c.endTurn)
 		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
@@ -224,10 +224,10 @@
 func TestAnswerSaysWhatBecomesOfItsConnection(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, func() {})
 	c.reply(c.byQuery["q"].id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
-		text := protocol.AnswerWith(true, nil, last)
+		text := wire.AnswerWith(true, nil, last)
 		k.evicted.Store(true)
 		return text
 	})
@@ -315,7 +315,7 @@
 // set makes a coordinator before one replica that nobody can reach, with some settings replaced.
 func set(t *testing.T, settings map[string]string) *Coordinator {
 	cell := 0
-	d := deployment(t, protocol.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell})
+	d := deployment(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 	maps.Copy(d.settings, settings)
 	c, err := New(d, log.New(io.Discard, "", 0))
 	if err != nil {
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -1,5 +1,5 @@
 // Package coordinator is a co-ordinator on sockets: it takes clients' queries, sends their parts to
-// replicas and follows the list of replicas. What it does with them is decided in package decide.
+// replicas and follows the list of replicas. What it does with them is decided in package scheduler.
 package coordinator
 
 import (
@@ -15,22 +15,22 @@
 	"strings"
 	"time"
 
-	"terntray/installation"
-	"terntray/internal/protocol"
+	"terntray/config"
+	"terntray/internal/wire"
 )
 
 // Deployment is what a co-ordinator is told before it starts.
 type Deployment struct {
-	Name      string           `json:"name"`
-	Listen    string           `json:"listen"`
-	Discovery string           `json:"discovery"`
-	Seed      string           `json:"seed"`
-	Limits    Limits           `json:"limits"`
-	Known     protocol.Listing `json:"known"`
-	Nested    json.RawMessage  `json:"settings"`
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"`
+	Limits    Limits          `json:"limits"`
+	Known     wire.Listing    `json:"known"`
+	Nested    json.RawMessage `json:"settings"`
 
 	// Installation is the project's own settings; nil: as without a file.
-	Installation *installation.Installation `json:"-"`
+	Installation *config.Installation `json:"-"`
 
 	settings map[string]string
 	path     string // of the file
--- a/coordinator/dial.go
+++ b/coordinator/dial.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"terntray/pool"
+	"terntray/connpool"
 )
 
 const (
@@ -48,7 +48,7 @@
 		}
 		if time.Now().Add(wait).After(until) {
 			if short {
-				err = fmt.Errorf("%w: %w", pool.ErrShortage, err)
+				err = fmt.Errorf("%w: %w", connpool.ErrShortage, err)
 			}
 			return err
 		}
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"terntray/internal/dialect"
-	"terntray/pool"
+	"terntray/connpool"
+	"terntray/internal/replicaproto"
 )
 
 const (
@@ -23,26 +23,26 @@
 )
 
 // link drives one connection to a replica: a goroutine that reads, one that writes. What it carries is decided in
-// package pool, what the bytes mean in its session; mu guards that and all else here that may change.
+// package connpool, what the bytes mean in its session; mu guards that and all else here that may change.
 type link struct {
 	c    *Coordinator
-	id   pool.ConnID
+	id   connpool.ConnID
 	to   *replica
 	addr string
-	kind dialect.Name
+	kind replicaproto.Name
 	tls  *tls.Config // nil: cleartext
 
 	mu      sync.Mutex
 	more    *sync.Cond
-	session dialect.Session
+	session replicaproto.Session
 	conn    net.Conn // set once it is connected
 	ended   bool
 	mute    bool // nothing more is written
 }
 
-func newLink(c *Coordinator, id pool.ConnID, to *replica, addr string, kind dialect.Name) *link {
+func newLink(c *Coordinator, id connpool.ConnID, to *replica, addr string, kind replicaproto.Name) *link {
 	k := &link{c: c, id: id, to: to, addr: addr, kind: kind, session: c.fleet.session(kind, to)}
-	if l := c.fleet.secure[to.tls]; l != nil && kind == dialect.HTTP2 {
+	if l := c.fleet.secure[to.tls]; l != nil && kind == replicaproto.HTTP2 {
 		k.tls = l.Client
 	}
 	k.more = sync.NewCond(&k.mu)
@@ -58,7 +58,7 @@
 	k.more.Signal()
 	switch {
 	case k.conn == nil:
-	case dialect.Of(k.kind).Shares && !k.mute:
+	case replicaproto.Of(k.kind).Shares && !k.mute:
 		k.conn.SetWriteDeadline(time.Now().Add(goodbye)) // whatever is being written
 	default:
 		k.conn.Close()
@@ -102,7 +102,7 @@
 		}
 	}
 	ready := time.Time{}
-	if dialect.Of(k.kind).Shares {
+	if replicaproto.Of(k.kind).Shares {
 		ready = began.Add(f.connectWithin)
 	} else {
 		k.c.post(func() { k.c.linkUp(k) })
@@ -128,7 +128,7 @@
 // Guards against: noise and lengths that do not fit, which leave a message unfinished. Should also cover: a replica that
 // stops in the midst of one, or goes on and on, while the answers behind it wait. Could hurt: never, a piece that was lost on its way comes within what a lost connect may take.
 func (k *link) read(conn net.Conn, ready time.Time) error {
-	shares := dialect.Of(k.kind).Shares
+	shares := replicaproto.Of(k.kind).Shares
 	timed, looked := !ready.IsZero(), false
 	within := max(frameWithin, k.c.fleet.connectWithin) // a piece
 	whole, began := time.Time{}, false                  // until when a message that has begun has to be
@@ -155,7 +155,7 @@
 			}
 		}
 		for _, e := range all {
-			if e.Kind == dialect.Ready {
+			if e.Kind == replicaproto.Ready {
 				ready = time.Time{}
 			}
 		}
@@ -179,7 +179,7 @@
 }
 
 // take gives the session what came and takes what it makes of it.
-func (k *link) take(n int) (all []dialect.Event, partly bool, bad error) {
+func (k *link) take(n int) (all []replicaproto.Event, partly bool, bad error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.session.Filled(n)
@@ -187,7 +187,7 @@
 	for ; ok; e, ok, bad = k.session.Next() {
 		all = append(all, e)
 	}
-	if dialect.Of(k.kind).Shares { // what came may ask for words, or make room for some
+	if replicaproto.Of(k.kind).Shares { // what came may ask for words, or make room for some
 		k.more.Signal()
 	}
 	return all, k.session.Partly(), bad
@@ -226,7 +226,7 @@
 		}
 		k.more.Wait()
 	}
-	if dialect.Of(k.kind).Shares {
+	if replicaproto.Of(k.kind).Shares {
 		bytes = k.session.Output(bytes, mostOutput, k.c.since(time.Now()))
 	}
 	return bytes, true
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -8,10 +8,10 @@
 	"net"
 	"time"
 
-	"terntray/bootclock"
-	"terntray/decide"
-	"terntray/guard"
-	"terntray/internal/protocol"
+	"terntray/incarnation"
+	"terntray/internal/wire"
+	"terntray/invariant"
+	"terntray/scheduler"
 )
 
 const (
@@ -29,9 +29,9 @@
 	failing  bool   // the last call did
 	asked    bool   // changes come only to those who ask, and the module decides when
 	hold     time.Duration
-	held     protocol.Listing
+	held     wire.Listing
 	stopCall context.CancelFunc
-	boots    *bootclock.Clock
+	boots    *incarnation.Clock
 	stopMove context.CancelFunc // of the watch at a new address that has yet to tell the whole list; or nil
 }
 
@@ -108,7 +108,7 @@
 	}
 	began := l.c.now
 	l.c.drivers.Go(func() {
-		err := l.calls(ctx, host, func(told *protocol.Listing) {
+		err := l.calls(ctx, host, func(told *wire.Listing) {
 			post(func() {
 				l.c.counts.Lists++
 				if host != l.host {
@@ -150,20 +150,20 @@
 }
 
 // calls makes one call after the other on one connection; it returns what ended it.
-func (l *list) calls(ctx context.Context, host string, tell func(*protocol.Listing)) error {
+func (l *list) calls(ctx context.Context, host string, tell func(*wire.Listing)) error {
 	var conn net.Conn
-	var answers protocol.Listings
+	var answers wire.Listings
 	release := func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}
 	defer func() { release() }()
-	request, wait, rev, within := protocol.WholeList(host), time.Duration(0), int64(0), answersIn
+	request, wait, rev, within := wire.WholeList(host), time.Duration(0), int64(0), answersIn
 	if !l.asked {
 		within = agentsIn
 	}
-	var told *protocol.Listing
+	var told *wire.Listing
 	for {
 		if conn == nil {
 			if told != nil {
@@ -174,7 +174,7 @@
 			if conn, err = dial(ctx, host, time.Now().Add(within)); err != nil {
 				return err
 			}
-			answers = protocol.Listings{}
+			answers = wire.Listings{}
 			now, forget := conn, stopWith(ctx, conn)
 			release = func() {
 				forget()
@@ -202,12 +202,12 @@
 			return fmt.Errorf("changes of revision %d after %d", told.Rev, rev)
 		}
 		rev = told.Rev
-		request, wait = protocol.Watch(host, rev, l.hold.Milliseconds()), l.hold
+		request, wait = wire.Watch(host, rev, l.hold.Milliseconds()), l.hold
 		within = min(within, dueIn)
 	}
 }
 
-func nextListing(conn net.Conn, answers *protocol.Listings) (*protocol.Listing, bool, error) {
+func nextListing(conn net.Conn, answers *wire.Listings) (*wire.Listing, bool, error) {
 	for {
 		told, last, err := answers.Next()
 		if told != nil || err != nil {
@@ -226,7 +226,7 @@
 }
 
 // tell tells the module what discovery said and keeps the list that follows from it.
-func (l *list) tell(told *protocol.Listing, old bool) {
+func (l *list) tell(told *wire.Listing, old bool) {
 	c := l.c
 	if odd := told.Sift(); len(odd) > 0 {
 		c.log.Printf("event=odd_targets rev=%d targets=%q", told.Rev, odd)
@@ -244,7 +244,7 @@
 		}
 		for _, r := range c.fleet.all {
 			if !held[r.uid] {
-				r.state.Store(int32(guard.Removed))
+				r.state.Store(int32(invariant.Removed))
 				c.fleet.pool.Left(c.now, r.id)
 			}
 		}
@@ -264,20 +264,20 @@
 	}
 }
 
-func (l *list) tellOf(t protocol.Target) {
+func (l *list) tellOf(t wire.Target) {
 	c := l.c
 	r := c.fleet.named(t.UID)
 	r.state.Store(int32(states[t.State]))
-	if r.addr != t.Endpoint && t.State != protocol.Gone {
+	if r.addr != t.Endpoint && t.State != wire.Gone {
 		c.log.Printf("event=listed replica=%s id=%d addr=%s zone=%s", t.UID, r.id, t.Endpoint, t.Zone)
 	}
-	if t.State == protocol.Gone {
+	if t.State == wire.Gone {
 		c.fleet.pool.Left(c.now, r.id)
 	} else {
 		r.addr = t.Endpoint
-		c.fleet.pool.Listed(c.now, r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == protocol.Draining)
+		c.fleet.pool.Listed(c.now, r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == wire.Draining)
 	}
-	started, cell, zone := decide.LongAgo, decide.CellNumber(0), decide.ZoneIndex(-1)
+	started, cell, zone := scheduler.LongAgo, scheduler.CellNumber(0), scheduler.ZoneIndex(-1)
 	if t.BootMS > 0 {
 		exact := false
 		started, exact = l.boots.Started(c.now, t.UID, t.BootMS)
@@ -288,7 +288,7 @@
 		c.fleet.pool.Restarted(c.now, r.id, closesBefore)
 	}
 	if t.Cell != nil {
-		cell = decide.CellNumber(*t.Cell)
+		cell = scheduler.CellNumber(*t.Cell)
 	}
 	if at, ok := c.zones[t.Zone]; ok {
 		zone = at
@@ -298,19 +298,19 @@
 }
 
 // change applies changes to the list that is held.
-func (l *list) change(targets []protocol.Target) {
-	byUID := map[string]protocol.Target{}
+func (l *list) change(targets []wire.Target) {
+	byUID := map[string]wire.Target{}
 	for _, t := range targets {
 		byUID[t.UID] = t
 	}
-	var kept []protocol.Target
+	var kept []wire.Target
 	for _, t := range l.held.Targets {
 		if _, changed := byUID[t.UID]; !changed {
 			kept = append(kept, t)
 		}
 	}
 	for _, t := range targets {
-		if t.State != protocol.Gone {
+		if t.State != wire.Gone {
 			kept = append(kept, t)
 		}
 	}
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"terntray/decide"
-	"terntray/installation"
+	"terntray/config"
+	"terntray/scheduler"
 )
 
 const (
@@ -24,7 +24,7 @@
 type peers struct {
 	socket *net.UDPConn
 	others []netip.AddrPort
-	index  map[netip.AddrPort]decide.PeerIndex
+	index  map[netip.AddrPort]scheduler.PeerIndex
 	unread atomic.Int64
 
 	strangers atomic.Int64 // messages from elsewhere, which nobody reads
@@ -32,7 +32,7 @@
 
 // settled gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
 // of co-ordinators and sizes must fit them.
-func (d *Deployment) settled(in *installation.Installation) (settings, watched map[string]string, err error) {
+func (d *Deployment) settled(in *config.Installation) (settings, watched map[string]string, err error) {
 	settings, weighed := d.carried(len(in.Peers.Others) > 0), d.settings["weightKind"]
 	allowed := d.settings["bounds.peers"] == "true"
 	if len(in.Peers.Others) > 0 && !allowed {
@@ -49,7 +49,7 @@
 }
 
 // size is how large a replica of a model is beside others, 0 where nothing says it.
-func size(in *installation.Installation, model string) float64 {
+func size(in *config.Installation, model string) float64 {
 	for _, s := range in.Sizes {
 		if fits, _ := path.Match(s.Model, model); fits {
 			return s.Size
@@ -59,18 +59,18 @@
 }
 
 // meet opens the socket and reads until it is closed.
-func (c *Coordinator) meet(in installation.Peers) error {
+func (c *Coordinator) meet(in config.Peers) error {
 	if len(in.Others) == 0 {
 		return nil
 	}
-	p := &peers{index: map[netip.AddrPort]decide.PeerIndex{}}
+	p := &peers{index: map[netip.AddrPort]scheduler.PeerIndex{}}
 	for n, other := range in.Others {
 		addr, err := net.ResolveUDPAddr("udp4", other)
 		if err != nil {
 			return fmt.Errorf("installation: peers.others[%d]: %w", n, err)
 		}
 		at := netip.AddrPortFrom(addr.AddrPort().Addr().Unmap(), addr.AddrPort().Port())
-		p.others, p.index[at] = append(p.others, at), decide.PeerIndex(n)
+		p.others, p.index[at] = append(p.others, at), scheduler.PeerIndex(n)
 	}
 	addr, err := net.ResolveUDPAddr("udp4", in.Listen)
 	if err == nil {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -10,21 +10,21 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
-	"terntray/installation"
-	"terntray/internal/protocol"
-	"terntray/internal/standin"
+	"terntray/config"
+	"terntray/internal/fake"
+	"terntray/internal/wire"
+	"terntray/scheduler"
 )
 
 // moved is a co-ordinator whose configuration has the settings and the installation file given.
-func moved(t *testing.T, settings map[string]string, file string, targets ...protocol.Target) (*Coordinator, error) {
+func moved(t *testing.T, settings map[string]string, file string, targets ...wire.Target) (*Coordinator, error) {
 	t.Helper()
 	d := deployment(t, targets...)
 	for name, value := range settings {
 		d.settings[name] = value
 	}
 	if file != "" {
-		in, err := installation.Parse([]byte(file))
+		in, err := config.Parse([]byte(file))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,8 +53,8 @@
 // cannot be read is counted.
 func TestCoordinatorsTellEachOtherOnLoopback(t *testing.T) {
 	cell := 0
-	target := protocol.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: protocol.Ready, Cell: &cell}
-	first, second, stranger := standin.FreePort("udp4"), standin.FreePort("udp4"), standin.FreePort("udp4")
+	target := wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
+	first, second, stranger := fake.FreePort("udp4"), fake.FreePort("udp4"), fake.FreePort("udp4")
 	told := map[string]string{"bounds.peers": "true", "balancers": "40"}
 	a, err := moved(t, told, peersFile(first, second), target)
 	if err != nil {
@@ -73,7 +73,7 @@
 		defer c.peers.close()
 		c.client(t)
 	}
-	query := &protocol.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []protocol.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
 	a.turn(func() { a.arrives(a.client(t), query, a.now) }, a.endTurn)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
@@ -111,7 +111,7 @@
 		d := deployment(t)
 		d.settings["bounds.peers"], d.settings["familyInfo.classFetch"] = "true", "0,2"
 		if named {
-			d.Installation, _ = installation.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
+			d.Installation, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
 		}
 		var said strings.Builder
 		c, err := New(d, log.New(writer(func(b []byte) { said.Write(b) }), "", 0))
@@ -155,11 +155,11 @@
 }
 
 func TestSizesOfModelsReachTheModule(t *testing.T) {
-	in, err := installation.Parse([]byte(`{"sizes":[{"model":"slow-*","size":1.5},{"model":"*","size":2}]}`))
+	in, err := config.Parse([]byte(`{"sizes":[{"model":"slow-*","size":1.5},{"model":"*","size":2}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&installation.Installation{}, "std-2c") != 0 {
+	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&config.Installation{}, "std-2c") != 0 {
 		t.Error("a model has another's size")
 	}
 }
@@ -168,11 +168,11 @@
 // are silent would have longer time-outs, as no copies may go here.
 func TestWatchModeCountsAndDecidesAsBefore(t *testing.T) {
 	run := func(file string) (attempts int, line string) {
-		var targets []protocol.Target
+		var targets []wire.Target
 		for n, model := range []string{"slow", "slow", "std", "std"} {
 			cell := n % 2
-			targets = append(targets, protocol.Target{UID: "s-" + string(rune('a'+n)), Endpoint: "127.0.0.1:1", Model: model,
-				State: protocol.Ready, Cell: &cell})
+			targets = append(targets, wire.Target{UID: "s-" + string(rune('a'+n)), Endpoint: "127.0.0.1:1", Model: model,
+				State: wire.Ready, Cell: &cell})
 		}
 		c, err := moved(t, nil, file, targets...)
 		if err != nil {
@@ -180,9 +180,9 @@
 		}
 		defer c.fleet.stop()
 		k := c.client(t)
-		query := &protocol.Query{ID: "q", Track: "look", Deadline: 5 * time.Second}
+		query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second}
 		for shard := range 4 {
-			query.Parts = append(query.Parts, protocol.QueryPart{Shard: shard, Weight: 0.25})
+			query.Parts = append(query.Parts, wire.QueryPart{Shard: shard, Weight: 0.25})
 		}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		return c.counts.Attempts, c.countersLine()
@@ -199,4 +199,4 @@
 	}
 }
 
-var _ decide.Host = (*Coordinator)(nil)
+var _ scheduler.Host = (*Coordinator)(nil)
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"terntray/decide"
-	"terntray/guard"
+	"terntray/invariant"
+	"terntray/scheduler"
 )
 
 // How the rules of package guard are asked: when an attempt is decided, again by its connection's writer as the first byte
@@ -23,10 +23,10 @@
 
 type withheldAttempt struct {
 	attempt *attempt
-	reason  guard.Reason
+	reason  invariant.Reason
 }
 
-func (w *withheld) add(l *attempt, reason guard.Reason) {
+func (w *withheld) add(l *attempt, reason invariant.Reason) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.all = append(w.all, withheldAttempt{l, reason})
@@ -49,18 +49,18 @@
 
 // snapshot is what is known of an attempt at a time. It may be called from any goroutine; the earlier attempts belong to
 // the loop and are added there.
-func (l *attempt) snapshot(now time.Duration) guard.Attempt {
-	return guard.Attempt{
+func (l *attempt) snapshot(now time.Duration) invariant.Attempt {
+	return invariant.Attempt{
 		TimeLeft:    l.deadline - now,
 		ClientGone:  l.part.of.client.hasGone(now),
 		QueryClosed: l.part.over(),
-		Endpoint:    guard.EndpointState(l.endpoint.state.Load()),
+		Endpoint:    invariant.EndpointState(l.endpoint.state.Load()),
 	}
 }
 
 // mayDecide tells whether the loop may send an attempt that the decision module asks for. What the module must not ask
 // for is a violation.
-func (c *Coordinator) mayDecide(l *attempt, earlier []*attempt) guard.Reason {
+func (c *Coordinator) mayDecide(l *attempt, earlier []*attempt) invariant.Reason {
 	attempt := l.snapshot(c.now)
 	attempt.Effect, attempt.Most = c.effects[l.part.of.query.Track], c.maxAttempts
 	for _, e := range earlier {
@@ -68,8 +68,8 @@
 	}
 	reason := attempt.Write()
 	switch reason {
-	case guard.Allowed:
-	case guard.DeadlinePassed, guard.ClientGone, guard.QueryClosed: // the loop may not have been told yet
+	case invariant.Allowed:
+	case invariant.DeadlinePassed, invariant.ClientGone, invariant.QueryClosed: // the loop may not have been told yet
 		c.noteWithheld(l, reason, "decided")
 	default:
 		c.violated(reason, "attempt", l.part.wire, l.to)
@@ -78,23 +78,23 @@
 }
 
 // evidence is what is known of an attempt that went before another.
-func (l *attempt) evidence() guard.Evidence {
+func (l *attempt) evidence() invariant.Evidence {
 	switch {
 	case !l.over:
-		return guard.Running
-	case l.outcome == decide.TurnedAway || l.outcome == decide.Unreachable || l.outcome == decide.Moot:
-		return guard.NeverRan
+		return invariant.Running
+	case l.outcome == scheduler.TurnedAway || l.outcome == scheduler.Unreachable || l.outcome == scheduler.Moot:
+		return invariant.NeverRan
 	}
-	return guard.MayRun
+	return invariant.MayRun
 }
 
 // permit is asked by a connection's writer, under the connection's mutex.
 func (c *Coordinator) permit(l *attempt, now time.Duration) bool {
 	reason := l.snapshot(now).Write()
-	if reason != guard.Allowed {
+	if reason != invariant.Allowed {
 		c.withheld.add(l, reason)
 	}
-	return reason == guard.Allowed
+	return reason == invariant.Allowed
 }
 
 // tellWithheld has the loop take what was refused as it was about to be written. It is called by writers, without any
@@ -108,21 +108,21 @@
 		for _, w := range all {
 			c.noteWithheld(w.attempt, w.reason, "written")
 			c.fleet.pool.Withheld(c.now, &w.attempt.Attempt)
-			if w.reason == guard.ClientGone {
+			if w.reason == invariant.ClientGone {
 				c.clientLeaves(w.attempt.part.of.client)
 			}
 		}
 	})
 }
 
-func (c *Coordinator) noteWithheld(l *attempt, reason guard.Reason, when string) {
+func (c *Coordinator) noteWithheld(l *attempt, reason invariant.Reason, when string) {
 	c.counts.Withheld[reason]++
 	c.seldom("event=withheld query=%s attempt=%s.%d replica=%s reason=%s when=%s",
 		l.part.of.query.ID, l.part.wire, l.number, c.fleet.uid(l.to), reason, when)
 }
 
 // violated counts and logs an action that a rule forbids and that was about to happen, or has happened. None is expected.
-func (c *Coordinator) violated(reason guard.Reason, action, id string, to decide.ReplicaID) {
+func (c *Coordinator) violated(reason invariant.Reason, action, id string, to scheduler.ReplicaID) {
 	c.counts.Violations++
 	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.fleet.uid(to), reason)
 }
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -10,29 +10,29 @@
 	"time"
 	"unicode/utf8"
 
-	"terntray/decide"
-	"terntray/guard"
-	"terntray/internal/dialect"
-	"terntray/internal/protocol"
-	"terntray/pool"
+	"terntray/connpool"
+	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
+	"terntray/invariant"
+	"terntray/scheduler"
 )
 
 // openQuery is a query that is open; the client that asked for it gets its one answer.
 type openQuery struct {
-	id       decide.RequestID
+	id       scheduler.RequestID
 	client   *client
-	query    *protocol.Query
+	query    *wire.Query
 	cutOff   time.Duration
 	parts    []*part
 	closed   atomic.Bool // read by all
 	came     time.Duration
 	ends     *timer // at the cut-off
-	number   decide.QueryNumber
+	number   scheduler.QueryNumber
 	question *question // nil: it is none
 }
 
 type part struct {
-	id       decide.RequestID
+	id       scheduler.RequestID
 	of       *openQuery
 	shard    int
 	wire     string // its id on the wire
@@ -45,20 +45,20 @@
 
 // attempt is one attempt at a part.
 type attempt struct {
-	pool.Attempt // as it is sent; no Call where there was no connection for it
-	call         dialect.Call
-	part         *part
-	number       decide.AttemptNumber
-	to           decide.ReplicaID
-	deadline     time.Duration // when it stops being awaited, as time since the process' start
-	endpoint     *replica
-	over         bool           // the module has been told, or is about to be
-	outcome      decide.Outcome // once it is over
-	ends         *timer         // when its time is over
+	connpool.Attempt // as it is sent; no Call where there was no connection for it
+	call             replicaproto.Call
+	part             *part
+	number           scheduler.AttemptNumber
+	to               scheduler.ReplicaID
+	deadline         time.Duration // when it stops being awaited, as time since the process' start
+	endpoint         *replica
+	over             bool              // the module has been told, or is about to be
+	outcome          scheduler.Outcome // once it is over
+	ends             *timer            // when its time is over
 }
 
 // arrives takes a query in. It was whole at that time.
-func (c *Coordinator) arrives(from *client, query *protocol.Query, at time.Duration) {
+func (c *Coordinator) arrives(from *client, query *wire.Query, at time.Duration) {
 	c.arriving = from
 	switch {
 	case from.hasGone(c.now): // while it waited; what tells that comes behind
@@ -92,7 +92,7 @@
 	from.answer(plainly(status, words))
 }
 
-func (c *Coordinator) unknownShard(query *protocol.Query) int {
+func (c *Coordinator) unknownShard(query *wire.Query) int {
 	for _, p := range query.Parts {
 		if p.Shard >= c.shards {
 			return p.Shard
@@ -101,7 +101,7 @@
 	return -1
 }
 
-func (c *Coordinator) take(from *client, query *protocol.Query, at time.Duration) {
+func (c *Coordinator) take(from *client, query *wire.Query, at time.Duration) {
 	at = c.cameAt(at)
 	q := &openQuery{id: c.newID(), client: from, query: query, came: at, cutOff: at + query.Deadline}
 	track := c.tracks[query.Track]
@@ -132,20 +132,20 @@
 	c.held += len(query.Parts)
 	c.module.QueryArrives(c.now, q.id, number, track, c.tenantOf(query), left, hint, len(query.Parts))
 	for _, asked := range query.Parts {
-		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: protocol.PartID(query.ID, asked.Shard)}
+		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.PartID(query.ID, asked.Shard)}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
-		c.module.PartArrives(c.now, p.id, number, decide.ShardNumber(p.shard), asked.Weight, asked.Hint)
+		c.module.PartArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), asked.Weight, asked.Hint)
 	}
 }
 
 // tenantOf is who asks for a query. One that the settings do not name has no share, and nothing is charged to another's.
 // Guards against: tenants that are turned back as what others ask for is charged to them. Could hurt: never, where nobody
 // is named there is no tenant.
-func (c *Coordinator) tenantOf(query *protocol.Query) decide.TenantIndex {
+func (c *Coordinator) tenantOf(query *wire.Query) scheduler.TenantIndex {
 	if t, named := c.tenants[inValues.Replace(query.Tenant)]; named {
 		return t
 	}
-	return decide.TenantIndex(len(c.tenants))
+	return scheduler.TenantIndex(len(c.tenants))
 }
 
 // overdue answers a query that the module has left open until its cut-off. Guards against: a fault of the
@@ -159,7 +159,7 @@
 }
 
 // newID gives an id that nothing open has.
-func (c *Coordinator) newID() decide.RequestID {
+func (c *Coordinator) newID() scheduler.RequestID {
 	for {
 		c.lastID++
 		if c.queries[c.lastID] == nil && c.parts[c.lastID] == nil {
@@ -219,7 +219,7 @@
 		switch {
 		case l.over:
 		case c.fleet.pool.Withdraw(c.now, &l.Attempt):
-			c.tell(l, decide.Cancelled)
+			c.tell(l, scheduler.Cancelled)
 		default: // it is begun: if that fails, it is not begun anew
 			c.fleet.pool.Stays(&l.Attempt)
 		}
@@ -237,13 +237,13 @@
 }
 
 // reply gives a query its one answer.
-func (c *Coordinator) reply(id decide.RequestID, count *int, make func(q *openQuery, last bool) []byte) {
+func (c *Coordinator) reply(id scheduler.RequestID, count *int, make func(q *openQuery, last bool) []byte) {
 	q := c.queries[id]
 	if q == nil {
-		c.violated(guard.Answer{Answered: true}.Give(), "answer", fmt.Sprint(id), 0)
+		c.violated(invariant.Answer{Answered: true}.Give(), "answer", fmt.Sprint(id), 0)
 		return
 	}
-	if reason := (guard.Answer{Late: c.now - q.cutOff, Stalled: c.justStalled()}).Give(); reason != guard.Allowed {
+	if reason := (invariant.Answer{Late: c.now - q.cutOff, Stalled: c.justStalled()}).Give(); reason != invariant.Allowed {
 		c.violated(reason, "answer", q.query.ID, 0)
 	}
 	*count++
@@ -262,7 +262,7 @@
 }
 
 // Answer answers with the parts that are in.
-func (c *Coordinator) Answer(id decide.RequestID, whole bool) {
+func (c *Coordinator) Answer(id scheduler.RequestID, whole bool) {
 	if q := c.queries[id]; q != nil && q.question != nil {
 		c.stepSoon(q) // a step is over
 		return
@@ -271,27 +271,27 @@
 		if !whole {
 			c.counts.Partial++
 		}
-		var matches []protocol.Match
+		var matches []wire.Match
 		for _, p := range q.parts {
 			if p.in {
-				matches = append(matches, protocol.Match{Segment: p.shard, Payload: string(p.value)})
+				matches = append(matches, wire.Match{Segment: p.shard, Payload: string(p.value)})
 			}
 		}
 		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.now-q.came)
-		return protocol.AnswerWith(whole, matches, last)
+		return wire.AnswerWith(whole, matches, last)
 	})
 }
 
 // TurnBack answers that trying again is harmless.
-func (c *Coordinator) TurnBack(id decide.RequestID, comeBack time.Duration) {
+func (c *Coordinator) TurnBack(id scheduler.RequestID, comeBack time.Duration) {
 	c.reply(id, &c.counts.TurnedBack, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.now-q.came)
-		return protocol.TurnBackWith(comeBack, "turned back", last)
+		return wire.TurnBackWith(comeBack, "turned back", last)
 	})
 }
 
 // Scrap answers that the query failed.
-func (c *Coordinator) Scrap(id decide.RequestID) {
+func (c *Coordinator) Scrap(id scheduler.RequestID) {
 	c.reply(id, &c.counts.Scrapped, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.now-q.came)
 		return refusal(http.StatusInternalServerError, "scrapped", last)
@@ -299,11 +299,11 @@
 }
 
 func refusal(status int, words string, last bool) []byte {
-	return protocol.Respond(status, "text/plain", []byte(words+"\n"), 0, last)
+	return wire.Respond(status, "text/plain", []byte(words+"\n"), 0, last)
 }
 
 // Send sends an attempt of a part.
-func (c *Coordinator) Send(id decide.RequestID, to decide.ReplicaID, timeout time.Duration) {
+func (c *Coordinator) Send(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	p := c.parts[id]
 	if p == nil {
 		c.log.Printf("event=unknown_part id=%d", id)
@@ -313,18 +313,18 @@
 	if timeout > 0 {
 		wait = min(wait, timeout)
 	}
-	l := &attempt{part: p, number: decide.AttemptNumber(len(p.attempts)), deadline: c.now + wait, to: to, endpoint: c.fleet.endpoint(to)}
-	l.SentAt, l.Single = c.now, c.effects[p.of.query.Track] == guard.NonIdempotent
+	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.now + wait, to: to, endpoint: c.fleet.endpoint(to)}
+	l.SentAt, l.Single = c.now, c.effects[p.of.query.Track] == invariant.NonIdempotent
 	earlier := p.attempts
 	p.attempts = append(p.attempts, l)
 	c.noteSent(l, earlier)
 	switch {
-	case c.mayDecide(l, earlier) != guard.Allowed:
-		c.tell(l, decide.Moot)
+	case c.mayDecide(l, earlier) != invariant.Allowed:
+		c.tell(l, scheduler.Moot)
 	case !c.fleet.send(l):
-		c.tell(l, decide.Unreachable)
+		c.tell(l, scheduler.Unreachable)
 	default:
-		l.ends = c.after(wait, "", func() { c.giveUp(l, decide.TimedOut) })
+		l.ends = c.after(wait, "", func() { c.giveUp(l, scheduler.TimedOut) })
 	}
 }
 
@@ -347,14 +347,14 @@
 }
 
 // Cancel gives an attempt up.
-func (c *Coordinator) Cancel(id decide.RequestID, n decide.AttemptNumber) {
+func (c *Coordinator) Cancel(id scheduler.RequestID, n scheduler.AttemptNumber) {
 	if p := c.parts[id]; p != nil && int(n) < len(p.attempts) {
-		c.giveUp(p.attempts[n], decide.Cancelled)
+		c.giveUp(p.attempts[n], scheduler.Cancelled)
 	}
 }
 
 // giveUp stops waiting for an attempt.
-func (c *Coordinator) giveUp(l *attempt, how decide.Outcome) {
+func (c *Coordinator) giveUp(l *attempt, how scheduler.Outcome) {
 	if l.over {
 		return
 	}
@@ -363,14 +363,14 @@
 }
 
 // tell has the module told at the start of the next turn how an attempt ended.
-func (c *Coordinator) tell(l *attempt, how decide.Outcome) {
+func (c *Coordinator) tell(l *attempt, how scheduler.Outcome) {
 	l.over, l.outcome = true, how
 	c.callOff(l.ends)
 	took := c.now - l.SentAt
 	c.next = append(c.next, func() { c.ends(l, how, took) })
 }
 
-func (c *Coordinator) ends(l *attempt, how decide.Outcome, took time.Duration) {
+func (c *Coordinator) ends(l *attempt, how scheduler.Outcome, took time.Duration) {
 	l.over, l.outcome = true, how
 	c.callOff(l.ends)
 	delete(c.fleet.attempts, l.ID)
@@ -386,8 +386,8 @@
 }
 
 // replied takes what a replica says of a part; at is when it was read.
-func (c *Coordinator) replied(from *link, r *dialect.Event, at time.Duration) {
-	ended, late := c.fleet.pool.Answered(c.now, from.id, pool.AttemptID(r.Attempt), r.Wire, at)
+func (c *Coordinator) replied(from *link, r *replicaproto.Event, at time.Duration) {
+	ended, late := c.fleet.pool.Answered(c.now, from.id, connpool.AttemptID(r.Attempt), r.Wire, at)
 	if late {
 		c.counts.Late++
 	}
@@ -398,22 +398,22 @@
 	if r.Busy >= 0 {
 		c.module.ReplicaReports(c.now, l.to, r.Busy)
 	}
-	how := decide.Erred
+	how := scheduler.Erred
 	switch r.End {
-	case dialect.OK:
+	case replicaproto.OK:
 		if !utf8.Valid(r.Value) { // no answer can hold it as it is
 			break
 		}
-		how = decide.Fulfilled
+		how = scheduler.Fulfilled
 		if l.part.of.question != nil {
 			how = c.tells(l, r.Value, at-l.SentAt)
 		}
-		if p := l.part; how == decide.Fulfilled && !p.in && !p.over() {
+		if p := l.part; how == scheduler.Fulfilled && !p.in && !p.over() {
 			p.in, p.value = true, r.Value
 			c.held--
 		}
-	case dialect.Rejected:
-		how = decide.TurnedAway
+	case replicaproto.Rejected:
+		how = scheduler.TurnedAway
 	}
 	c.ends(l, how, at-l.SentAt)
 	if l.part.in { // its other attempts, where nothing may be called off
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/protocol"
-	"terntray/phases"
+	"terntray/internal/wire"
+	"terntray/scheduler"
+	"terntray/twophase"
 )
 
 // Questions: queries whose parts may be asked in two phases, as package phases decides. The module places, sends and
@@ -16,17 +16,17 @@
 // questions is what belongs to them; it belongs to the turns.
 type questions struct {
 	takes    map[string]bool // tracks
-	learns   map[string]*phases.Track
+	learns   map[string]*twophase.Track
 	shared   bool // versions
 	attempts int  // allowance of a part; 0: any number
 }
 
 // question is an open one.
 type question struct {
-	run       *phases.Run
-	form      phases.Form
-	asked     *protocol.Question
-	hints     map[phases.Block]time.Duration
+	run       *twophase.Run
+	form      twophase.Form
+	asked     *wire.Question
+	hints     map[twophase.Block]time.Duration
 	summaries bool // the present parts ask for them
 	due       bool // a step is to be taken in the next turn
 	wake      *timer
@@ -34,8 +34,8 @@
 	replies   [2]int
 }
 
-func (n *questions) begin(d *Deployment, tracks map[string]decide.TrackIndex) error {
-	*n = questions{takes: map[string]bool{}, learns: map[string]*phases.Track{}}
+func (n *questions) begin(d *Deployment, tracks map[string]scheduler.TrackIndex) error {
+	*n = questions{takes: map[string]bool{}, learns: map[string]*twophase.Track{}}
 	if d.Installation == nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 		}
 		agreed, err := d.span(path+"aim", time.Second)
 		bad = errors.Join(bad, err)
-		n.takes[name], n.learns[name] = true, phases.NewTrack(agreed)
+		n.takes[name], n.learns[name] = true, twophase.NewTrack(agreed)
 	}
 	var err error
 	n.attempts, err = d.whole("bounds.maxAttempts", 1<<30)
@@ -61,15 +61,15 @@
 func (c *Coordinator) takeQuestion(q *openQuery) error {
 	t := c.questions.learns[q.query.Track]
 	asked := q.query.Question
-	form := phases.Form{Ranked: asked.Best != nil, Shared: c.questions.shared}
+	form := twophase.Form{Ranked: asked.Best != nil, Shared: c.questions.shared}
 	if form.Ranked {
 		form.Best = *asked.Best
 	}
-	n := &question{form: form, asked: asked, hints: map[phases.Block]time.Duration{}}
-	var blocks []phases.Block
+	n := &question{form: form, asked: asked, hints: map[twophase.Block]time.Duration{}}
+	var blocks []twophase.Block
 	for _, p := range q.query.Parts {
-		blocks = append(blocks, phases.Block(p.Shard))
-		n.hints[phases.Block(p.Shard)] = p.Hint
+		blocks = append(blocks, twophase.Block(p.Shard))
+		n.hints[twophase.Block(p.Shard)] = p.Hint
 	}
 	var err error
 	agreed := min(q.came+c.agreed[q.query.Track], q.cutOff)
@@ -80,11 +80,11 @@
 }
 
 // takeSteps tells the module of a question and its first step.
-func (c *Coordinator) takeSteps(q *openQuery, track decide.TrackIndex, left, hint time.Duration) {
+func (c *Coordinator) takeSteps(q *openQuery, track scheduler.TrackIndex, left, hint time.Duration) {
 	s := q.question.run.Next(c.now)
 	c.module.QueryArrives(c.now, q.id, q.number, track, c.tenantOf(q.query), left, hint, max(1, len(s.Blocks)))
-	c.module.StepsFollow(q.id, s.Do == phases.Summarize)
-	if s.Do != phases.Summarize && s.Do != phases.Ask { // nothing is wanted
+	c.module.StepsFollow(q.id, s.Do == twophase.Summarize)
+	if s.Do != twophase.Summarize && s.Do != twophase.Ask { // nothing is wanted
 		c.stepSoon(q)
 		return
 	}
@@ -92,23 +92,23 @@
 }
 
 // stepParts tells the module the parts of a step.
-func (c *Coordinator) stepParts(q *openQuery, number decide.QueryNumber, s phases.Step) {
+func (c *Coordinator) stepParts(q *openQuery, number scheduler.QueryNumber, s twophase.Step) {
 	n := q.question
-	n.summaries = s.Do == phases.Summarize
+	n.summaries = s.Do == twophase.Summarize
 	for _, id := range s.Blocks {
-		p := &part{id: c.newID(), of: q, shard: int(id), wire: protocol.PartID(q.query.ID, int(id))}
+		p := &part{id: c.newID(), of: q, shard: int(id), wire: wire.PartID(q.query.ID, int(id))}
 		hint := n.hints[id]
 		if n.summaries {
 			p.wire += "s"
-			p.text = protocol.AskSummary(n.asked, q.query.Text)
+			p.text = wire.AskSummary(n.asked, q.query.Text)
 			hint = n.run.Hint(true, hint)
 		} else {
-			p.text = protocol.AskAnswer(n.asked, n.run.Version(id), q.query.Text)
+			p.text = wire.AskAnswer(n.asked, n.run.Version(id), q.query.Text)
 			hint = n.run.Hint(false, hint)
 		}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.held++
-		c.module.PartArrives(c.now, p.id, number, decide.ShardNumber(p.shard), 1/float64(len(s.Blocks)), hint)
+		c.module.PartArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), 1/float64(len(s.Blocks)), hint)
 	}
 }
 
@@ -130,19 +130,19 @@
 	c.callOff(n.wake)
 	n.wake = nil
 	switch s := n.run.Next(c.now); s.Do {
-	case phases.Wait:
+	case twophase.Wait:
 		n.wake = c.after(s.Wake-c.now, "", func() { c.stepSoon(q) })
-	case phases.Ask:
+	case twophase.Ask:
 		c.endStep(q)
 		c.module.NextStep(c.now, q.id, len(s.Blocks))
 		c.stepParts(q, q.number, s)
-	case phases.Whole:
+	case twophase.Whole:
 		c.trace("retrieval=%s question whole words=%q", q.query.ID, s.Why)
 		c.module.NextStep(c.now, q.id, 0)
 		c.reply(q.id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
-			return protocol.HitsWith(n.run.Hits(), last)
+			return wire.HitsWith(n.run.Hits(), last)
 		})
-	case phases.Refuse:
+	case twophase.Refuse:
 		c.counts.RefusedQuestions++
 		c.trace("retrieval=%s question refused words=%q", q.query.ID, s.Why)
 		c.TurnBack(q.id, 0)
@@ -164,32 +164,32 @@
 }
 
 // tells gives a question what a box replied; it tells how the attempt ended.
-func (c *Coordinator) tells(l *attempt, value []byte, took time.Duration) decide.Outcome {
+func (c *Coordinator) tells(l *attempt, value []byte, took time.Duration) scheduler.Outcome {
 	q := l.part.of
-	n, id, from := q.question, phases.Block(l.part.shard), phases.Holder(l.to)
+	n, id, from := q.question, twophase.Block(l.part.shard), twophase.Holder(l.to)
 	if l.part.over() {
-		return decide.Fulfilled
+		return scheduler.Fulfilled
 	}
 	defer c.stepSoon(q)
 	if n.summaries {
-		s, err := protocol.ReadSummary(value)
+		s, err := wire.ReadSummary(value)
 		if err != nil || !n.run.Summarized(c.now, id, from, s) {
 			c.counts.BadSummaries++
 			n.run.Unsummarized(id)
 		}
 		n.took[0], n.replies[0] = n.took[0]+took, n.replies[0]+1
-		return decide.Fulfilled
+		return scheduler.Fulfilled
 	}
-	a, err := protocol.ReadAnswer(l.part.shard, value)
+	a, err := wire.ReadAnswer(l.part.shard, value)
 	if err == nil {
 		err = n.run.Answered(c.now, id, from, a)
 	}
 	if err != nil {
 		c.seldom("event=bad_answer replica=%s part=%s cause=%q", c.fleet.uid(l.to), l.part.wire, err)
-		return decide.Erred
+		return scheduler.Erred
 	}
 	n.took[1], n.replies[1] = n.took[1]+took, n.replies[1]+1
-	return decide.Fulfilled
+	return scheduler.Fulfilled
 }
 
 // endQuestion learns from a question that is over.
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"time"
 
-	"terntray/decide"
-	"terntray/guard"
-	"terntray/installation"
-	"terntray/internal/dialect"
-	"terntray/internal/dialect/frames"
-	"terntray/internal/dialect/http2"
-	"terntray/internal/protocol"
-	"terntray/pool"
+	"terntray/config"
+	"terntray/connpool"
+	"terntray/internal/replicaproto"
+	"terntray/internal/replicaproto/frames"
+	"terntray/internal/replicaproto/http2"
+	"terntray/internal/wire"
+	"terntray/invariant"
+	"terntray/scheduler"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // replica is one as discovery lists it.
 type replica struct {
-	id    decide.ReplicaID
+	id    scheduler.ReplicaID
 	uid   string
 	addr  string
 	tls   string       // the name of what TLS needs there; empty: cleartext
@@ -37,30 +37,30 @@
 // goroutine that takes the turns.
 type fleet struct {
 	c             *Coordinator
-	all           map[decide.ReplicaID]*replica
-	pool          *pool.Pool
-	links         map[pool.ConnID]*link
-	attempts      map[pool.AttemptID]*attempt // whose end is not told
-	lastAttempt   pool.AttemptID
+	all           map[scheduler.ReplicaID]*replica
+	pool          *connpool.Pool
+	links         map[connpool.ConnID]*link
+	attempts      map[connpool.AttemptID]*attempt // whose end is not told
+	lastAttempt   connpool.AttemptID
 	connectWithin time.Duration
 	mostLinks     int
 	batch         int
-	dirty         []*link         // with calls queued in this turn
-	sizes         *protocol.Sizes // of values
-	installation  *installation.Installation
-	secure        map[string]*installation.Loaded // what TLS needs, by name; replaced as a whole
+	dirty         []*link     // with calls queued in this turn
+	sizes         *wire.Sizes // of values
+	installation  *config.Installation
+	secure        map[string]*config.Loaded // what TLS needs, by name; replaced as a whole
 	context       context.Context
 	stop          context.CancelFunc
 }
 
 func (f *fleet) begin(c *Coordinator, d *Deployment) error {
-	*f = fleet{c: c, all: map[decide.ReplicaID]*replica{}, links: map[pool.ConnID]*link{}, attempts: map[pool.AttemptID]*attempt{},
-		mostLinks: math.MaxInt, sizes: &protocol.Sizes{}}
+	*f = fleet{c: c, all: map[scheduler.ReplicaID]*replica{}, links: map[connpool.ConnID]*link{}, attempts: map[connpool.AttemptID]*attempt{},
+		mostLinks: math.MaxInt, sizes: &wire.Sizes{}}
 	f.context, f.stop = context.WithCancel(context.Background())
 	if d.Limits.Sockets > 0 {
 		f.mostLinks = max(2, (d.Limits.Sockets-spare)/fleetShare)
 	}
-	limits := pool.Limits{Conns: f.mostLinks}
+	limits := connpool.Limits{Conns: f.mostLinks}
 	var errs [4]error
 	f.connectWithin, errs[0] = d.span("bounds.connectTimeout", time.Second)
 	limits.Idle, errs[1] = d.span("bounds.idleClose", 0)
@@ -68,7 +68,7 @@
 	f.batch, errs[3] = d.whole("familyInfo.batch", 1)
 	limits.Within, f.batch = f.connectWithin, max(1, f.batch)
 	if f.installation = d.Installation; f.installation == nil {
-		f.installation, _ = installation.Read("") // nothing is read
+		f.installation, _ = config.Read("") // nothing is read
 	}
 	limits.Streams, limits.ConnsShared = f.installation.HTTP2.Streams, f.installation.HTTP2.Connections
 	var err error
@@ -76,14 +76,14 @@
 		return fmt.Errorf("installation: %w", err)
 	}
 	limits.Idle /= 2 // the far side closes idle ones after that time at the latest
-	f.pool = pool.New(f, limits)
+	f.pool = connpool.New(f, limits)
 	return errors.Join(errs[:]...)
 }
 
 // session makes the state machine of a new connection.
-func (f *fleet) session(kind dialect.Name, to *replica) dialect.Session {
+func (f *fleet) session(kind replicaproto.Name, to *replica) replicaproto.Session {
 	switch {
-	case kind != dialect.HTTP2:
+	case kind != replicaproto.HTTP2:
 		return frames.New(f.batch, f.sizes)
 	case to.tls != "":
 		return http2.New("https", to.addr)
@@ -92,7 +92,7 @@
 }
 
 // speaks tells which dialect a replica speaks, and keeps what TLS needs there.
-func (f *fleet) speaks(r *replica, model string) (kind dialect.Name) {
+func (f *fleet) speaks(r *replica, model string) (kind replicaproto.Name) {
 	kind, r.tls = f.installation.Speaks(model, r.addr)
 	return kind
 }
@@ -102,7 +102,7 @@
 func (f *fleet) named(uid string) *replica {
 	h := fnv.New32a()
 	h.Write([]byte(uid))
-	id := decide.ReplicaID(h.Sum32())
+	id := scheduler.ReplicaID(h.Sum32())
 	for f.all[id] != nil && f.all[id].uid != uid {
 		id++
 	}
@@ -113,17 +113,17 @@
 }
 
 // endpoint is a replica by its id; one that is not known counts as removed.
-func (f *fleet) endpoint(id decide.ReplicaID) *replica {
+func (f *fleet) endpoint(id scheduler.ReplicaID) *replica {
 	if r := f.all[id]; r != nil {
 		return r
 	}
 	unknown := &replica{id: id}
-	unknown.state.Store(int32(guard.Removed))
+	unknown.state.Store(int32(invariant.Removed))
 	return unknown
 }
 
 // uid names a replica in the log.
-func (f *fleet) uid(id decide.ReplicaID) string {
+func (f *fleet) uid(id scheduler.ReplicaID) string {
 	if r := f.all[id]; r != nil {
 		return r.uid
 	}
@@ -138,7 +138,7 @@
 	f.lastAttempt++
 	p := l.part
 	l.ID = f.lastAttempt
-	l.call = dialect.Call{Attempt: uint64(l.ID), Group: uint64(p.of.id), Wire: p.wire, Shard: p.shard, Text: p.textOf(),
+	l.call = replicaproto.Call{Attempt: uint64(l.ID), Group: uint64(p.of.id), Wire: p.wire, Shard: p.shard, Text: p.textOf(),
 		Deadline: l.deadline, Permit: func(now time.Duration) bool { return f.c.permit(l, now) }}
 	l.Call = &l.call
 	f.attempts[l.ID] = l
@@ -158,17 +158,17 @@
 }
 
 // Open opens a connection.
-func (f *fleet) Open(id pool.ConnID, to decide.ReplicaID, addr string, kind dialect.Name) {
+func (f *fleet) Open(id connpool.ConnID, to scheduler.ReplicaID, addr string, kind replicaproto.Name) {
 	k := newLink(f.c, id, f.all[to], addr, kind)
 	f.links[id] = k
 	f.c.drivers.Go(k.run)
 }
 
 // Close ends one.
-func (f *fleet) Close(id pool.ConnID) { f.links[id].close() }
+func (f *fleet) Close(id connpool.ConnID) { f.links[id].close() }
 
 // on has something done to a connection's session, unless it has been given back.
-func (f *fleet) on(id pool.ConnID, do func(dialect.Session)) {
+func (f *fleet) on(id connpool.ConnID, do func(replicaproto.Session)) {
 	k := f.links[id]
 	if k == nil {
 		return
@@ -179,71 +179,71 @@
 }
 
 // Write queues an attempt's call.
-func (f *fleet) Write(id pool.ConnID, l *pool.Attempt) {
-	f.on(id, func(s dialect.Session) { s.Queue(l.Call) })
+func (f *fleet) Write(id connpool.ConnID, l *connpool.Attempt) {
+	f.on(id, func(s replicaproto.Session) { s.Queue(l.Call) })
 	f.dirty = append(f.dirty, f.links[id])
 }
 
 // Withdraw takes it back, unless it is begun.
-func (f *fleet) Withdraw(id pool.ConnID, l *pool.Attempt) (taken bool) {
-	f.on(id, func(s dialect.Session) { taken = s.Withdraw(l.Call) })
+func (f *fleet) Withdraw(id connpool.ConnID, l *connpool.Attempt) (taken bool) {
+	f.on(id, func(s replicaproto.Session) { taken = s.Withdraw(l.Call) })
 	return taken
 }
 
 // GiveUp has the replica told that nobody waits for it.
-func (f *fleet) GiveUp(id pool.ConnID, l *pool.Attempt) {
-	f.on(id, func(s dialect.Session) { s.GiveUp(l.Call) })
+func (f *fleet) GiveUp(id connpool.ConnID, l *connpool.Attempt) {
+	f.on(id, func(s replicaproto.Session) { s.GiveUp(l.Call) })
 	f.dirty = append(f.dirty, f.links[id])
 }
 
 // Stage is how far it has come.
-func (f *fleet) Stage(id pool.ConnID, l *pool.Attempt) (at dialect.Stage) {
+func (f *fleet) Stage(id connpool.ConnID, l *connpool.Attempt) (at replicaproto.Stage) {
 	if f.links[id] == nil {
 		return l.Call.Stage // it stays as it is
 	}
-	f.on(id, func(dialect.Session) { at = l.Call.Stage })
+	f.on(id, func(replicaproto.Session) { at = l.Call.Stage })
 	return at
 }
 
 // Lives tells whether the far side has not ended a connection.
-func (f *fleet) Lives(id pool.ConnID) bool { return f.links[id].alive() }
+func (f *fleet) Lives(id connpool.ConnID) bool { return f.links[id].alive() }
 
 // Ping asks the far side for a sign of life.
-func (f *fleet) Ping(id pool.ConnID) {
-	f.on(id, func(s dialect.Session) { s.Ping() })
+func (f *fleet) Ping(id connpool.ConnID) {
+	f.on(id, func(s replicaproto.Session) { s.Ping() })
 	f.dirty = append(f.dirty, f.links[id])
 }
 
 // Wake has the pool told when a time has passed.
-func (f *fleet) Wake(id pool.ConnID, in time.Duration) {
+func (f *fleet) Wake(id connpool.ConnID, in time.Duration) {
 	f.c.after(in, "", func() { f.pool.Wakes(f.c.now, id) })
 }
 
 // Ends tells how an attempt ended.
-func (f *fleet) Ends(id pool.AttemptID, how decide.Outcome, took time.Duration) {
+func (f *fleet) Ends(id connpool.AttemptID, how scheduler.Outcome, took time.Duration) {
 	if l := f.attempts[id]; l != nil {
 		f.c.ends(l, how, took)
 	}
 }
 
 // Gone lets go of a replica.
-func (f *fleet) Gone(id decide.ReplicaID) { delete(f.all, id) }
+func (f *fleet) Gone(id scheduler.ReplicaID) { delete(f.all, id) }
 
 // Notes counts and logs what happened to a connection.
-func (f *fleet) Notes(id pool.ConnID, to decide.ReplicaID, what pool.Note, out int, cause error) {
+func (f *fleet) Notes(id connpool.ConnID, to scheduler.ReplicaID, what connpool.Note, out int, cause error) {
 	c := f.c
 	switch what {
-	case pool.Refused:
+	case connpool.Refused:
 		c.counts.Refused++
-	case pool.Dropped:
+	case connpool.Dropped:
 		c.counts.Dropped++
-	case pool.Spoilt:
+	case connpool.Spoilt:
 		c.counts.Spoilt++
-	case pool.Silent:
+	case connpool.Silent:
 		c.counts.Silent++
-	case pool.Leaving:
+	case connpool.Leaving:
 		c.counts.Leaving++
-	case pool.Full:
+	case connpool.Full:
 		c.counts.LimitReached++
 	}
 	if errors.As(cause, new(*tlsFailure)) {
@@ -265,23 +265,23 @@
 }
 
 // came takes what was read on a connection at a time, and what is wrong with the rest.
-func (c *Coordinator) came(k *link, all []dialect.Event, bad error, at time.Duration) {
+func (c *Coordinator) came(k *link, all []replicaproto.Event, bad error, at time.Duration) {
 	p := c.fleet.pool
-	if dialect.Of(k.kind).Pings {
+	if replicaproto.Of(k.kind).Pings {
 		p.Alive(c.now, k.id, at)
 	}
 	for n := range all {
 		e := &all[n]
 		switch e.Kind {
-		case dialect.Answered:
+		case replicaproto.Answered:
 			c.replied(k, e, at)
-		case dialect.NeverRan, dialect.MayHave:
-			p.Settled(c.now, k.id, pool.AttemptID(e.Attempt), e.Kind == dialect.NeverRan, at)
-		case dialect.Room:
+		case replicaproto.NeverRan, replicaproto.MayHave:
+			p.Settled(c.now, k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
+		case replicaproto.Room:
 			p.Room(c.now, k.id, e.Most)
-		case dialect.Leaving:
+		case replicaproto.Leaving:
 			p.GoesAway(c.now, k.id, e.Words)
-		case dialect.Ready:
+		case replicaproto.Ready:
 			c.linkUp(k)
 		}
 	}
@@ -290,11 +290,11 @@
 	}
 }
 
-// states are what discovery's words for a replica's state mean to package guard.
-var states = map[string]guard.EndpointState{
-	protocol.Ready: guard.Ready, protocol.Draining: guard.Draining, protocol.Gone: guard.Removed,
+// states are what discovery's words for a replica's state mean to package invariant.
+var states = map[string]invariant.EndpointState{
+	wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Gone: invariant.Removed,
 }
 
-var lives = map[string]decide.Life{
-	protocol.Ready: decide.Active, protocol.Draining: decide.Leaving, protocol.Gone: decide.Left,
+var lives = map[string]scheduler.Life{
+	wire.Ready: scheduler.Active, wire.Draining: scheduler.Leaving, wire.Gone: scheduler.Left,
 }
--- a/bootclock/bootclock.go
+++ b/incarnation/incarnation.go
@@ -1,4 +1,4 @@
-// Package bootclock places the starts of replicas, which discovery tells by the wall clock, on this process' monotonic
+// Package incarnation places the starts of replicas, which discovery tells by the wall clock, on this process' monotonic
 // clock. Slow start and the closing of connections from before a restart rest on them, and a wall clock may be off, or be
 // stepped by seconds or an hour at any time.
 //
@@ -8,7 +8,7 @@
 // been seen to be stepped, the later of the starts that it gives counts.
 //
 // It does no I/O and reads no clock.
-package bootclock
+package incarnation
 
 import (
 	"math"
--- a/bootclock/bootclock_test.go
+++ b/incarnation/incarnation_test.go
@@ -1,4 +1,4 @@
-package bootclock
+package incarnation
 
 import (
 	"fmt"
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"terntray/decide"
+	"terntray/scheduler"
 )
 
 // replay says how to play a seed again.
@@ -138,5 +138,5 @@
 }
 
 func attemptOf(f *Fleet, q *Query) *attempt {
-	return &attempt{node: f.Node, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: decide.Fulfilled}
+	return &attempt{node: f.Node, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: scheduler.Fulfilled}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"terntray/decide"
+	"terntray/scheduler"
 )
 
 // hop is the way from a co-ordinator to a replica on the same network.
@@ -58,17 +58,17 @@
 	Replicas []*Replica
 	Node     *Node
 
-	byID map[decide.ReplicaID]*Replica
-	work map[decide.RequestID]time.Duration
+	byID map[scheduler.ReplicaID]*Replica
+	work map[scheduler.RequestID]time.Duration
 }
 
 // NewFleet puts a deployment together; the co-ordinator has the whole list.
 func NewFleet(seed uint64, s Shape) (*Fleet, error) {
-	f := &Fleet{World: NewWorld(seed), Shape: s, byID: map[decide.ReplicaID]*Replica{},
-		work: map[decide.RequestID]time.Duration{}}
+	f := &Fleet{World: NewWorld(seed), Shape: s, byID: map[scheduler.ReplicaID]*Replica{},
+		work: map[scheduler.RequestID]time.Duration{}}
 	for n := range s.Replicas {
-		r := &Replica{ID: decide.ReplicaID(1000 + n), Cell: decide.CellNumber(n % s.Cells), Cores: s.Cores, Room: s.Room,
-			Cancels: s.Cancels, Started: decide.LongAgo, Cold: s.Cold, world: f.World, factor: 1}
+		r := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % s.Cells), Cores: s.Cores, Room: s.Room,
+			Cancels: s.Cancels, Started: scheduler.LongAgo, Cold: s.Cold, world: f.World, factor: 1}
 		if s.ColdStart {
 			r.Started = 0
 		}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"terntray/decide"
+	"terntray/scheduler"
 )
 
 // grace is how late a final answer may come: the sweeps and the turn that bring it.
@@ -33,8 +33,8 @@
 	}
 }
 
-func neverRan(how decide.Outcome) bool {
-	return how == decide.TurnedAway || how == decide.Unreachable || how == decide.Moot
+func neverRan(how scheduler.Outcome) bool {
+	return how == scheduler.TurnedAway || how == scheduler.Unreachable || how == scheduler.Moot
 }
 
 // sends judges an attempt before it joins its part's.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"terntray/decide"
+	"terntray/scheduler"
 )
 
 // Node is one co-ordinator: the module, and a core that its turns take up. What happens while a turn runs waits
 // for the next, as it does on sockets; what a turn decides leaves at its end.
 type Node struct {
-	Module *decide.Coordinator
+	Module *scheduler.Coordinator
 	Ledger *Ledger
 	Logs   []string
 
@@ -23,15 +23,15 @@
 	freeAt                 time.Duration
 	planned                bool
 	leaving                []func()
-	lastID                 decide.RequestID
-	lastNumber             decide.QueryNumber
-	open                   map[decide.RequestID]*Query
-	parts                  map[decide.RequestID]*part
+	lastID                 scheduler.RequestID
+	lastNumber             scheduler.QueryNumber
+	open                   map[scheduler.RequestID]*Query
+	parts                  map[scheduler.RequestID]*part
 }
 
 // Query is a client's, with what became of it.
 type Query struct {
-	ID           decide.RequestID
+	ID           scheduler.RequestID
 	Track        int
 	Came, CutOff time.Duration
 	Ended        time.Duration // when its final answer came; 0: none yet
@@ -57,7 +57,7 @@
 func (q *Query) InTime() bool { return q.How == Whole && q.Ended <= q.Came+q.agreed }
 
 type part struct {
-	id       decide.RequestID
+	id       scheduler.RequestID
 	of       *Query
 	shard    int
 	in       bool
@@ -74,13 +74,13 @@
 	done       time.Duration // when its replica is done with it, as things are
 	mayHaveRun bool          // the replica has begun it, or nobody can tell
 	over       bool
-	how        decide.Outcome
+	how        scheduler.Outcome
 }
 
 func newNode(f *Fleet, seed uint64, settings map[string]string) (*Node, error) {
-	n := &Node{world: f.World, fleet: f, Hop: hop, open: map[decide.RequestID]*Query{}, parts: map[decide.RequestID]*part{}}
+	n := &Node{world: f.World, fleet: f, Hop: hop, open: map[scheduler.RequestID]*Query{}, parts: map[scheduler.RequestID]*part{}}
 	n.Ledger = newLedger(f)
-	module, err := decide.New(n, seed, settings)
+	module, err := scheduler.New(n, seed, settings)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	n.happens(func() {
 		n.Module.ListBegins(n.world.Now, true, old)
 		for _, r := range n.fleet.Replicas {
-			n.Module.ReplicaListed(n.world.Now, r.ID, decide.Active, r.Started, r.Cell, 0, 0)
+			n.Module.ReplicaListed(n.world.Now, r.ID, scheduler.Active, r.Started, r.Cell, 0, 0)
 		}
 	})
 }
@@ -147,17 +147,17 @@
 		n.lastNumber++
 		n.open[q.ID] = q
 		left := max(0, q.CutOff-n.world.Now)
-		n.Module.QueryArrives(n.world.Now, q.ID, n.lastNumber, decide.TrackIndex(track), 0, left, 0, len(q.parts))
+		n.Module.QueryArrives(n.world.Now, q.ID, n.lastNumber, scheduler.TrackIndex(track), 0, left, 0, len(q.parts))
 		for _, p := range q.parts {
 			n.parts[p.id] = p
-			n.Module.PartArrives(n.world.Now, p.id, n.lastNumber, decide.ShardNumber(p.shard), 1/float64(len(q.parts)), 0)
+			n.Module.PartArrives(n.world.Now, p.id, n.lastNumber, scheduler.ShardNumber(p.shard), 1/float64(len(q.parts)), 0)
 		}
 	})
 	return q
 }
 
 // Send sends an attempt once the turn is over.
-func (n *Node) Send(id decide.RequestID, to decide.ReplicaID, timeout time.Duration) {
+func (n *Node) Send(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	p := n.parts[id]
 	r := n.fleet.byID[to]
 	if p == nil || r == nil {
@@ -177,17 +177,17 @@
 				r.takes(l)
 			}
 		})
-		n.world.At(until, func() { l.ends(decide.TimedOut) })
+		n.world.At(until, func() { l.ends(scheduler.TimedOut) })
 	})
 }
 
 // outcome has the node hear of it after the way back.
-func (l *attempt) outcome(how decide.Outcome) {
+func (l *attempt) outcome(how scheduler.Outcome) {
 	l.node.world.At(l.node.world.Now+l.node.Hop, func() { l.ends(how) })
 }
 
 // ends tells the node of the attempt's end, once.
-func (l *attempt) ends(how decide.Outcome) {
+func (l *attempt) ends(how scheduler.Outcome) {
 	if l.over {
 		return
 	}
@@ -197,11 +197,11 @@
 }
 
 func (n *Node) told(l *attempt, took time.Duration) {
-	if l.how == decide.Fulfilled && !l.part.in && l.part.of.How == Open {
+	if l.how == scheduler.Fulfilled && !l.part.in && l.part.of.How == Open {
 		l.part.in = true
 		l.part.of.got++
 	}
-	n.Module.AttemptEnds(n.world.Now, l.part.id, decide.AttemptNumber(l.number), l.how, took)
+	n.Module.AttemptEnds(n.world.Now, l.part.id, scheduler.AttemptNumber(l.number), l.how, took)
 	n.clear(l.part)
 }
 
@@ -214,20 +214,20 @@
 }
 
 // Cancel calls an attempt off; the module hears of it at the start of the next turn.
-func (n *Node) Cancel(id decide.RequestID, number decide.AttemptNumber) {
+func (n *Node) Cancel(id scheduler.RequestID, number scheduler.AttemptNumber) {
 	p := n.parts[id]
 	if p == nil || int(number) >= len(p.attempts) || p.attempts[number].over {
 		return
 	}
 	l := p.attempts[number]
-	l.over, l.how = true, decide.Cancelled
+	l.over, l.how = true, scheduler.Cancelled
 	l.at.cancels(l)
 	took := n.world.Now - l.sent
 	n.next = append(n.next, func() { n.told(l, took) })
 	n.plan()
 }
 
-func (n *Node) final(id decide.RequestID, how Final) {
+func (n *Node) final(id scheduler.RequestID, how Final) {
 	q := n.open[id]
 	if q == nil {
 		n.Ledger.breaks(1, "a second final answer to retrieval %d, or one to none", id)
@@ -242,7 +242,7 @@
 }
 
 // Answer, TurnBack and Scrap give a query its final answer.
-func (n *Node) Answer(id decide.RequestID, whole bool) {
+func (n *Node) Answer(id scheduler.RequestID, whole bool) {
 	how := Partial
 	if whole {
 		how = Whole
@@ -251,10 +251,10 @@
 }
 
 // TurnBack is a final answer.
-func (n *Node) TurnBack(id decide.RequestID, _ time.Duration) { n.final(id, TurnedBack) }
+func (n *Node) TurnBack(id scheduler.RequestID, _ time.Duration) { n.final(id, TurnedBack) }
 
 // Scrap is a final answer.
-func (n *Node) Scrap(id decide.RequestID) { n.final(id, Scrapped) }
+func (n *Node) Scrap(id scheduler.RequestID) { n.final(id, Scrapped) }
 
 // Wake has the module told when a time has passed.
 func (n *Node) Wake(name string, in time.Duration) {
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"terntray/decide"
+	"terntray/scheduler"
 )
 
 // Condition is the state of a replica's health.
@@ -28,8 +28,8 @@
 // Replica works on as many attempts side by side as it has cores, the rest in order of arrival (0: on all at once).
 // A queue of more than Room turns away. Cancelled attempts that wait are dropped where Cancels is set.
 type Replica struct {
-	ID      decide.ReplicaID
-	Cell    decide.CellNumber
+	ID      scheduler.ReplicaID
+	Cell    scheduler.CellNumber
 	Cores   int
 	Room    int // attempts that may wait; 0: any number
 	Cancels bool
@@ -62,7 +62,7 @@
 	}
 	switch {
 	case c == Down || c == Closing:
-		r.lose(decide.Reset)
+		r.lose(scheduler.Reset)
 	case was == Silent || c == Silent:
 		r.lose(-1)
 	}
@@ -81,7 +81,7 @@
 func (r *Replica) Idle() bool { return len(r.queue)+len(r.busy) == 0 }
 
 // lose lets go of all that the replica has; below 0 nobody hears of it.
-func (r *Replica) lose(how decide.Outcome) {
+func (r *Replica) lose(how scheduler.Outcome) {
 	all := slices.Concat(r.busy, r.queue)
 	r.busy, r.queue = nil, nil
 	r.epoch++
@@ -96,19 +96,19 @@
 func (r *Replica) takes(l *attempt) {
 	switch {
 	case r.health == Down:
-		l.outcome(decide.Unreachable)
+		l.outcome(scheduler.Unreachable)
 	case r.health == Closing:
 		l.mayHaveRun = true
-		l.outcome(decide.Reset)
+		l.outcome(scheduler.Reset)
 	case r.health == Silent:
 		l.mayHaveRun = true
 		r.Ran++
 	case r.health == Erring:
 		l.mayHaveRun = true
 		r.Ran++
-		l.outcome(decide.Erred)
+		l.outcome(scheduler.Erred)
 	case r.health == Full, r.Room > 0 && len(r.queue) >= r.Room:
-		l.outcome(decide.TurnedAway)
+		l.outcome(scheduler.TurnedAway)
 	default:
 		r.queue = append(r.queue, l)
 		r.next()
@@ -132,7 +132,7 @@
 	if r.health == Slow {
 		by = r.factor
 	}
-	if r.Cold.Warm > 0 && r.Started != decide.LongAgo {
+	if r.Cold.Warm > 0 && r.Started != scheduler.LongAgo {
 		age := min(1, (r.world.Now-r.Started).Seconds()/r.Cold.Warm.Seconds())
 		by /= r.Cold.Share + (1-r.Cold.Share)*age
 	}
@@ -148,7 +148,7 @@
 			return
 		}
 		r.busy = slices.Delete(r.busy, at, at+1)
-		l.outcome(decide.Fulfilled)
+		l.outcome(scheduler.Fulfilled)
 		r.next()
 	})
 }
--- a/internal/standin/load.go
+++ b/internal/fake/load.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/standin/replica.go
+++ b/internal/fake/replica.go
@@ -1,7 +1,7 @@
-// Package standin holds scripted peers of a co-ordinator on loopback: replicas that speak the frames, a discovery that
+// Package fake holds scripted peers of a co-ordinator on loopback: replicas that speak the frames, a discovery that
 // tells them, clients that ask on an open-loop schedule, and the program itself as a process. Each keeps a ledger of
 // what it saw; tests and proofs judge by those. Nothing here is part of the service.
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -10,15 +10,15 @@
 	"testing"
 	"time"
 
+	"terntray/internal/fake"
 	"terntray/internal/faultbuild"
-	"terntray/internal/standin"
 )
 
 // A request that waited for accept has been waiting since its bytes came: its answer is due then, and replicas are told no
 // more than is left.
 func TestRequestThatWaitedForAcceptKeepsItsDeadline(t *testing.T) {
 	const deadline = 1500 * time.Millisecond
-	p, page, replica := startedWith(t, settings, standin.Silent, 0, 0)
+	p, page, replica := startedWith(t, settings, fake.Silent, 0, 0)
 	page.Set(faultbuild.AcceptFails, faultbuild.Always)
 	conn := dialed(t, p.Addr)
 	io.WriteString(conn, strings.Replace(request("q"), "Req-Deadline: 5", fmt.Sprintf("Req-Deadline: %v", deadline.Seconds()), 1))
@@ -46,7 +46,7 @@
 // is off by an hour since this process' start makes no cold replica warm.
 func TestReplicaThatRestartsIsColdWhateverTheWallClockSays(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
-		p, _, replica, roster := startedStepped(t, slow, standin.Fulfil, step, 2*time.Hour)
+		p, _, replica, roster := startedStepped(t, slow, fake.Fulfil, step, 2*time.Hour)
 		if strings.Contains(p.Log(), "is cold") {
 			t.Errorf("clock off by %v: a replica that has been up for hours is cold", step)
 		}
@@ -66,7 +66,7 @@
 // A start that lies in the future by the own clock says that the clock is off; it holds the replica back no longer than a
 // start of just now would.
 func TestStartInTheFutureIsNoLongerColdThanOneOfNow(t *testing.T) {
-	p, _, _, _ := startedStepped(t, slow, standin.Fulfil, -time.Hour, 30*time.Minute)
+	p, _, _, _ := startedStepped(t, slow, fake.Fulfil, -time.Hour, 30*time.Minute)
 	time.Sleep(2500 * time.Millisecond)
 	for n := range 20 {
 		if status := asked(t, p.Addr, fmt.Sprint("q", n)); status != http.StatusOK {
@@ -77,13 +77,13 @@
 
 // startedWith starts the program with faults, with a wall clock that is off, among one replica that has been up for a time
 // (0: for ever).
-func startedWith(t *testing.T, settings string, act func(*standin.Replica, standin.Call), step, up time.Duration) (*standin.Program, *faultbuild.Page, *standin.Replica) {
+func startedWith(t *testing.T, settings string, act func(*fake.Replica, fake.Call), step, up time.Duration) (*fake.Program, *faultbuild.Page, *fake.Replica) {
 	t.Helper()
 	p, page, replica, _ := startedStepped(t, settings, act, step, up)
 	return p, page, replica
 }
 
-func startedStepped(t *testing.T, settings string, act func(*standin.Replica, standin.Call), step, up time.Duration) (*standin.Program, *faultbuild.Page, *standin.Replica, *standin.Roster) {
+func startedStepped(t *testing.T, settings string, act func(*fake.Replica, fake.Call), step, up time.Duration) (*fake.Program, *faultbuild.Page, *fake.Replica, *fake.Roster) {
 	t.Helper()
 	module, err := filepath.Abs("../..")
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	t.Cleanup(func() { page.Close() })
 	page.Step(step)
-	replica, err := standin.NewReplica("s-a", 0, act)
+	replica, err := fake.NewReplica("s-a", 0, act)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,13 +107,13 @@
 	if up > 0 {
 		replica.BootMS = time.Now().Add(-up).UnixMilli()
 	}
-	roster, err := standin.NewRoster("127.0.0.1:0", replica)
+	roster, err := fake.NewRoster("127.0.0.1:0", replica)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { roster.Server.Close() })
-	p, err := standin.Start(standin.Options{Path: built, Settings: settings, Discovery: roster.Listener.Addr().String(),
-		Known: standin.Listing(1, true, roster.All), Env: []string{page.Variable()}})
+	p, err := fake.Start(fake.Options{Path: built, Settings: settings, Discovery: roster.Listener.Addr().String(),
+		Known: fake.Listing(1, true, roster.All), Env: []string{page.Variable()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbuild/wallclock_test.go
+++ b/internal/faultbuild/wallclock_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"terntray/internal/fake"
 	"terntray/internal/faultbuild"
-	"terntray/internal/standin"
 )
 
 const settings = `{"balancers":1,"bounds":{"connectTimeout":1000000,"idleClose":30000000,"maxAttempts":3,
@@ -22,9 +22,9 @@
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
 
 // started starts the program with faults and one replica that answers everything.
-func started(t *testing.T) (*standin.Program, *faultbuild.Page) {
+func started(t *testing.T) (*fake.Program, *faultbuild.Page) {
 	t.Helper()
-	p, page, _ := startedWith(t, settings, standin.Fulfil, 0, 0)
+	p, page, _ := startedWith(t, settings, fake.Fulfil, 0, 0)
 	return p, page
 }
 
--- a/internal/dialect/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -6,41 +6,41 @@
 	"slices"
 	"time"
 
-	"terntray/internal/dialect"
-	"terntray/internal/protocol"
+	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
 )
 
 // Session is one connection's.
 type Session struct {
 	batch   int
-	replies protocol.Replies
+	replies wire.Replies
 	queue   []item
 	ends    []end // of the calls in the last output
 }
 
 // item is what waits to be written: a call, or the word that a part is given up.
 type item struct {
-	call   *dialect.Call
+	call   *replicaproto.Call
 	giveUp string
 }
 
 type end struct {
-	call *dialect.Call
+	call *replicaproto.Call
 	at   int // bytes of the output up to the call's last
 }
 
 // New makes a session that puts so many parts of a group into one call at the most; sizes may be nil.
-func New(batch int, sizes *protocol.Sizes) *Session {
-	return &Session{batch: max(1, batch), replies: protocol.Replies{Sizes: sizes}}
+func New(batch int, sizes *wire.Sizes) *Session {
+	return &Session{batch: max(1, batch), replies: wire.Replies{Sizes: sizes}}
 }
 
-var _ dialect.Session = (*Session)(nil)
+var _ replicaproto.Session = (*Session)(nil)
 
 // Queue has a call wait to be written.
-func (s *Session) Queue(c *dialect.Call) { s.queue = append(s.queue, item{call: c}) }
+func (s *Session) Queue(c *replicaproto.Call) { s.queue = append(s.queue, item{call: c}) }
 
 // Withdraw takes back a call of which no byte was written.
-func (s *Session) Withdraw(c *dialect.Call) bool {
+func (s *Session) Withdraw(c *replicaproto.Call) bool {
 	if !c.Revocable() {
 		return false
 	}
@@ -49,7 +49,7 @@
 }
 
 // GiveUp has the replica told that a part is given up.
-func (s *Session) GiveUp(c *dialect.Call) { s.queue = append(s.queue, item{giveUp: c.Wire}) }
+func (s *Session) GiveUp(c *replicaproto.Call) { s.queue = append(s.queue, item{giveUp: c.Wire}) }
 
 // Ping does nothing: there is none.
 func (s *Session) Ping() {}
@@ -64,7 +64,7 @@
 	for len(s.queue) > 0 && (most <= 0 || len(b)-from < most) {
 		first := s.queue[0]
 		if first.call == nil {
-			b = protocol.AppendGiveUp(b, first.giveUp)
+			b = wire.AppendGiveUp(b, first.giveUp)
 			s.queue = s.queue[1:]
 			continue
 		}
@@ -72,7 +72,7 @@
 		if len(parts) == 0 {
 			continue
 		}
-		b = protocol.AppendCall(b, parts...)
+		b = wire.AppendCall(b, parts...)
 		for _, call := range begun {
 			s.ends = append(s.ends, end{call, len(b) - from})
 		}
@@ -85,7 +85,7 @@
 
 // frame takes the calls of the next frame off the queue: those of the first one's group, up to the batch. What is not
 // permitted any more is left out.
-func (s *Session) frame(now time.Duration) (parts []protocol.CallPart, begun []*dialect.Call) {
+func (s *Session) frame(now time.Duration) (parts []wire.CallPart, begun []*replicaproto.Call) {
 	group := s.queue[0].call.Group
 	for len(s.queue) > 0 && len(parts) < s.batch {
 		call := s.queue[0].call
@@ -97,7 +97,7 @@
 		if !permitted {
 			continue
 		}
-		parts = append(parts, protocol.CallPart{ID: call.Wire, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
+		parts = append(parts, wire.CallPart{ID: call.Wire, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
 		begun = append(begun, call)
 	}
 	return parts, begun
@@ -108,9 +108,9 @@
 	for _, e := range s.ends {
 		switch {
 		case e.at <= n:
-			e.call.Stage = dialect.Written
+			e.call.Stage = replicaproto.Written
 		case n == 0:
-			e.call.Stage = dialect.Waiting
+			e.call.Stage = replicaproto.Waiting
 		}
 	}
 	s.ends = s.ends[:0]
@@ -122,17 +122,17 @@
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.replies.Filled(n) }
 
-var ends = map[protocol.End]dialect.End{
-	protocol.OK: dialect.OK, protocol.Error: dialect.Error, protocol.Rejected: dialect.Rejected,
+var ends = map[wire.End]replicaproto.End{
+	wire.OK: replicaproto.OK, wire.Error: replicaproto.Error, wire.Rejected: replicaproto.Rejected,
 }
 
 // Next gives the next reply.
-func (s *Session) Next() (e dialect.Event, ok bool, err error) {
+func (s *Session) Next() (e replicaproto.Event, ok bool, err error) {
 	r, err := s.replies.Next()
 	if r == nil || err != nil {
 		return e, false, err
 	}
-	return dialect.Event{Kind: dialect.Answered, Wire: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
+	return replicaproto.Event{Kind: replicaproto.Answered, Wire: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
 }
 
 // Partly tells whether a frame has begun to come that is not whole.
--- a/internal/dialect/frames/session_test.go
+++ b/internal/replicaproto/frames/session_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"terntray/internal/dialect"
-	"terntray/internal/protocol"
+	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
 )
 
 // Of several calls in one write, those whose last byte went may have run; the others never did.
 func TestCallsCutOffNeverRan(t *testing.T) {
-	one := len(protocol.AppendCall(nil, protocol.CallPart{ID: "q.0", WaitMS: 1000, Text: []byte("text")}))
+	one := len(wire.AppendCall(nil, wire.CallPart{ID: "q.0", WaitMS: 1000, Text: []byte("text")}))
 	for room, want := range map[int]int{0: 0, one - 1: 0, one: 1, 2*one + 3: 2, 3 * one: 3} {
 		s := New(1, nil)
-		var calls []*dialect.Call
+		var calls []*replicaproto.Call
 		for n := range 3 {
-			c := &dialect.Call{Wire: protocol.PartID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
+			c := &replicaproto.Call{Wire: wire.PartID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
 			calls = append(calls, c)
 			s.Queue(c)
 		}
@@ -25,7 +25,7 @@
 		s.Wrote(room)
 		got := 0
 		for _, c := range calls {
-			if c.Stage == dialect.Written {
+			if c.Stage == replicaproto.Written {
 				got++
 			}
 			if back := s.Withdraw(c); back != (room == 0) {
@@ -40,18 +40,18 @@
 
 func TestCallThatWasNotBegunIsTakenBack(t *testing.T) {
 	s := New(4, nil)
-	a, b := &dialect.Call{Group: 1, Wire: "q.1", Deadline: time.Second}, &dialect.Call{Group: 1, Wire: "q.2", Deadline: time.Second}
+	a, b := &replicaproto.Call{Group: 1, Wire: "q.1", Deadline: time.Second}, &replicaproto.Call{Group: 1, Wire: "q.2", Deadline: time.Second}
 	s.Queue(a)
 	s.Queue(b)
 	if !s.Withdraw(a) {
 		t.Error("it is not")
 	}
-	alone := protocol.AppendCall(nil, protocol.CallPart{ID: "q.2", WaitMS: 1000})
+	alone := wire.AppendCall(nil, wire.CallPart{ID: "q.2", WaitMS: 1000})
 	if out := s.Output(nil, 0, 0); string(out) != string(alone) {
 		t.Errorf("%q", out)
 	}
 	s.Wrote(len(alone))
-	if s.GiveUp(b); string(s.Output(nil, 0, 0)) != string(protocol.AppendGiveUp(nil, "q.2")) {
+	if s.GiveUp(b); string(s.Output(nil, 0, 0)) != string(wire.AppendGiveUp(nil, "q.2")) {
 		t.Error("the word that a part is given up is not written")
 	}
 }
@@ -60,9 +60,9 @@
 // takes nothing, long after their client has.
 func TestCallsBeyondOneWriteCanBeTakenBack(t *testing.T) {
 	s := New(1, nil)
-	var calls []*dialect.Call
+	var calls []*replicaproto.Call
 	for n := range 3 {
-		calls = append(calls, &dialect.Call{Wire: protocol.PartID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
+		calls = append(calls, &replicaproto.Call{Wire: wire.PartID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
 		s.Queue(calls[n])
 	}
 	one := len(s.Output(nil, 90, 0))
--- a/internal/dialect/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -6,9 +6,9 @@
 	"strings"
 
 	"golang.org/x/net/http2/hpack"
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 // The mapping of a call, as docs/http2.md states it.
@@ -26,7 +26,7 @@
 )
 
 // requestHead is the head of a call.
-func requestHead(scheme, authority string, c *dialect.Call, waitMS int64) []hpack.HeaderField {
+func requestHead(scheme, authority string, c *replicaproto.Call, waitMS int64) []hpack.HeaderField {
 	return []hpack.HeaderField{
 		{Name: ":method", Value: http.MethodPost}, {Name: ":scheme", Value: scheme},
 		{Name: ":authority", Value: authority}, {Name: ":path", Value: Path},
@@ -39,14 +39,14 @@
 }
 
 // endOf reads a response's end: only what says so in so many words ran well, or never.
-func endOf(status int, end string) dialect.End {
+func endOf(status int, end string) replicaproto.End {
 	switch {
 	case status == http.StatusOK && end == EndOK:
-		return dialect.OK
+		return replicaproto.OK
 	case (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) && end == EndTurned:
-		return dialect.Rejected
+		return replicaproto.Rejected
 	}
-	return dialect.Error
+	return replicaproto.Error
 }
 
 // head gathers the fields of a head that is coming.
@@ -92,7 +92,7 @@
 		h.bad = h.bad || h.end != ""
 		h.end = f.Value
 	case PartLoad:
-		h.busy = protocol.Busy(f.Value, "=")
+		h.busy = wire.Busy(f.Value, "=")
 	}
 }
 
--- a/internal/dialect/http2/read.go
+++ b/internal/replicaproto/http2/read.go
@@ -5,7 +5,7 @@
 
 	"golang.org/x/net/http2"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 // takes takes a frame that came.
@@ -30,7 +30,7 @@
 		s.goesAway(f)
 	case *http2.PingFrame:
 		if f.IsAck() {
-			s.tell(dialect.Event{Kind: dialect.Alive})
+			s.tell(replicaproto.Event{Kind: replicaproto.Alive})
 		} else {
 			data := f.Data
 			s.says(func() error { return s.framer.WritePing(true, data) })
@@ -62,7 +62,7 @@
 			}
 		case http2.SettingMaxConcurrentStreams:
 			s.most = int64(v.Val)
-			s.tell(dialect.Event{Kind: dialect.Room, Most: int(min(v.Val, mostWindow))})
+			s.tell(replicaproto.Event{Kind: replicaproto.Room, Most: int(min(v.Val, mostWindow))})
 		case http2.SettingInitialWindowSize:
 			change := int64(v.Val) - s.initial
 			s.initial = int64(v.Val)
@@ -84,7 +84,7 @@
 	s.says(s.framer.WriteSettingsAck)
 	if !s.settled {
 		s.settled = true
-		s.tell(dialect.Event{Kind: dialect.Ready})
+		s.tell(replicaproto.Event{Kind: replicaproto.Ready})
 	}
 	return nil
 }
@@ -116,15 +116,15 @@
 	}
 	if s.last = f.LastStreamID; !s.going {
 		s.going = true
-		s.tell(dialect.Event{Kind: dialect.Leaving, Words: f.ErrCode.String()})
+		s.tell(replicaproto.Event{Kind: replicaproto.Leaving, Words: f.ErrCode.String()})
 	}
 	for _, st := range s.inOrder() {
 		if st.id <= s.last {
 			continue
 		}
-		e := dialect.Event{Kind: dialect.NeverRan, Attempt: st.call.Attempt, Evidence: dialect.AboveLast}
+		e := replicaproto.Event{Kind: replicaproto.NeverRan, Attempt: st.call.Attempt, Evidence: replicaproto.AboveLast}
 		if st.answered { // it contradicts itself
-			e = dialect.Event{Kind: dialect.MayHave, Attempt: st.call.Attempt}
+			e = replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt}
 		}
 		s.drop(st)
 		s.tell(e)
@@ -139,10 +139,10 @@
 	}
 	s.drop(st)
 	if f.ErrCode == http2.ErrCodeRefusedStream && !st.answered {
-		s.tell(dialect.Event{Kind: dialect.NeverRan, Attempt: st.call.Attempt, Evidence: dialect.Refused})
+		s.tell(replicaproto.Event{Kind: replicaproto.NeverRan, Attempt: st.call.Attempt, Evidence: replicaproto.Refused})
 		return nil
 	}
-	s.tell(dialect.Event{Kind: dialect.MayHave, Attempt: st.call.Attempt, Words: f.ErrCode.String()})
+	s.tell(replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt, Words: f.ErrCode.String()})
 	return nil
 }
 
@@ -252,6 +252,6 @@
 		s.reset(st, http2.ErrCodeNo)
 	}
 	s.drop(st)
-	s.tell(dialect.Event{Kind: dialect.Answered, Attempt: st.call.Attempt, Wire: st.call.Wire, End: st.end, Value: st.value, Busy: st.busy})
+	s.tell(replicaproto.Event{Kind: replicaproto.Answered, Attempt: st.call.Attempt, Wire: st.call.Wire, End: st.end, Value: st.value, Busy: st.busy})
 	return nil
 }
--- a/internal/dialect/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -19,8 +19,8 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"terntray/internal/dialect"
-	"terntray/internal/protocol"
+	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
 )
 
 const (
@@ -41,7 +41,7 @@
 // stream carries one part.
 type stream struct {
 	id      uint32
-	call    *dialect.Call
+	call    *replicaproto.Call
 	body    []byte // not yet sent
 	sent    bool   // with its last byte
 	window  int64  // bytes that the far side takes; below zero after its settings have shrunk
@@ -49,7 +49,7 @@
 	unasked int64  // bytes of it that have come and are not given back yet
 
 	answered bool // its response's head is in
-	end      dialect.End
+	end      replicaproto.End
 	length   int64 // as the head says; below 0: not said
 	value    []byte
 	busy     float64 // as its head or what trails it tells
@@ -58,7 +58,7 @@
 // Session is one connection's.
 type Session struct {
 	scheme, authority string
-	in                protocol.Buffer
+	in                wire.Buffer
 	one               bytes.Reader // the frame that is read
 	framer            *http2.Framer
 	to                []byte // what is written at present
@@ -67,12 +67,12 @@
 	block             bytes.Buffer // what it encodes
 	decoder           *hpack.Decoder
 
-	queue   []*dialect.Call // not begun, in order
+	queue   []*replicaproto.Call // not begun, in order
 	streams map[uint32]*stream
 	sending []*stream // with bytes left, the next first
 	lastID  uint32    // of the last stream; odd
 	ends    []end     // of the last output
-	events  []dialect.Event
+	events  []replicaproto.Event
 
 	settled bool  // the far side's settings are in
 	most    int64 // streams it takes
@@ -92,7 +92,7 @@
 }
 
 type end struct {
-	call *dialect.Call
+	call *replicaproto.Call
 	at   int // bytes of the output up to its last
 }
 
@@ -115,7 +115,7 @@
 	return s
 }
 
-var _ dialect.Session = (*Session)(nil)
+var _ replicaproto.Session = (*Session)(nil)
 
 // writer lets the framer write to what is written at present.
 type writer struct{ s *Session }
@@ -135,19 +135,19 @@
 }
 
 // Queue has a call wait to be written.
-func (s *Session) Queue(c *dialect.Call) { s.queue = append(s.queue, c) }
+func (s *Session) Queue(c *replicaproto.Call) { s.queue = append(s.queue, c) }
 
 // Withdraw takes back a call of which no byte was written.
-func (s *Session) Withdraw(c *dialect.Call) bool {
+func (s *Session) Withdraw(c *replicaproto.Call) bool {
 	if !c.Revocable() {
 		return false
 	}
-	s.queue = slices.DeleteFunc(s.queue, func(o *dialect.Call) bool { return o == c })
+	s.queue = slices.DeleteFunc(s.queue, func(o *replicaproto.Call) bool { return o == c })
 	return true
 }
 
 // GiveUp resets a call's stream.
-func (s *Session) GiveUp(c *dialect.Call) {
+func (s *Session) GiveUp(c *replicaproto.Call) {
 	if st := s.streams[c.Stream]; st != nil && st.call == c {
 		s.reset(st, http2.ErrCodeCancel)
 	}
@@ -232,7 +232,7 @@
 	}
 	if s.lastID == mostStreamID {
 		s.going, s.last = true, mostStreamID
-		s.tell(dialect.Event{Kind: dialect.Leaving, Words: "the stream ids are used up"})
+		s.tell(replicaproto.Event{Kind: replicaproto.Leaving, Words: "the stream ids are used up"})
 	}
 	st := &stream{id: s.lastID, call: c, body: c.Text, window: s.initial, own: firstWindow, length: -1}
 	c.Stream = st.id
@@ -291,7 +291,7 @@
 func (s *Session) Wrote(n int) {
 	for _, e := range s.ends {
 		if e.at <= n {
-			e.call.Stage = dialect.Written
+			e.call.Stage = replicaproto.Written
 		}
 	}
 	s.ends = s.ends[:0]
@@ -306,10 +306,10 @@
 // Partly tells whether a frame, or a head of several, has begun to come that is not whole.
 func (s *Session) Partly() bool { return s.in.Waiting() > 0 || s.head.open }
 
-func (s *Session) tell(e dialect.Event) { s.events = append(s.events, e) }
+func (s *Session) tell(e replicaproto.Event) { s.events = append(s.events, e) }
 
 // Next gives the next event.
-func (s *Session) Next() (e dialect.Event, ok bool, err error) {
+func (s *Session) Next() (e replicaproto.Event, ok bool, err error) {
 	for {
 		if len(s.events) > 0 {
 			e, s.events = s.events[0], s.events[1:]
@@ -355,7 +355,7 @@
 	case err == nil:
 	case errors.As(err, &ofStream):
 		if st := s.streams[ofStream.StreamID]; st != nil {
-			s.tell(dialect.Event{Kind: dialect.MayHave, Attempt: st.call.Attempt, Words: ofStream.Error()})
+			s.tell(replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt, Words: ofStream.Error()})
 			s.reset(st, ofStream.Code)
 		} else if err := s.known(ofStream.StreamID); err != nil {
 			return s.broken(err)
--- a/internal/dialect/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"terntray/internal/dialect"
+	"terntray/internal/replicaproto"
 )
 
 // peer is the far side of a session, made of the library's framer alone.
@@ -24,8 +24,8 @@
 	heads  *hpack.Decoder
 	block  bytes.Buffer
 	coder  *hpack.Encoder
-	calls  []*dialect.Call
-	got    []dialect.Event
+	calls  []*replicaproto.Call
+	got    []replicaproto.Event
 	err    error
 }
 
@@ -70,8 +70,8 @@
 	p.to.Reset()
 }
 
-func (p *peer) call(shard, size int) *dialect.Call {
-	c := &dialect.Call{Attempt: uint64(len(p.calls) + 1), Wire: fmt.Sprint("q.", shard), Shard: shard, Deadline: time.Second,
+func (p *peer) call(shard, size int) *replicaproto.Call {
+	c := &replicaproto.Call{Attempt: uint64(len(p.calls) + 1), Wire: fmt.Sprint("q.", shard), Shard: shard, Deadline: time.Second,
 		Text: bytes.Repeat([]byte("x"), size)}
 	p.calls = append(p.calls, c)
 	p.s.Queue(c)
@@ -128,16 +128,16 @@
 	var got []string
 	for _, e := range p.got {
 		switch e.Kind {
-		case dialect.Answered:
+		case replicaproto.Answered:
 			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.End, e.Value))
-		case dialect.NeverRan:
+		case replicaproto.NeverRan:
 			got = append(got, fmt.Sprintf("never %d %s", e.Attempt, e.Evidence))
-		case dialect.MayHave:
+		case replicaproto.MayHave:
 			got = append(got, fmt.Sprintf("may %d", e.Attempt))
-		case dialect.Room:
+		case replicaproto.Room:
 			got = append(got, fmt.Sprintf("room %d", e.Most))
 		default:
-			got = append(got, []string{dialect.Leaving: "leaving", dialect.Alive: "alive", dialect.Ready: "ready"}[e.Kind])
+			got = append(got, []string{replicaproto.Leaving: "leaving", replicaproto.Alive: "alive", replicaproto.Ready: "ready"}[e.Kind])
 		}
 	}
 	if p.got = nil; !slices.Equal(got, want) {
@@ -152,7 +152,7 @@
 	if got := p.frames(); !slices.Equal(got, []string{"settings", "window 0 458753", "settings", "head 1 /part", "data 1 4 true"}) {
 		t.Errorf("%q", got)
 	}
-	if c.Stage != dialect.Written || c.Stream != 1 {
+	if c.Stage != replicaproto.Written || c.Stream != 1 {
 		t.Errorf("%+v", c)
 	}
 	p.head(1, true, ":status", "103", "link", "x")
@@ -308,7 +308,7 @@
 	}
 	p.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 9})
 	p.expect("room 9")
-	if p.frames(); p.calls[2].Stream != 5 || p.calls[4].Stream != 7 || p.calls[3].Stage != dialect.Waiting {
+	if p.frames(); p.calls[2].Stream != 5 || p.calls[4].Stream != 7 || p.calls[3].Stage != replicaproto.Waiting {
 		t.Errorf("streams %d, %d", p.calls[2].Stream, p.calls[4].Stream)
 	}
 }
@@ -316,15 +316,15 @@
 // Windows shrink below zero under open streams; large texts take turns, and small ones do not wait for them.
 func TestWindowsAndTurns(t *testing.T) {
 	p := newPeer(t)
-	large := []*dialect.Call{p.call(0, 60000), p.call(1, 60000)}
+	large := []*replicaproto.Call{p.call(0, 60000), p.call(1, 60000)}
 	p.frames()
 	small := p.call(2, 100)
-	if p.frames(); small.Stage == dialect.Written || large[0].Stage == dialect.Written {
+	if p.frames(); small.Stage == replicaproto.Written || large[0].Stage == replicaproto.Written {
 		t.Fatal("more was sent than the connection's window")
 	}
 	p.framer.WriteWindowUpdate(0, 200)
 	p.feeds()
-	if p.frames(); small.Stage != dialect.Written {
+	if p.frames(); small.Stage != replicaproto.Written {
 		t.Error("the small one waits behind the large ones")
 	}
 	p.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000})
@@ -343,7 +343,7 @@
 	if !strings.Contains(strings.Join(turns, ""), "1313") && !strings.Contains(strings.Join(turns, ""), "3131") {
 		t.Errorf("turns %v", turns)
 	}
-	if large[0].Stage != dialect.Written || large[1].Stage != dialect.Written {
+	if large[0].Stage != replicaproto.Written || large[1].Stage != replicaproto.Written {
 		t.Error("not all was sent in the end")
 	}
 }
@@ -362,8 +362,8 @@
 	p.framer.WriteGoAway(3, http2.ErrCodeNo, nil)
 	p.answer(1, "a")
 	p.framer.WriteRSTStream(3, http2.ErrCodeInternal)
-	p.expect("never 3 "+string(dialect.AboveLast), "never 4 "+string(dialect.AboveLast), "answered 1 0 a", "may 2")
-	if held.Stage != dialect.Waiting {
+	p.expect("never 3 "+string(replicaproto.AboveLast), "never 4 "+string(replicaproto.AboveLast), "answered 1 0 a", "may 2")
+	if held.Stage != replicaproto.Waiting {
 		t.Error("a stream was begun after GOAWAY")
 	}
 }
@@ -380,7 +380,7 @@
 		p.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 	}
 	p.framer.WriteRSTStream(5, http2.ErrCodeCancel)
-	p.expect("ready", "never 1 "+string(dialect.Refused), "may 2", "may 3")
+	p.expect("ready", "never 1 "+string(replicaproto.Refused), "may 2", "may 3")
 }
 
 // Credit is given back for answers, also of streams that are over; an answer that is too large ends its stream.
@@ -418,7 +418,7 @@
 	p.s.lastID = mostStreamID - 2
 	a, b := p.call(0, 1), p.call(1, 1)
 	p.writes()
-	if a.Stage != dialect.Written || b.Stage != dialect.Waiting {
+	if a.Stage != replicaproto.Written || b.Stage != replicaproto.Waiting {
 		t.Errorf("stages %d %d", a.Stage, b.Stage)
 	}
 	p.expect("ready")
@@ -433,7 +433,7 @@
 	a, b := p.call(0, 10), p.call(1, 10)
 	out := p.s.Output(nil, 1<<20, 0)
 	p.s.Wrote(len(out) - 1)
-	if a.Stage != dialect.Written || b.Stage != dialect.Begun {
+	if a.Stage != replicaproto.Written || b.Stage != replicaproto.Begun {
 		t.Errorf("stages %d %d", a.Stage, b.Stage)
 	}
 }
@@ -456,7 +456,7 @@
 		s := New("http", "a:1")
 		ends := map[uint64]int{}
 		for n := range int(calls % 16) {
-			s.Queue(&dialect.Call{Attempt: uint64(n + 1), Wire: "q.1", Text: bytes.Repeat([]byte("x"), n*1000), Deadline: time.Second})
+			s.Queue(&replicaproto.Call{Attempt: uint64(n + 1), Wire: "q.1", Text: bytes.Repeat([]byte("x"), n*1000), Deadline: time.Second})
 		}
 		for len(b) > 0 {
 			n := copy(s.Room(), b[:min(len(b), 7)])
@@ -472,7 +472,7 @@
 				if !ok {
 					break
 				}
-				if e.Kind == dialect.Answered || e.Kind == dialect.NeverRan || e.Kind == dialect.MayHave {
+				if e.Kind == replicaproto.Answered || e.Kind == replicaproto.NeverRan || e.Kind == replicaproto.MayHave {
 					if ends[e.Attempt]++; ends[e.Attempt] > 1 || e.Attempt == 0 {
 						t.Fatalf("leg %d ended %d times", e.Attempt, ends[e.Attempt])
 					}
--- a/internal/dialect/dialect.go
+++ b/internal/replicaproto/replicaproto.go
@@ -1,8 +1,8 @@
-// Package dialect is the vocabulary in which a connection to a replica is spoken of, whatever is said on it. A Session is
+// Package replicaproto is the vocabulary in which a connection to a replica is spoken of, whatever is said on it. A Session is
 // a connection's state machine: it is given the calls to be made and the bytes that came, and gives the bytes to be
 // written and what came of each call. It has no socket, no clock and no goroutine. The sessions themselves stand in
 // packages of their own below this one.
-package dialect
+package replicaproto
 
 import "time"
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -13,24 +13,24 @@
 	"strings"
 	"time"
 
-	"terntray/decide"
-	"terntray/internal/protocol"
+	"terntray/internal/wire"
+	"terntray/scheduler"
 )
 
-var outcomes = map[int64]decide.Outcome{
-	0: decide.Fulfilled, 13: decide.Erred, 8: decide.TurnedAway, 4: decide.TimedOut,
-	14: decide.Unreachable, 10: decide.Reset, 1: decide.Cancelled, 9: decide.Moot,
+var outcomes = map[int64]scheduler.Outcome{
+	0: scheduler.Fulfilled, 13: scheduler.Erred, 8: scheduler.TurnedAway, 4: scheduler.TimedOut,
+	14: scheduler.Unreachable, 10: scheduler.Reset, 1: scheduler.Cancelled, 9: scheduler.Moot,
 }
 
-var lives = map[string]decide.Life{"active": decide.Active, "leaving": decide.Leaving, "left": decide.Left}
+var lives = map[string]scheduler.Life{"active": scheduler.Active, "leaving": scheduler.Leaving, "left": scheduler.Left}
 
 // listed is one entry of a numbered list.
 type listed struct {
-	id      decide.ReplicaID
-	life    decide.Life
+	id      scheduler.ReplicaID
+	life    scheduler.Life
 	started int64 // clock time, 0: long ago
-	cell    decide.CellNumber
-	zone    decide.ZoneIndex
+	cell    scheduler.CellNumber
+	zone    scheduler.ZoneIndex
 	size    float64
 }
 
@@ -38,7 +38,7 @@
 type instance struct {
 	number  int64
 	born    int64 // clock time of its start
-	module  *decide.Coordinator
+	module  *scheduler.Coordinator
 	pending strings.Builder
 	active  bool // has had an event in this batch
 }
@@ -213,7 +213,7 @@
 	i.module = nil
 	i.pending.Reset()
 	s.guard(i, func() {
-		module, err := decide.New(&host{i}, uint64(salt), settings)
+		module, err := scheduler.New(&host{i}, uint64(salt), settings)
 		if err != nil {
 			i.say("EXCEPTION", err.Error())
 			return
@@ -254,7 +254,7 @@
 		if name != "ITEM" {
 			return item.fault("an ITEM of the list was due")
 		}
-		e := listed{id: decide.ReplicaID(item.id("replica"))}
+		e := listed{id: scheduler.ReplicaID(item.id("replica"))}
 		e.size = item.number("share")
 		life, ok := lives[item.text("lifecycle")]
 		if !ok && item.err == nil {
@@ -262,8 +262,8 @@
 		}
 		e.life = life
 		e.started = item.wholeOr("cameUp", 0)
-		e.cell = decide.CellNumber(item.wholeOr("cell", 0))
-		e.zone = decide.ZoneIndex(item.wholeOr("zone", -1))
+		e.cell = scheduler.CellNumber(item.wholeOr("cell", 0))
+		e.zone = scheduler.ZoneIndex(item.wholeOr("zone", -1))
 		item.wholeOr("generationHw", 0)
 		if item.err != nil {
 			return item.err
@@ -274,9 +274,9 @@
 	return nil
 }
 
-type call func(m *decide.Coordinator, now time.Duration)
+type call func(m *scheduler.Coordinator, now time.Duration)
 
-func nothing(*decide.Coordinator, time.Duration) {}
+func nothing(*scheduler.Coordinator, time.Duration) {}
 
 // decode turns an instance's event into the call that it stands for.
 func (s *server) decode(name string, f *fields) (call, error) {
@@ -289,7 +289,7 @@
 			return nil, f.err
 		}
 		if form == "unavailable" {
-			return func(m *decide.Coordinator, now time.Duration) { m.ListFailed(now) }, nil
+			return func(m *scheduler.Coordinator, now time.Duration) { m.ListFailed(now) }, nil
 		}
 		if form != "update" && form != "replace" && form != "restored" {
 			return nil, f.fault("field form: unknown value %q", form)
@@ -299,10 +299,10 @@
 			return nil, f.fault("field page: no list %d", page)
 		}
 		born := s.current.born
-		do = func(m *decide.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Coordinator, now time.Duration) {
 			m.ListBegins(now, form != "update", form == "restored")
 			for _, e := range entries {
-				started := decide.LongAgo
+				started := scheduler.LongAgo
 				if e.started != 0 {
 					started = micros(e.started - born)
 				}
@@ -310,21 +310,21 @@
 			}
 		}
 	case "DEMAND":
-		id, track := decide.RequestID(f.id("requestId")), decide.TrackIndex(f.whole("type"))
-		tenant := decide.TenantIndex(f.wholeOr("billing", 0))
+		id, track := scheduler.RequestID(f.id("requestId")), scheduler.TrackIndex(f.whole("type"))
+		tenant := scheduler.TenantIndex(f.wholeOr("billing", 0))
 		f.text("item")
 		left := micros(f.whole("budget"))
 		hint := micros(f.wholeOr("sizeHint", 0))
-		number := decide.QueryNumber(f.number("queryNo"))
+		number := scheduler.QueryNumber(f.number("queryNo"))
 		shard := f.number("segmentNo")
 		amount := f.number("measure")
 		f.truth("repeat")
 		f.truth("update")
-		do = func(m *decide.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Coordinator, now time.Duration) {
 			if shard < 0 {
 				m.QueryArrives(now, id, number, track, tenant, left, hint, int(amount))
 			} else {
-				m.PartArrives(now, id, number, decide.ShardNumber(shard), amount, hint)
+				m.PartArrives(now, id, number, scheduler.ShardNumber(shard), amount, hint)
 			}
 		}
 	case "FIRST": // no track of this wire streams its answers
@@ -334,23 +334,23 @@
 		f.whole("waitTime")
 		do = nothing
 	case "FINISHED":
-		id, outcome := decide.RequestID(f.id("requestId")), f.outcome()
-		replica := decide.ReplicaID(f.id("replica"))
+		id, outcome := scheduler.RequestID(f.id("requestId")), f.outcome()
+		replica := scheduler.ReplicaID(f.id("replica"))
 		f.truth("closed")
-		attempt, took := decide.AttemptNumber(f.whole("copy")), micros(f.whole("waitTime"))
+		attempt, took := scheduler.AttemptNumber(f.whole("copy")), micros(f.whole("waitTime"))
 		busy := f.load("pressure")
-		do = func(m *decide.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Coordinator, now time.Duration) {
 			if busy >= 0 {
 				m.ReplicaReports(now, replica, busy)
 			}
 			m.AttemptEnds(now, id, attempt, outcome, took)
 		}
 	case "LAPSED":
-		id := decide.RequestID(f.id("requestId"))
-		do = func(m *decide.Coordinator, now time.Duration) { m.ClientLeaves(now, id) }
+		id := scheduler.RequestID(f.id("requestId"))
+		do = func(m *scheduler.Coordinator, now time.Duration) { m.ClientLeaves(now, id) }
 	case "WAKE":
 		token := f.text("keyBack")
-		do = func(m *decide.Coordinator, now time.Duration) { m.Wakes(now, token) }
+		do = func(m *scheduler.Coordinator, now time.Duration) { m.Wakes(now, token) }
 	case "PROBE_DONE": // the module sends none
 		f.whole("waitTime")
 		f.outcome()
@@ -358,7 +358,7 @@
 		f.load("pressure")
 		do = nothing
 	case "PEER_DATA":
-		from, text := decide.PeerIndex(f.whole("src")), f.text("msg")
+		from, text := scheduler.PeerIndex(f.whole("src")), f.text("msg")
 		if text == "-" {
 			text = ""
 		}
@@ -367,7 +367,7 @@
 			return nil, f.fault("field msg: no base64")
 		}
 		i := s.current
-		do = func(m *decide.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Coordinator, now time.Duration) {
 			if err := m.PeerTells(now, from, message); err != nil {
 				i.say("EMIT", err.Error())
 			}
@@ -381,19 +381,19 @@
 // host encodes what a module asks for.
 type host struct{ i *instance }
 
-func (h *host) Send(part decide.RequestID, to decide.ReplicaID, timeout time.Duration) {
+func (h *host) Send(part scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	h.i.say("SUBMIT_TO", part, to, timeout.Microseconds())
 }
-func (h *host) Cancel(part decide.RequestID, attempt decide.AttemptNumber) {
+func (h *host) Cancel(part scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	h.i.say("UNDO_SEND", part, attempt)
 }
-func (h *host) Answer(query decide.RequestID, whole bool) {
+func (h *host) Answer(query scheduler.RequestID, whole bool) {
 	h.i.say("ASSEMBLE", query, bit(whole))
 }
-func (h *host) TurnBack(query decide.RequestID, comeBack time.Duration) {
+func (h *host) TurnBack(query scheduler.RequestID, comeBack time.Duration) {
 	h.i.say("PUSH_BACK", query, comeBack.Microseconds())
 }
-func (h *host) Scrap(query decide.RequestID) { h.i.say("DROP_REQUEST", query) }
+func (h *host) Scrap(query scheduler.RequestID) { h.i.say("DROP_REQUEST", query) }
 func (h *host) Wake(name string, in time.Duration) {
 	h.i.say("NOTIFY_ME", name, in.Microseconds())
 }
@@ -490,7 +490,7 @@
 	return v == "1"
 }
 
-func (f *fields) outcome() decide.Outcome {
+func (f *fields) outcome() scheduler.Outcome {
 	n := f.whole("disposition")
 	outcome, ok := outcomes[n]
 	if !ok {
@@ -512,5 +512,5 @@
 			return -1
 		}
 	}
-	return protocol.Busy(v, ":")
+	return wire.Busy(v, ":")
 }
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -10,13 +10,13 @@
 	"syscall"
 	"time"
 
+	"terntray/internal/fake"
 	"terntray/internal/faultbuild"
-	"terntray/internal/standin"
 )
 
 // life is one process of a co-ordinator.
 type life struct {
-	program   *standin.Program
+	program   *fake.Program
 	began     time.Duration
 	told      time.Duration // SIGTERM; 0: never
 	killed    time.Duration // SIGKILL; 0: never
@@ -66,7 +66,7 @@
 	c.mu.Lock()
 	addr := c.addr
 	c.mu.Unlock()
-	p, err := standin.Launch(standin.Options{Path: c.soak.options.Program, Name: c.name, Listen: addr, Discovery: a.addr(),
+	p, err := fake.Launch(fake.Options{Path: c.soak.options.Program, Name: c.name, Listen: addr, Discovery: a.addr(),
 		Settings: settings(c.soak.seed), Known: string(known), Sockets: 400, Env: []string{c.page.Variable()}, Args: []string{"-trace"}})
 	if err != nil {
 		return err
--- a/internal/protocol/buffer.go
+++ b/internal/wire/buffer.go
@@ -1,6 +1,6 @@
-// Package protocol holds the state machines of the wire between clients, replicas, discovery and a
+// Package wire holds the state machines of the wire between clients, replicas, discovery and a
 // co-ordinator. They are fed bytes and know neither sockets nor clocks.
-package protocol
+package wire
 
 const (
 	leastRoom = 2 << 10  // bytes to read into at the least
--- a/internal/protocol/load.go
+++ b/internal/wire/load.go
@@ -1,4 +1,4 @@
-package protocol
+package wire
 
 import (
 	"math"
