--- a/internal/protocol/question.go
+++ b/internal/wire/question.go
@@ -1,4 +1,4 @@
-package protocol
+package wire
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"io"
 	"math"
 
-	"terntray/phases"
+	"terntray/twophase"
 )
 
 // The wire of questions, as docs/phases.md states it: what a box is asked stands before the query's text, what it says
@@ -18,9 +18,9 @@
 
 // asking is the line before the text.
 type asking struct {
-	Ask     string         `json:"ask"`            // summary or answer
-	Best    *int           `json:"best,omitempty"` // so many by score; absent: all that match
-	Version phases.Version `json:"version,omitempty"`
+	Ask     string           `json:"ask"`            // summary or answer
+	Best    *int             `json:"best,omitempty"` // so many by score; absent: all that match
+	Version twophase.Version `json:"version,omitempty"`
 }
 
 // AskSummary is what a box is asked for its block's summary.
@@ -29,7 +29,7 @@
 }
 
 // AskAnswer is what it is asked for its part of the answer; the version is that of the summary that was used, if any was.
-func AskAnswer(q *Question, v phases.Version, text []byte) []byte {
+func AskAnswer(q *Question, v twophase.Version, text []byte) []byte {
 	return askWith(asking{Ask: "answer", Best: q.Best, Version: v}, text)
 }
 
@@ -39,20 +39,20 @@
 }
 
 // ReadSummary reads a box's summary; what cannot be used is an error.
-func ReadSummary(value []byte) (phases.Summary, error) {
+func ReadSummary(value []byte) (twophase.Summary, error) {
 	var s struct {
-		Version phases.Version `json:"version"`
-		Count   *int           `json:"count"`
-		Upper   *float64       `json:"upper"` // absent: not known
-		Lower   *float64       `json:"lower"`
+		Version twophase.Version `json:"version"`
+		Count   *int             `json:"count"`
+		Upper   *float64         `json:"upper"` // absent: not known
+		Lower   *float64         `json:"lower"`
 	}
 	if err := strictly(value, &s); err != nil {
-		return phases.Summary{}, err
+		return twophase.Summary{}, err
 	}
 	if s.Version == "" || s.Count == nil || *s.Count < 0 || *s.Count > mostHits {
-		return phases.Summary{}, errors.New("no version, or no count")
+		return twophase.Summary{}, errors.New("no version, or no count")
 	}
-	out := phases.Summary{Version: s.Version, Count: *s.Count, Upper: math.Inf(1), Lower: math.Inf(-1)}
+	out := twophase.Summary{Version: s.Version, Count: *s.Count, Upper: math.Inf(1), Lower: math.Inf(-1)}
 	if s.Upper != nil {
 		out.Upper = *s.Upper
 	}
@@ -63,20 +63,20 @@
 }
 
 // ReadAnswer reads a box's part of an answer.
-func ReadAnswer(shard int, value []byte) (phases.Answer, error) {
+func ReadAnswer(shard int, value []byte) (twophase.Answer, error) {
 	var a struct {
-		Version phases.Version `json:"version"`
+		Version twophase.Version `json:"version"`
 		Hits    []struct {
 			ID    string  `json:"id"`
 			Score float64 `json:"score"`
 		} `json:"hits"`
 	}
 	if err := strictly(value, &a); err != nil {
-		return phases.Answer{}, err
+		return twophase.Answer{}, err
 	}
-	out := phases.Answer{Version: a.Version}
+	out := twophase.Answer{Version: a.Version}
 	for _, h := range a.Hits {
-		out.Hits = append(out.Hits, phases.Hit{Block: phases.Block(shard), ID: h.ID, Score: h.Score})
+		out.Hits = append(out.Hits, twophase.Hit{Block: twophase.Block(shard), ID: h.ID, Score: h.Score})
 	}
 	return out, nil
 }
@@ -94,11 +94,11 @@
 }
 
 // HitsWith makes the response to a question whose answer is whole.
-func HitsWith(hits []phases.Hit, last bool) []byte {
+func HitsWith(hits []twophase.Hit, last bool) []byte {
 	type hit struct {
-		Segment phases.Block `json:"segment"`
-		ID      string       `json:"id"`
-		Score   float64      `json:"score"`
+		Segment twophase.Block `json:"segment"`
+		ID      string         `json:"id"`
+		Score   float64        `json:"score"`
 	}
 	out := struct {
 		AllIn bool  `json:"all_in"`
--- a/guard/guard.go
+++ b/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package guard is the one place that decides whether a protocol-visible action may happen now: writing an attempt to a
+// Package invariant is the one place that decides whether a protocol-visible action may happen now: writing an attempt to a
 // replica, giving a final answer, closing a client's connection. Each check is a pure function of a snapshot; it does no
 // I/O, reads no clock and keeps no state. The caller asks when it decides and again at the moment of writing, as a
 // connection that comes up late, a full buffer or a stopped process may lie between the two.
@@ -6,7 +6,7 @@
 // The rules are those of the protocol page; a Reason names the one that an action would break. What happens to a refused
 // action, and whether it is counted as a race (seen at the moment of writing) or as a violation (decided all the same), is
 // the caller's business.
-package guard
+package invariant
 
 import "time"
 
--- a/guard/guard_test.go
+++ b/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"testing"
--- a/gate/gate.go
+++ b/overload/overload.go
@@ -1,4 +1,4 @@
-// Package gate decides how much of what arrives a co-ordinator lets in when its own core, not its replicas, is what is
+// Package overload decides how much of what arrives a co-ordinator lets in when its own core, not its replicas, is what is
 // short. It is told how long each query that was let in had waited for the co-ordinator's turn, and how much of its
 // core it uses, and keeps the share to let in. It promises that a queue which drains within a window never closes it (a standstill, a burst), that a
 // standing queue halves the share within about four windows, and that the share comes back by itself once none stands.
@@ -7,7 +7,7 @@
 // The signal is the standing queue of CoDel (RFC 8289, section 4: the least time that anything waited in a window);
 // the reaction is the additive growth and multiplicative decrease of a share, as published of DAGOR (Zhou et al., SoCC
 // 2018, section 4).
-package gate
+package overload
 
 import (
 	"math"
--- a/gate/gate_test.go
+++ b/overload/overload_test.go
@@ -1,4 +1,4 @@
-package gate
+package overload
 
 import (
 	"math"
--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const (
@@ -60,7 +60,7 @@
 			places <- struct{}{}
 			all.Go(func() {
 				defer func() { <-places }()
-				var got [2][]standin.Answered
+				var got [2][]fake.Answered
 				for d, model := range []string{"frames", "h2"} {
 					answers, err := day(*program, seed, model, bad)
 					mu.Lock()
@@ -75,7 +75,7 @@
 					a, b := got[0][i], got[1][i]
 					switch {
 					case bad:
-						for d, x := range []standin.Answered{a, b} {
+						for d, x := range []fake.Answered{a, b} {
 							if faulty[d][0]++; x.Status == 200 {
 								faulty[d][1]++
 							}
@@ -104,15 +104,15 @@
 }
 
 // day plays one with boxes of one model; bad, with faults that both dialects know.
-func day(program string, seed uint64, model string, bad bool) (answers []standin.Answered, err error) {
-	chance := standin.NewChance(seed)
-	ran := standin.NewRan()
+func day(program string, seed uint64, model string, bad bool) (answers []fake.Answered, err error) {
+	chance := fake.NewChance(seed)
+	ran := fake.NewRan()
 	folder, err := os.MkdirTemp("", "terntray")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := standin.InstallationOf(folder)
+	installation, err := fake.InstallationOf(folder)
 	if err != nil {
 		return nil, err
 	}
@@ -120,9 +120,9 @@
 	if bad {
 		worse = 20
 	}
-	var all []*standin.Replica
+	var all []*fake.Replica
 	for n := range boxes {
-		b, err := standin.NewReplica(fmt.Sprintf("s-%d", n), n, standin.Moody(ran, chance, worse))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Moody(ran, chance, worse))
 		if err != nil {
 			return nil, err
 		}
@@ -130,12 +130,12 @@
 		b.Quiet, b.Model = true, model
 		all = append(all, b)
 	}
-	roster, err := standin.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewRoster("127.0.0.1:0", all...)
 	if err != nil {
 		return nil, err
 	}
 	defer roster.Server.Close()
-	p, err := standin.StartProgram(program, settings, roster, "-installation", installation)
+	p, err := fake.StartProgram(program, settings, roster, "-installation", installation)
 	if err != nil {
 		return nil, err
 	}
@@ -143,13 +143,13 @@
 	stop := make(chan struct{})
 	var peers sync.WaitGroup
 	if bad {
-		peers.Go(func() { cuts(all, standin.NewChance(seed+1), stop) })
+		peers.Go(func() { cuts(all, fake.NewChance(seed+1), stop) })
 	}
 	var loads sync.WaitGroup
-	var got [2][]standin.Answered
+	var got [2][]fake.Answered
 	for n, track := range []string{"look", "rider-claim"} {
 		loads.Go(func() {
-			l := standin.Load{Addr: p.Addr, Track: track, Name: track, Rate: 100, Parts: 3, Shards: 24, CutOff: time.Second,
+			l := fake.Load{Addr: p.Addr, Track: track, Name: track, Rate: 100, Parts: 3, Shards: 24, CutOff: time.Second,
 				Seed: seed, MostConns: 500}
 			got[n] = l.For(1500 * time.Millisecond)
 		})
@@ -161,7 +161,7 @@
 }
 
 // cuts cuts a box's connections off every now and then.
-func cuts(boxes []*standin.Replica, chance *standin.Chance, stop <-chan struct{}) {
+func cuts(boxes []*fake.Replica, chance *fake.Chance, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
--- a/proofs/dialects/measure.go
+++ b/proofs/dialects/measure.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 // measure tells what each dialect costs at some rates, beside an earlier build with frames alone, if one is named: processor time and bytes a part, connections and descriptors, and
@@ -35,13 +35,13 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := standin.InstallationOf(folder)
+	installation, err := fake.InstallationOf(folder)
 	if err != nil {
 		return err
 	}
-	var all []*standin.Replica
+	var all []*fake.Replica
 	for n := range boxes {
-		b, err := standin.NewReplica(fmt.Sprintf("s-%d", n), n, standin.After(5*time.Millisecond, standin.Fulfil))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.After(5*time.Millisecond, fake.Fulfil))
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 		b.Quiet, b.Model = true, model
 		all = append(all, b)
 	}
-	roster, err := standin.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewRoster("127.0.0.1:0", all...)
 	if err != nil {
 		return err
 	}
@@ -58,14 +58,14 @@
 	if installed {
 		args = []string{"-installation", installation}
 	}
-	p, err := standin.StartProgram(program, settings, roster, args...)
+	p, err := fake.StartProgram(program, settings, roster, args...)
 	if err != nil {
 		return err
 	}
 	idle := p.Used()
-	l := standin.Load{Addr: p.Addr, Track: "look", Name: "m", Rate: rate / parts, Parts: parts, Shards: 24, CutOff: time.Second,
+	l := fake.Load{Addr: p.Addr, Track: "look", Name: "m", Rate: rate / parts, Parts: parts, Shards: 24, CutOff: time.Second,
 		Seed: 3, MostConns: 1000, Text: 100}
-	done := make(chan []standin.Answered)
+	done := make(chan []fake.Answered)
 	go func() { done <- l.For(lasts) }()
 	time.Sleep(lasts / 2)
 	descriptors := p.Descriptors()
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const (
@@ -84,20 +84,20 @@
 
 // day plays one: a program among boxes that misbehave under steady load of all tracks.
 func day(program string, seed uint64, lasts time.Duration, keep bool) (v verdict, err error) {
-	chance := standin.NewChance(seed)
-	ran := standin.NewRan()
+	chance := fake.NewChance(seed)
+	ran := fake.NewRan()
 	folder, err := os.MkdirTemp("", "terntray")
 	if err != nil {
 		return v, err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := standin.InstallationOf(folder)
+	installation, err := fake.InstallationOf(folder)
 	if err != nil {
 		return v, err
 	}
-	var all []*standin.Replica
+	var all []*fake.Replica
 	for n := range boxes {
-		b, err := standin.NewReplica(fmt.Sprintf("s-%d", n), n, standin.Moody(ran, chance, 20))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Moody(ran, chance, 20))
 		if err != nil {
 			return v, err
 		}
@@ -108,23 +108,23 @@
 		}
 		all = append(all, b)
 	}
-	roster, err := standin.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewRoster("127.0.0.1:0", all...)
 	if err != nil {
 		return v, err
 	}
 	defer roster.Server.Close()
-	p, err := standin.StartProgram(program, settings, roster, "-trace", "-installation", installation)
+	p, err := fake.StartProgram(program, settings, roster, "-trace", "-installation", installation)
 	if err != nil {
 		return v, err
 	}
 	stop := make(chan struct{})
 	var peers sync.WaitGroup
-	peers.Go(func() { standin.Trouble(all, chance, stop) })
+	peers.Go(func() { fake.Trouble(all, chance, stop) })
 	var mu sync.Mutex
 	var loads sync.WaitGroup
 	for n, track := range []string{"look", "rider-claim", "token"} {
 		loads.Go(func() {
-			l := standin.Load{Addr: p.Addr, Track: track, Name: track, Rate: 90, Parts: 1 + (n+int(seed))%5, Shards: 24,
+			l := fake.Load{Addr: p.Addr, Track: track, Name: track, Rate: 90, Parts: 1 + (n+int(seed))%5, Shards: 24,
 				CutOff: time.Second, Seed: seed, MostConns: 500, Text: 1 + 3000*(int(seed)%4)}
 			answers := l.For(lasts)
 			mu.Lock()
@@ -154,7 +154,7 @@
 		v.words = append(v.words, "the program broke, or its log has lost lines")
 		v.over++
 	}
-	told := standin.ReadTrace(log)
+	told := fake.ReadTrace(log)
 	var words []string
 	v.falseNever, words = told.FalseNever(ran)
 	v.words = append(v.words, words...)
--- a/proofs/phases/main.go
+++ b/proofs/phases/main.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const (
@@ -99,11 +99,11 @@
 
 // fleet is a program among boxes with data.
 type fleet struct {
-	*standin.Program
-	data   *standin.Blocks
-	boxes  []*standin.Replica
-	roster *standin.Roster
-	mood   func() standin.Mood
+	*fake.Program
+	data   *fake.Blocks
+	boxes  []*fake.Replica
+	roster *fake.Roster
+	mood   func() fake.Mood
 	takes  func(summary bool, records int) time.Duration
 
 	mu      sync.Mutex
@@ -112,21 +112,21 @@
 }
 
 func newFleet(program string, seed uint64, blocks, records int, selectivity float64, maxAttempts int) (*fleet, error) {
-	f := &fleet{data: standin.NewBlocks(seed, blocks, records, selectivity), seen: map[string]int{},
-		mood: func() standin.Mood { return standin.Honest },
+	f := &fleet{data: fake.NewBlocks(seed, blocks, records, selectivity), seen: map[string]int{},
+		mood: func() fake.Mood { return fake.Honest },
 		takes: func(summary bool, records int) time.Duration {
 			if summary {
 				return time.Millisecond
 			}
 			return 15 * time.Millisecond
 		}}
-	act := f.data.Answer(func(s *standin.Replica, c standin.Call, summary bool) standin.Mood {
+	act := f.data.Answer(func(s *fake.Replica, c fake.Call, summary bool) fake.Mood {
 		m := f.mood()
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if part := strings.TrimSuffix(c.ID, "s"); !summary {
 			f.seen[part] |= 2
-		} else if m != standin.NoSummary && m != standin.Malformed {
+		} else if m != fake.NoSummary && m != fake.Malformed {
 			f.seen[part] |= 1
 		}
 		return m
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	for n := range boxes {
-		b, err := standin.NewReplica(fmt.Sprintf("s-%d", n), n, act)
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, act)
 		if err != nil {
 			return nil, err
 		}
@@ -151,10 +151,10 @@
 		}
 		f.boxes = append(f.boxes, b)
 	}
-	if f.roster, err = standin.NewRoster("127.0.0.1:0", f.boxes...); err != nil {
+	if f.roster, err = fake.NewRoster("127.0.0.1:0", f.boxes...); err != nil {
 		return nil, err
 	}
-	f.Program, err = standin.StartProgram(program, fmt.Sprintf(settings, maxAttempts), f.roster, "-installation", file)
+	f.Program, err = fake.StartProgram(program, fmt.Sprintf(settings, maxAttempts), f.roster, "-installation", file)
 	return f, err
 }
 
@@ -172,14 +172,14 @@
 
 // play asks questions while boxes have all moods, and compares each answer with the truth.
 func (f *fleet) play(seed uint64, questions int) (t tally, words []string) {
-	chance := standin.NewChance(seed)
-	f.mood = func() standin.Mood {
+	chance := fake.NewChance(seed)
+	f.mood = func() fake.Mood {
 		if chance.N(100) < 94 {
-			return standin.Honest
+			return fake.Honest
 		}
 		for {
-			m := standin.Mood(chance.N(int(standin.Moods)))
-			if m != standin.Liar { // told apart below: what they make wrong nobody can tell
+			m := fake.Mood(chance.N(int(fake.Moods)))
+			if m != fake.Liar { // told apart below: what they make wrong nobody can tell
 				return m
 			}
 		}
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -11,7 +11,7 @@
 	patches    map[string][2]string // by file: what stands there once, and what replaces it
 }{
 	{"told_time", "told_time", map[string][2]string{
-		"internal/dialect/dialect.go": {"waitMS = (c.Deadline - now).Milliseconds()", "waitMS = (c.Deadline - now).Milliseconds() + 400"},
+		"internal/replicaproto/replicaproto.go": {"waitMS = (c.Deadline - now).Milliseconds()", "waitMS = (c.Deadline - now).Milliseconds() + 400"},
 	}},
 	{"lost_answer", "answer", map[string][2]string{
 		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%23 == 7 {\n		return false\n	}\n	if !k.write(a.bytes) {\n"},
@@ -30,17 +30,17 @@
 		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"decide/retry.go": {"(first < 0 || t.effect == replayable ||", "(true ||"},
-		"guard/guard.go":  {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
+		"scheduler/retry.go": {"(first < 0 || t.effect == replayable ||", "(true ||"},
+		"invariant/invariant.go":  {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
-		"decide/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
+		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
 	}},
 	{"honest", "honest", map[string][2]string{
 		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
-		"decide/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
+		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
 		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
--- a/proofs/ways-back/days.go
+++ b/proofs/ways-back/days.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 const (
@@ -24,15 +24,15 @@
 
 // deployment is a program among its replicas.
 type deployment struct {
-	*standin.Program
-	replicas []*standin.Replica
-	roster   *standin.Roster
+	*fake.Program
+	replicas []*fake.Replica
+	roster   *fake.Roster
 }
 
-func deploy(program string, replicas int, act func(*standin.Replica, standin.Call)) (*deployment, error) {
+func deploy(program string, replicas int, act func(*fake.Replica, fake.Call)) (*deployment, error) {
 	d := &deployment{}
 	for n := range replicas {
-		r, err := standin.NewReplica(fmt.Sprintf("s-%d", n), n, act)
+		r, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, act)
 		if err != nil {
 			return nil, err
 		}
@@ -43,14 +43,14 @@
 		r.Cell = n % replicas
 	}
 	var err error
-	if d.roster, err = standin.NewRoster("127.0.0.1:0", d.replicas...); err != nil {
+	if d.roster, err = fake.NewRoster("127.0.0.1:0", d.replicas...); err != nil {
 		return nil, err
 	}
-	d.Program, err = standin.StartProgram(program, fmt.Sprintf(settings, replicas), d.roster)
+	d.Program, err = fake.StartProgram(program, fmt.Sprintf(settings, replicas), d.roster)
 	return d, err
 }
 
-func (d *deployment) does(act func(*standin.Replica, standin.Call)) {
+func (d *deployment) does(act func(*fake.Replica, fake.Call)) {
 	for _, r := range d.replicas {
 		r.Does(act)
 	}
@@ -64,14 +64,14 @@
 	}
 }
 
-func (d *deployment) load(name string, rate float64, parts int, while time.Duration) []standin.Answered {
-	l := standin.Load{Addr: d.Addr, Track: "look", Name: name, Rate: rate, Parts: parts, Shards: shards, CutOff: cutOff,
+func (d *deployment) load(name string, rate float64, parts int, while time.Duration) []fake.Answered {
+	l := fake.Load{Addr: d.Addr, Track: "look", Name: name, Rate: rate, Parts: parts, Shards: shards, CutOff: cutOff,
 		Seed: 7, MostConns: 2000}
 	return l.For(while)
 }
 
 // share of answers that came whole in the agreed time.
-func share(all []standin.Answered) float64 {
+func share(all []fake.Answered) float64 {
 	n := 0
 	for _, a := range all {
 		if a.InTime(agreed) {
@@ -81,12 +81,12 @@
 	return float64(n) / float64(max(1, len(all)))
 }
 
-func quick(s *standin.Replica, c standin.Call) { standin.Fulfil(s, c) }
+func quick(s *fake.Replica, c fake.Call) { fake.Fulfil(s, c) }
 
 // trouble plays a day: all replicas sound, then in trouble for a while, then sound again. It returns when 99% were
 // fulfilled again, in seconds after that, or -1.
-func trouble(program string, bad func(*standin.Replica, standin.Call), lasts time.Duration) (back float64, err error) {
-	sound := standin.After(20*time.Millisecond, quick)
+func trouble(program string, bad func(*fake.Replica, fake.Call), lasts time.Duration) (back float64, err error) {
+	sound := fake.After(20*time.Millisecond, quick)
 	d, err := deploy(program, 16, sound)
 	if err != nil {
 		return 0, err
@@ -117,7 +117,7 @@
 func crowd(program string, rate float64, parts int, takes, lasts time.Duration) (crowded, after float64, err error) {
 	act := quick
 	if takes > 0 {
-		act = standin.After(takes, quick)
+		act = fake.After(takes, quick)
 	}
 	d, err := deploy(program, 100, act)
 	if err != nil {
@@ -133,12 +133,12 @@
 // agreed time a second, of what came from the first second to a time and from then on, and the longest that a turning back
 // took.
 func own(program string, rate float64, settled, lasts time.Duration) (first, then float64, turnedBack time.Duration, err error) {
-	d, err := deploy(program, 16, standin.After(2*time.Millisecond, quick))
+	d, err := deploy(program, 16, fake.After(2*time.Millisecond, quick))
 	if err != nil {
 		return 0, 0, 0, err
 	}
 	defer d.end()
-	var early, steady []standin.Answered
+	var early, steady []fake.Answered
 	for _, a := range d.load("o", rate, 3, lasts) {
 		switch {
 		case a.Due >= settled:
@@ -155,13 +155,13 @@
 
 // watchOwn plays the day of a short core and tells the share let in and the use of the core, ten times a second.
 func watchOwn(program string, rate float64) {
-	d, err := deploy(program, 16, standin.After(2*time.Millisecond, quick))
+	d, err := deploy(program, 16, fake.After(2*time.Millisecond, quick))
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer d.end()
-	done := make(chan []standin.Answered)
+	done := make(chan []fake.Answered)
 	go func() { done <- d.load("o", rate, 3, 3*time.Second) }()
 	before := d.Counters()["fulfilled"]
 	for {
--- a/proofs/ways-back/main.go
+++ b/proofs/ways-back/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"terntray/internal/emulator"
-	"terntray/internal/standin"
+	"terntray/internal/fake"
 )
 
 func main() {
@@ -95,10 +95,10 @@
 	var all sync.WaitGroup
 	for _, day := range []struct {
 		name string
-		bad  func(*standin.Replica, standin.Call)
+		bad  func(*fake.Replica, fake.Call)
 	}{
-		{"slow", standin.After(2500*time.Millisecond, quick)}, {"silent", standin.Silent}, {"erring", standin.Err},
-		{"closing", standin.Reset},
+		{"slow", fake.After(2500*time.Millisecond, quick)}, {"silent", fake.Silent}, {"erring", fake.Err},
+		{"closing", fake.Reset},
 	} {
 		all.Go(func() {
 			back, err := trouble(program, day.bad, 8*time.Second)
--- a/decide/admission.go
+++ b/scheduler/admission.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Admission: which queries are turned back because they cannot be expected to make their target latency.
 
--- a/decide/canary.go
+++ b/scheduler/canary.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Queries of death: how few subqueries of a query go ahead of the others, and when it is given up as deadly.
 
--- a/decide/concurrency.go
+++ b/scheduler/concurrency.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Concurrency limits: how many subqueries may be out at a replica at a time.
 
--- a/decide/discovery.go
+++ b/scheduler/discovery.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Endpoint discovery: what the list says of the replicas, and when it is asked for anew.
 
--- a/decide/estimate.go
+++ b/scheduler/estimate.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Estimates: how long a subquery takes at a replica, learned from replies.
 
--- a/decide/gossip.go
+++ b/scheduler/gossip.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Messages between co-ordinators: what they tell of their attempts, and what is made of it.
 
--- a/decide/hedge.go
+++ b/scheduler/hedge.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Hedged attempts: when a second copy of a straggling subquery goes.
 
--- a/decide/host.go
+++ b/scheduler/host.go
@@ -1,6 +1,6 @@
-// Package decide holds the decisions of a terntray co-ordinator: one file for each policy (placement, admission, retry and so on), this file
+// Package scheduler holds the decisions of a terntray co-ordinator: one file for each policy (placement, admission, retry and so on), this file
 // names the ids and the interface through which they act.
-package decide
+package scheduler
 
 import (
 	"math"
--- a/decide/model_test.go
+++ b/scheduler/model_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
--- a/decide/outlier.go
+++ b/scheduler/outlier.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Outlier ejection: replicas that are taken out of ordinary use, probes of them by live requests, and reinstatement.
 
--- a/decide/placement.go
+++ b/scheduler/placement.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Placement and release order: which replica a subquery goes to, and when it leaves.
 
--- a/decide/retry.go
+++ b/scheduler/retry.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Retries: when a subquery may be sent again, and within which budgets.
 
--- a/decide/coordinator.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // The loop: what happens is told by one method each, and TurnEnds decides, once all that has come in at one time is told.
 // New is handed the host and the settings; everything else acts through the Host in host.go. docs/design.md tells the
--- a/decide/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // Slow start: how much a cold replica is sent, all co-ordinators together.
 
--- a/phases/prune.go
+++ b/twophase/prune.go
@@ -1,4 +1,4 @@
-package phases
+package twophase
 
 import (
 	"fmt"
--- a/phases/phases.go
+++ b/twophase/twophase.go
@@ -1,13 +1,13 @@
-// Package phases decides about questions that are asked in two phases: first each block for its summary, then only those
+// Package twophase decides about questions that are asked in two phases: first each block for its summary, then only those
 // blocks for their part of the answer that can matter. It is told what comes in, one method for each thing that can
 // happen with the time in it, and says what to do next. It does no I/O, has no clock and no goroutine, and places nothing:
-// which replica gets a part, and whether again, is decided in package decide.
+// which replica gets a part, and whether again, is decided in package scheduler.
 //
 // It promises: an answer is the one that asking every block would have given, each block in a state that it had at some
 // moment during the question, or there is none; a block is left out only on its own summary's proof, which the final answer
 // still bears out; what can no longer be whole in time is refused at once and not sent out; the blocks asked in the second
 // phase are asked once.
-package phases
+package twophase
 
 import (
 	"cmp"
