--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, _ := i.Speaks("zone-h2-large", "10.0.0.1:1"); d != replicaproto.HTTP2 {
+	if d, _ := i.ProtocolOf("zone-h2-large", "10.0.0.1:1"); d != replicaproto.HTTP2 {
 		t.Errorf("a model of the template speaks %s", d)
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -36,19 +36,19 @@
 	mostSize     = 1000
 )
 
-// Installation is what a rendered file says.
-type Installation struct {
-	Replicas []Rule           `json:"replicas"` // the first that fits a replica holds for it
+// Config is what a rendered file says.
+type Config struct {
+	Replicas []ReplicaRule           `json:"replicas"` // the first that fits a replica holds for it
 	HTTP2    HTTP2            `json:"http2"`
-	TLS      map[string]Files `json:"tls"` // by the name that a rule gives
-	Phases   Phases           `json:"phases"`
-	Peers    Peers            `json:"peers"`
+	TLS      map[string]TLSFiles `json:"tls"` // by the name that a rule gives
+	Phases   TwoPhase           `json:"phases"`
+	Peers    Gossip            `json:"peers"`
 	Sizes    []Size           `json:"sizes"` // the first that fits a replica holds for it
-	Watch    Watch            `json:"watch"`
+	Watch    Shadow            `json:"watch"`
 }
 
-// Peers says how messages go between co-ordinators: as datagrams. Without others none goes.
-type Peers struct {
+// Gossip says how messages go between co-ordinators: as datagrams. Without others none goes.
+type Gossip struct {
 	Listen string   `json:"listen"` // host:port
 	Others []string `json:"others"` // host:port, each where another co-ordinator listens
 }
@@ -59,16 +59,16 @@
 	Size  float64 `json:"size"`
 }
 
-// Watch names settings, as the platform's file flattened names them, under which decisions are counted and not acted on.
-type Watch struct {
+// Shadow names settings, as the platform's file flattened names them, under which decisions are counted and not acted on.
+type Shadow struct {
 	Settings map[string]string `json:"settings"`
 }
 
-// Rule says what replicas speak. A pattern is path.Match's; an empty one fits all.
-type Rule struct {
+// ReplicaRule says what replicas speak. A pattern is path.Match's; an empty one fits all.
+type ReplicaRule struct {
 	Model    string            `json:"model"`    // as discovery tells it
 	Endpoint string            `json:"endpoint"` // host:port
-	Dialect  replicaproto.Name `json:"dialect"`
+	Protocol  replicaproto.Protocol `json:"dialect"`
 	TLS      string            `json:"tls"` // names an entry of TLS; empty: cleartext
 }
 
@@ -78,14 +78,14 @@
 	Connections int `json:"connections"` // to a replica, that take attempts
 }
 
-// Phases says which tracks take questions that may be asked in two phases; docs/phases.md.
-type Phases struct {
+// TwoPhase says which tracks take questions that may be asked in two phases; docs/phases.md.
+type TwoPhase struct {
 	Tracks         []string `json:"tracks"`
 	SharedVersions bool     `json:"shared_versions"` // blocks share one line of versions
 }
 
-// Files are what TLS towards some replicas needs.
-type Files struct {
+// TLSFiles are what TLS towards some replicas needs.
+type TLSFiles struct {
 	CA         string `json:"ca"`   // PEM
 	Cert       string `json:"cert"` // PEM, with Key: what a replica may ask for
 	Key        string `json:"key"`
@@ -93,9 +93,9 @@
 }
 
 // Read reads a rendered file; an error names the file, the place and what is wanted. An empty name: the zero value.
-func Read(file string) (*Installation, error) {
+func Read(file string) (*Config, error) {
 	if file == "" {
-		return (&Installation{}).filled(), nil
+		return (&Config{}).filled(), nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -109,8 +109,8 @@
 }
 
 // Parse reads the text of a rendered file.
-func Parse(text []byte) (*Installation, error) {
-	i := &Installation{}
+func Parse(text []byte) (*Config, error) {
+	i := &Config{}
 	in := json.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
 	if err := in.Decode(i); err != nil {
@@ -129,7 +129,7 @@
 	return i.filled(), nil
 }
 
-func (i *Installation) filled() *Installation {
+func (i *Config) filled() *Config {
 	if i.HTTP2.Streams == 0 {
 		i.HTTP2.Streams = usualStreams
 	}
@@ -140,7 +140,7 @@
 }
 
 // sound checks what the parts mean together; all that is wrong is named.
-func (i *Installation) sound() error {
+func (i *Config) sound() error {
 	var all []error
 	wrong := func(at, format string, args ...any) {
 		all = append(all, fmt.Errorf("%s: "+format, append([]any{at}, args...)...))
@@ -159,8 +159,8 @@
 				wrong(at+"."+name, "found %q, wanted a pattern: %v", pattern, err)
 			}
 		}
-		if r.Dialect != replicaproto.Frames && r.Dialect != replicaproto.HTTP2 {
-			wrong(at+".dialect", "found %q, wanted %q or %q", r.Dialect, replicaproto.Frames, replicaproto.HTTP2)
+		if r.Protocol != replicaproto.Frames && r.Protocol != replicaproto.HTTP2 {
+			wrong(at+".dialect", "found %q, wanted %q or %q", r.Protocol, replicaproto.Frames, replicaproto.HTTP2)
 		}
 		if r.TLS == "" {
 			continue
@@ -169,8 +169,8 @@
 		if _, ok := i.TLS[r.TLS]; !ok {
 			wrong(at+".tls", "found %q, wanted one of %v under tls", r.TLS, slices.Sorted(maps.Keys(i.TLS)))
 		}
-		if r.Dialect != replicaproto.HTTP2 {
-			wrong(at+".tls", "found %q with %s, wanted %s: frames have no TLS", r.TLS, r.Dialect, replicaproto.HTTP2)
+		if r.Protocol != replicaproto.HTTP2 {
+			wrong(at+".tls", "found %q with %s, wanted %s: frames have no TLS", r.TLS, r.Protocol, replicaproto.HTTP2)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(i.TLS)) {
@@ -212,11 +212,11 @@
 	return errors.Join(all...)
 }
 
-// Speaks tells what a replica speaks and which entry of TLS holds for it.
-func (i *Installation) Speaks(model, endpoint string) (replicaproto.Name, string) {
+// ProtocolOf tells what a replica speaks and which entry of TLS holds for it.
+func (i *Config) ProtocolOf(model, endpoint string) (replicaproto.Protocol, string) {
 	for _, r := range i.Replicas {
 		if fits(r.Model, model) && fits(r.Endpoint, endpoint) {
-			return r.Dialect, r.TLS
+			return r.Protocol, r.TLS
 		}
 	}
 	return replicaproto.Frames, ""
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -17,12 +17,12 @@
 	}
 	for _, one := range []struct {
 		model, endpoint string
-		want            replicaproto.Name
+		want            replicaproto.Protocol
 		tls             string
 	}{
 		{"m2x", "10.1.0.1:8081", replicaproto.HTTP2, "boxes"}, {"m1", "10.1.0.1:8081", replicaproto.HTTP2, ""}, {"m1", "10.2.0.1:8081", replicaproto.Frames, ""},
 	} {
-		if d, name := i.Speaks(one.model, one.endpoint); d != one.want || name != one.tls {
+		if d, name := i.ProtocolOf(one.model, one.endpoint); d != one.want || name != one.tls {
 			t.Errorf("%+v: %s %q", one, d, name)
 		}
 	}
@@ -78,7 +78,7 @@
 		if i.HTTP2.Streams < 1 || i.HTTP2.Connections < 1 {
 			t.Errorf("%+v", i.HTTP2)
 		}
-		if d, name := i.Speaks("m", "a:1"); name != "" && (d != replicaproto.HTTP2 || i.TLS[name].CA == "") {
+		if d, name := i.ProtocolOf("m", "a:1"); name != "" && (d != replicaproto.HTTP2 || i.TLS[name].CA == "") {
 			t.Errorf("%s, TLS %q", d, name)
 		}
 	})
--- a/config/tls.go
+++ b/config/tls.go
@@ -16,14 +16,14 @@
 	tls.TLS_ECDHE_ECDSA_WITH_CHACHA20_POLY1305_SHA256, tls.TLS_ECDHE_RSA_WITH_CHACHA20_POLY1305_SHA256,
 }
 
-// Loaded is what Files hold: the client's side of TLS, and when the first of its certificates runs out.
-type Loaded struct {
+// ClientTLS is what Files hold: the client's side of TLS, and when the first of its certificates runs out.
+type ClientTLS struct {
 	Client  *tls.Config
 	RunsOut time.Time
 }
 
 // Load reads the files. ALPN offers h2 alone; who uses it must check that it was taken.
-func (f Files) Load() (*Loaded, error) {
+func (f TLSFiles) Load() (*ClientTLS, error) {
 	text, err := os.ReadFile(f.CA)
 	if err != nil {
 		return nil, fmt.Errorf("ca: %w", err)
@@ -32,7 +32,7 @@
 	if !pool.AppendCertsFromPEM(text) {
 		return nil, fmt.Errorf("ca: %s: found no PEM certificate", f.CA)
 	}
-	l := &Loaded{Client: &tls.Config{RootCAs: pool, ServerName: f.ServerName, NextProtos: []string{"h2"},
+	l := &ClientTLS{Client: &tls.Config{RootCAs: pool, ServerName: f.ServerName, NextProtos: []string{"h2"},
 		MinVersion: tls.VersionTLS12, CipherSuites: suites, ClientSessionCache: tls.NewLRUClientSessionCache(0)}}
 	if f.Cert == "" {
 		return l, nil
@@ -52,8 +52,8 @@
 }
 
 // LoadAll reads the files of all entries.
-func (i *Installation) LoadAll() (map[string]*Loaded, error) {
-	all := map[string]*Loaded{}
+func (i *Config) LoadAll() (map[string]*ClientTLS, error) {
+	all := map[string]*ClientTLS{}
 	var bad error
 	for name, f := range i.TLS {
 		l, err := f.Load()
--- a/connpool/choice.go
+++ b/connpool/choice.go
@@ -16,7 +16,7 @@
 // opened only beyond that, up to a few.
 func (p *Pool) choose(r *replica, l *Attempt) *conn {
 	var best, shared *conn
-	fresh := l.Single && p.now < p.stale
+	fresh := l.NonIdempotent && p.now < p.stale
 	takes := 0
 	for _, c := range r.conns {
 		if !c.closed && !c.doubted && !c.going && c.addr == r.addr && c.dialect == r.dialect {
@@ -32,22 +32,22 @@
 			continue
 		}
 		if best == nil || c.up && !best.up || c.up == best.up && (len(c.out) > len(best.out) ||
-			l.Single && c.idleSince < best.idleSince) {
+			l.NonIdempotent && c.idleSince < best.idleSince) {
 			best = c
 		}
 	}
 	if best != nil {
 		return best
 	}
-	if replicaproto.Of(r.dialect).Shares && takes >= p.limits.ConnsShared {
+	if replicaproto.TraitsOf(r.dialect).Multiplexed && takes >= p.limits.MaxSharedConns {
 		if shared == nil {
 			return nil
 		}
 		p.close(shared) // idle, and not trusted
 		return p.open(r)
 	}
-	part := fresh || len(r.conns) < max(2, p.limits.Conns/max(1, len(p.replicas)))
-	if len(p.conns) < p.limits.Conns && (part || shared == nil) || (fresh || shared == nil) && p.closeIdle() {
+	part := fresh || len(r.conns) < max(2, p.limits.MaxConns/max(1, len(p.replicas)))
+	if len(p.conns) < p.limits.MaxConns && (part || shared == nil) || (fresh || shared == nil) && p.closeIdle() {
 		return p.open(r)
 	}
 	return shared
@@ -57,24 +57,24 @@
 func (p *Pool) usable(c *conn, r *replica, l *Attempt) bool {
 	idle := len(c.out) == 0 && c.up && p.now-c.idleSince >= p.idle
 	return c.addr == r.addr && c.dialect == r.dialect && !c.closed && !c.doubted && !c.going && !idle &&
-		len(c.out)+p.ghosts(c) < c.room && (c.traits.Shares || !c.knows(l.Call.Wire))
+		len(c.out)+p.ghosts(c) < c.room && (c.traits.Multiplexed || !c.knows(l.Call.SubqueryID))
 }
 
 // apart tells whether an attempt should rather go on another connection, if there is one for it.
 func (p *Pool) apart(c *conn, l *Attempt, fresh bool) bool {
-	if c.traits.Shares {
-		return fresh && c.up && len(c.out) == 0 && p.now-c.idleSince >= p.limits.Within
+	if c.traits.Multiplexed {
+		return fresh && c.up && len(c.out) == 0 && p.now-c.idleSince >= p.limits.ConnectTimeout
 	}
-	return c.single || len(c.out) >= fewAttempts || l.Single && len(c.out) > 0 || fresh && c.up
+	return c.single || len(c.out) >= fewAttempts || l.NonIdempotent && len(c.out) > 0 || fresh && c.up
 }
 
 // open has a connection opened.
 func (p *Pool) open(r *replica) *conn {
 	p.last++
-	c := &conn{id: p.last, replica: r, addr: r.addr, dialect: r.dialect, traits: replicaproto.Of(r.dialect), room: p.limits.Multiplex,
+	c := &conn{id: p.last, replica: r, addr: r.addr, dialect: r.dialect, traits: replicaproto.TraitsOf(r.dialect), room: p.limits.MaxAttemptsPerConn,
 		resets: resetBurst, resetsAt: p.now, pingedAt: -1, wakeAt: forEver, aliveAt: p.now}
-	if c.traits.Shares {
-		c.room = p.limits.Streams
+	if c.traits.Multiplexed {
+		c.room = p.limits.MaxStreamsPerConn
 	}
 	r.conns, p.order, p.conns[c.id] = append(r.conns, c), append(p.order, c), c
 	p.host.Open(c.id, r.id, r.addr, r.dialect)
@@ -100,7 +100,7 @@
 
 // find finds an attempt that is out by its id or, where that is 0, by its part's.
 func (c *conn) find(id AttemptID, wire string) *Attempt {
-	at := slices.IndexFunc(c.out, func(l *Attempt) bool { return l.ID == id || id == 0 && l.Call.Wire == wire })
+	at := slices.IndexFunc(c.out, func(l *Attempt) bool { return l.ID == id || id == 0 && l.Call.SubqueryID == wire })
 	if at < 0 {
 		return nil
 	}
@@ -151,8 +151,8 @@
 // four times what a new one may take.
 func (p *Pool) staleAfter(c *conn) {
 	first := c.out[0]
-	if quiet := c.heardAt < first.SentAt && p.now-first.SentAt < p.limits.Within; quiet && c.rested > 0 {
-		p.idle = min(p.idle, max(c.rested/2, leastRest*p.limits.Within))
+	if quiet := c.heardAt < first.SentAt && p.now-first.SentAt < p.limits.ConnectTimeout; quiet && c.rested > 0 {
+		p.idle = min(p.idle, max(c.rested/2, leastRest*p.limits.ConnectTimeout))
 		p.stale = p.now + staleFor
 	}
 }
@@ -173,18 +173,18 @@
 		due = min(due, p.now+time.Duration(max(0, 1-c.resets)/resetRate*float64(time.Second))+time.Millisecond)
 	}
 	if len(c.replica.waiting) > 0 && c.up && c.room == 0 {
-		due = min(due, c.replica.fullAt+p.limits.Within)
+		due = min(due, c.replica.fullAt+p.limits.ConnectTimeout)
 	}
 	if due < c.wakeAt {
 		c.wakeAt = due
-		p.host.Wake(c.id, max(0, due-p.now))
+		p.host.ScheduleWakeup(c.id, max(0, due-p.now))
 	}
 }
 
 // pingDue is when a connection with attempts out is to be asked for a sign of life, or, once it was, when it counts as dead.
 func (p *Pool) pingDue(c *conn) time.Duration {
 	if c.pingedAt >= 0 {
-		return c.pingedAt + time.Duration((1-pingAfter)*float64(p.limits.Within))
+		return c.pingedAt + time.Duration((1-pingAfter)*float64(p.limits.ConnectTimeout))
 	}
-	return max(c.aliveAt, c.out[0].SentAt) + time.Duration(pingAfter*float64(p.limits.Within))
+	return max(c.aliveAt, c.out[0].SentAt) + time.Duration(pingAfter*float64(p.limits.ConnectTimeout))
 }
--- a/connpool/events.go
+++ b/connpool/events.go
@@ -10,8 +10,8 @@
 	"terntray/scheduler"
 )
 
-// Up tells that a connection has come up: calls may go.
-func (p *Pool) Up(now time.Duration, id ConnID) {
+// ConnUp tells that a connection has come up: calls may go.
+func (p *Pool) ConnUp(now time.Duration, id ConnID) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil {
@@ -22,16 +22,16 @@
 	p.look(c)
 }
 
-// Room tells how many attempts the far side takes on a connection at a time. Those that are begun go on; of the others what is
+// StreamLimitChanged tells how many attempts the far side takes on a connection at a time. Those that are begun go on; of the others what is
 // beyond waits for a place again. Guards against: attempts that are refused for a limit that is known. Could hurt: never.
-func (p *Pool) Room(now time.Duration, id ConnID, most int) {
+func (p *Pool) StreamLimitChanged(now time.Duration, id ConnID, most int) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
 	lower := most < c.room
-	if c.room = min(most, p.limits.Streams); lower {
+	if c.room = min(most, p.limits.MaxStreamsPerConn); lower {
 		p.unqueue(c, c.room, false)
 	}
 	p.fill(c.replica)
@@ -49,7 +49,7 @@
 		c.out = slices.Delete(c.out, n, n+1)
 		l.conn = nil
 		if lost && l.moved {
-			p.ends(l, scheduler.TurnedAway, p.now)
+			p.ends(l, scheduler.Overloaded, p.now)
 			continue
 		}
 		l.moved = l.moved || lost
@@ -67,16 +67,16 @@
 	slices.SortFunc(r.waiting, func(a, b *Attempt) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// GoesAway tells that the far side takes nothing new on a connection. What was not begun goes on another; this one ends
+// GoingAway tells that the far side takes nothing new on a connection. What was not begun goes on another; this one ends
 // with its attempts.
-func (p *Pool) GoesAway(now time.Duration, id ConnID, words string) {
+func (p *Pool) GoingAway(now time.Duration, id ConnID, words string) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil || c.going {
 		return
 	}
 	c.going = true
-	p.host.Notes(c.id, c.replica.id, Leaving, len(c.out), errors.New(words))
+	p.host.Record(c.id, c.replica.id, GoingAway, len(c.out), errors.New(words))
 	p.unqueue(c, 0, true)
 	r := c.replica
 	if r.left || r.drains {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Alive tells that anything came on a connection, or an answer to a ping.
-func (p *Pool) Alive(now time.Duration, id ConnID, at time.Duration) {
+// BytesReceived tells that anything came on a connection, or an answer to a ping.
+func (p *Pool) BytesReceived(now time.Duration, id ConnID, at time.Duration) {
 	p.now = now
 	if c := p.conns[id]; c != nil {
 		c.aliveAt, c.pingedAt = max(c.aliveAt, at), -1
@@ -97,9 +97,9 @@
 	}
 }
 
-// Answered tells that a reply came, read at a time; it names its attempt or, with 0, its part alone. It returns the attempt that
+// ReplyReceived tells that a reply came, read at a time; it names its attempt or, with 0, its part alone. It returns the attempt that
 // it ends; nil where none waits for it: then it came late, or it is noise and the connection ends.
-func (p *Pool) Answered(now time.Duration, id ConnID, attempt AttemptID, wire string, at time.Duration) (l *Attempt, late bool) {
+func (p *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, wire string, at time.Duration) (l *Attempt, late bool) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil || c.spoilt {
@@ -115,7 +115,7 @@
 	}
 	before := c.lately(wire)
 	if l == nil && before == nil {
-		p.spoil(c, Spoilt, noise(wire))
+		p.spoil(c, Malformed, noise(wire))
 		return nil, false
 	}
 	c.heardAt, c.passed = at, 0
@@ -128,8 +128,8 @@
 	return nil, true
 }
 
-// Settled tells that an attempt ended by the far side's word without an answer, at a time.
-func (p *Pool) Settled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
+// AttemptSettled tells that an attempt ended by the far side's word without an answer, at a time.
+func (p *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil {
@@ -141,18 +141,18 @@
 		return
 	}
 	c.owed = slices.DeleteFunc(c.owed, func(o *Attempt) bool { return o == l })
-	how := scheduler.Erred
+	how := scheduler.Failed
 	if neverRan {
-		how = scheduler.TurnedAway
+		how = scheduler.Overloaded
 	}
 	p.ends(l, how, at)
 	p.forget(l, true)
 }
 
-// Ended takes a connection back that has ended at a time. Attempts whose last byte was written may have
+// ConnEnded takes a connection back that has ended at a time. Attempts whose last byte was written may have
 // run. The others never did: if it had been up, another one carries them, once. Guards against: a replica that
 // counts as unreachable as it has closed a connection. Could hurt: never, a second one that ends tells.
-func (p *Pool) Ended(now time.Duration, id ConnID, cause error, at time.Duration) {
+func (p *Pool) ConnEnded(now time.Duration, id ConnID, cause error, at time.Duration) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil {
@@ -164,17 +164,17 @@
 	r.conns, p.order = slices.DeleteFunc(r.conns, same), slices.DeleteFunc(p.order, same)
 	switch {
 	case !c.up:
-		p.host.Notes(c.id, r.id, Refused, len(c.out), cause)
+		p.host.Record(c.id, r.id, ConnectFailed, len(c.out), cause)
 	case c.spoilt:
 	case len(c.out) > 0 && !c.going || !c.closed && !c.going:
-		p.host.Notes(c.id, r.id, Dropped, len(c.out), cause)
+		p.host.Record(c.id, r.id, Dropped, len(c.out), cause)
 	}
 	if len(c.out) > 0 && !c.closed && !c.going {
 		p.staleAfter(c)
 	}
 	never := scheduler.Unreachable
 	if errors.Is(cause, ErrShortage) {
-		never = scheduler.Moot
+		never = scheduler.NeverSent
 	}
 	out := c.out
 	c.out, c.owed, c.closed = nil, nil, true
@@ -194,12 +194,12 @@
 	p.again(r, c, again, never, at)
 	switch {
 	case c.spoilt:
-		p.broke(ran, scheduler.Spoilt, at)
+		p.broke(ran, scheduler.MalformedReply, at)
 	case p.lives(r):
 		p.dying[id] = &death{r, ran, at}
-		p.host.Wake(id, deathShows)
+		p.host.ScheduleWakeup(id, deathShows)
 	default:
-		p.broke(ran, scheduler.Reset, at)
+		p.broke(ran, scheduler.ConnectionReset, at)
 	}
 	p.unlist(r)
 }
@@ -207,7 +207,7 @@
 // again has attempts go on another connection, or wait for a place; where none can be had, or the one that ended
 // never came up and was the last, nothing is there for any: they end so.
 func (p *Pool) again(r *replica, ended *conn, attempts []*Attempt, how scheduler.Outcome, at time.Duration) {
-	if !ended.traits.Limited {
+	if !ended.traits.LimitsStreams {
 		for _, l := range attempts {
 			if !p.place(l, r) {
 				p.ends(l, how, at)
@@ -236,17 +236,17 @@
 // for its replica's death. Should also cover: a far side that drops rested ones. Could hurt: a process that dies
 // so slowly that others are up for long.
 func (p *Pool) lives(r *replica) bool {
-	return slices.ContainsFunc(r.conns, func(c *conn) bool { return c.up && !c.closed && p.host.Lives(c.id) })
+	return slices.ContainsFunc(r.conns, func(c *conn) bool { return c.up && !c.closed && p.host.PeerOpen(c.id) })
 }
 
-// Wakes tells that a time has passed that Host.Wake was told for a connection.
-func (p *Pool) Wakes(now time.Duration, id ConnID) {
+// Wakeup tells that a time has passed that Host.Wake was told for a connection.
+func (p *Pool) Wakeup(now time.Duration, id ConnID) {
 	p.now = now
 	if d := p.dying[id]; d != nil {
 		delete(p.dying, id)
-		how := scheduler.Reset
+		how := scheduler.ConnectionReset
 		if p.lives(d.replica) {
-			how = scheduler.Spoilt
+			how = scheduler.MalformedReply
 		}
 		p.broke(d.attempts, how, d.at)
 		return
@@ -266,7 +266,7 @@
 	if len(c.owed) > 0 && !c.closed {
 		p.payOff(c)
 	}
-	if r := c.replica; len(r.waiting) > 0 && now >= r.fullAt+p.limits.Within {
+	if r := c.replica; len(r.waiting) > 0 && now >= r.fullAt+p.limits.ConnectTimeout {
 		if r.fullAt = now; p.takesNothing(r) {
 			p.turnAway(r)
 		}
@@ -283,7 +283,7 @@
 		c.aliveAt, c.pingedAt = max(c.aliveAt, p.now), -1
 	case p.now < p.pingDue(c):
 	case c.pingedAt >= 0:
-		p.spoil(c, Silent, errors.New("a ping had no answer in time"))
+		p.spoil(c, PingTimeout, errors.New("a ping had no answer in time"))
 	default:
 		c.pingedAt = p.now
 		p.host.Ping(c.id)
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -15,7 +15,7 @@
 	*farm
 	chance *rand.Rand
 	limits Limits
-	kind   replicaproto.Name
+	kind   replicaproto.Protocol
 	drains bool
 	left   bool
 	all    []*Attempt
@@ -31,12 +31,12 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{chance: rand.New(rand.NewPCG(seed, 7)), took: map[AttemptID]bool{}, given: map[AttemptID]bool{},
 		word: map[AttemptID]bool{}, puts: map[AttemptID]int{}, room: map[ConnID]int{}, up: map[ConnID]bool{}, gone: map[ConnID]bool{}}
-	w.kind = []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2}[w.chance.IntN(2)]
-	w.limits = Limits{Within: 250 * time.Millisecond, Idle: time.Duration(w.chance.IntN(3)) * time.Second,
-		Multiplex: 1 + w.chance.IntN(8), Conns: 2 + w.chance.IntN(6), Streams: 1 + w.chance.IntN(20), ConnsShared: 1 + w.chance.IntN(2)}
+	w.kind = []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2}[w.chance.IntN(2)]
+	w.limits = Limits{ConnectTimeout: 250 * time.Millisecond, IdleTimeout: time.Duration(w.chance.IntN(3)) * time.Second,
+		MaxAttemptsPerConn: 1 + w.chance.IntN(8), MaxConns: 2 + w.chance.IntN(6), MaxStreamsPerConn: 1 + w.chance.IntN(20), MaxSharedConns: 1 + w.chance.IntN(2)}
 	w.farm = newFarm(t, w.limits)
 	w.p.host = w
-	w.p.Listed(0, 1, "a:1", w.kind, false)
+	w.p.ReplicaListed(0, 1, "a:1", w.kind, false)
 	return w
 }
 
@@ -68,20 +68,20 @@
 	}
 	if w.kind == replicaproto.Frames {
 		for _, o := range w.p.conns[c].out {
-			if o != l && o.Call.Wire == l.Call.Wire {
-				w.t.Errorf("two legs of %s on one connection", l.Call.Wire)
+			if o != l && o.Call.SubqueryID == l.Call.SubqueryID {
+				w.t.Errorf("two legs of %s on one connection", l.Call.SubqueryID)
 			}
 		}
 	}
 }
 
-func (w *world) GiveUp(c ConnID, l *Attempt) {
+func (w *world) Abandon(c ConnID, l *Attempt) {
 	if l.Call.Stage == replicaproto.Waiting {
 		w.t.Errorf("the far side is told of leg %d, of which it never heard", l.ID)
 	}
 }
 
-func (w *world) Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Name) {
+func (w *world) Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Protocol) {
 	w.farm.Open(c, to, addr, d)
 	stand := 0
 	for _, o := range w.stands() {
@@ -89,16 +89,16 @@
 			stand++
 		}
 	}
-	if stand > w.limits.Conns {
-		w.t.Errorf("%d connections of %d", stand, w.limits.Conns)
+	if stand > w.limits.MaxConns {
+		w.t.Errorf("%d connections of %d", stand, w.limits.MaxConns)
 	}
 }
 
-// Ends judges what is told of an attempt.
-func (w *world) Ends(l AttemptID, how scheduler.Outcome, took time.Duration) {
-	w.farm.Ends(l, how, took)
+// AttemptEnded judges what is told of an attempt.
+func (w *world) AttemptEnded(l AttemptID, how scheduler.Outcome, took time.Duration) {
+	w.farm.AttemptEnded(l, how, took)
 	attempt := w.all[l-1]
-	never := how == scheduler.TurnedAway || how == scheduler.Unreachable
+	never := how == scheduler.Overloaded || how == scheduler.Unreachable
 	switch {
 	case len(w.ended[l]) > 1 || w.given[l]:
 		w.t.Errorf("leg %d ended %v, given up %t", l, w.ended[l], w.given[l])
@@ -134,7 +134,7 @@
 	switch {
 	case n < 35:
 		l := w.attempt([]string{"q.1", "q.2", "q.3", "q.4", "q.5", "q.6"}[w.chance.IntN(6)])
-		l.Single = w.chance.IntN(3) == 0
+		l.NonIdempotent = w.chance.IntN(3) == 0
 		w.all = append(w.all, l)
 		w.took[l.ID] = true
 		if !w.p.Send(w.now, l, 1) {
@@ -146,56 +146,56 @@
 	case n < 60 && len(on) > 0 && w.up[c]:
 		l := on[w.chance.IntN(len(on))]
 		l.Call.Stage = replicaproto.Written
-		id, wire := l.ID, l.Call.Wire
+		id, wire := l.ID, l.Call.SubqueryID
 		if w.kind == replicaproto.Frames {
 			id = 0
 		}
-		if got, _ := w.p.Answered(w.now, c, id, wire, w.now); got != nil {
-			w.Ends(got.ID, scheduler.Fulfilled, 0)
+		if got, _ := w.p.ReplyReceived(w.now, c, id, wire, w.now); got != nil {
+			w.AttemptEnded(got.ID, scheduler.Succeeded, 0)
 		}
 	case n < 66 && len(w.all) > 0:
 		l := w.all[w.chance.IntN(len(w.all))]
 		if w.took[l.ID] && !w.given[l.ID] && len(w.ended[l.ID]) == 0 {
 			w.given[l.ID] = true
-			w.p.GiveUp(w.now, l)
+			w.p.Abandon(w.now, l)
 			if w.chance.IntN(2) == 0 {
 				w.p.Forget(w.now, l)
 			}
 		}
 	case n < 74 && c > 0 && !w.up[c] && !w.shut[c]:
 		w.up[c] = true
-		w.p.Up(w.now, c)
+		w.p.ConnUp(w.now, c)
 	case n < 78 && c > 0:
 		w.gone[c] = true
-		w.p.Ended(w.now, c, errors.New("as if"), w.now)
+		w.p.ConnEnded(w.now, c, errors.New("as if"), w.now)
 	case n < 82 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
 		w.room[c] = w.chance.IntN(5)
-		w.p.Room(w.now, c, w.room[c])
+		w.p.StreamLimitChanged(w.now, c, w.room[c])
 	case n < 84 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
-		w.p.GoesAway(w.now, c, "as if")
+		w.p.GoingAway(w.now, c, "as if")
 	case n < 87 && len(on) > 0 && w.up[c] && w.kind == replicaproto.HTTP2:
 		l := on[w.chance.IntN(len(on))]
 		if l.Call.Stage != replicaproto.Waiting {
 			w.word[l.ID] = w.chance.IntN(2) == 0
-			w.p.Settled(w.now, c, l.ID, w.word[l.ID], w.now)
+			w.p.AttemptSettled(w.now, c, l.ID, w.word[l.ID], w.now)
 		}
 	case n == 87:
 		w.drains, w.left = w.chance.IntN(2) == 0, false
-		w.p.Listed(w.now, 1, "a:1", w.kind, w.drains)
+		w.p.ReplicaListed(w.now, 1, "a:1", w.kind, w.drains)
 	case n == 88:
 		w.left = true
-		w.p.Left(w.now, 1)
+		w.p.ReplicaRemoved(w.now, 1)
 	case n == 89 && c > 0 && w.up[c]:
-		w.p.Restarted(w.now, 1, w.now+time.Second)
+		w.p.ReplicaRestarted(w.now, 1, w.now+time.Second)
 	case n < 95 && c > 0 && w.up[c]:
-		w.p.Alive(w.now, c, w.now)
+		w.p.BytesReceived(w.now, c, w.now)
 	case n >= 95:
 		w.later(time.Duration(w.chance.IntN(400)) * time.Millisecond)
 	}
 	for _, c := range w.stands() { // drivers give back what is closed
 		if w.shut[c] && w.chance.IntN(2) == 0 {
 			w.gone[c] = true
-			w.p.Ended(w.now, c, errors.New("closed"), w.now)
+			w.p.ConnEnded(w.now, c, errors.New("closed"), w.now)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	for len(w.stands()) > 0 {
 		for _, c := range w.stands() {
 			w.gone[c] = true
-			w.p.Ended(w.now, c, errors.New("the end"), w.now)
+			w.p.ConnEnded(w.now, c, errors.New("the end"), w.now)
 		}
 		w.later(time.Second)
 	}
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -47,7 +47,7 @@
 type Attempt struct {
 	ID     AttemptID
 	Call   *replicaproto.Call
-	Single bool          // it may not run twice
+	NonIdempotent bool          // it may not run twice
 	SentAt time.Duration // since the start
 
 	conn  *conn
@@ -61,12 +61,12 @@
 
 // What is noted.
 const (
-	Refused Note = "unreachable" // a connection did not come up
+	ConnectFailed Note = "unreachable" // a connection did not come up
 	Dropped Note = "dropped"     // it ended with attempts out, or unasked
-	Spoilt  Note = "spoilt"      // what came on it cannot be used
-	Silent  Note = "silent"      // a ping had no answer in time
-	Leaving Note = "goes_away"   // the far side takes nothing new on it
-	Full    Note = "limit"       // attempts wait for the far side's limit
+	Malformed  Note = "spoilt"      // what came on it cannot be used
+	PingTimeout  Note = "silent"      // a ping had no answer in time
+	GoingAway Note = "goes_away"   // the far side takes nothing new on it
+	StreamLimit    Note = "limit"       // attempts wait for the far side's limit
 )
 
 // ErrShortage is wrapped by the cause of a connection's end where this machine lacked something for it: it says nothing of
@@ -75,35 +75,35 @@
 
 // Host carries out what a Pool decides, at once.
 type Host interface {
-	Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Name) // Up or Ended follow
+	Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Protocol) // Up or Ended follow
 	Close(c ConnID)                                                          // Ended follows
 	Write(c ConnID, l *Attempt)                                              // queues it there
 	Withdraw(c ConnID, l *Attempt) bool                                      // takes it back, unless it is begun
-	GiveUp(c ConnID, l *Attempt)                                             // has the far side told that nobody waits for it
+	Abandon(c ConnID, l *Attempt)                                             // has the far side told that nobody waits for it
 	Stage(c ConnID, l *Attempt) replicaproto.Stage
-	Lives(c ConnID) bool // the far side has not ended it, as far as the machine knows
+	PeerOpen(c ConnID) bool // the far side has not ended it, as far as the machine knows
 	Ping(c ConnID)
-	Wake(c ConnID, in time.Duration) // Wakes follows
-	Ends(l AttemptID, how scheduler.Outcome, took time.Duration)
-	Gone(r scheduler.ReplicaID) // nothing is held of it any more
-	Notes(c ConnID, to scheduler.ReplicaID, what Note, out int, cause error)
+	ScheduleWakeup(c ConnID, in time.Duration) // Wakes follows
+	AttemptEnded(l AttemptID, how scheduler.Outcome, took time.Duration)
+	ReplicaForgotten(r scheduler.ReplicaID) // nothing is held of it any more
+	Record(c ConnID, to scheduler.ReplicaID, what Note, out int, cause error)
 }
 
 // Limits bound all connections.
 type Limits struct {
-	Within      time.Duration // for a connection to come up; for what is written to be taken
-	Idle        time.Duration // for a connection to rest; 0: for ever
-	Multiplex   int           // attempts on a connection
-	Conns       int           // connections to all replicas
-	Streams     int           // attempts on a connection whose dialect shares it; 0: Multiplex
-	ConnsShared int           // connections to a replica that take attempts, where its dialect shares them; 0: one
+	ConnectTimeout      time.Duration // for a connection to come up; for what is written to be taken
+	IdleTimeout        time.Duration // for a connection to rest; 0: for ever
+	MaxAttemptsPerConn   int           // attempts on a connection
+	MaxConns       int           // connections to all replicas
+	MaxStreamsPerConn     int           // attempts on a connection whose dialect shares it; 0: Multiplex
+	MaxSharedConns int           // connections to a replica that take attempts, where its dialect shares them; 0: one
 }
 
 // replica is one as the list tells it.
 type replica struct {
 	id      scheduler.ReplicaID
 	addr    string
-	dialect replicaproto.Name
+	dialect replicaproto.Protocol
 	left    bool // it is gone from the list
 	drains  bool
 	conns   []*conn
@@ -116,7 +116,7 @@
 	id        ConnID
 	replica   *replica
 	addr      string
-	dialect   replicaproto.Name
+	dialect   replicaproto.Protocol
 	traits    replicaproto.Traits
 	out       []*Attempt // without a reply
 	idleSince time.Duration
@@ -171,13 +171,13 @@
 // New makes a pool without any connection.
 func New(host Host, limits Limits) *Pool {
 	p := &Pool{host: host, limits: limits, replicas: map[scheduler.ReplicaID]*replica{}, conns: map[ConnID]*conn{},
-		dying: map[ConnID]*death{}, idle: limits.Idle}
-	p.limits.Multiplex, p.limits.Conns = max(1, limits.Multiplex), max(2, limits.Conns)
-	p.limits.ConnsShared = max(1, limits.ConnsShared)
-	if p.limits.Streams <= 0 {
-		p.limits.Streams = p.limits.Multiplex
+		dying: map[ConnID]*death{}, idle: limits.IdleTimeout}
+	p.limits.MaxAttemptsPerConn, p.limits.MaxConns = max(1, limits.MaxAttemptsPerConn), max(2, limits.MaxConns)
+	p.limits.MaxSharedConns = max(1, limits.MaxSharedConns)
+	if p.limits.MaxStreamsPerConn <= 0 {
+		p.limits.MaxStreamsPerConn = p.limits.MaxAttemptsPerConn
 	}
-	if limits.Idle <= 0 {
+	if limits.IdleTimeout <= 0 {
 		p.idle = forEver
 	}
 	return p
@@ -186,9 +186,9 @@
 // Conns is how many connections stand or come up.
 func (p *Pool) Conns() int { return len(p.conns) }
 
-// Listed tells where a replica is, what it speaks there, and whether it drains: then nothing new goes to it, and what
+// ReplicaListed tells where a replica is, what it speaks there, and whether it drains: then nothing new goes to it, and what
 // has not been begun is taken back.
-func (p *Pool) Listed(now time.Duration, id scheduler.ReplicaID, addr string, d replicaproto.Name, drains bool) {
+func (p *Pool) ReplicaListed(now time.Duration, id scheduler.ReplicaID, addr string, d replicaproto.Protocol, drains bool) {
 	p.now = now
 	r := p.replicas[id]
 	if r == nil {
@@ -212,12 +212,12 @@
 	}
 }
 
-// Left tells that a replica is gone from the list: what is idle is closed; the rest ends with its attempts.
-func (p *Pool) Left(now time.Duration, id scheduler.ReplicaID) {
+// ReplicaRemoved tells that a replica is gone from the list: what is idle is closed; the rest ends with its attempts.
+func (p *Pool) ReplicaRemoved(now time.Duration, id scheduler.ReplicaID) {
 	p.now = now
 	r := p.replicas[id]
 	if r == nil {
-		p.host.Gone(id)
+		p.host.ReplicaForgotten(id)
 		return
 	}
 	r.left = true
@@ -234,7 +234,7 @@
 func (p *Pool) unlist(r *replica) {
 	if r.left && len(r.conns) == 0 && p.replicas[r.id] == r {
 		delete(p.replicas, r.id)
-		p.host.Gone(r.id)
+		p.host.ReplicaForgotten(r.id)
 	}
 }
 
@@ -245,7 +245,7 @@
 		for _, l := range slices.Clone(c.out) {
 			if !l.over && p.host.Withdraw(c.id, l) {
 				p.forget(l, false)
-				p.ends(l, scheduler.TurnedAway, p.now)
+				p.ends(l, scheduler.Overloaded, p.now)
 			}
 		}
 	}
@@ -256,18 +256,18 @@
 	waiting := r.waiting
 	r.waiting = nil
 	for _, l := range waiting {
-		p.ends(l, scheduler.TurnedAway, p.now)
+		p.ends(l, scheduler.Overloaded, p.now)
 	}
 }
 
-// Restarted tells when a replica's process started. Connections that are older are closed. Guards against: a machine
+// ReplicaRestarted tells when a replica's process started. Connections that are older are closed. Guards against: a machine
 // that vanished and came back, whose old connections stay silent until written to, and then reset what is. Should also
 // cover: replicas replaced at the same address. Could hurt: if discovery's starts were wrong.
-func (p *Pool) Restarted(now time.Duration, id scheduler.ReplicaID, at time.Duration) {
+func (p *Pool) ReplicaRestarted(now time.Duration, id scheduler.ReplicaID, at time.Duration) {
 	p.now = now
 	if r := p.replicas[id]; r != nil {
 		for _, c := range slices.Clone(r.conns) {
-			if c.up && !c.closed && c.upAt < at-p.limits.Within {
+			if c.up && !c.closed && c.upAt < at-p.limits.ConnectTimeout {
 				p.close(c)
 			}
 		}
@@ -284,21 +284,21 @@
 // place puts an attempt on a connection, or has it wait for a place where the far side says how many it takes.
 func (p *Pool) place(l *Attempt, r *replica) bool {
 	l.at = r
-	if replicaproto.Of(r.dialect).Limited && len(r.waiting) > 0 {
+	if replicaproto.TraitsOf(r.dialect).LimitsStreams && len(r.waiting) > 0 {
 		return p.wait(l, r)
 	}
 	if c := p.choose(r, l); c != nil {
 		p.put(l, c)
 		return true
 	}
-	return replicaproto.Of(r.dialect).Limited && slices.ContainsFunc(r.conns, func(c *conn) bool { return c.dialect == r.dialect }) && p.wait(l, r)
+	return replicaproto.TraitsOf(r.dialect).LimitsStreams && slices.ContainsFunc(r.conns, func(c *conn) bool { return c.dialect == r.dialect }) && p.wait(l, r)
 }
 
 func (p *Pool) wait(l *Attempt, r *replica) bool {
 	if len(r.waiting) == 0 {
 		r.fullAt = p.now
 		for _, c := range r.conns {
-			p.host.Notes(c.id, r.id, Full, len(c.out), nil)
+			p.host.Record(c.id, r.id, StreamLimit, len(c.out), nil)
 			break
 		}
 	}
@@ -314,7 +314,7 @@
 		c.rested = p.now - c.idleSince
 	}
 	c.out = append(c.out, l)
-	c.single = c.single || l.Single && !c.traits.Shares
+	c.single = c.single || l.NonIdempotent && !c.traits.Multiplexed
 	p.host.Write(c.id, l)
 	p.look(c)
 }
@@ -336,7 +336,7 @@
 func (p *Pool) ends(l *Attempt, how scheduler.Outcome, at time.Duration) {
 	if !l.over {
 		l.over = true
-		p.host.Ends(l.ID, how, at-l.SentAt)
+		p.host.AttemptEnded(l.ID, how, at-l.SentAt)
 	}
 }
 
@@ -354,8 +354,8 @@
 	if at < 0 {
 		return
 	}
-	gone := past{wire: l.Call.Wire}
-	if !answered && !c.traits.Limited && p.host.Stage(c.id, l) == replicaproto.Written {
+	gone := past{wire: l.Call.SubqueryID}
+	if !answered && !c.traits.LimitsStreams && p.host.Stage(c.id, l) == replicaproto.Written {
 		gone.until = l.Call.Deadline
 	}
 	if len(c.recent) == recentIDs {
@@ -399,28 +399,28 @@
 	return true
 }
 
-// Withheld tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere else.
-func (p *Pool) Withheld(now time.Duration, l *Attempt) {
+// WriteRefused tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere else.
+func (p *Pool) WriteRefused(now time.Duration, l *Attempt) {
 	p.now = now
-	p.ends(l, scheduler.Moot, now)
+	p.ends(l, scheduler.NeverSent, now)
 	p.forget(l, false)
 }
 
-// Stays tells that an attempt is wanted nowhere else: should its connection end before it is written, no other carries it.
+// NoRetransmit tells that an attempt is wanted nowhere else: should its connection end before it is written, no other carries it.
 // Guards against: parts that go out after their query's answer, or for a client that has left, where none is called off.
-func (p *Pool) Stays(l *Attempt) { l.moved = true }
+func (p *Pool) NoRetransmit(l *Attempt) { l.moved = true }
 
-// Went tells whether an attempt was written whole, as far as that is known.
-func (p *Pool) Went(l *Attempt) bool {
+// WrittenWhole tells whether an attempt was written whole, as far as that is known.
+func (p *Pool) WrittenWhole(l *Attempt) bool {
 	return l.conn != nil && p.host.Stage(l.conn.id, l) == replicaproto.Written
 }
 
-// GiveUp tells that nobody waits for an attempt any more; the far side is told, if it has been begun, and nothing more is told
+// Abandon tells that nobody waits for an attempt any more; the far side is told, if it has been begun, and nothing more is told
 // of it here. A connection on which nothing was heard since that attempt was sent, for longer than a new one may take to come
 // up, is in doubt: the next attempt opens another, and this one ends with its attempts. Guards against: machines that vanished,
 // whose connections stay open and silent; a new one tells at once whether they are back, and an attempt that it does not carry
 // never ran. Should also cover: a replica that reads nothing any more. Could hurt: a connection more for each slow replica.
-func (p *Pool) GiveUp(now time.Duration, l *Attempt) {
+func (p *Pool) Abandon(now time.Duration, l *Attempt) {
 	p.now, l.over = now, true
 	c := l.conn
 	if c == nil || p.host.Withdraw(c.id, l) {
@@ -435,7 +435,7 @@
 	if c.traits.Pings { // whatever came shows that the connection is not silent
 		heard = max(heard, c.aliveAt)
 	}
-	if heard < l.SentAt && now-l.SentAt >= p.limits.Within {
+	if heard < l.SentAt && now-l.SentAt >= p.limits.ConnectTimeout {
 		c.doubted = true
 	}
 }
@@ -444,12 +444,12 @@
 // holds its places. Guards against: cancelled attempts that look like rapid resets (CVE-2023-44487). Should also cover: any box
 // that counts resets. Could hurt: by places that are held in a rush of cancels.
 func (p *Pool) callOff(c *conn, l *Attempt) {
-	if c.traits.Limited {
+	if c.traits.LimitsStreams {
 		c.owed = append(c.owed, l)
 		p.payOff(c)
 		return
 	}
-	p.host.GiveUp(c.id, l)
+	p.host.Abandon(c.id, l)
 }
 
 // payOff calls off what is owed, as far as it may, in order.
@@ -460,7 +460,7 @@
 		c.resets--
 		l := c.owed[0]
 		c.owed = c.owed[1:]
-		p.host.GiveUp(c.id, l)
+		p.host.Abandon(c.id, l)
 		p.forget(l, false)
 	}
 	p.look(c)
@@ -474,26 +474,26 @@
 	}
 }
 
-// Spoil tells that what came on a connection cannot be used: nothing that follows can be trusted.
-func (p *Pool) Spoil(now time.Duration, id ConnID, cause error) {
+// MalformedReceived tells that what came on a connection cannot be used: nothing that follows can be trusted.
+func (p *Pool) MalformedReceived(now time.Duration, id ConnID, cause error) {
 	p.now = now
 	if c := p.conns[id]; c != nil {
-		p.spoil(c, Spoilt, cause)
+		p.spoil(c, Malformed, cause)
 	}
 }
 
 func (p *Pool) spoil(c *conn, why Note, cause error) {
 	if !c.spoilt && !c.closed {
 		c.spoilt = true
-		p.host.Notes(c.id, c.replica.id, why, len(c.out), cause)
+		p.host.Record(c.id, c.replica.id, why, len(c.out), cause)
 		p.close(c)
 	}
 }
 
-// Doubt tells that what was to be written on a connection was not taken: nothing new goes there, what was not begun goes on
+// WriteStalled tells that what was to be written on a connection was not taken: nothing new goes there, what was not begun goes on
 // another at once, and where nothing can have run the connection ends now, which proves it. Guards against: attempts that wait
 // behind a connection that takes nothing while others would take them. Could hurt: by a connection more.
-func (p *Pool) Doubt(now time.Duration, id ConnID) {
+func (p *Pool) WriteStalled(now time.Duration, id ConnID) {
 	p.now = now
 	c := p.conns[id]
 	if c == nil || c.closed {
--- a/connpool/pool_test.go
+++ b/connpool/pool_test.go
@@ -16,7 +16,7 @@
 	p        *Pool
 	now      time.Duration
 	queue    map[ConnID][]*Attempt
-	kind     map[ConnID]replicaproto.Name
+	kind     map[ConnID]replicaproto.Protocol
 	to       map[ConnID]scheduler.ReplicaID
 	open     []ConnID // in order
 	shut     map[ConnID]bool
@@ -31,55 +31,55 @@
 }
 
 func newFarm(t *testing.T, l Limits) *farm {
-	f := &farm{t: t, queue: map[ConnID][]*Attempt{}, kind: map[ConnID]replicaproto.Name{}, to: map[ConnID]scheduler.ReplicaID{},
+	f := &farm{t: t, queue: map[ConnID][]*Attempt{}, kind: map[ConnID]replicaproto.Protocol{}, to: map[ConnID]scheduler.ReplicaID{},
 		shut: map[ConnID]bool{}, dead: map[ConnID]bool{}, ended: map[AttemptID][]scheduler.Outcome{}, pings: map[ConnID]int{},
 		wakes: map[ConnID][]time.Duration{}}
-	if l.Within == 0 {
-		l.Within = 250 * time.Millisecond
+	if l.ConnectTimeout == 0 {
+		l.ConnectTimeout = 250 * time.Millisecond
 	}
 	f.p = New(f, l)
 	return f
 }
 
-func (f *farm) Open(c ConnID, to scheduler.ReplicaID, _ string, d replicaproto.Name) {
+func (f *farm) Open(c ConnID, to scheduler.ReplicaID, _ string, d replicaproto.Protocol) {
 	f.open, f.kind[c], f.to[c] = append(f.open, c), d, to
 }
 func (f *farm) Close(c ConnID)              { f.shut[c] = true }
 func (f *farm) Write(c ConnID, l *Attempt)  { f.queue[c] = append(f.queue[c], l) }
-func (f *farm) GiveUp(_ ConnID, l *Attempt) { f.gave = append(f.gave, l.ID) }
+func (f *farm) Abandon(_ ConnID, l *Attempt) { f.gave = append(f.gave, l.ID) }
 func (f *farm) Ping(c ConnID) {
 	if f.pings[c]++; f.answers {
-		f.p.Alive(f.now, c, f.now)
+		f.p.BytesReceived(f.now, c, f.now)
 	}
 }
-func (f *farm) Lives(c ConnID) bool      { return !f.dead[c] }
-func (f *farm) Gone(scheduler.ReplicaID) {}
+func (f *farm) PeerOpen(c ConnID) bool      { return !f.dead[c] }
+func (f *farm) ReplicaForgotten(scheduler.ReplicaID) {}
 func (f *farm) Withdraw(_ ConnID, l *Attempt) bool {
 	return l.Call.Stage == replicaproto.Waiting
 }
 func (f *farm) Stage(_ ConnID, l *Attempt) replicaproto.Stage { return l.Call.Stage }
-func (f *farm) Wake(c ConnID, in time.Duration)               { f.wakes[c] = append(f.wakes[c], f.now+in) }
-func (f *farm) Ends(l AttemptID, how scheduler.Outcome, _ time.Duration) {
+func (f *farm) ScheduleWakeup(c ConnID, in time.Duration)               { f.wakes[c] = append(f.wakes[c], f.now+in) }
+func (f *farm) AttemptEnded(l AttemptID, how scheduler.Outcome, _ time.Duration) {
 	f.ended[l] = append(f.ended[l], how)
 }
-func (f *farm) Notes(_ ConnID, _ scheduler.ReplicaID, n Note, _ int, _ error) {
+func (f *farm) Record(_ ConnID, _ scheduler.ReplicaID, n Note, _ int, _ error) {
 	f.notes = append(f.notes, n)
 }
 
-func (f *farm) listed(d replicaproto.Name) scheduler.ReplicaID {
-	f.p.Listed(f.now, 1, "a:1", d, false)
+func (f *farm) listed(d replicaproto.Protocol) scheduler.ReplicaID {
+	f.p.ReplicaListed(f.now, 1, "a:1", d, false)
 	return 1
 }
 
 func (f *farm) attempt(wire string) *Attempt {
 	f.attempts++
-	return &Attempt{ID: f.attempts, SentAt: f.now, Call: &replicaproto.Call{Attempt: uint64(f.attempts), Wire: wire, Deadline: f.now + time.Second}}
+	return &Attempt{ID: f.attempts, SentAt: f.now, Call: &replicaproto.Call{Attempt: uint64(f.attempts), SubqueryID: wire, Deadline: f.now + time.Second}}
 }
 
 // send sends an attempt and returns it with the connection that carries it, 0 for none.
 func (f *farm) send(wire string, single bool) (*Attempt, ConnID) {
 	l := f.attempt(wire)
-	l.Single = single
+	l.NonIdempotent = single
 	if !f.p.Send(f.now, l, 1) {
 		f.ended[l.ID] = append(f.ended[l.ID], scheduler.Unreachable)
 	}
@@ -118,48 +118,48 @@
 			}
 		}
 		f.now = max(f.now, at)
-		f.p.Wakes(f.now, next)
+		f.p.Wakeup(f.now, next)
 	}
 }
 
 func (f *farm) expect(l *Attempt, want ...scheduler.Outcome) {
 	f.t.Helper()
 	if fmt.Sprint(f.ended[l.ID]) != fmt.Sprint(want) {
-		f.t.Errorf("leg %s ended %v, want %v", l.Call.Wire, f.ended[l.ID], want)
+		f.t.Errorf("leg %s ended %v, want %v", l.Call.SubqueryID, f.ended[l.ID], want)
 	}
 }
 
 // Of the attempts on a connection that ended, those whose last byte went may have run; another carries the others, once.
 func TestEndOfAConnectionProvesWhatWasNotWritten(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
 	b, _ := f.send("q.2", false)
 	c, _ := f.send("q.3", false)
-	f.p.Up(f.now, one)
+	f.p.ConnUp(f.now, one)
 	a.Call.Stage, b.Call.Stage = replicaproto.Written, replicaproto.Begun
-	f.p.Ended(f.now, one, net.ErrClosed, f.now)
-	f.expect(a, scheduler.Reset)
+	f.p.ConnEnded(f.now, one, net.ErrClosed, f.now)
+	f.expect(a, scheduler.ConnectionReset)
 	if b.conn == nil || b.conn.id == one || c.conn != b.conn || b.Call.Stage != replicaproto.Waiting {
 		t.Fatal("what was not written whole is on no other connection")
 	}
-	f.p.Up(f.now, b.conn.id)
-	f.p.Ended(f.now, b.conn.id, net.ErrClosed, f.now)
+	f.p.ConnUp(f.now, b.conn.id)
+	f.p.ConnEnded(f.now, b.conn.id, net.ErrClosed, f.now)
 	f.expect(b, scheduler.Unreachable)
 	f.expect(c, scheduler.Unreachable)
 }
 
 // What a connection ends with unwritten goes nowhere else once it is not wanted, whatever its dialect.
 func TestLegThatIsNotWantedElsewhereEndsWithItsConnection(t *testing.T) {
-	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
-		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+	for _, d := range []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2} {
+		f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 		f.listed(d)
 		a, one := f.send("q.1", false)
 		b, _ := f.send("q.2", false)
-		f.p.Up(f.now, one)
+		f.p.ConnUp(f.now, one)
 		a.Call.Stage, b.Call.Stage = replicaproto.Begun, replicaproto.Begun
-		f.p.Stays(a)
-		f.p.Ended(f.now, one, nil, f.now)
+		f.p.NoRetransmit(a)
+		f.p.ConnEnded(f.now, one, nil, f.now)
 		f.expect(a, scheduler.Unreachable)
 		f.expect(b)
 		if a.conn != nil && a.conn.id != one || b.conn == nil || b.conn.id == one {
@@ -170,18 +170,18 @@
 
 // A rested connection that breaks at its next write teaches how long one may rest, also if that shows by the write.
 func TestWriteThatFailsAfterARestShortensRests(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 8, Conns: 9, Idle: time.Minute})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: time.Minute})
 	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
-	f.p.Up(f.now, one)
+	f.p.ConnUp(f.now, one)
 	f.written(a)
-	f.p.Answered(f.now, one, 0, "q.1", f.now)
+	f.p.ReplyReceived(f.now, one, 0, "q.1", f.now)
 	f.later(10 * time.Second)
 	b, again := f.send("q.2", false)
 	if again != one {
 		t.Fatal("it goes elsewhere")
 	}
-	f.p.Doubt(f.now, one)
+	f.p.WriteStalled(f.now, one)
 	if f.p.idle > 5*time.Second || f.p.stale <= f.now {
 		t.Errorf("connections may rest for %v", f.p.idle)
 	}
@@ -192,19 +192,19 @@
 
 // A connection that takes nothing is left at once by what was not begun; it ends at once where nothing on it can have run.
 func TestConnectionThatTakesNothingIsLeftAtOnce(t *testing.T) {
-	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
+	for _, d := range []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2} {
 		for _, ran := range []bool{true, false} {
-			f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+			f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 			f.listed(d)
 			a, one := f.send("q.1", false)
 			b, _ := f.send("q.2", false)
 			c, _ := f.send("q.3", false)
-			f.p.Up(f.now, one)
+			f.p.ConnUp(f.now, one)
 			if a.Call.Stage = replicaproto.Begun; ran {
 				a.Call.Stage = replicaproto.Written
 			}
 			b.Call.Stage = replicaproto.Begun
-			f.p.Doubt(f.now, one)
+			f.p.WriteStalled(f.now, one)
 			f.expect(a)
 			f.expect(b)
 			f.expect(c)
@@ -214,7 +214,7 @@
 			if f.shut[one] == ran {
 				t.Errorf("%s: with one that may have run %t it ends %t", d, ran, f.shut[one])
 			}
-			f.p.Ended(f.now, one, nil, f.now)
+			f.p.ConnEnded(f.now, one, nil, f.now)
 			f.expect(c)
 			if b.conn == nil || b.conn.id == one {
 				t.Errorf("%s: what was not written whole is on %v", d, b.conn)
@@ -226,24 +226,24 @@
 // An attempt that waits when the replica is told to drain must not go out after the grace: not from a connection, not from
 // before a far side's limit, and not by a move.
 func TestNothingNewGoesToAReplicaThatDrains(t *testing.T) {
-	for _, kind := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
-		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+	for _, kind := range []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2} {
+		f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 		f.listed(kind)
 		a, one := f.send("q.1", false)
-		f.p.Up(f.now, one)
+		f.p.ConnUp(f.now, one)
 		if kind == replicaproto.HTTP2 {
-			f.p.Room(f.now, one, 2)
+			f.p.StreamLimitChanged(f.now, one, 2)
 		}
 		b, _ := f.send("q.2", false)
 		c, _ := f.send("q.3", false)
 		f.written(a)
 		b.Call.Stage = replicaproto.Begun
-		f.p.Listed(f.now, 1, "a:1", kind, true)
+		f.p.ReplicaListed(f.now, 1, "a:1", kind, true)
 		f.expect(a)
 		f.expect(b)
-		f.expect(c, scheduler.TurnedAway)
-		f.p.Ended(f.now, one, net.ErrClosed, f.now)
-		f.expect(a, scheduler.Reset)
+		f.expect(c, scheduler.Overloaded)
+		f.p.ConnEnded(f.now, one, net.ErrClosed, f.now)
+		f.expect(a, scheduler.ConnectionReset)
 		f.expect(b, scheduler.Unreachable)
 		d := f.attempt("q.4")
 		if f.p.Send(f.now, d, 1) || len(f.open) != 1 {
@@ -254,30 +254,30 @@
 
 // Parts with the same id on the wire never share a connection where replies name parts, or an answer could end the wrong attempt.
 func TestTwoLegsOfOnePartAtOneReplicaAreKeptApart(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 	f.listed(replicaproto.Frames)
 	a, one := f.send("q.1", false)
-	f.p.Up(f.now, one)
+	f.p.ConnUp(f.now, one)
 	f.written(a)
-	f.p.GiveUp(f.now, a)
+	f.p.Abandon(f.now, a)
 	b, two := f.send("q.1", false)
 	if one == two {
 		t.Fatal("both legs are on one connection")
 	}
-	if l, late := f.p.Answered(f.now, one, 0, "q.1", f.now); l != nil || !late || f.shut[one] {
+	if l, late := f.p.ReplyReceived(f.now, one, 0, "q.1", f.now); l != nil || !late || f.shut[one] {
 		t.Error("a late answer of the first leg ended the second")
 	}
-	if l, _ := f.p.Answered(f.now, two, 0, "q.1", f.now); l != b {
+	if l, _ := f.p.ReplyReceived(f.now, two, 0, "q.1", f.now); l != b {
 		t.Error("the second leg's own answer does not end it")
 	}
-	if f.p.Answered(f.now, two, 0, "q.9", f.now); !f.shut[two] {
+	if f.p.ReplyReceived(f.now, two, 0, "q.9", f.now); !f.shut[two] {
 		t.Error("a reply to what is not out is no noise")
 	}
 }
 
 // Connections that break at the first write after a rest are not left to rest as long again.
 func TestRestsGetShorterWhereConnectionsBreakAfterThem(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 8, Conns: 9, Idle: 15 * time.Second})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second})
 	f.listed(replicaproto.Frames)
 	for n, step := range []struct {
 		rested, took time.Duration
@@ -297,7 +297,7 @@
 			l.conn.heardAt = f.now + 1
 		}
 		f.now += step.took
-		if f.p.Ended(f.now, c, net.ErrClosed, f.now); f.p.idle != step.want {
+		if f.p.ConnEnded(f.now, c, net.ErrClosed, f.now); f.p.idle != step.want {
 			t.Errorf("%+v: %v", step, f.p.idle)
 		}
 	}
@@ -305,10 +305,10 @@
 
 // A connection that stays silent while later attempts are answered on another gets no further attempt.
 func TestConnectionThatLaterLegsHavePassedIsInDoubt(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 1, Conns: 2})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 1, MaxConns: 2})
 	f.listed(replicaproto.Frames)
 	first, dead := f.send("q.0", false)
-	f.p.Up(f.now, dead)
+	f.p.ConnUp(f.now, dead)
 	f.written(first)
 	for n := range mostPassed {
 		if first.conn.doubted {
@@ -317,10 +317,10 @@
 		f.now += time.Second
 		l, c := f.send(fmt.Sprint("q.", n+1), false)
 		if !l.conn.up {
-			f.p.Up(f.now, c)
+			f.p.ConnUp(f.now, c)
 		}
 		f.written(l)
-		f.p.Answered(f.now, c, 0, l.Call.Wire, f.now)
+		f.p.ReplyReceived(f.now, c, 0, l.Call.SubqueryID, f.now)
 	}
 	if !first.conn.doubted {
 		t.Error("it is not in doubt")
@@ -329,7 +329,7 @@
 
 // Few attempts share a connection as long as there are descriptors for more.
 func TestLegsAreSpreadOverConnections(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 100, Conns: 3})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 100, MaxConns: 3})
 	f.listed(replicaproto.Frames)
 	on := map[ConnID]int{}
 	for n := range 5 * fewAttempts {
@@ -346,46 +346,46 @@
 // Once rested connections have broken at their next use, attempts that may not run twice go on new ones; and a connection
 // that breaks while another to its replica is up is not the replica's death.
 func TestRestedConnectionsThatBreakAreNoDeathsAndNotTrusted(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 1, Conns: 9, Idle: time.Minute})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 1, MaxConns: 9, IdleTimeout: time.Minute})
 	f.listed(replicaproto.Frames)
 	rested, one := f.send("q.1", false)
 	other, two := f.send("q.2", false)
 	for _, c := range []ConnID{one, two} {
-		f.p.Up(f.now, c)
+		f.p.ConnUp(f.now, c)
 	}
 	f.written(rested, other)
-	f.p.Answered(f.now, one, 0, "q.1", f.now)
-	f.p.Answered(f.now, two, 0, "q.2", f.now)
+	f.p.ReplyReceived(f.now, one, 0, "q.1", f.now)
+	f.p.ReplyReceived(f.now, two, 0, "q.2", f.now)
 	f.now += time.Second
 	again, c := f.send("q.3", true)
 	if !again.conn.up {
 		t.Error("a rested connection is not used though none has broken")
 	}
 	f.written(again)
-	f.p.Ended(f.now, c, net.ErrClosed, f.now)
+	f.p.ConnEnded(f.now, c, net.ErrClosed, f.now)
 	f.later(2 * deathShows)
-	f.expect(again, scheduler.Spoilt)
+	f.expect(again, scheduler.MalformedReply)
 	fresh, three := f.send("q.4", true)
 	if fresh.conn.up {
 		t.Error("a single-use leg goes on a rested connection")
 	}
-	f.p.Up(f.now, three)
+	f.p.ConnUp(f.now, three)
 	f.written(fresh)
 	f.dead[one], f.dead[two] = true, true // its process is dying
-	f.p.Ended(f.now, three, net.ErrClosed, f.now)
+	f.p.ConnEnded(f.now, three, net.ErrClosed, f.now)
 	f.later(2 * deathShows)
-	f.expect(fresh, scheduler.Reset)
+	f.expect(fresh, scheduler.ConnectionReset)
 }
 
 // What was given up may still take a place at its replica, until it is answered or its time is over.
 func TestLegsGivenUpHoldTheirPlacesOnAConnection(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 9, Conns: 1})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 9, MaxConns: 1})
 	f.listed(replicaproto.Frames)
 	var attempts []*Attempt
 	for n := range 3 {
 		l, c := f.send(fmt.Sprint("q.", n), false)
 		if n == 0 {
-			f.p.Up(f.now, c)
+			f.p.ConnUp(f.now, c)
 		}
 		if n < 2 {
 			f.written(l)
@@ -394,13 +394,13 @@
 	}
 	c := attempts[0].conn
 	for _, l := range attempts {
-		f.p.GiveUp(f.now, l)
+		f.p.Abandon(f.now, l)
 		f.p.Forget(f.now, l)
 	}
 	if f.p.ghosts(c) != 2 || len(f.gave) != 2 {
 		t.Errorf("%d places are held, %v were told", f.p.ghosts(c), f.gave)
 	}
-	if _, late := f.p.Answered(f.now, c.id, 0, "q.0", f.now); !late || f.p.ghosts(c) != 1 {
+	if _, late := f.p.ReplyReceived(f.now, c.id, 0, "q.0", f.now); !late || f.p.ghosts(c) != 1 {
 		t.Errorf("%d places are held after a late reply", f.p.ghosts(c))
 	}
 	if f.p.now += time.Second; f.p.ghosts(c) != 0 {
@@ -410,13 +410,13 @@
 
 // up opens a shared connection that takes so many.
 func shared(t *testing.T, room int) (*farm, ConnID) {
-	f := newFarm(t, Limits{Multiplex: 4, Conns: 9, Streams: 100, ConnsShared: 1})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 4, MaxConns: 9, MaxStreamsPerConn: 100, MaxSharedConns: 1})
 	f.listed(replicaproto.HTTP2)
 	l, c := f.send("q.first", false)
-	f.p.Up(f.now, c)
-	f.p.Room(f.now, c, room)
+	f.p.ConnUp(f.now, c)
+	f.p.StreamLimitChanged(f.now, c, room)
 	f.written(l)
-	f.p.Answered(f.now, c, l.ID, "", f.now)
+	f.p.ReplyReceived(f.now, c, l.ID, "", f.now)
 	return f, c
 }
 
@@ -429,26 +429,26 @@
 		attempts = append(attempts, l)
 	}
 	f.written(attempts[:40]...)
-	f.p.Room(f.now, c, 3)
+	f.p.StreamLimitChanged(f.now, c, 3)
 	for n, l := range attempts {
 		if (n < 40) != (l.conn != nil) || len(f.ended[l.ID]) > 0 {
 			t.Fatalf("leg %d: on a connection %t, ended %v", n, l.conn != nil, f.ended[l.ID])
 		}
 	}
 	more, _ := f.send("q.more", false)
-	f.p.Room(f.now, c, 0)
+	f.p.StreamLimitChanged(f.now, c, 0)
 	for _, l := range attempts[:40] {
-		f.p.Answered(f.now, c, l.ID, "", f.now)
+		f.p.ReplyReceived(f.now, c, l.ID, "", f.now)
 	}
 	if len(f.open) != 1 || attempts[40].conn != nil {
 		t.Error("a leg goes although the far side takes none")
 	}
 	f.now += 100 * time.Millisecond
-	f.p.Room(f.now, c, 100)
+	f.p.StreamLimitChanged(f.now, c, 100)
 	order := f.queue[c][len(f.queue[c])-21:]
 	for n, l := range append(attempts[40:], more) {
 		if order[n] != l {
-			t.Fatalf("place %d goes to %s", n, order[n].Call.Wire)
+			t.Fatalf("place %d goes to %s", n, order[n].Call.SubqueryID)
 		}
 	}
 }
@@ -456,12 +456,12 @@
 // A far side that takes nothing for as long as a connection may take to come up turns away what waits: it never left.
 func TestFarSideThatTakesNothingTurnsAway(t *testing.T) {
 	f, c := shared(t, 100)
-	f.p.Room(f.now, c, 0)
+	f.p.StreamLimitChanged(f.now, c, 0)
 	l, _ := f.send("q.1", true)
 	f.later(200 * time.Millisecond)
 	f.expect(l)
 	f.later(100 * time.Millisecond)
-	f.expect(l, scheduler.TurnedAway)
+	f.expect(l, scheduler.Overloaded)
 }
 
 // GOAWAY: what was not begun goes on another connection, once; what is out stays until it is answered or told of.
@@ -471,16 +471,16 @@
 	above, _ := f.send("q.2", true)
 	f.written(out, above)
 	waits, _ := f.send("q.3", false)
-	f.p.GoesAway(f.now, c, "NO_ERROR")
+	f.p.GoingAway(f.now, c, "NO_ERROR")
 	if waits.conn == nil || waits.conn.id == c || f.shut[c] {
 		t.Fatal("what was not begun stays, or the connection is closed under what is out")
 	}
-	f.p.Settled(f.now, c, above.ID, true, f.now)
-	f.expect(above, scheduler.TurnedAway)
+	f.p.AttemptSettled(f.now, c, above.ID, true, f.now)
+	f.expect(above, scheduler.Overloaded)
 	f.expect(out)
-	f.p.GoesAway(f.now, waits.conn.id, "NO_ERROR")
-	f.expect(waits, scheduler.TurnedAway)
-	f.p.Answered(f.now, c, out.ID, "", f.now)
+	f.p.GoingAway(f.now, waits.conn.id, "NO_ERROR")
+	f.expect(waits, scheduler.Overloaded)
+	f.p.ReplyReceived(f.now, c, out.ID, "", f.now)
 	if !f.shut[c] {
 		t.Error("it is kept without legs")
 	}
@@ -495,7 +495,7 @@
 	f.written(l)
 	for range 5 {
 		f.later(130 * time.Millisecond)
-		f.p.Alive(f.now, c, f.now) // the box is slow
+		f.p.BytesReceived(f.now, c, f.now) // the box is slow
 	}
 	if f.pings[c] < 4 || f.shut[c] {
 		t.Fatalf("%d pings, shut %t", f.pings[c], f.shut[c])
@@ -503,8 +503,8 @@
 	if f.later(251 * time.Millisecond); !f.shut[c] {
 		t.Fatal("a silent connection is kept")
 	}
-	f.p.Ended(f.now, c, net.ErrClosed, f.now)
-	f.expect(l, scheduler.Spoilt)
+	f.p.ConnEnded(f.now, c, net.ErrClosed, f.now)
+	f.expect(l, scheduler.MalformedReply)
 }
 
 // Cancels in a rush are paced, and what is not told yet holds its place.
@@ -518,7 +518,7 @@
 		attempts = append(attempts, l)
 	}
 	for _, l := range attempts {
-		f.p.GiveUp(f.now, l)
+		f.p.Abandon(f.now, l)
 		f.p.Forget(f.now, l)
 	}
 	if told := len(f.gave); told < int(resetBurst) || told > int(resetBurst)+1 || len(attempts[99].conn.out) != 100-told {
@@ -537,8 +537,8 @@
 // What was not begun for a replica's old address goes to the new one. Guards against: parts that reach whoever has that
 // address now. What was begun there stays, and the connection ends with it.
 func TestLegsFollowAReplicaToItsNewAddress(t *testing.T) {
-	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
-		f := newFarm(t, Limits{Multiplex: 8, Conns: 9})
+	for _, d := range []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2} {
+		f := newFarm(t, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 		f.listed(d)
 		a, old := f.send("q.1", false)
 		b, at := f.send("q.2", false)
@@ -546,12 +546,12 @@
 			t.Fatalf("%s: on connections %d and %d", d, old, at)
 		}
 		f.written(a)
-		f.p.Listed(f.now, 1, "a:2", d, false)
+		f.p.ReplicaListed(f.now, 1, "a:2", d, false)
 		if len(f.open) != 2 || b.conn == nil || b.conn.id == old || a.conn.id != old {
 			t.Fatalf("%s: connections %v, the leg that was not begun is on %+v", d, f.open, b.conn)
 		}
-		f.p.Up(f.now, old)
-		if f.p.Answered(f.now, old, a.ID, "q.1", f.now); !f.shut[old] {
+		f.p.ConnUp(f.now, old)
+		if f.p.ReplyReceived(f.now, old, a.ID, "q.1", f.now); !f.shut[old] {
 			t.Errorf("%s: the connection to the old address stays", d)
 		}
 	}
@@ -559,15 +559,15 @@
 
 // What a connection was to carry that this machine could not open never ran, and does not count against its replica.
 func TestShortageCountsAgainstNobody(t *testing.T) {
-	for _, d := range []replicaproto.Name{replicaproto.Frames, replicaproto.HTTP2} {
-		f := newFarm(t, Limits{Multiplex: 4, Conns: 8})
+	for _, d := range []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2} {
+		f := newFarm(t, Limits{MaxAttemptsPerConn: 4, MaxConns: 8})
 		f.listed(d)
 		l, conn := f.send("q.1", false)
 		if d == replicaproto.HTTP2 && conn == 0 {
 			conn = f.open[0]
 		}
-		f.p.Ended(f.now, conn, fmt.Errorf("%w: as if", ErrShortage), f.now)
-		if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.Moot {
+		f.p.ConnEnded(f.now, conn, fmt.Errorf("%w: as if", ErrShortage), f.now)
+		if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.NeverSent {
 			t.Errorf("%s: ended %v", d, got)
 		}
 	}
@@ -575,15 +575,15 @@
 
 // What is refused as it is about to be written never ran, goes nowhere else, and ends once.
 func TestWithheldLegEndsOnce(t *testing.T) {
-	f := newFarm(t, Limits{Multiplex: 4, Conns: 8})
+	f := newFarm(t, Limits{MaxAttemptsPerConn: 4, MaxConns: 8})
 	f.listed(replicaproto.Frames)
 	l, conn := f.send("q.1", false)
-	f.p.Up(f.now, conn)
+	f.p.ConnUp(f.now, conn)
 	l.Call.Stage = replicaproto.Withheld
-	f.p.Withheld(f.now, l)
-	f.p.Ended(f.now, conn, net.ErrClosed, f.now)
+	f.p.WriteRefused(f.now, l)
+	f.p.ConnEnded(f.now, conn, net.ErrClosed, f.now)
 	f.later(time.Second)
-	if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.Moot || len(f.open) != 1 {
+	if got := f.ended[l.ID]; len(got) != 1 || got[0] != scheduler.NeverSent || len(f.open) != 1 {
 		t.Errorf("ended %v, %d connections", got, len(f.open))
 	}
 }
--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -37,7 +37,7 @@
 		for range 3 { // each attempt fails, having run
 			for _, l := range q.parts[0].attempts {
 				if !l.over {
-					c.giveUp(l, scheduler.Erred)
+					c.giveUp(l, scheduler.Failed)
 				}
 			}
 			time.Sleep(220 * time.Millisecond) // longer than a retry waits after an error
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -350,7 +350,7 @@
 	}
 	read := k.c.since(time.Now())
 	return k.c.post(func() {
-		k.c.gate.Waited(k.c.now, k.c.now-read)
+		k.c.gate.QueueDelay(k.c.now, k.c.now-read)
 		k.c.arrives(k, query, at)
 	})
 }
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -62,7 +62,7 @@
 // noteClosed counts why a connection has ended, and whether it was allowed to.
 func (k *client) noteClosed(reason closeReason) {
 	closing := invariant.ClientClose{RequestOpen: k.busy, ClientGone: k.gone.Load() || k.unwritable}
-	refused, id := closing.Close(), k.conn.RemoteAddr()
+	refused, id := closing.Check(), k.conn.RemoteAddr()
 	k.c.post(func() {
 		k.c.counts.Closed[reason]++
 		if refused != invariant.Allowed {
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -38,8 +38,8 @@
 	Trace      bool // a line for each query and attempt; to be set before Serve
 
 	peers       *peers
-	module      *scheduler.Coordinator
-	tracks      map[string]scheduler.TrackIndex
+	module      *scheduler.Scheduler
+	tracks      map[string]scheduler.ClassIndex
 	zones       map[string]scheduler.ZoneIndex
 	tenants     map[string]scheduler.TenantIndex
 	shards      int
@@ -51,7 +51,7 @@
 	maxAttempts int // of a subquery; 0: any number
 	counts      Counts
 	core        core
-	gate        overload.Gate
+	gate        overload.Controller
 	share       atomic.Uint64 // of arrivals to let in, as bits; read by all
 	asked       atomic.Uint64 // arrivals so far; by all
 	busied      atomic.Uint64 // of them, not let in; by all
@@ -91,7 +91,7 @@
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		turns: newTurns(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:  map[string]scheduler.TrackIndex{},
+		tracks:  map[string]scheduler.ClassIndex{},
 		longest: map[string]time.Duration{},
 		effects: map[string]invariant.Effect{},
 		stepped: map[string]bool{},
@@ -113,7 +113,7 @@
 	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
 	for n, name := range d.names("lanes") {
 		c.stepped[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
-		c.tracks[name] = scheduler.TrackIndex(n)
+		c.tracks[name] = scheduler.ClassIndex(n)
 		cutOff, err := d.span(fmt.Sprintf("lanes.%d.deadline", n), 0)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
@@ -161,7 +161,7 @@
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	if watched != nil {
-		if err := module.Watch(watched); err != nil {
+		if err := module.EnableShadow(watched); err != nil {
 			return fmt.Errorf("installation: watch.settings: %w", err)
 		}
 	}
@@ -206,11 +206,11 @@
 }
 
 func (c *Coordinator) endTurn() {
-	c.module.TurnEnds(c.now)
+	c.module.Decide(c.now)
 	c.fleet.flush()
 	if c.core.look(c.now) {
-		c.gate.Uses(c.now, c.core.used)
-		c.module.Behind(c.now, c.gate.Unread())
+		c.gate.CoreUsed(c.now, c.core.used)
+		c.module.ReadDelayed(c.now, c.gate.ReadDelay())
 	}
 	if share := c.gate.Share(); share != math.Float64frombits(c.share.Load()) {
 		if share < 1 && c.now >= c.busyAt+busyLines {
@@ -223,7 +223,7 @@
 
 // lets tells whether one more arrival is let in. It is called by clients' goroutines.
 func (c *Coordinator) lets() bool {
-	if overload.Lets(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
+	if overload.Admits(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
 		return true
 	}
 	c.busied.Add(1)
@@ -243,10 +243,10 @@
 	for _, q := range c.inOrder() {
 		for _, p := range q.parts {
 			for n := range p.attempts {
-				c.Cancel(p.id, scheduler.AttemptNumber(n))
+				c.CancelAttempt(p.id, scheduler.AttemptNumber(n))
 			}
 		}
-		c.Scrap(q.id)
+		c.Fail(q.id)
 	}
 	told := append(c.told, c.next...)
 	c.told, c.next = nil, nil
@@ -277,11 +277,11 @@
 	if c.peers != nil {
 		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
 	}
-	if w, ok := c.module.Watched(); ok {
+	if w, ok := c.module.ShadowCounts(); ok {
 		line += fmt.Sprintf(" watched=%d would_turn_back=%d would_let_in=%d watched_parts=%d would_go_elsewhere=%d",
-			w.Queries, w.TurnedBack, w.LetIn, w.Parts, w.Elsewhere)
+			w.Queries, w.WouldReject, w.WouldAdmit, w.Subqueries, w.WouldPlaceElsewhere)
 		line += fmt.Sprintf(" watched_legs=%d would_time_out_otherwise=%d would_not_copy=%d would_copy=%d",
-			w.Attempts, w.TimeOuts, w.NotCopied, w.Copied)
+			w.Attempts, w.WouldTimeOutOtherwise, w.WouldNotHedge, w.WouldHedge)
 	}
 	return line
 }
@@ -312,10 +312,10 @@
 // Log is the module's word for the log.
 func (c *Coordinator) Log(text string) { c.log.Printf("event=decided words=%q", text) }
 
-// Wake tells the module when a time has passed.
-func (c *Coordinator) Wake(name string, in time.Duration) {
-	c.after(in, name, func() { c.module.Wakes(c.now, name) })
+// ScheduleWakeup tells the module when a time has passed.
+func (c *Coordinator) ScheduleWakeup(name string, in time.Duration) {
+	c.after(in, name, func() { c.module.Wakeup(c.now, name) })
 }
 
-// FollowList asks discovery to tell of changes.
-func (c *Coordinator) FollowList() { c.list.follow() }
+// PollEndpoints asks discovery to tell of changes.
+func (c *Coordinator) PollEndpoints() { c.list.follow() }
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -68,14 +68,14 @@
 // beliefs tells what the module believes of its tracks and replicas, for a person to read.
 func (c *Coordinator) beliefs() string {
 	var s strings.Builder
-	believed := c.module.Beliefs()
+	believed := c.module.ClassEstimates()
 	for _, name := range slices.Sorted(maps.Keys(c.tracks)) {
 		b := believed[c.tracks[name]]
 		if t := c.questions.learns[name]; t != nil {
 			fmt.Fprintf(&s, "questions of track=%s %s\n", name, t)
 		}
-		fmt.Fprintf(&s, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name, b.Work, b.Hint, b.Longer, b.Trickle)
+		fmt.Fprintf(&s, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name, b.SubqueryWork, b.WorkPerHint, b.LatenessFactor, b.ProbeLimit)
 	}
-	fmt.Fprintf(&s, "share=%.2f core=%.2f\n%s", c.gate.Share(), c.core.used, c.module.Fleet())
+	fmt.Fprintf(&s, "share=%.2f core=%.2f\n%s", c.gate.Share(), c.core.used, c.module.DescribeReplicas())
 	return s.String()
 }
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -87,7 +87,7 @@
 	k := newLink(c, 1, c.fleet.named("s-a"), "127.0.0.1:1", replicaproto.Frames)
 	var calls []*replicaproto.Call
 	for n := range 60 {
-		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), Wire: wire.PartID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
+		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), SubqueryID: wire.PartID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
 		k.session.Queue(calls[n])
 	}
 	began := time.Now()
@@ -112,14 +112,14 @@
 		ended := <-c.inbox // of its connection, which is as good as one that was up and broke
 		q := c.byQuery["q"]
 		for id := range c.fleet.links {
-			c.fleet.pool.Up(c.now, id)
+			c.fleet.pool.ConnUp(c.now, id)
 		}
 		l := q.parts[0].attempts[0]
 		l.call.Stage = replicaproto.Begun
 		if leaves {
 			c.turn(func() { c.clientLeaves(k) }, c.endTurn)
 		} else {
-			c.turn(func() { c.Scrap(q.id) }, c.endTurn)
+			c.turn(func() { c.Fail(q.id) }, c.endTurn)
 		}
 		if c.turn(ended, c.endTurn); len(c.fleet.links) > 0 {
 			t.Errorf("its client leaves %t: it goes on another connection", leaves)
@@ -140,7 +140,7 @@
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		p := c.byQuery["q"].parts[0]
 		<-c.inbox // the end of its connection; they are as good as ones that stand
-		c.Send(p.id, p.attempts[0].to, time.Second)
+		c.StartAttempt(p.id, p.attempts[0].to, time.Second)
 		<-c.inbox
 		first, other := p.attempts[0], p.attempts[1]
 		if begun {
@@ -148,7 +148,7 @@
 		}
 		var on, beside *link
 		for id, l := range c.fleet.links {
-			c.fleet.pool.Up(c.now, id)
+			c.fleet.pool.ConnUp(c.now, id)
 			if on == nil || id < on.id {
 				on = l
 			}
@@ -157,7 +157,7 @@
 			}
 		}
 		c.turn(func() {
-			c.replied(on, &replicaproto.Event{Kind: replicaproto.Answered, Wire: first.call.Wire, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.now)
+			c.replied(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.now)
 		}, func() {})
 		if !p.in {
 			t.Fatal("the part is not in")
--- a/coordinator/crossings_settings_test.go
+++ b/coordinator/crossings_settings_test.go
@@ -21,7 +21,7 @@
 			query.Parts = append(query.Parts, wire.QueryPart{Shard: 2 * n, Weight: 1 / float64(parts)})
 		}
 		k := c.client(t)
-		c.turn(func() { c.arrives(k, query, c.now) }, func() { c.module.TurnEnds(c.now) })
+		c.turn(func() { c.arrives(k, query, c.now) }, func() { c.module.Decide(c.now) })
 		c.turn(func() { c.clientLeaves(k) }, func() {})
 		c.turnWith()
 		return c.counts.TurnedBack > before
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -164,7 +164,7 @@
 		if len(k.answers) > 0 || c.queries[q.id] == nil {
 			t.Fatalf("%d bytes behind it: it is answered", ahead)
 		}
-		c.Answer(q.id, true)
+		c.Complete(q.id, true)
 		got := make([]byte, 12)
 		if _, err := io.ReadFull(far, got); err != nil || string(got) != "HTTP/1.1 200" {
 			t.Errorf("%d bytes behind it: %q, %v", ahead, got, err)
@@ -284,7 +284,7 @@
 	io.WriteString(far, asking("q"))
 	go k.serveSafely()
 	(<-c.inbox)()
-	c.Answer(c.byQuery["q"].id, true)
+	c.Complete(c.byQuery["q"].id, true)
 	c.leftAt.Store(int64(c.since(time.Now())))
 	c.leaving.Store(true)
 	io.WriteString(far, "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -30,7 +30,7 @@
 	Nested    json.RawMessage `json:"settings"`
 
 	// Installation is the project's own settings; nil: as without a file.
-	Installation *config.Installation `json:"-"`
+	Installation *config.Config `json:"-"`
 
 	settings map[string]string
 	path     string // of the file
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -29,7 +29,7 @@
 	id   connpool.ConnID
 	to   *replica
 	addr string
-	kind replicaproto.Name
+	kind replicaproto.Protocol
 	tls  *tls.Config // nil: cleartext
 
 	mu      sync.Mutex
@@ -40,7 +40,7 @@
 	mute    bool // nothing more is written
 }
 
-func newLink(c *Coordinator, id connpool.ConnID, to *replica, addr string, kind replicaproto.Name) *link {
+func newLink(c *Coordinator, id connpool.ConnID, to *replica, addr string, kind replicaproto.Protocol) *link {
 	k := &link{c: c, id: id, to: to, addr: addr, kind: kind, session: c.fleet.session(kind, to)}
 	if l := c.fleet.secure[to.tls]; l != nil && kind == replicaproto.HTTP2 {
 		k.tls = l.Client
@@ -54,11 +54,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ended = true
-	k.session.Bye()
+	k.session.Goodbye()
 	k.more.Signal()
 	switch {
 	case k.conn == nil:
-	case replicaproto.Of(k.kind).Shares && !k.mute:
+	case replicaproto.TraitsOf(k.kind).Multiplexed && !k.mute:
 		k.conn.SetWriteDeadline(time.Now().Add(goodbye)) // whatever is being written
 	default:
 		k.conn.Close()
@@ -102,7 +102,7 @@
 		}
 	}
 	ready := time.Time{}
-	if replicaproto.Of(k.kind).Shares {
+	if replicaproto.TraitsOf(k.kind).Multiplexed {
 		ready = began.Add(f.connectWithin)
 	} else {
 		k.c.post(func() { k.c.linkUp(k) })
@@ -128,13 +128,13 @@
 // Guards against: noise and lengths that do not fit, which leave a message unfinished. Should also cover: a replica that
 // stops in the midst of one, or goes on and on, while the answers behind it wait. Could hurt: never, a piece that was lost on its way comes within what a lost connect may take.
 func (k *link) read(conn net.Conn, ready time.Time) error {
-	shares := replicaproto.Of(k.kind).Shares
+	shares := replicaproto.TraitsOf(k.kind).Multiplexed
 	timed, looked := !ready.IsZero(), false
 	within := max(frameWithin, k.c.fleet.connectWithin) // a piece
 	whole, began := time.Time{}, false                  // until when a message that has begun has to be
 	conn.SetReadDeadline(ready)
 	for {
-		n, err := conn.Read(k.session.Room())
+		n, err := conn.Read(k.session.ReadBuffer())
 		at := k.c.since(time.Now())
 		all, partly, bad := k.take(n)
 		if !partly || !began || len(all) > 0 {
@@ -187,10 +187,10 @@
 	for ; ok; e, ok, bad = k.session.Next() {
 		all = append(all, e)
 	}
-	if replicaproto.Of(k.kind).Shares { // what came may ask for words, or make room for some
+	if replicaproto.TraitsOf(k.kind).Multiplexed { // what came may ask for words, or make room for some
 		k.more.Signal()
 	}
-	return all, k.session.Partly(), bad
+	return all, k.session.MidMessage(), bad
 }
 
 // write writes what waits, until the connection ends. How many bytes went tells which calls did. What the machine does not
@@ -226,7 +226,7 @@
 		}
 		k.more.Wait()
 	}
-	if replicaproto.Of(k.kind).Shares {
+	if replicaproto.TraitsOf(k.kind).Multiplexed {
 		bytes = k.session.Output(bytes, mostOutput, k.c.since(time.Now()))
 	}
 	return bytes, true
@@ -254,6 +254,6 @@
 	if gone || err == nil {
 		return !gone
 	}
-	k.c.post(func() { k.c.fleet.pool.Doubt(k.c.now, k.id) })
+	k.c.post(func() { k.c.fleet.pool.WriteStalled(k.c.now, k.id) })
 	return false
 }
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -31,7 +31,7 @@
 	hold     time.Duration
 	held     wire.Listing
 	stopCall context.CancelFunc
-	boots    *incarnation.Clock
+	boots    *incarnation.Tracker
 	stopMove context.CancelFunc // of the watch at a new address that has yet to tell the whole list; or nil
 }
 
@@ -144,7 +144,7 @@
 		l.c.log.Printf("event=list_failed at=%s cause=%q", host, cause)
 	}
 	if told {
-		l.c.module.ListFailed(l.c.now)
+		l.c.module.EndpointPollFailed(l.c.now)
 	}
 	l.failing = true
 }
@@ -232,9 +232,9 @@
 		c.log.Printf("event=odd_targets rev=%d targets=%q", told.Rev, odd)
 	}
 	now := time.Now()
-	l.boots.Reads(c.since(now), now)
+	l.boots.ObserveWallClock(c.since(now), now)
 	if !old {
-		l.boots.Listing(c.since(now))
+		l.boots.ListReceived(c.since(now))
 	}
 	held := map[string]bool{}
 	if told.All {
@@ -245,14 +245,14 @@
 		for _, r := range c.fleet.all {
 			if !held[r.uid] {
 				r.state.Store(int32(invariant.Removed))
-				c.fleet.pool.Left(c.now, r.id)
+				c.fleet.pool.ReplicaRemoved(c.now, r.id)
 			}
 		}
 	} else {
 		l.change(told.Targets)
 	}
 	l.held.Rev = told.Rev
-	c.module.ListBegins(c.now, told.All, old)
+	c.module.EndpointListBegins(c.now, told.All, old)
 	for _, t := range told.Targets {
 		l.tellOf(t)
 	}
@@ -272,20 +272,20 @@
 		c.log.Printf("event=listed replica=%s id=%d addr=%s zone=%s", t.UID, r.id, t.Endpoint, t.Zone)
 	}
 	if t.State == wire.Gone {
-		c.fleet.pool.Left(c.now, r.id)
+		c.fleet.pool.ReplicaRemoved(c.now, r.id)
 	} else {
 		r.addr = t.Endpoint
-		c.fleet.pool.Listed(c.now, r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == wire.Draining)
+		c.fleet.pool.ReplicaListed(c.now, r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == wire.Draining)
 	}
-	started, cell, zone := scheduler.LongAgo, scheduler.CellNumber(0), scheduler.ZoneIndex(-1)
+	started, cell, zone := scheduler.StartUnknown, scheduler.CellNumber(0), scheduler.ZoneIndex(-1)
 	if t.BootMS > 0 {
 		exact := false
-		started, exact = l.boots.Started(c.now, t.UID, t.BootMS)
+		started, exact = l.boots.StartOf(c.now, t.UID, t.BootMS)
 		closesBefore := started
 		if !exact { // whatever is up may be the process' before
 			closesBefore += c.fleet.connectWithin
 		}
-		c.fleet.pool.Restarted(c.now, r.id, closesBefore)
+		c.fleet.pool.ReplicaRestarted(c.now, r.id, closesBefore)
 	}
 	if t.Cell != nil {
 		cell = scheduler.CellNumber(*t.Cell)
@@ -293,7 +293,7 @@
 	if at, ok := c.zones[t.Zone]; ok {
 		zone = at
 	}
-	c.module.ReplicaListed(c.now, r.id, lives[t.State], started, cell, zone,
+	c.module.EndpointListed(c.now, r.id, lives[t.State], started, cell, zone,
 		size(c.fleet.installation, t.Model))
 }
 
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -32,7 +32,7 @@
 
 // settled gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
 // of co-ordinators and sizes must fit them.
-func (d *Deployment) settled(in *config.Installation) (settings, watched map[string]string, err error) {
+func (d *Deployment) settled(in *config.Config) (settings, watched map[string]string, err error) {
 	settings, weighed := d.carried(len(in.Peers.Others) > 0), d.settings["weightKind"]
 	allowed := d.settings["bounds.peers"] == "true"
 	if len(in.Peers.Others) > 0 && !allowed {
@@ -49,7 +49,7 @@
 }
 
 // size is how large a replica of a model is beside others, 0 where nothing says it.
-func size(in *config.Installation, model string) float64 {
+func size(in *config.Config, model string) float64 {
 	for _, s := range in.Sizes {
 		if fits, _ := path.Match(s.Model, model); fits {
 			return s.Size
@@ -59,7 +59,7 @@
 }
 
 // meet opens the socket and reads until it is closed.
-func (c *Coordinator) meet(in config.Peers) error {
+func (c *Coordinator) meet(in config.Gossip) error {
 	if len(in.Others) == 0 {
 		return nil
 	}
@@ -107,7 +107,7 @@
 		p.unread.Add(1)
 		c.post(func() {
 			p.unread.Add(-1)
-			if err := c.module.PeerTells(c.now, peer, message); err != nil {
+			if err := c.module.GossipReceived(c.now, peer, message); err != nil {
 				c.counts.BadPeerMessages++
 				c.seldom("event=bad_peer_message cause=%q", err)
 				return
@@ -117,8 +117,8 @@
 	}
 }
 
-// Tell carries out decide.Host. A message that cannot go is lost, as any may be.
-func (c *Coordinator) Tell(message []byte) {
+// Broadcast carries out decide.Host. A message that cannot go is lost, as any may be.
+func (c *Coordinator) Broadcast(message []byte) {
 	if c.peers == nil {
 		return
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -137,7 +137,7 @@
 	if err := c.meet(c.fleet.installation.Peers); err != nil || c.peers != nil {
 		t.Errorf("%v, peers %v", err, c.peers)
 	}
-	c.Tell([]byte{1}) // goes nowhere
+	c.Broadcast([]byte{1}) // goes nowhere
 }
 
 func TestInstallationThatDoesNotFitTheSettingsIsNamed(t *testing.T) {
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&config.Installation{}, "std-2c") != 0 {
+	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&config.Config{}, "std-2c") != 0 {
 		t.Error("a model has another's size")
 	}
 }
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -62,11 +62,11 @@
 // for is a violation.
 func (c *Coordinator) mayDecide(l *attempt, earlier []*attempt) invariant.Reason {
 	attempt := l.snapshot(c.now)
-	attempt.Effect, attempt.Most = c.effects[l.part.of.query.Track], c.maxAttempts
+	attempt.Effect, attempt.MaxAttempts = c.effects[l.part.of.query.Track], c.maxAttempts
 	for _, e := range earlier {
 		attempt.Earlier = append(attempt.Earlier, e.evidence())
 	}
-	reason := attempt.Write()
+	reason := attempt.Check()
 	switch reason {
 	case invariant.Allowed:
 	case invariant.DeadlinePassed, invariant.ClientGone, invariant.QueryClosed: // the loop may not have been told yet
@@ -82,7 +82,7 @@
 	switch {
 	case !l.over:
 		return invariant.Running
-	case l.outcome == scheduler.TurnedAway || l.outcome == scheduler.Unreachable || l.outcome == scheduler.Moot:
+	case l.outcome == scheduler.Overloaded || l.outcome == scheduler.Unreachable || l.outcome == scheduler.NeverSent:
 		return invariant.NeverRan
 	}
 	return invariant.MayRun
@@ -90,7 +90,7 @@
 
 // permit is asked by a connection's writer, under the connection's mutex.
 func (c *Coordinator) permit(l *attempt, now time.Duration) bool {
-	reason := l.snapshot(now).Write()
+	reason := l.snapshot(now).Check()
 	if reason != invariant.Allowed {
 		c.withheld.add(l, reason)
 	}
@@ -107,7 +107,7 @@
 	c.post(func() {
 		for _, w := range all {
 			c.noteWithheld(w.attempt, w.reason, "written")
-			c.fleet.pool.Withheld(c.now, &w.attempt.Attempt)
+			c.fleet.pool.WriteRefused(c.now, &w.attempt.Attempt)
 			if w.reason == invariant.ClientGone {
 				c.clientLeaves(w.attempt.part.of.client)
 			}
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -134,7 +134,7 @@
 	for _, asked := range query.Parts {
 		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.PartID(query.ID, asked.Shard)}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
-		c.module.PartArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), asked.Weight, asked.Hint)
+		c.module.SubqueryArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), asked.Weight, asked.Hint)
 	}
 }
 
@@ -153,8 +153,8 @@
 func (c *Coordinator) overdue(q *openQuery) {
 	if !q.closed.Load() {
 		c.log.Printf("event=overdue retrieval=%s stalled=%v loop_late=%v", q.query.ID, c.justStalled(), c.lateBy)
-		c.Scrap(q.id)
-		c.module.ClientLeaves(c.now, q.id)
+		c.Fail(q.id)
+		c.module.ClientDisconnects(c.now, q.id)
 	}
 }
 
@@ -178,7 +178,7 @@
 	if q := from.open; q != nil {
 		c.counts.Left++
 		c.trace("retrieval=%s left after=%v", q.query.ID, c.now-q.came)
-		c.module.ClientLeaves(c.now, q.id)
+		c.module.ClientDisconnects(c.now, q.id)
 		c.close(q)
 	}
 }
@@ -221,7 +221,7 @@
 		case c.fleet.pool.Withdraw(c.now, &l.Attempt):
 			c.tell(l, scheduler.Cancelled)
 		default: // it is begun: if that fails, it is not begun anew
-			c.fleet.pool.Stays(&l.Attempt)
+			c.fleet.pool.NoRetransmit(&l.Attempt)
 		}
 	}
 }
@@ -240,10 +240,10 @@
 func (c *Coordinator) reply(id scheduler.RequestID, count *int, make func(q *openQuery, last bool) []byte) {
 	q := c.queries[id]
 	if q == nil {
-		c.violated(invariant.Answer{Answered: true}.Give(), "answer", fmt.Sprint(id), 0)
+		c.violated(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), 0)
 		return
 	}
-	if reason := (invariant.Answer{Late: c.now - q.cutOff, Stalled: c.justStalled()}).Give(); reason != invariant.Allowed {
+	if reason := (invariant.Answer{Late: c.now - q.cutOff, LoopStalled: c.justStalled()}).Check(); reason != invariant.Allowed {
 		c.violated(reason, "answer", q.query.ID, 0)
 	}
 	*count++
@@ -261,8 +261,8 @@
 	})
 }
 
-// Answer answers with the parts that are in.
-func (c *Coordinator) Answer(id scheduler.RequestID, whole bool) {
+// Complete answers with the parts that are in.
+func (c *Coordinator) Complete(id scheduler.RequestID, whole bool) {
 	if q := c.queries[id]; q != nil && q.question != nil {
 		c.stepSoon(q) // a step is over
 		return
@@ -282,16 +282,16 @@
 	})
 }
 
-// TurnBack answers that trying again is harmless.
-func (c *Coordinator) TurnBack(id scheduler.RequestID, comeBack time.Duration) {
+// Reject answers that trying again is harmless.
+func (c *Coordinator) Reject(id scheduler.RequestID, comeBack time.Duration) {
 	c.reply(id, &c.counts.TurnedBack, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.now-q.came)
 		return wire.TurnBackWith(comeBack, "turned back", last)
 	})
 }
 
-// Scrap answers that the query failed.
-func (c *Coordinator) Scrap(id scheduler.RequestID) {
+// Fail answers that the query failed.
+func (c *Coordinator) Fail(id scheduler.RequestID) {
 	c.reply(id, &c.counts.Scrapped, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.now-q.came)
 		return refusal(http.StatusInternalServerError, "scrapped", last)
@@ -302,8 +302,8 @@
 	return wire.Respond(status, "text/plain", []byte(words+"\n"), 0, last)
 }
 
-// Send sends an attempt of a part.
-func (c *Coordinator) Send(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
+// StartAttempt sends an attempt of a part.
+func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	p := c.parts[id]
 	if p == nil {
 		c.log.Printf("event=unknown_part id=%d", id)
@@ -314,13 +314,13 @@
 		wait = min(wait, timeout)
 	}
 	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.now + wait, to: to, endpoint: c.fleet.endpoint(to)}
-	l.SentAt, l.Single = c.now, c.effects[p.of.query.Track] == invariant.NonIdempotent
+	l.SentAt, l.NonIdempotent = c.now, c.effects[p.of.query.Track] == invariant.NonIdempotent
 	earlier := p.attempts
 	p.attempts = append(p.attempts, l)
 	c.noteSent(l, earlier)
 	switch {
 	case c.mayDecide(l, earlier) != invariant.Allowed:
-		c.tell(l, scheduler.Moot)
+		c.tell(l, scheduler.NeverSent)
 	case !c.fleet.send(l):
 		c.tell(l, scheduler.Unreachable)
 	default:
@@ -346,8 +346,8 @@
 	}
 }
 
-// Cancel gives an attempt up.
-func (c *Coordinator) Cancel(id scheduler.RequestID, n scheduler.AttemptNumber) {
+// CancelAttempt gives an attempt up.
+func (c *Coordinator) CancelAttempt(id scheduler.RequestID, n scheduler.AttemptNumber) {
 	if p := c.parts[id]; p != nil && int(n) < len(p.attempts) {
 		c.giveUp(p.attempts[n], scheduler.Cancelled)
 	}
@@ -358,7 +358,7 @@
 	if l.over {
 		return
 	}
-	c.fleet.pool.GiveUp(c.now, &l.Attempt)
+	c.fleet.pool.Abandon(c.now, &l.Attempt)
 	c.tell(l, how)
 }
 
@@ -387,7 +387,7 @@
 
 // replied takes what a replica says of a part; at is when it was read.
 func (c *Coordinator) replied(from *link, r *replicaproto.Event, at time.Duration) {
-	ended, late := c.fleet.pool.Answered(c.now, from.id, connpool.AttemptID(r.Attempt), r.Wire, at)
+	ended, late := c.fleet.pool.ReplyReceived(c.now, from.id, connpool.AttemptID(r.Attempt), r.SubqueryID, at)
 	if late {
 		c.counts.Late++
 	}
@@ -396,24 +396,24 @@
 	}
 	l := c.fleet.attempts[ended.ID]
 	if r.Busy >= 0 {
-		c.module.ReplicaReports(c.now, l.to, r.Busy)
+		c.module.LoadReported(c.now, l.to, r.Busy)
 	}
-	how := scheduler.Erred
+	how := scheduler.Failed
 	switch r.End {
 	case replicaproto.OK:
 		if !utf8.Valid(r.Value) { // no answer can hold it as it is
 			break
 		}
-		how = scheduler.Fulfilled
+		how = scheduler.Succeeded
 		if l.part.of.question != nil {
 			how = c.tells(l, r.Value, at-l.SentAt)
 		}
-		if p := l.part; how == scheduler.Fulfilled && !p.in && !p.over() {
+		if p := l.part; how == scheduler.Succeeded && !p.in && !p.over() {
 			p.in, p.value = true, r.Value
 			c.held--
 		}
 	case replicaproto.Rejected:
-		how = scheduler.TurnedAway
+		how = scheduler.Overloaded
 	}
 	c.ends(l, how, at-l.SentAt)
 	if l.part.in { // its other attempts, where nothing may be called off
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -34,7 +34,7 @@
 	replies   [2]int
 }
 
-func (n *questions) begin(d *Deployment, tracks map[string]scheduler.TrackIndex) error {
+func (n *questions) begin(d *Deployment, tracks map[string]scheduler.ClassIndex) error {
 	*n = questions{takes: map[string]bool{}, learns: map[string]*twophase.Track{}}
 	if d.Installation == nil {
 		return nil
@@ -80,10 +80,10 @@
 }
 
 // takeSteps tells the module of a question and its first step.
-func (c *Coordinator) takeSteps(q *openQuery, track scheduler.TrackIndex, left, hint time.Duration) {
+func (c *Coordinator) takeSteps(q *openQuery, track scheduler.ClassIndex, left, hint time.Duration) {
 	s := q.question.run.Next(c.now)
 	c.module.QueryArrives(c.now, q.id, q.number, track, c.tenantOf(q.query), left, hint, max(1, len(s.Blocks)))
-	c.module.StepsFollow(q.id, s.Do == twophase.Summarize)
+	c.module.UsePhases(q.id, s.Do == twophase.Summarize)
 	if s.Do != twophase.Summarize && s.Do != twophase.Ask { // nothing is wanted
 		c.stepSoon(q)
 		return
@@ -108,7 +108,7 @@
 		}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.held++
-		c.module.PartArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), 1/float64(len(s.Blocks)), hint)
+		c.module.SubqueryArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), 1/float64(len(s.Blocks)), hint)
 	}
 }
 
@@ -134,19 +134,19 @@
 		n.wake = c.after(s.Wake-c.now, "", func() { c.stepSoon(q) })
 	case twophase.Ask:
 		c.endStep(q)
-		c.module.NextStep(c.now, q.id, len(s.Blocks))
+		c.module.StartNextPhase(c.now, q.id, len(s.Blocks))
 		c.stepParts(q, q.number, s)
 	case twophase.Whole:
 		c.trace("retrieval=%s question whole words=%q", q.query.ID, s.Why)
-		c.module.NextStep(c.now, q.id, 0)
+		c.module.StartNextPhase(c.now, q.id, 0)
 		c.reply(q.id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
 			return wire.HitsWith(n.run.Hits(), last)
 		})
 	case twophase.Refuse:
 		c.counts.RefusedQuestions++
 		c.trace("retrieval=%s question refused words=%q", q.query.ID, s.Why)
-		c.TurnBack(q.id, 0)
-		c.module.ClientLeaves(c.now, q.id)
+		c.Reject(q.id, 0)
+		c.module.ClientDisconnects(c.now, q.id)
 	}
 }
 
@@ -168,7 +168,7 @@
 	q := l.part.of
 	n, id, from := q.question, twophase.Block(l.part.shard), twophase.Holder(l.to)
 	if l.part.over() {
-		return scheduler.Fulfilled
+		return scheduler.Succeeded
 	}
 	defer c.stepSoon(q)
 	if n.summaries {
@@ -178,7 +178,7 @@
 			n.run.Unsummarized(id)
 		}
 		n.took[0], n.replies[0] = n.took[0]+took, n.replies[0]+1
-		return scheduler.Fulfilled
+		return scheduler.Succeeded
 	}
 	a, err := wire.ReadAnswer(l.part.shard, value)
 	if err == nil {
@@ -186,10 +186,10 @@
 	}
 	if err != nil {
 		c.seldom("event=bad_answer replica=%s part=%s cause=%q", c.fleet.uid(l.to), l.part.wire, err)
-		return scheduler.Erred
+		return scheduler.Failed
 	}
 	n.took[1], n.replies[1] = n.took[1]+took, n.replies[1]+1
-	return scheduler.Fulfilled
+	return scheduler.Succeeded
 }
 
 // endQuestion learns from a question that is over.
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -47,8 +47,8 @@
 	batch         int
 	dirty         []*link     // with calls queued in this turn
 	sizes         *wire.Sizes // of values
-	installation  *config.Installation
-	secure        map[string]*config.Loaded // what TLS needs, by name; replaced as a whole
+	installation  *config.Config
+	secure        map[string]*config.ClientTLS // what TLS needs, by name; replaced as a whole
 	context       context.Context
 	stop          context.CancelFunc
 }
@@ -60,28 +60,28 @@
 	if d.Limits.Sockets > 0 {
 		f.mostLinks = max(2, (d.Limits.Sockets-spare)/fleetShare)
 	}
-	limits := connpool.Limits{Conns: f.mostLinks}
+	limits := connpool.Limits{MaxConns: f.mostLinks}
 	var errs [4]error
 	f.connectWithin, errs[0] = d.span("bounds.connectTimeout", time.Second)
-	limits.Idle, errs[1] = d.span("bounds.idleClose", 0)
-	limits.Multiplex, errs[2] = d.whole("bounds.multiplex", math.MaxInt32)
+	limits.IdleTimeout, errs[1] = d.span("bounds.idleClose", 0)
+	limits.MaxAttemptsPerConn, errs[2] = d.whole("bounds.multiplex", math.MaxInt32)
 	f.batch, errs[3] = d.whole("familyInfo.batch", 1)
-	limits.Within, f.batch = f.connectWithin, max(1, f.batch)
+	limits.ConnectTimeout, f.batch = f.connectWithin, max(1, f.batch)
 	if f.installation = d.Installation; f.installation == nil {
 		f.installation, _ = config.Read("") // nothing is read
 	}
-	limits.Streams, limits.ConnsShared = f.installation.HTTP2.Streams, f.installation.HTTP2.Connections
+	limits.MaxStreamsPerConn, limits.MaxSharedConns = f.installation.HTTP2.Streams, f.installation.HTTP2.Connections
 	var err error
 	if f.secure, err = f.installation.LoadAll(); err != nil {
 		return fmt.Errorf("installation: %w", err)
 	}
-	limits.Idle /= 2 // the far side closes idle ones after that time at the latest
+	limits.IdleTimeout /= 2 // the far side closes idle ones after that time at the latest
 	f.pool = connpool.New(f, limits)
 	return errors.Join(errs[:]...)
 }
 
 // session makes the state machine of a new connection.
-func (f *fleet) session(kind replicaproto.Name, to *replica) replicaproto.Session {
+func (f *fleet) session(kind replicaproto.Protocol, to *replica) replicaproto.Session {
 	switch {
 	case kind != replicaproto.HTTP2:
 		return frames.New(f.batch, f.sizes)
@@ -92,8 +92,8 @@
 }
 
 // speaks tells which dialect a replica speaks, and keeps what TLS needs there.
-func (f *fleet) speaks(r *replica, model string) (kind replicaproto.Name) {
-	kind, r.tls = f.installation.Speaks(model, r.addr)
+func (f *fleet) speaks(r *replica, model string) (kind replicaproto.Protocol) {
+	kind, r.tls = f.installation.ProtocolOf(model, r.addr)
 	return kind
 }
 
@@ -131,14 +131,14 @@
 }
 
 // went tells whether an attempt was written whole.
-func (f *fleet) went(l *attempt) bool { return l.Call != nil && f.pool.Went(&l.Attempt) }
+func (f *fleet) went(l *attempt) bool { return l.Call != nil && f.pool.WrittenWhole(&l.Attempt) }
 
 // send has an attempt sent; it fails where there is no connection for it and none can be had.
 func (f *fleet) send(l *attempt) bool {
 	f.lastAttempt++
 	p := l.part
 	l.ID = f.lastAttempt
-	l.call = replicaproto.Call{Attempt: uint64(l.ID), Group: uint64(p.of.id), Wire: p.wire, Shard: p.shard, Text: p.textOf(),
+	l.call = replicaproto.Call{Attempt: uint64(l.ID), Group: uint64(p.of.id), SubqueryID: p.wire, Shard: p.shard, Text: p.textOf(),
 		Deadline: l.deadline, Permit: func(now time.Duration) bool { return f.c.permit(l, now) }}
 	l.Call = &l.call
 	f.attempts[l.ID] = l
@@ -158,7 +158,7 @@
 }
 
 // Open opens a connection.
-func (f *fleet) Open(id connpool.ConnID, to scheduler.ReplicaID, addr string, kind replicaproto.Name) {
+func (f *fleet) Open(id connpool.ConnID, to scheduler.ReplicaID, addr string, kind replicaproto.Protocol) {
 	k := newLink(f.c, id, f.all[to], addr, kind)
 	f.links[id] = k
 	f.c.drivers.Go(k.run)
@@ -190,9 +190,9 @@
 	return taken
 }
 
-// GiveUp has the replica told that nobody waits for it.
-func (f *fleet) GiveUp(id connpool.ConnID, l *connpool.Attempt) {
-	f.on(id, func(s replicaproto.Session) { s.GiveUp(l.Call) })
+// Abandon has the replica told that nobody waits for it.
+func (f *fleet) Abandon(id connpool.ConnID, l *connpool.Attempt) {
+	f.on(id, func(s replicaproto.Session) { s.Abandon(l.Call) })
 	f.dirty = append(f.dirty, f.links[id])
 }
 
@@ -205,8 +205,8 @@
 	return at
 }
 
-// Lives tells whether the far side has not ended a connection.
-func (f *fleet) Lives(id connpool.ConnID) bool { return f.links[id].alive() }
+// PeerOpen tells whether the far side has not ended a connection.
+func (f *fleet) PeerOpen(id connpool.ConnID) bool { return f.links[id].alive() }
 
 // Ping asks the far side for a sign of life.
 func (f *fleet) Ping(id connpool.ConnID) {
@@ -214,36 +214,36 @@
 	f.dirty = append(f.dirty, f.links[id])
 }
 
-// Wake has the pool told when a time has passed.
-func (f *fleet) Wake(id connpool.ConnID, in time.Duration) {
-	f.c.after(in, "", func() { f.pool.Wakes(f.c.now, id) })
+// ScheduleWakeup has the pool told when a time has passed.
+func (f *fleet) ScheduleWakeup(id connpool.ConnID, in time.Duration) {
+	f.c.after(in, "", func() { f.pool.Wakeup(f.c.now, id) })
 }
 
-// Ends tells how an attempt ended.
-func (f *fleet) Ends(id connpool.AttemptID, how scheduler.Outcome, took time.Duration) {
+// AttemptEnded tells how an attempt ended.
+func (f *fleet) AttemptEnded(id connpool.AttemptID, how scheduler.Outcome, took time.Duration) {
 	if l := f.attempts[id]; l != nil {
 		f.c.ends(l, how, took)
 	}
 }
 
-// Gone lets go of a replica.
-func (f *fleet) Gone(id scheduler.ReplicaID) { delete(f.all, id) }
+// ReplicaForgotten lets go of a replica.
+func (f *fleet) ReplicaForgotten(id scheduler.ReplicaID) { delete(f.all, id) }
 
-// Notes counts and logs what happened to a connection.
-func (f *fleet) Notes(id connpool.ConnID, to scheduler.ReplicaID, what connpool.Note, out int, cause error) {
+// Record counts and logs what happened to a connection.
+func (f *fleet) Record(id connpool.ConnID, to scheduler.ReplicaID, what connpool.Note, out int, cause error) {
 	c := f.c
 	switch what {
-	case connpool.Refused:
+	case connpool.ConnectFailed:
 		c.counts.Refused++
 	case connpool.Dropped:
 		c.counts.Dropped++
-	case connpool.Spoilt:
+	case connpool.Malformed:
 		c.counts.Spoilt++
-	case connpool.Silent:
+	case connpool.PingTimeout:
 		c.counts.Silent++
-	case connpool.Leaving:
+	case connpool.GoingAway:
 		c.counts.Leaving++
-	case connpool.Full:
+	case connpool.StreamLimit:
 		c.counts.LimitReached++
 	}
 	if errors.As(cause, new(*tlsFailure)) {
@@ -255,38 +255,38 @@
 // linkUp notes that calls may go on a connection.
 func (c *Coordinator) linkUp(k *link) {
 	c.counts.Opened++
-	c.fleet.pool.Up(c.now, k.id)
+	c.fleet.pool.ConnUp(c.now, k.id)
 }
 
 // linkEnded takes a connection back; both of its goroutines have ended.
 func (c *Coordinator) linkEnded(k *link, cause error, at time.Duration) {
-	c.fleet.pool.Ended(c.now, k.id, cause, at)
+	c.fleet.pool.ConnEnded(c.now, k.id, cause, at)
 	delete(c.fleet.links, k.id)
 }
 
 // came takes what was read on a connection at a time, and what is wrong with the rest.
 func (c *Coordinator) came(k *link, all []replicaproto.Event, bad error, at time.Duration) {
 	p := c.fleet.pool
-	if replicaproto.Of(k.kind).Pings {
-		p.Alive(c.now, k.id, at)
+	if replicaproto.TraitsOf(k.kind).Pings {
+		p.BytesReceived(c.now, k.id, at)
 	}
 	for n := range all {
 		e := &all[n]
 		switch e.Kind {
-		case replicaproto.Answered:
+		case replicaproto.Reply:
 			c.replied(k, e, at)
-		case replicaproto.NeverRan, replicaproto.MayHave:
-			p.Settled(c.now, k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
-		case replicaproto.Room:
-			p.Room(c.now, k.id, e.Most)
-		case replicaproto.Leaving:
-			p.GoesAway(c.now, k.id, e.Words)
+		case replicaproto.NeverRan, replicaproto.MayHaveRun:
+			p.AttemptSettled(c.now, k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
+		case replicaproto.CallLimit:
+			p.StreamLimitChanged(c.now, k.id, e.MaxCalls)
+		case replicaproto.GoingAway:
+			p.GoingAway(c.now, k.id, e.Detail)
 		case replicaproto.Ready:
 			c.linkUp(k)
 		}
 	}
 	if bad != nil {
-		p.Spoil(c.now, k.id, bad)
+		p.MalformedReceived(c.now, k.id, bad)
 	}
 }
 
@@ -295,6 +295,6 @@
 	wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Gone: invariant.Removed,
 }
 
-var lives = map[string]scheduler.Life{
-	wire.Ready: scheduler.Active, wire.Draining: scheduler.Leaving, wire.Gone: scheduler.Left,
+var lives = map[string]scheduler.EndpointState{
+	wire.Ready: scheduler.Ready, wire.Draining: scheduler.Draining, wire.Gone: scheduler.Removed,
 }
--- a/coordinator/secure.go
+++ b/coordinator/secure.go
@@ -87,6 +87,6 @@
 	}
 }
 
-func runsOut(l *config.Loaded, now time.Time) bool {
+func runsOut(l *config.ClientTLS, now time.Time) bool {
 	return !l.RunsOut.IsZero() && l.RunsOut.Sub(now) < runsOutSoon
 }
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// LongAgo is the start of a replica whose start is not told.
-	LongAgo = time.Duration(math.MinInt64)
+	// Unknown is the start of a replica whose start is not told.
+	Unknown = time.Duration(math.MinInt64)
 
 	listingLag  = time.Second     // by which a listing may be behind a replica's start
 	sameOffset  = 2 * time.Second // offsets of the wall clock that differ by less are one: slewing, and reading late
@@ -25,8 +25,8 @@
 	mostKnown   = 16384           // replicas that are remembered: some times the largest fleet
 )
 
-// Clock remembers the starts that were told. Its zero value is not of use; see New.
-type Clock struct {
+// Tracker remembers the starts that were told. Its zero value is not of use; see New.
+type Tracker struct {
 	offsets  []time.Duration // of the wall clock from the monotonic one, as seen so far
 	known    map[string]start
 	lastTold time.Duration // when the listing before the present one was told
@@ -42,10 +42,10 @@
 }
 
 // New makes a clock that knows nothing.
-func New() *Clock { return &Clock{known: map[string]start{}, lastTold: -1, told: -1} }
+func New() *Tracker { return &Tracker{known: map[string]start{}, lastTold: -1, told: -1} }
 
-// Reads tells what the wall clock says at a time since the process' start.
-func (c *Clock) Reads(now time.Duration, wall time.Time) {
+// ObserveWallClock tells what the wall clock says at a time since the process' start.
+func (c *Tracker) ObserveWallClock(now time.Duration, wall time.Time) {
 	offset := time.Duration(wall.UnixNano()) - now
 	for _, seen := range c.offsets {
 		if (offset - seen).Abs() < sameOffset {
@@ -58,15 +58,15 @@
 	c.offsets = append(c.offsets, offset)
 }
 
-// Listing tells that discovery has told something: what it does not name is as it was before.
-func (c *Clock) Listing(now time.Duration) { c.lastTold, c.told = c.told, now }
+// ListReceived tells that discovery has told something: what it does not name is as it was before.
+func (c *Tracker) ListReceived(now time.Duration) { c.lastTold, c.told = c.told, now }
 
-// Started is when a replica started that the present listing names, as time since the process' start; 0 in bootMS, the Unix
+// StartOf is when a replica started that the present listing names, as time since the process' start; 0 in bootMS, the Unix
 // time in milliseconds that discovery tells, stands for long ago. Exact tells that the wall clock is not contradicted; else
 // the replica may have started at any time since the listing before, and started is the latest.
-func (c *Clock) Started(now time.Duration, uid string, bootMS int64) (started time.Duration, exact bool) {
+func (c *Tracker) StartOf(now time.Duration, uid string, bootMS int64) (started time.Duration, exact bool) {
 	if bootMS <= 0 {
-		return LongAgo, true
+		return Unknown, true
 	}
 	before, had := c.known[uid]
 	if had && before.bootMS == bootMS {
@@ -85,8 +85,8 @@
 }
 
 // byWallClock is the latest start that the wall clock has given reason for.
-func (c *Clock) byWallClock(bootMS int64) time.Duration {
-	latest := LongAgo
+func (c *Tracker) byWallClock(bootMS int64) time.Duration {
+	latest := Unknown
 	for _, offset := range c.offsets {
 		latest = max(latest, time.Duration(bootMS)*time.Millisecond-offset)
 	}
@@ -94,9 +94,9 @@
 }
 
 // Distrusted is how many starts have contradicted the wall clock so far.
-func (c *Clock) Distrusted() int { return c.distrust }
+func (c *Tracker) Distrusted() int { return c.distrust }
 
-func (c *Clock) remember(uid string, s start) {
+func (c *Tracker) remember(uid string, s start) {
 	if _, had := c.known[uid]; !had && len(c.known) >= mostKnown {
 		c.forgetOldest()
 	}
@@ -104,7 +104,7 @@
 }
 
 // forgetOldest forgets the replica that was told longest ago.
-func (c *Clock) forgetOldest() {
+func (c *Tracker) forgetOldest() {
 	oldest, at := "", time.Duration(math.MaxInt64)
 	for uid, s := range c.known {
 		if s.at < at || s.at == at && uid < oldest {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,7 +49,7 @@
 	run := func() string {
 		var lines strings.Builder
 		h := Draw(78)
-		h.Spy = func(f *Fleet) { fmt.Fprintln(&lines, f.Now, f.Node.Module.Beliefs(), f.Node.Module.Fleet()) }
+		h.Spy = func(f *Fleet) { fmt.Fprintln(&lines, f.Now, f.Node.Module.ClassEstimates(), f.Node.Module.DescribeReplicas()) }
 		v, err := h.Run()
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 	}{
 		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { q.How = Whole; g.sends(attemptOf(f, q)) }},
 		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { f.Run(5 * time.Second); g.Close() }},
-		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { f.Node.Scrap(999) }},
+		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { f.Node.Fail(999) }},
 		{"rule 2", SingleUse, func(f *Fleet, g *Ledger, q *Query) {
 			q.parts[0].attempts = []*attempt{attemptOf(f, q)}
 			g.sends(attemptOf(f, q))
@@ -138,5 +138,5 @@
 }
 
 func attemptOf(f *Fleet, q *Query) *attempt {
-	return &attempt{node: f.Node, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: scheduler.Fulfilled}
+	return &attempt{node: f.Node, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: scheduler.Succeeded}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -68,7 +68,7 @@
 		work: map[scheduler.RequestID]time.Duration{}}
 	for n := range s.Replicas {
 		r := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % s.Cells), Cores: s.Cores, Room: s.Room,
-			Cancels: s.Cancels, Started: scheduler.LongAgo, Cold: s.Cold, world: f.World, factor: 1}
+			Cancels: s.Cancels, Started: scheduler.StartUnknown, Cold: s.Cold, world: f.World, factor: 1}
 		if s.ColdStart {
 			r.Started = 0
 		}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -34,7 +34,7 @@
 }
 
 func neverRan(how scheduler.Outcome) bool {
-	return how == scheduler.TurnedAway || how == scheduler.Unreachable || how == scheduler.Moot
+	return how == scheduler.Overloaded || how == scheduler.Unreachable || how == scheduler.NeverSent
 }
 
 // sends judges an attempt before it joins its part's.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -11,7 +11,7 @@
 // Node is one co-ordinator: the module, and a core that its turns take up. What happens while a turn runs waits
 // for the next, as it does on sockets; what a turn decides leaves at its end.
 type Node struct {
-	Module *scheduler.Coordinator
+	Module *scheduler.Scheduler
 	Ledger *Ledger
 	Logs   []string
 
@@ -108,7 +108,7 @@
 	for _, do := range told {
 		do()
 	}
-	n.Module.TurnEnds(n.world.Now)
+	n.Module.Decide(n.world.Now)
 	n.freeAt = n.world.Now + n.PerTurn + time.Duration(len(told))*n.PerThing
 	out := n.leaving
 	n.world.At(n.freeAt, func() {
@@ -124,9 +124,9 @@
 // Lists tells of all replicas as they are.
 func (n *Node) Lists(old bool) {
 	n.happens(func() {
-		n.Module.ListBegins(n.world.Now, true, old)
+		n.Module.EndpointListBegins(n.world.Now, true, old)
 		for _, r := range n.fleet.Replicas {
-			n.Module.ReplicaListed(n.world.Now, r.ID, scheduler.Active, r.Started, r.Cell, 0, 0)
+			n.Module.EndpointListed(n.world.Now, r.ID, scheduler.Ready, r.Started, r.Cell, 0, 0)
 		}
 	})
 }
@@ -147,17 +147,17 @@
 		n.lastNumber++
 		n.open[q.ID] = q
 		left := max(0, q.CutOff-n.world.Now)
-		n.Module.QueryArrives(n.world.Now, q.ID, n.lastNumber, scheduler.TrackIndex(track), 0, left, 0, len(q.parts))
+		n.Module.QueryArrives(n.world.Now, q.ID, n.lastNumber, scheduler.ClassIndex(track), 0, left, 0, len(q.parts))
 		for _, p := range q.parts {
 			n.parts[p.id] = p
-			n.Module.PartArrives(n.world.Now, p.id, n.lastNumber, scheduler.ShardNumber(p.shard), 1/float64(len(q.parts)), 0)
+			n.Module.SubqueryArrives(n.world.Now, p.id, n.lastNumber, scheduler.ShardNumber(p.shard), 1/float64(len(q.parts)), 0)
 		}
 	})
 	return q
 }
 
-// Send sends an attempt once the turn is over.
-func (n *Node) Send(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
+// StartAttempt sends an attempt once the turn is over.
+func (n *Node) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	p := n.parts[id]
 	r := n.fleet.byID[to]
 	if p == nil || r == nil {
@@ -197,7 +197,7 @@
 }
 
 func (n *Node) told(l *attempt, took time.Duration) {
-	if l.how == scheduler.Fulfilled && !l.part.in && l.part.of.How == Open {
+	if l.how == scheduler.Succeeded && !l.part.in && l.part.of.How == Open {
 		l.part.in = true
 		l.part.of.got++
 	}
@@ -213,8 +213,8 @@
 	}
 }
 
-// Cancel calls an attempt off; the module hears of it at the start of the next turn.
-func (n *Node) Cancel(id scheduler.RequestID, number scheduler.AttemptNumber) {
+// CancelAttempt calls an attempt off; the module hears of it at the start of the next turn.
+func (n *Node) CancelAttempt(id scheduler.RequestID, number scheduler.AttemptNumber) {
 	p := n.parts[id]
 	if p == nil || int(number) >= len(p.attempts) || p.attempts[number].over {
 		return
@@ -241,8 +241,8 @@
 	}
 }
 
-// Answer, TurnBack and Scrap give a query its final answer.
-func (n *Node) Answer(id scheduler.RequestID, whole bool) {
+// Complete, TurnBack and Scrap give a query its final answer.
+func (n *Node) Complete(id scheduler.RequestID, whole bool) {
 	how := Partial
 	if whole {
 		how = Whole
@@ -250,24 +250,24 @@
 	n.final(id, how)
 }
 
-// TurnBack is a final answer.
-func (n *Node) TurnBack(id scheduler.RequestID, _ time.Duration) { n.final(id, TurnedBack) }
+// Reject is a final answer.
+func (n *Node) Reject(id scheduler.RequestID, _ time.Duration) { n.final(id, TurnedBack) }
 
-// Scrap is a final answer.
-func (n *Node) Scrap(id scheduler.RequestID) { n.final(id, Scrapped) }
+// Fail is a final answer.
+func (n *Node) Fail(id scheduler.RequestID) { n.final(id, Scrapped) }
 
-// Wake has the module told when a time has passed.
-func (n *Node) Wake(name string, in time.Duration) {
+// ScheduleWakeup has the module told when a time has passed.
+func (n *Node) ScheduleWakeup(name string, in time.Duration) {
 	n.world.At(n.world.Now+in, func() {
-		n.happens(func() { n.Module.Wakes(n.world.Now, name) })
+		n.happens(func() { n.Module.Wakeup(n.world.Now, name) })
 	})
 }
 
-// FollowList is answered by the whole list.
-func (n *Node) FollowList() { n.Lists(false) }
+// PollEndpoints is answered by the whole list.
+func (n *Node) PollEndpoints() { n.Lists(false) }
 
-// Tell carries out decide.Host; nodes here send each other nothing.
-func (n *Node) Tell([]byte) {}
+// Broadcast carries out decide.Host; nodes here send each other nothing.
+func (n *Node) Broadcast([]byte) {}
 
 // Log keeps the newest lines.
 func (n *Node) Log(text string) {
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -62,7 +62,7 @@
 	}
 	switch {
 	case c == Down || c == Closing:
-		r.lose(scheduler.Reset)
+		r.lose(scheduler.ConnectionReset)
 	case was == Silent || c == Silent:
 		r.lose(-1)
 	}
@@ -99,16 +99,16 @@
 		l.outcome(scheduler.Unreachable)
 	case r.health == Closing:
 		l.mayHaveRun = true
-		l.outcome(scheduler.Reset)
+		l.outcome(scheduler.ConnectionReset)
 	case r.health == Silent:
 		l.mayHaveRun = true
 		r.Ran++
 	case r.health == Erring:
 		l.mayHaveRun = true
 		r.Ran++
-		l.outcome(scheduler.Erred)
+		l.outcome(scheduler.Failed)
 	case r.health == Full, r.Room > 0 && len(r.queue) >= r.Room:
-		l.outcome(scheduler.TurnedAway)
+		l.outcome(scheduler.Overloaded)
 	default:
 		r.queue = append(r.queue, l)
 		r.next()
@@ -132,7 +132,7 @@
 	if r.health == Slow {
 		by = r.factor
 	}
-	if r.Cold.Warm > 0 && r.Started != scheduler.LongAgo {
+	if r.Cold.Warm > 0 && r.Started != scheduler.StartUnknown {
 		age := min(1, (r.world.Now-r.Started).Seconds()/r.Cold.Warm.Seconds())
 		by /= r.Cold.Share + (1-r.Cold.Share)*age
 	}
@@ -148,7 +148,7 @@
 			return
 		}
 		r.busy = slices.Delete(r.busy, at, at+1)
-		l.outcome(scheduler.Fulfilled)
+		l.outcome(scheduler.Succeeded)
 		r.next()
 	})
 }
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -48,14 +48,14 @@
 	return true
 }
 
-// GiveUp has the replica told that a part is given up.
-func (s *Session) GiveUp(c *replicaproto.Call) { s.queue = append(s.queue, item{giveUp: c.Wire}) }
+// Abandon has the replica told that a part is given up.
+func (s *Session) Abandon(c *replicaproto.Call) { s.queue = append(s.queue, item{giveUp: c.SubqueryID}) }
 
 // Ping does nothing: there is none.
 func (s *Session) Ping() {}
 
-// Bye does nothing: the connection's end says it.
-func (s *Session) Bye() {}
+// Goodbye does nothing: the connection's end says it.
+func (s *Session) Goodbye() {}
 
 // Output appends what waits, about most bytes of it where that is above 0: what is not begun can still be taken back.
 func (s *Session) Output(b []byte, most int, now time.Duration) []byte {
@@ -97,7 +97,7 @@
 		if !permitted {
 			continue
 		}
-		parts = append(parts, wire.CallPart{ID: call.Wire, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
+		parts = append(parts, wire.CallPart{ID: call.SubqueryID, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
 		begun = append(begun, call)
 	}
 	return parts, begun
@@ -116,8 +116,8 @@
 	s.ends = s.ends[:0]
 }
 
-// Room gives space for what comes next.
-func (s *Session) Room() []byte { return s.replies.Room() }
+// ReadBuffer gives space for what comes next.
+func (s *Session) ReadBuffer() []byte { return s.replies.Room() }
 
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.replies.Filled(n) }
@@ -132,8 +132,8 @@
 	if r == nil || err != nil {
 		return e, false, err
 	}
-	return replicaproto.Event{Kind: replicaproto.Answered, Wire: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
+	return replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
 }
 
-// Partly tells whether a frame has begun to come that is not whole.
-func (s *Session) Partly() bool { return s.replies.Waiting() > 0 }
+// MidMessage tells whether a frame has begun to come that is not whole.
+func (s *Session) MidMessage() bool { return s.replies.Waiting() > 0 }
--- a/internal/replicaproto/frames/session_test.go
+++ b/internal/replicaproto/frames/session_test.go
@@ -15,7 +15,7 @@
 		s := New(1, nil)
 		var calls []*replicaproto.Call
 		for n := range 3 {
-			c := &replicaproto.Call{Wire: wire.PartID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
+			c := &replicaproto.Call{SubqueryID: wire.PartID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
 			calls = append(calls, c)
 			s.Queue(c)
 		}
@@ -40,7 +40,7 @@
 
 func TestCallThatWasNotBegunIsTakenBack(t *testing.T) {
 	s := New(4, nil)
-	a, b := &replicaproto.Call{Group: 1, Wire: "q.1", Deadline: time.Second}, &replicaproto.Call{Group: 1, Wire: "q.2", Deadline: time.Second}
+	a, b := &replicaproto.Call{Group: 1, SubqueryID: "q.1", Deadline: time.Second}, &replicaproto.Call{Group: 1, SubqueryID: "q.2", Deadline: time.Second}
 	s.Queue(a)
 	s.Queue(b)
 	if !s.Withdraw(a) {
@@ -51,7 +51,7 @@
 		t.Errorf("%q", out)
 	}
 	s.Wrote(len(alone))
-	if s.GiveUp(b); string(s.Output(nil, 0, 0)) != string(wire.AppendGiveUp(nil, "q.2")) {
+	if s.Abandon(b); string(s.Output(nil, 0, 0)) != string(wire.AppendGiveUp(nil, "q.2")) {
 		t.Error("the word that a part is given up is not written")
 	}
 }
@@ -62,7 +62,7 @@
 	s := New(1, nil)
 	var calls []*replicaproto.Call
 	for n := range 3 {
-		calls = append(calls, &replicaproto.Call{Wire: wire.PartID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
+		calls = append(calls, &replicaproto.Call{SubqueryID: wire.PartID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
 		s.Queue(calls[n])
 	}
 	one := len(s.Output(nil, 90, 0))
--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -34,7 +34,7 @@
 		{Name: "content-length", Value: strconv.Itoa(len(c.Text))},
 		{Name: PartShard, Value: strconv.Itoa(c.Shard)},
 		{Name: PartWait, Value: strconv.FormatInt(waitMS, 10)},
-		{Name: PartID, Value: c.Wire, Sensitive: true}, // never the same again: the table need not hold it
+		{Name: PartID, Value: c.SubqueryID, Sensitive: true}, // never the same again: the table need not hold it
 	}
 }
 
--- a/internal/replicaproto/http2/read.go
+++ b/internal/replicaproto/http2/read.go
@@ -30,7 +30,7 @@
 		s.goesAway(f)
 	case *http2.PingFrame:
 		if f.IsAck() {
-			s.tell(replicaproto.Event{Kind: replicaproto.Alive})
+			s.tell(replicaproto.Event{Kind: replicaproto.PingAnswered})
 		} else {
 			data := f.Data
 			s.says(func() error { return s.framer.WritePing(true, data) })
@@ -62,7 +62,7 @@
 			}
 		case http2.SettingMaxConcurrentStreams:
 			s.most = int64(v.Val)
-			s.tell(replicaproto.Event{Kind: replicaproto.Room, Most: int(min(v.Val, mostWindow))})
+			s.tell(replicaproto.Event{Kind: replicaproto.CallLimit, MaxCalls: int(min(v.Val, mostWindow))})
 		case http2.SettingInitialWindowSize:
 			change := int64(v.Val) - s.initial
 			s.initial = int64(v.Val)
@@ -116,7 +116,7 @@
 	}
 	if s.last = f.LastStreamID; !s.going {
 		s.going = true
-		s.tell(replicaproto.Event{Kind: replicaproto.Leaving, Words: f.ErrCode.String()})
+		s.tell(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: f.ErrCode.String()})
 	}
 	for _, st := range s.inOrder() {
 		if st.id <= s.last {
@@ -124,7 +124,7 @@
 		}
 		e := replicaproto.Event{Kind: replicaproto.NeverRan, Attempt: st.call.Attempt, Evidence: replicaproto.AboveLast}
 		if st.answered { // it contradicts itself
-			e = replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt}
+			e = replicaproto.Event{Kind: replicaproto.MayHaveRun, Attempt: st.call.Attempt}
 		}
 		s.drop(st)
 		s.tell(e)
@@ -142,7 +142,7 @@
 		s.tell(replicaproto.Event{Kind: replicaproto.NeverRan, Attempt: st.call.Attempt, Evidence: replicaproto.Refused})
 		return nil
 	}
-	s.tell(replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt, Words: f.ErrCode.String()})
+	s.tell(replicaproto.Event{Kind: replicaproto.MayHaveRun, Attempt: st.call.Attempt, Detail: f.ErrCode.String()})
 	return nil
 }
 
@@ -252,6 +252,6 @@
 		s.reset(st, http2.ErrCodeNo)
 	}
 	s.drop(st)
-	s.tell(replicaproto.Event{Kind: replicaproto.Answered, Attempt: st.call.Attempt, Wire: st.call.Wire, End: st.end, Value: st.value, Busy: st.busy})
+	s.tell(replicaproto.Event{Kind: replicaproto.Reply, Attempt: st.call.Attempt, SubqueryID: st.call.SubqueryID, End: st.end, Value: st.value, Busy: st.busy})
 	return nil
 }
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -146,8 +146,8 @@
 	return true
 }
 
-// GiveUp resets a call's stream.
-func (s *Session) GiveUp(c *replicaproto.Call) {
+// Abandon resets a call's stream.
+func (s *Session) Abandon(c *replicaproto.Call) {
 	if st := s.streams[c.Stream]; st != nil && st.call == c {
 		s.reset(st, http2.ErrCodeCancel)
 	}
@@ -178,8 +178,8 @@
 	return d
 }
 
-// Bye has the far side told that the connection ends.
-func (s *Session) Bye() {
+// Goodbye has the far side told that the connection ends.
+func (s *Session) Goodbye() {
 	if !s.bye {
 		s.bye = true
 		s.says(func() error { return s.framer.WriteGoAway(0, s.code, nil) })
@@ -232,7 +232,7 @@
 	}
 	if s.lastID == mostStreamID {
 		s.going, s.last = true, mostStreamID
-		s.tell(replicaproto.Event{Kind: replicaproto.Leaving, Words: "the stream ids are used up"})
+		s.tell(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: "the stream ids are used up"})
 	}
 	st := &stream{id: s.lastID, call: c, body: c.Text, window: s.initial, own: firstWindow, length: -1}
 	c.Stream = st.id
@@ -297,14 +297,14 @@
 	s.ends = s.ends[:0]
 }
 
-// Room gives space for what comes next.
-func (s *Session) Room() []byte { return s.in.Room() }
+// ReadBuffer gives space for what comes next.
+func (s *Session) ReadBuffer() []byte { return s.in.Room() }
 
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.in.Filled(n) }
 
-// Partly tells whether a frame, or a head of several, has begun to come that is not whole.
-func (s *Session) Partly() bool { return s.in.Waiting() > 0 || s.head.open }
+// MidMessage tells whether a frame, or a head of several, has begun to come that is not whole.
+func (s *Session) MidMessage() bool { return s.in.Waiting() > 0 || s.head.open }
 
 func (s *Session) tell(e replicaproto.Event) { s.events = append(s.events, e) }
 
@@ -355,7 +355,7 @@
 	case err == nil:
 	case errors.As(err, &ofStream):
 		if st := s.streams[ofStream.StreamID]; st != nil {
-			s.tell(replicaproto.Event{Kind: replicaproto.MayHave, Attempt: st.call.Attempt, Words: ofStream.Error()})
+			s.tell(replicaproto.Event{Kind: replicaproto.MayHaveRun, Attempt: st.call.Attempt, Detail: ofStream.Error()})
 			s.reset(st, ofStream.Code)
 		} else if err := s.known(ofStream.StreamID); err != nil {
 			return s.broken(err)
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -57,7 +57,7 @@
 // feeds gives the session what was written to it, in one byte after the other, and takes its events.
 func (p *peer) feeds() {
 	for _, b := range p.to.Bytes() {
-		p.s.Room()[0] = b
+		p.s.ReadBuffer()[0] = b
 		p.s.Filled(1)
 		for p.err == nil {
 			e, ok, err := p.s.Next()
@@ -71,7 +71,7 @@
 }
 
 func (p *peer) call(shard, size int) *replicaproto.Call {
-	c := &replicaproto.Call{Attempt: uint64(len(p.calls) + 1), Wire: fmt.Sprint("q.", shard), Shard: shard, Deadline: time.Second,
+	c := &replicaproto.Call{Attempt: uint64(len(p.calls) + 1), SubqueryID: fmt.Sprint("q.", shard), Shard: shard, Deadline: time.Second,
 		Text: bytes.Repeat([]byte("x"), size)}
 	p.calls = append(p.calls, c)
 	p.s.Queue(c)
@@ -128,16 +128,16 @@
 	var got []string
 	for _, e := range p.got {
 		switch e.Kind {
-		case replicaproto.Answered:
+		case replicaproto.Reply:
 			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.End, e.Value))
 		case replicaproto.NeverRan:
 			got = append(got, fmt.Sprintf("never %d %s", e.Attempt, e.Evidence))
-		case replicaproto.MayHave:
+		case replicaproto.MayHaveRun:
 			got = append(got, fmt.Sprintf("may %d", e.Attempt))
-		case replicaproto.Room:
-			got = append(got, fmt.Sprintf("room %d", e.Most))
+		case replicaproto.CallLimit:
+			got = append(got, fmt.Sprintf("room %d", e.MaxCalls))
 		default:
-			got = append(got, []string{replicaproto.Leaving: "leaving", replicaproto.Alive: "alive", replicaproto.Ready: "ready"}[e.Kind])
+			got = append(got, []string{replicaproto.GoingAway: "leaving", replicaproto.PingAnswered: "alive", replicaproto.Ready: "ready"}[e.Kind])
 		}
 	}
 	if p.got = nil; !slices.Equal(got, want) {
@@ -275,7 +275,7 @@
 		p.frames()
 		test.send(p)
 		p.feeds()
-		p.s.Bye()
+		p.s.Goodbye()
 		if got := p.frames(); p.err == nil || len(got) == 0 || got[len(got)-1] != fmt.Sprint("goaway ", test.code) {
 			t.Errorf("%s: error %v, last words %q", name, p.err, got)
 		}
@@ -388,7 +388,7 @@
 	p := newPeer(t)
 	c := p.call(0, 1)
 	p.frames()
-	p.s.GiveUp(c)
+	p.s.Abandon(c)
 	if got := p.frames(); !slices.Equal(got, []string{"reset 1 CANCEL"}) {
 		t.Errorf("%q", got)
 	}
@@ -456,23 +456,23 @@
 		s := New("http", "a:1")
 		ends := map[uint64]int{}
 		for n := range int(calls % 16) {
-			s.Queue(&replicaproto.Call{Attempt: uint64(n + 1), Wire: "q.1", Text: bytes.Repeat([]byte("x"), n*1000), Deadline: time.Second})
+			s.Queue(&replicaproto.Call{Attempt: uint64(n + 1), SubqueryID: "q.1", Text: bytes.Repeat([]byte("x"), n*1000), Deadline: time.Second})
 		}
 		for len(b) > 0 {
-			n := copy(s.Room(), b[:min(len(b), 7)])
+			n := copy(s.ReadBuffer(), b[:min(len(b), 7)])
 			s.Filled(n)
 			b = b[n:]
 			for {
 				e, ok, err := s.Next()
 				if err != nil {
-					s.Bye()
+					s.Goodbye()
 					s.Output(nil, 1<<20, 0)
 					return
 				}
 				if !ok {
 					break
 				}
-				if e.Kind == replicaproto.Answered || e.Kind == replicaproto.NeverRan || e.Kind == replicaproto.MayHave {
+				if e.Kind == replicaproto.Reply || e.Kind == replicaproto.NeverRan || e.Kind == replicaproto.MayHaveRun {
 					if ends[e.Attempt]++; ends[e.Attempt] > 1 || e.Attempt == 0 {
 						t.Fatalf("leg %d ended %d times", e.Attempt, ends[e.Attempt])
 					}
--- a/internal/replicaproto/replicaproto.go
+++ b/internal/replicaproto/replicaproto.go
@@ -6,26 +6,26 @@
 
 import "time"
 
-// Name names a dialect, as the installation file does.
-type Name string
+// Protocol names a dialect, as the installation file does.
+type Protocol string
 
 // The dialects.
 const (
-	Frames Name = "frames" // docs/sockets.md
-	HTTP2  Name = "http2"  // docs/http2.md
+	Frames Protocol = "frames" // docs/sockets.md
+	HTTP2  Protocol = "http2"  // docs/http2.md
 )
 
 // Traits are what a choice of connections may rest on.
 type Traits struct {
-	Shares  bool // many attempts on few connections: each is told of by itself, and a reply names its attempt
+	Multiplexed  bool // many attempts on few connections: each is told of by itself, and a reply names its attempt
 	Pings   bool // the far side answers a ping whatever its work is
-	Limited bool // the far side may state how many attempts it takes at a time; giving one up frees its place
+	LimitsStreams bool // the far side may state how many attempts it takes at a time; giving one up frees its place
 }
 
-// Of gives a dialect's traits.
-func Of(n Name) Traits {
+// TraitsOf gives a dialect's traits.
+func TraitsOf(n Protocol) Traits {
 	if n == HTTP2 {
-		return Traits{Shares: true, Pings: true, Limited: true}
+		return Traits{Multiplexed: true, Pings: true, LimitsStreams: true}
 	}
 	return Traits{}
 }
@@ -45,7 +45,7 @@
 type Call struct {
 	Attempt uint64 // names it in events
 	Group   uint64 // calls of one group may share a message
-	Wire    string // the part's id
+	SubqueryID    string // the part's id
 	Shard   int
 	Text    []byte
 
@@ -79,12 +79,12 @@
 type Kind int
 
 const (
-	Answered Kind = iota // End and Value say how
+	Reply Kind = iota // End and Value say how
 	NeverRan             // Evidence says why
-	MayHave              // it ended without an answer and may have run
-	Room                 // the far side takes Most calls at a time from now on
-	Leaving              // the far side takes nothing new on this connection
-	Alive                // it answered a ping
+	MayHaveRun              // it ended without an answer and may have run
+	CallLimit                 // the far side takes Most calls at a time from now on
+	GoingAway              // the far side takes nothing new on this connection
+	PingAnswered                // it answered a ping
 	Ready                // calls may go
 )
 
@@ -110,13 +110,13 @@
 type Event struct {
 	Kind     Kind
 	Attempt  uint64
-	Wire     string
+	SubqueryID     string
 	End      End
 	Value    []byte
 	Busy     float64 // of an answer: the share of the far side's cores in use, below 0 if it tells none
 	Evidence Evidence
-	Most     int
-	Words    string // for the log
+	MaxCalls     int
+	Detail    string // for the log
 }
 
 // Session is one connection's state machine. Its methods are called by one goroutine at a time.
@@ -125,24 +125,24 @@
 	Queue(*Call)
 	// Withdraw takes back a call of which no byte was written; it tells whether it could.
 	Withdraw(*Call) bool
-	// GiveUp has the far side told that nobody waits for a call that was begun.
-	GiveUp(*Call)
+	// Abandon has the far side told that nobody waits for a call that was begun.
+	Abandon(*Call)
 	// Ping asks the far side for a sign of life; Alive follows. A dialect without pings does nothing.
 	Ping()
-	// Bye has the far side told that the connection ends now. Output gives the last word then, and nothing after it.
-	Bye()
+	// Goodbye has the far side told that the connection ends now. Output gives the last word then, and nothing after it.
+	Goodbye()
 	// Output appends what is to be written now to b, about most bytes of it. What it begins, it marks as Begun; what its
 	// Permit refuses is dropped. Wrote must be told before the next call of Output. Now is time since the process' start.
 	Output(b []byte, most int, now time.Duration) []byte
 	// Wrote tells how many bytes of the last output the machine took; less than all of them is the connection's end.
 	Wrote(n int)
-	// Room gives space for what comes next; it may be called beside the other methods.
-	Room() []byte
+	// ReadBuffer gives space for what comes next; it may be called beside the other methods.
+	ReadBuffer() []byte
 	// Filled tells how many bytes came into it.
 	Filled(n int)
 	// Next gives the next event; none without an error means that more bytes must come in first. After an error the
 	// connection is of no more use; what Output gives then is its last word.
 	Next() (e Event, ok bool, err error)
-	// Partly tells whether a message has begun to come that is not whole.
-	Partly() bool
+	// MidMessage tells whether a message has begun to come that is not whole.
+	MidMessage() bool
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -18,16 +18,16 @@
 )
 
 var outcomes = map[int64]scheduler.Outcome{
-	0: scheduler.Fulfilled, 13: scheduler.Erred, 8: scheduler.TurnedAway, 4: scheduler.TimedOut,
-	14: scheduler.Unreachable, 10: scheduler.Reset, 1: scheduler.Cancelled, 9: scheduler.Moot,
+	0: scheduler.Succeeded, 13: scheduler.Failed, 8: scheduler.Overloaded, 4: scheduler.TimedOut,
+	14: scheduler.Unreachable, 10: scheduler.ConnectionReset, 1: scheduler.Cancelled, 9: scheduler.NeverSent,
 }
 
-var lives = map[string]scheduler.Life{"active": scheduler.Active, "leaving": scheduler.Leaving, "left": scheduler.Left}
+var lives = map[string]scheduler.EndpointState{"active": scheduler.Ready, "leaving": scheduler.Draining, "left": scheduler.Removed}
 
 // listed is one entry of a numbered list.
 type listed struct {
 	id      scheduler.ReplicaID
-	life    scheduler.Life
+	life    scheduler.EndpointState
 	started int64 // clock time, 0: long ago
 	cell    scheduler.CellNumber
 	zone    scheduler.ZoneIndex
@@ -38,7 +38,7 @@
 type instance struct {
 	number  int64
 	born    int64 // clock time of its start
-	module  *scheduler.Coordinator
+	module  *scheduler.Scheduler
 	pending strings.Builder
 	active  bool // has had an event in this batch
 }
@@ -131,7 +131,7 @@
 	}
 	for _, i := range s.order {
 		if i.module != nil {
-			s.guard(i, func() { i.module.TurnEnds(s.since(i)) })
+			s.guard(i, func() { i.module.Decide(s.since(i)) })
 		}
 	}
 	return nil
@@ -274,9 +274,9 @@
 	return nil
 }
 
-type call func(m *scheduler.Coordinator, now time.Duration)
+type call func(m *scheduler.Scheduler, now time.Duration)
 
-func nothing(*scheduler.Coordinator, time.Duration) {}
+func nothing(*scheduler.Scheduler, time.Duration) {}
 
 // decode turns an instance's event into the call that it stands for.
 func (s *server) decode(name string, f *fields) (call, error) {
@@ -289,7 +289,7 @@
 			return nil, f.err
 		}
 		if form == "unavailable" {
-			return func(m *scheduler.Coordinator, now time.Duration) { m.ListFailed(now) }, nil
+			return func(m *scheduler.Scheduler, now time.Duration) { m.EndpointPollFailed(now) }, nil
 		}
 		if form != "update" && form != "replace" && form != "restored" {
 			return nil, f.fault("field form: unknown value %q", form)
@@ -299,18 +299,18 @@
 			return nil, f.fault("field page: no list %d", page)
 		}
 		born := s.current.born
-		do = func(m *scheduler.Coordinator, now time.Duration) {
-			m.ListBegins(now, form != "update", form == "restored")
+		do = func(m *scheduler.Scheduler, now time.Duration) {
+			m.EndpointListBegins(now, form != "update", form == "restored")
 			for _, e := range entries {
-				started := scheduler.LongAgo
+				started := scheduler.StartUnknown
 				if e.started != 0 {
 					started = micros(e.started - born)
 				}
-				m.ReplicaListed(now, e.id, e.life, started, e.cell, e.zone, e.size)
+				m.EndpointListed(now, e.id, e.life, started, e.cell, e.zone, e.size)
 			}
 		}
 	case "DEMAND":
-		id, track := scheduler.RequestID(f.id("requestId")), scheduler.TrackIndex(f.whole("type"))
+		id, track := scheduler.RequestID(f.id("requestId")), scheduler.ClassIndex(f.whole("type"))
 		tenant := scheduler.TenantIndex(f.wholeOr("billing", 0))
 		f.text("item")
 		left := micros(f.whole("budget"))
@@ -320,11 +320,11 @@
 		amount := f.number("measure")
 		f.truth("repeat")
 		f.truth("update")
-		do = func(m *scheduler.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Scheduler, now time.Duration) {
 			if shard < 0 {
 				m.QueryArrives(now, id, number, track, tenant, left, hint, int(amount))
 			} else {
-				m.PartArrives(now, id, number, scheduler.ShardNumber(shard), amount, hint)
+				m.SubqueryArrives(now, id, number, scheduler.ShardNumber(shard), amount, hint)
 			}
 		}
 	case "FIRST": // no track of this wire streams its answers
@@ -339,18 +339,18 @@
 		f.truth("closed")
 		attempt, took := scheduler.AttemptNumber(f.whole("copy")), micros(f.whole("waitTime"))
 		busy := f.load("pressure")
-		do = func(m *scheduler.Coordinator, now time.Duration) {
+		do = func(m *scheduler.Scheduler, now time.Duration) {
 			if busy >= 0 {
-				m.ReplicaReports(now, replica, busy)
+				m.LoadReported(now, replica, busy)
 			}
 			m.AttemptEnds(now, id, attempt, outcome, took)
 		}
 	case "LAPSED":
 		id := scheduler.RequestID(f.id("requestId"))
-		do = func(m *scheduler.Coordinator, now time.Duration) { m.ClientLeaves(now, id) }
+		do = func(m *scheduler.Scheduler, now time.Duration) { m.ClientDisconnects(now, id) }
 	case "WAKE":
 		token := f.text("keyBack")
-		do = func(m *scheduler.Coordinator, now time.Duration) { m.Wakes(now, token) }
+		do = func(m *scheduler.Scheduler, now time.Duration) { m.Wakeup(now, token) }
 	case "PROBE_DONE": // the module sends none
 		f.whole("waitTime")
 		f.outcome()
@@ -367,8 +367,8 @@
 			return nil, f.fault("field msg: no base64")
 		}
 		i := s.current
-		do = func(m *scheduler.Coordinator, now time.Duration) {
-			if err := m.PeerTells(now, from, message); err != nil {
+		do = func(m *scheduler.Scheduler, now time.Duration) {
+			if err := m.GossipReceived(now, from, message); err != nil {
 				i.say("EMIT", err.Error())
 			}
 		}
@@ -381,24 +381,24 @@
 // host encodes what a module asks for.
 type host struct{ i *instance }
 
-func (h *host) Send(part scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
+func (h *host) StartAttempt(part scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	h.i.say("SUBMIT_TO", part, to, timeout.Microseconds())
 }
-func (h *host) Cancel(part scheduler.RequestID, attempt scheduler.AttemptNumber) {
+func (h *host) CancelAttempt(part scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	h.i.say("UNDO_SEND", part, attempt)
 }
-func (h *host) Answer(query scheduler.RequestID, whole bool) {
+func (h *host) Complete(query scheduler.RequestID, whole bool) {
 	h.i.say("ASSEMBLE", query, bit(whole))
 }
-func (h *host) TurnBack(query scheduler.RequestID, comeBack time.Duration) {
+func (h *host) Reject(query scheduler.RequestID, comeBack time.Duration) {
 	h.i.say("PUSH_BACK", query, comeBack.Microseconds())
 }
-func (h *host) Scrap(query scheduler.RequestID) { h.i.say("DROP_REQUEST", query) }
-func (h *host) Wake(name string, in time.Duration) {
+func (h *host) Fail(query scheduler.RequestID) { h.i.say("DROP_REQUEST", query) }
+func (h *host) ScheduleWakeup(name string, in time.Duration) {
 	h.i.say("NOTIFY_ME", name, in.Microseconds())
 }
-func (h *host) FollowList() { h.i.say("LISTEN", bit(true)) }
-func (h *host) Tell(message []byte) {
+func (h *host) PollEndpoints() { h.i.say("LISTEN", bit(true)) }
+func (h *host) Broadcast(message []byte) {
 	h.i.say("POST", "all", base64.StdEncoding.EncodeToString(message))
 }
 func (h *host) Log(text string) { h.i.say("EMIT", text) }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -92,11 +92,11 @@
 	Endpoint    EndpointState
 	Effect      Effect
 	Earlier     []Evidence // of the earlier attempts of the same subquery
-	Most        int        // attempts of a subquery that the settings allow; 0: any number
+	MaxAttempts        int        // attempts of a subquery that the settings allow; 0: any number
 }
 
-// Write tells whether an attempt may be written.
-func (a Attempt) Write() Reason {
+// Check tells whether an attempt may be written.
+func (a Attempt) Check() Reason {
 	switch {
 	case a.ClientGone:
 		return ClientGone
@@ -108,7 +108,7 @@
 		return EndpointRemoved
 	case a.Endpoint == Draining:
 		return EndpointDraining
-	case a.Most > 0 && len(a.Earlier) >= a.Most:
+	case a.MaxAttempts > 0 && len(a.Earlier) >= a.MaxAttempts:
 		return TooManyAttempts
 	}
 	return a.repeat()
@@ -134,18 +134,18 @@
 type Answer struct {
 	Answered bool          // the request has had one
 	Late     time.Duration // past the client's deadline; below 0 before it
-	Stalled  time.Duration // for how long this process has just stood still: nothing can be answered meanwhile
+	LoopStalled  time.Duration // for how long this process has just stood still: nothing can be answered meanwhile
 }
 
 // answerSlack is how late a final answer may be given: the protocol page's 50 ms on every limit.
 const answerSlack = 50 * time.Millisecond
 
-// Give tells whether a final answer may be given. A late one is owed all the same; DeadlinePassed has it counted.
-func (a Answer) Give() Reason {
+// Check tells whether a final answer may be given. A late one is owed all the same; DeadlinePassed has it counted.
+func (a Answer) Check() Reason {
 	switch {
 	case a.Answered:
 		return Answered
-	case a.Late > answerSlack+a.Stalled:
+	case a.Late > answerSlack+a.LoopStalled:
 		return DeadlinePassed
 	}
 	return Allowed
@@ -157,8 +157,8 @@
 	ClientGone  bool // the client closed first, or cannot be written to
 }
 
-// Close tells whether the connection may be closed.
-func (c ClientClose) Close() Reason {
+// Check tells whether the connection may be closed.
+func (c ClientClose) Check() Reason {
 	if c.RequestOpen && !c.ClientGone {
 		return NotAnswered
 	}
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -8,7 +8,7 @@
 )
 
 // sound is an attempt that nothing speaks against.
-func sound() Attempt { return Attempt{TimeLeft: time.Second, Most: 3} }
+func sound() Attempt { return Attempt{TimeLeft: time.Second, MaxAttempts: 3} }
 
 func TestEachConditionRefusesAnAttempt(t *testing.T) {
 	for want, change := range map[Reason]func(*Attempt){
@@ -24,7 +24,7 @@
 	} {
 		a := sound()
 		change(&a)
-		if got := a.Write(); got != want {
+		if got := a.Check(); got != want {
 			t.Errorf("%+v: %v, want %v", a, got, want)
 		}
 	}
@@ -37,7 +37,7 @@
 		{Effect: Keyed, Earlier: []Evidence{MayRun}},
 	} {
 		a.TimeLeft = time.Second
-		if got := a.Write(); got != Allowed {
+		if got := a.Check(); got != Allowed {
 			t.Errorf("%+v: %v", a, got)
 		}
 	}
@@ -49,7 +49,7 @@
 		a := Attempt{
 			TimeLeft: time.Duration(rapid.IntRange(-5, 50).Draw(t, "left")) * time.Millisecond / 10, ClientGone: rapid.Bool().Draw(t, "gone"),
 			QueryClosed: rapid.Bool().Draw(t, "closed"), Endpoint: EndpointState(rapid.IntRange(0, 2).Draw(t, "endpoint")),
-			Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Most: rapid.IntRange(0, 3).Draw(t, "most"),
+			Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), MaxAttempts: rapid.IntRange(0, 3).Draw(t, "most"),
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "earlier") {
 			a.Earlier = append(a.Earlier, Evidence(rapid.IntRange(0, 2).Draw(t, "evidence")))
@@ -57,22 +57,22 @@
 		worse := a
 		worse.TimeLeft -= time.Duration(rapid.IntRange(0, 3).Draw(t, "passed")) * time.Millisecond
 		worse.Earlier = append(append([]Evidence{}, a.Earlier...), MayRun)
-		if a.Write() != Allowed && worse.Write() == Allowed {
-			t.Fatalf("%+v is refused by %v, %+v is allowed", a, a.Write(), worse)
+		if a.Check() != Allowed && worse.Check() == Allowed {
+			t.Fatalf("%+v is refused by %v, %+v is allowed", a, a.Check(), worse)
 		}
 	})
 }
 
 func TestAnswersAndCloses(t *testing.T) {
 	for _, c := range []struct{ got, want Reason }{
-		{Answer{}.Give(), Allowed},
-		{Answer{Late: answerSlack}.Give(), Allowed},
-		{Answer{Late: answerSlack + 1}.Give(), DeadlinePassed},
-		{Answer{Late: answerSlack + 100*time.Millisecond, Stalled: 100 * time.Millisecond}.Give(), Allowed},
-		{Answer{Answered: true, Late: time.Second}.Give(), Answered},
-		{ClientClose{RequestOpen: true}.Close(), NotAnswered},
-		{ClientClose{RequestOpen: true, ClientGone: true}.Close(), Allowed},
-		{ClientClose{}.Close(), Allowed},
+		{Answer{}.Check(), Allowed},
+		{Answer{Late: answerSlack}.Check(), Allowed},
+		{Answer{Late: answerSlack + 1}.Check(), DeadlinePassed},
+		{Answer{Late: answerSlack + 100*time.Millisecond, LoopStalled: 100 * time.Millisecond}.Check(), Allowed},
+		{Answer{Answered: true, Late: time.Second}.Check(), Answered},
+		{ClientClose{RequestOpen: true}.Check(), NotAnswered},
+		{ClientClose{RequestOpen: true, ClientGone: true}.Check(), Allowed},
+		{ClientClose{}.Check(), Allowed},
 	} {
 		if c.got != c.want {
 			t.Errorf("%v, want %v", c.got, c.want)
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -35,8 +35,8 @@
 	least    = 0.02                   // share; something must always come in, or nothing shows that the queue is gone
 )
 
-// Gate is one co-ordinator's. The zero value is open.
-type Gate struct {
+// Controller is one co-ordinator's. The zero value is open.
+type Controller struct {
 	closed  float64       // share that is not let in
 	ends    time.Duration // of the present window
 	waited  time.Duration // least in it so far
@@ -45,19 +45,19 @@
 	crowded int           // windows in a row with a standing queue
 }
 
-// Waited tells that a query's turn came at a time since the start, after it had waited here.
-func (g *Gate) Waited(now, waited time.Duration) {
-	g.Passes(now)
+// QueueDelay tells that a query's turn came at a time since the start, after it had waited here.
+func (g *Controller) QueueDelay(now, waited time.Duration) {
+	g.Tick(now)
 	if !g.seen || waited < g.waited {
 		g.waited = waited
 	}
 	g.seen = true
 }
 
-// Uses tells what share of the core was used since it was last told. The share let in follows it towards the goal.
-func (g *Gate) Uses(now time.Duration, used float64) {
+// CoreUsed tells what share of the core was used since it was last told. The share let in follows it towards the goal.
+func (g *Controller) CoreUsed(now time.Duration, used float64) {
 	g.used += smooth * (used - g.used)
-	g.Passes(now)
+	g.Tick(now)
 	switch share := g.Share(); {
 	case g.crowded >= patience || share == 1 && g.used < full:
 	case g.used >= full: // by how much too much comes is not known
@@ -71,10 +71,10 @@
 	}
 }
 
-func (g *Gate) set(share float64) { g.closed = 1 - max(least, min(1, share)) }
+func (g *Controller) set(share float64) { g.closed = 1 - max(least, min(1, share)) }
 
-// Unread is for how long what comes over sockets may wait unread, as the core is used.
-func (g *Gate) Unread() time.Duration {
+// ReadDelay is for how long what comes over sockets may wait unread, as the core is used.
+func (g *Controller) ReadDelay() time.Duration {
 	switch {
 	case g.used >= full || g.crowded > 0:
 		return stands
@@ -84,8 +84,8 @@
 	return 0
 }
 
-// Passes tells the time; it decides once for a window that is over, whatever came after it.
-func (g *Gate) Passes(now time.Duration) {
+// Tick tells the time; it decides once for a window that is over, whatever came after it.
+func (g *Controller) Tick(now time.Duration) {
 	if now < g.ends {
 		return
 	}
@@ -100,10 +100,10 @@
 }
 
 // Share is the share of arrivals to let in, above 0 and up to 1.
-func (g *Gate) Share() float64 { return 1 - g.closed }
+func (g *Controller) Share() float64 { return 1 - g.closed }
 
-// Lets tells whether the n-th arrival, counted from 1, is let in at a share: of any n in a row, within one of the share,
+// Admits tells whether the n-th arrival, counted from 1, is let in at a share: of any n in a row, within one of the share,
 // evenly spread.
-func Lets(n uint64, share float64) bool {
+func Admits(n uint64, share float64) bool {
 	return share >= 1 || math.Floor(float64(n)*share) != math.Floor(float64(n-1)*share)
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -10,14 +10,14 @@
 const ms = time.Millisecond
 
 // feed tells a gate of an arrival each millisecond.
-func feed(g *Gate, from, to time.Duration, waited func(time.Duration) time.Duration) {
+func feed(g *Controller, from, to time.Duration, waited func(time.Duration) time.Duration) {
 	for now := from; now < to; now += ms {
-		g.Waited(now, waited(now))
+		g.QueueDelay(now, waited(now))
 	}
 }
 
 func TestDrainedStandstillNeverCloses(t *testing.T) {
-	var g Gate
+	var g Controller
 	for n := range 100 {
 		at := time.Duration(n) * 400 * ms
 		feed(&g, at, at+45*ms, func(now time.Duration) time.Duration { return 2*time.Second - now + at })
@@ -29,7 +29,7 @@
 }
 
 func TestStandingQueueClosesAndItsEndOpens(t *testing.T) {
-	var g Gate
+	var g Controller
 	feed(&g, 0, 1000*ms, func(time.Duration) time.Duration { return 30 * ms })
 	if g.Share() > 0.5 {
 		t.Errorf("share %v after a second of a standing queue", g.Share())
@@ -38,9 +38,9 @@
 	if math.Abs(g.Share()-least) > 1e-9 {
 		t.Errorf("share %v at the least, want %v", g.Share(), least)
 	}
-	g.Passes(21 * time.Second) // nothing comes in: it must open all the same
+	g.Tick(21 * time.Second) // nothing comes in: it must open all the same
 	for now := 21 * time.Second; now < 25*time.Second; now += 2 * window {
-		g.Uses(now, 0.01)
+		g.CoreUsed(now, 0.01)
 	}
 	if g.Share() != 1 {
 		t.Errorf("share %v four seconds after the queue is gone", g.Share())
@@ -51,7 +51,7 @@
 // and what is let in waits no longer than two seconds. Turning back costs a fifth of serving.
 func TestServerBehindTheGateStaysBusyAndItsQueueShort(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 3} {
-		var g Gate
+		var g Controller
 		rnd := rand.New(rand.NewPCG(uint64(load*10), 1))
 		const capacity, turning = 4000.0, 0.2 // a second; of a serving
 		queue, done, longest, came, used := 0.0, 0.0, 0.0, uint64(0), 0.0
@@ -61,7 +61,7 @@
 			room := left
 			for range poisson(rnd, load*capacity*step.Seconds()) {
 				came++
-				if Lets(came, g.Share()) {
+				if Admits(came, g.Share()) {
 					queue++
 				} else {
 					left -= turning
@@ -71,9 +71,9 @@
 			queue, done = queue-worked, done+worked
 			used += min(1, (room-left+worked)/room)
 			wait := queue / capacity
-			g.Waited(now, time.Duration(wait*float64(time.Second)))
+			g.QueueDelay(now, time.Duration(wait*float64(time.Second)))
 			if now%(100*ms) == 99*ms {
-				g.Uses(now, used/100)
+				g.CoreUsed(now, used/100)
 				used = 0
 			}
 			if now > 2*time.Second {
@@ -102,7 +102,7 @@
 	for _, share := range []float64{least, 0.1, 0.333, 0.5, 0.97, 1} {
 		in := 0
 		for n := uint64(1); n <= 10000; n++ {
-			if Lets(n, share) {
+			if Admits(n, share) {
 				in++
 			}
 			if math.Abs(float64(in)-share*float64(n)) > 1.001 {
--- a/proofs/ways-back/main.go
+++ b/proofs/ways-back/main.go
@@ -174,7 +174,7 @@
 				fates[q.How]++
 			}
 		}
-		fmt.Printf("%v, sound in %v: %v\n%+v\n%s\n", f.Now, h.SoundAt-f.Now, fates, f.Node.Module.Beliefs(), f.Node.Module.Fleet())
+		fmt.Printf("%v, sound in %v: %v\n%+v\n%s\n", f.Now, h.SoundAt-f.Now, fates, f.Node.Module.ClassEstimates(), f.Node.Module.DescribeReplicas())
 	}
 	v, err := h.Run()
 	fmt.Printf("%+v %v\n", v, err)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -29,11 +29,11 @@
 
 // judge books whether a query is fulfilled in time, as soon as that is known. The fewer of a track this
 // co-ordinator sees, the more each counts, or it would notice a jam only once it is over.
-func (c *Coordinator) judge(q *query, kept bool) {
+func (c *Scheduler) judge(q *query, kept bool) {
 	if q.judged {
 		return
 	}
-	t, late := q.track, 1-lateShare
+	t, late := q.class, 1-lateShare
 	if kept {
 		late = -lateShare
 	}
@@ -51,23 +51,23 @@
 }
 
 // excess is by how much a query is expected to miss the bound that its agreed time sets.
-func (c *Coordinator) excess(q *query) (over, bound time.Duration) {
+func (c *Scheduler) excess(q *query) (over, bound time.Duration) {
 	at, mean, left, steps := map[replica]bool{}, time.Duration(0), q.agreed-q.arrived, 0.0
-	if q.track.fetch > 0 && q.step == 0 { // what follows takes as long as these do
-		steps = c.slowestOf(q.track.fetch)
-		left -= scale(q.track.unit, c.others()*steps)
+	if q.class.fetch > 0 && q.step == 0 { // what follows takes as long as these do
+		steps = c.slowestOf(q.class.fetch)
+		left -= scale(q.class.unit, c.others()*steps)
 	}
-	bound = scale(left, 1/(q.track.longer*c.others()))
+	bound = scale(left, 1/(q.class.longer*c.others()))
 	if q.overShare {
 		bound = scale(bound, overShare)
 	}
-	for _, p := range q.parts { // those at one replica end together
+	for _, p := range q.subqueries { // those at one replica end together
 		if p.at != nowhere && !at[p.at] {
 			at[p.at], mean = true, mean+c.finish(p.at, 0)
 		}
 	}
 	over = scale(mean, (steps+c.slowestOf(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
-	if !q.reaches(func(p *part) bool { return p.at == nowhere || c.finish(p.at, 0) <= bound }) {
+	if !q.reaches(func(p *subquery) bool { return p.at == nowhere || c.finish(p.at, 0) <= bound }) {
 		for r := range at {
 			over = max(over, c.finish(r, 0)-bound)
 		}
@@ -77,7 +77,7 @@
 
 // admit turns a new query back that cannot be expected to make its agreed time. Guards against: overload.
 // Could hurt: if the expected times are far too long.
-func (c *Coordinator) admit(q *query, mine []*part) {
+func (c *Scheduler) admit(q *query, mine []*subquery) {
 	over, bound := c.excess(q)
 	if over <= 0 || c.letIn(q, mine, bound) {
 		return
@@ -86,22 +86,22 @@
 		c.host.Log("turning retrievals back: too much work is waiting")
 	}
 	c.shedAt = c.now
-	c.host.TurnBack(q.id, min(over, c.maxReturn))
+	c.host.Reject(q.id, min(over, c.maxReturn))
 	c.end(q, false)
 }
 
 // letTimes is how many times the times between those that are let in so: others let some in as well, and what
 // each lets in weighs on all; large ones cost more.
-func (c *Coordinator) letTimes(q *query) float64 {
+func (c *Scheduler) letTimes(q *query) float64 {
 	crowd := max(1, float64(c.balancers)/fewAlike)
-	return c.tempo * min(letRarest, crowd*math.Pow(max(1, float64(len(q.parts))/scoutsMany), 2))
+	return c.tempo * min(letRarest, crowd*math.Pow(max(1, float64(len(q.subqueries))/scoutsMany), 2))
 }
 
 // letIn lets a query in that would be turned back, if nothing is out that could show whether the replicas
 // against it are so slow; twice as much may be out there after each in time; a late one begins anew after a
 // wait. Guards against: beliefs that keep all work away for good. Could hurt: by one in that wait.
-func (c *Coordinator) letIn(q *query, mine []*part, bound time.Duration) bool {
-	t := q.track
+func (c *Scheduler) letIn(q *query, mine []*subquery, bound time.Duration) bool {
+	t := q.class
 	if t.shedAt == 0 || c.now > t.shedAt+shedQuiet {
 		t.trickle, t.letGap, t.letAt = 1, scale(letFirst, c.letTimes(q)), c.now+scale(letFirst, c.letTimes(q))
 	}
@@ -110,10 +110,10 @@
 	waits := func(r replica) bool { // no trial otherwise
 		return c.aside[r][t.index] && c.now >= c.trialAt[r]+scale(trialMost, c.tempo)
 	}
-	over := slices.ContainsFunc(mine, func(p *part) bool {
+	over := slices.ContainsFunc(mine, func(p *subquery) bool {
 		return p.at != nowhere && c.finish(p.at, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
 	})
-	q.let = over && c.now >= t.letAt && !slices.ContainsFunc(mine, func(p *part) bool {
+	q.let = over && c.now >= t.letAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
 		return p.at != nowhere && float64(len(c.outs[p.at])) >= t.trickle && c.finish(p.at, 0) > bound
 	})
 	return q.let
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -12,12 +12,12 @@
 
 // How settings are read: nothing here chooses anything.
 
-func (c *Coordinator) miss(name string) {
+func (c *Scheduler) miss(name string) {
 	c.missing = cmp.Or(c.missing, fmt.Errorf("setting %s is missing or unreadable", name))
 }
 
 // number is a setting, 0 where there is none; one that must be there is above 0.
-func (c *Coordinator) number(name string, must bool) float64 {
+func (c *Scheduler) number(name string, must bool) float64 {
 	n := c.nth(name, 0, 0)
 	if must && n <= 0 {
 		c.miss(name)
@@ -26,7 +26,7 @@
 }
 
 // nth is one of a list.
-func (c *Coordinator) nth(name string, n int, absent float64) float64 {
+func (c *Scheduler) nth(name string, n int, absent float64) float64 {
 	values := strings.Split(c.settings[name], ",")
 	if n >= len(values) || values[n] == "" || values[n] == "-" {
 		return absent
@@ -38,12 +38,12 @@
 	return v
 }
 
-func (c *Coordinator) span(name string, must bool) time.Duration {
+func (c *Scheduler) span(name string, must bool) time.Duration {
 	return time.Duration(c.number(name, must)) * time.Microsecond
 }
 
 // read reads all settings.
-func (c *Coordinator) read() {
+func (c *Scheduler) read() {
 	settings := c.settings
 	c.balancers = max(1, int(c.number("balancers", true)))
 	c.cells, c.reach = int(c.number("familyInfo.cells", true)), int(c.number("familyInfo.span", true))
@@ -51,7 +51,7 @@
 	c.quickest, c.self = math.MaxInt64, int(c.number("selfIndex", false))
 	for n := range int(c.number("lanes.count", true)) {
 		path := fmt.Sprintf("lanes.%d.", n)
-		t := track{index: n, agreed: c.span(path+"aim", true), cutOff: c.span(path+"deadline", true),
+		t := class{index: n, agreed: c.span(path+"aim", true), cutOff: c.span(path+"deadline", true),
 			window: c.span(path+"window", false), stretch: c.number(path+"aimStretch", false),
 			need: c.nth("familyInfo.classNeed", n, 1), fetch: int(c.nth("familyInfo.classFetch", n, 0)),
 			effect: settings[path+"effect"], hintUnit: 1, longer: 1}
@@ -60,7 +60,7 @@
 			c.miss(path + "effect")
 		}
 		t.unit, c.quickest, c.slowest = scale(t.agreed, startUnit), min(c.quickest, t.agreed), max(c.slowest, t.cutOff)
-		c.tracks = append(c.tracks, t)
+		c.classes = append(c.classes, t)
 	}
 	c.zonePenalty = scale(c.quickest, c.number("tariffs.crossZone", false))
 	c.tempo = min(1, float64(c.quickest)/float64(usualPace))
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -15,8 +15,8 @@
 	askPatience = 8 * time.Second        // without any reply, after which a call counts as lost
 )
 
-// ListBegins opens a list: changes, or all, when who is not told is gone; an old one is an earlier life's.
-func (c *Coordinator) ListBegins(now time.Duration, full, old bool) {
+// EndpointListBegins opens a list: changes, or all, when who is not told is gone; an old one is an earlier life's.
+func (c *Scheduler) EndpointListBegins(now time.Duration, full, old bool) {
 	c.clock(now)
 	clear(c.held)
 	if old {
@@ -25,18 +25,18 @@
 		c.subscribed, c.askWait = true, askFirst
 	}
 	for r := 0; full && r < len(c.life); r++ {
-		c.life[r] = Left
+		c.life[r] = Removed
 	}
 }
 
-func (c *Coordinator) ReplicaListed(now time.Duration, id ReplicaID, life Life, started time.Duration,
+func (c *Scheduler) EndpointListed(now time.Duration, id ReplicaID, life EndpointState, started time.Duration,
 	cell CellNumber, zone ZoneIndex, size float64) {
 	clear(c.held)
 	r, known := c.index[id]
 	if !known {
 		r = c.room()
 		delete(c.index, c.id[r])
-		c.index[id], c.id[r], c.started[r], c.growing[r] = r, id, LongAgo, false
+		c.index[id], c.id[r], c.started[r], c.growing[r] = r, id, StartUnknown, false
 		c.pace[r], c.recent[r], c.usual[r], c.limit[r] = 1, 1, 1, startCap
 		c.credit[r], c.ceiling[r] = startCredit, maxCap
 		c.toldAt[r], c.ahead[r], c.fullTo[r] = 0, 0, 0
@@ -55,7 +55,7 @@
 	}
 }
 
-func (c *Coordinator) ListFailed(now time.Duration) {
+func (c *Scheduler) EndpointPollFailed(now time.Duration) {
 	c.clock(now)
 	c.subscribed = false
 	c.askAt = now + scale(c.askWait, 0.5+c.chance())
@@ -64,11 +64,11 @@
 
 // follow asks to be told of changes to the list. Guards against: a list that is lost, silently or not. Could
 // hurt: by adding to the load of a list service that is swamped, hence the wait.
-func (c *Coordinator) follow() {
+func (c *Scheduler) follow() {
 	if c.asks && !c.subscribed {
 		if c.now >= c.askAt {
 			c.askAt = c.now + min(askPatience, c.askEvery/2)
-			c.host.FollowList()
+			c.host.PollEndpoints()
 		}
 		c.wake(c.askAt)
 	}
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -21,7 +21,7 @@
 		longest := time.Duration(0)
 		for range 12 { // an outage of some minutes
 			before := len(m.asks)
-			m.c.ListFailed(m.now)
+			m.c.EndpointPollFailed(m.now)
 			m.turn()
 			failed := m.now
 			for len(m.asks) == before && m.now < failed+time.Minute {
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -32,7 +32,7 @@
 	spreads   = 1.2  // times one part's time, for each e-fold of parts, to the slowest
 )
 
-func (c *Coordinator) answered(r replica, t *track, l *attempt, took time.Duration) {
+func (c *Scheduler) answered(r replica, t *class, l *attempt, took time.Duration) {
 	c.replyAt[r], c.answeredAt[r][t.index], c.errs[r][t.index] = c.now, c.now, 0
 	c.countAnswered(r)
 	for _, o := range c.outs[r] {
@@ -84,13 +84,13 @@
 
 // learn takes up a part of a reply's surprise, told against what the track's work is taken for now. Guards
 // against: replies in crowds, each of which corrects the same old error again. Could hurt: by learning later.
-func (t *track) learn(surprise float64) {
+func (t *class) learn(surprise float64) {
 	grow := math.Exp(unitStep * max(-1, min(1, surprise)))
 	grow = max(float64(leastWork), min(float64(t.cutOff), float64(t.unit)*grow)) / float64(t.unit)
 	t.unit, t.hintUnit = scale(t.unit, grow), t.hintUnit*grow
 }
 
-func (c *Coordinator) finish(r replica, more time.Duration) time.Duration {
+func (c *Scheduler) finish(r replica, more time.Duration) time.Duration {
 	d := scale(scale(c.outWork[r]+c.heldWork[r]+c.waits(r)+more, 1/c.lanes), c.takes(r))
 	if c.now < c.fullTo[r] {
 		d += c.slowest
@@ -102,7 +102,7 @@
 }
 
 // takes is how many times a part's work its replica takes for it.
-func (c *Coordinator) takes(r replica) float64 {
+func (c *Scheduler) takes(r replica) float64 {
 	if !c.sized {
 		return c.pace[r]
 	}
@@ -110,6 +110,6 @@
 }
 
 // slowestOf is how many times the time of one part the slowest of so many is expected to take.
-func (c *Coordinator) slowestOf(parts int) float64 {
+func (c *Scheduler) slowestOf(parts int) float64 {
 	return 1 + c.spreads*math.Log(float64(max(1, parts)))
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,7 +17,7 @@
 	if len(m.sent) != 1 {
 		t.Fatalf("%d parts sent at once", len(m.sent))
 	}
-	m.end(m.outs()[0].p, 0, Fulfilled)
+	m.end(m.outs()[0].p, 0, Succeeded)
 	m.turn()
 	if len(m.sent) != 20 {
 		t.Fatalf("%d parts sent once one is in", len(m.sent))
@@ -26,7 +26,7 @@
 	q := m.ask(0, 20, 3*time.Second)
 	m.turn()
 	m.pass(20 * ms)
-	m.end(q.parts[0], 0, Reset)
+	m.end(q.parts[0], 0, ConnectionReset)
 	m.turn()
 	m.pass(250 * ms)
 	if len(m.sent) != 22 || len(q.parts[0].attempts) != 2 {
@@ -80,7 +80,7 @@
 			m.pass(100 * ms)
 			for _, o := range m.outs() {
 				if m.now-o.p.attempts[o.n].at >= 100*ms {
-					m.end(o.p, o.n, Fulfilled)
+					m.end(o.p, o.n, Succeeded)
 				}
 			}
 		}
@@ -114,7 +114,7 @@
 		m.many(alike, self)
 		m.only(102, 104, 105) // 104 alone holds shard 0
 		for m.now < 7*time.Second {
-			if m.now >= 3*time.Second && m.replicas[104].started == LongAgo {
+			if m.now >= 3*time.Second && m.replicas[104].started == StartUnknown {
 				m.replicas[104].started = m.now
 				m.tell(false, false, 104)
 			}
@@ -124,7 +124,7 @@
 			m.turn()
 			m.pass(400 * ms)
 			for _, o := range m.outs() {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 			}
 		}
 		for _, p := range m.parts {
@@ -151,7 +151,7 @@
 	for _, busy := range []float64{0.3, 0.95} {
 		m := newModel(t, 0)
 		for range 100 {
-			m.c.ReplicaReports(m.now, 0, busy)
+			m.c.LoadReported(m.now, 0, busy)
 		}
 		if copies := m.copiesOfThree(); (copies > 0) != (busy < 0.5) {
 			t.Errorf("%d copies of stragglers while replicas are busy to %v", copies, busy)
@@ -165,7 +165,7 @@
 	m.turn()
 	m.pass(80 * ms)
 	for _, p := range q.parts[:7] {
-		m.end(p, 0, Fulfilled)
+		m.end(p, 0, Succeeded)
 	}
 	m.turn()
 	for range 80 {
@@ -181,7 +181,7 @@
 func TestBusyReplicasAreForgottenOnceNobodyTells(t *testing.T) {
 	m := newModel(t, 0)
 	for range 100 {
-		m.c.ReplicaReports(m.now, 0, 0.95)
+		m.c.LoadReported(m.now, 0, 0.95)
 	}
 	m.pass(shedQuiet + 10*ms)
 	if m.copiesOfThree() == 0 {
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -16,12 +16,12 @@
 
 // waits is the work that other co-ordinators have out at a replica, by what they told of attempts sent and ended,
 // less with time, as what is lost would stay. It stands in for the controller, which knows all work ahead.
-func (c *Coordinator) waits(r replica) time.Duration {
+func (c *Scheduler) waits(r replica) time.Duration {
 	return scale(c.ahead[r], math.Exp(-float64(c.now-c.aheadAt[r])/float64(toldFresh)))
 }
 
-// PeerTells takes what another co-ordinator says of its attempts. Late ones count for the pace as own replies do.
-func (c *Coordinator) PeerTells(now time.Duration, from PeerIndex, message []byte) error {
+// GossipReceived takes what another co-ordinator says of its attempts. Late ones count for the pace as own replies do.
+func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
 	c.clock(now)
 	err := decodeAhead(message, c.cells, func(l attemptsAt) {
 		for _, r := range c.holders(ShardNumber(l.cell)) {
@@ -53,7 +53,7 @@
 }
 
 // others is how many times the expected finish what others have waiting may make of it, unless they tell.
-func (c *Coordinator) others() float64 {
+func (c *Scheduler) others() float64 {
 	if c.heard() {
 		return 1
 	}
@@ -61,4 +61,4 @@
 }
 
 // heard tells whether the others tell what they send.
-func (c *Coordinator) heard() bool { return c.peersAt > 0 && c.now < c.peersAt+peersQuiet }
+func (c *Scheduler) heard() bool { return c.peersAt > 0 && c.now < c.peersAt+peersQuiet }
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -27,7 +27,7 @@
 
 // idle is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
 // Guards against: copies that make a jam unseen by one of many. Could hurt: stragglers of a busy fleet wait.
-func (c *Coordinator) idle(r replica) float64 {
+func (c *Scheduler) idle(r replica) float64 {
 	busy := c.busy
 	if c.toldAt[r] > 0 && c.now-c.toldAt[r] < toldFresh {
 		busy = c.told[r]
@@ -37,14 +37,14 @@
 
 // late is how long an attempt may take before it is a straggler among its query's; while most others are out,
 // any time. Guards against: copies of heavy queries, or in a jam. Could hurt: where most replicas hang.
-func (c *Coordinator) late(l *attempt, times float64) time.Duration {
+func (c *Scheduler) late(l *attempt, times float64) time.Duration {
 	q := l.of.of
-	many := float64(len(q.parts)) / fewParts
-	if q.in < mostIn*min(1, many)*float64(len(q.parts)-1) {
+	many := float64(len(q.subqueries)) / fewParts
+	if q.in < mostIn*min(1, many)*float64(len(q.subqueries)-1) {
 		return math.MaxInt64
 	}
 	pace := c.pace[l.at]
-	if times = max(leastTimes, times/max(1, many)); q.missing() <= float64(len(q.parts))/lastShare {
+	if times = max(leastTimes, times/max(1, many)); q.missing() <= float64(len(q.subqueries))/lastShare {
 		times, pace = lastTimes, min(1, pace)
 	}
 	return scale(l.base, times*pace*max(1, (1+q.ratio)/(1+q.in)))
@@ -52,17 +52,17 @@
 
 // stuck tells whether an attempt can be given up for dead: later ones are answered there, or its track is set
 // aside. Guards against: connections that fall silent, lost parts. Could hurt: by copies of heavy parts.
-func (c *Coordinator) stuck(l *attempt) bool {
-	return c.aside[l.at][l.of.of.track.index] ||
+func (c *Scheduler) stuck(l *attempt) bool {
+	return c.aside[l.at][l.of.of.class.index] ||
 		l.passed >= hungPassed && c.now-l.sentAt > scale(l.base+jitter, hungTimes*c.pace[l.at])
 }
 
 // further sends a second copy of a part whose attempt takes much longer than expected, where there is credit.
-func (c *Coordinator) further(q *query) {
-	for _, p := range q.parts {
+func (c *Scheduler) further(q *query) {
+	for _, p := range q.subqueries {
 		if l := p.lastOut(); l != nil && !q.ended && !q.doubtful() {
 			best := c.copyTo(q, p, l)
-			c.look(func(as *Coordinator) { c.watched.copies(l, best, as.copyTo(q, p, l)) })
+			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.copyTo(q, p, l)) })
 			if best != nowhere {
 				c.copies = max(0, c.copies-1)
 				c.send(p, best)
@@ -72,8 +72,8 @@
 }
 
 // copyTo is where a copy beside a part's last attempt is to go now, or nowhere.
-func (c *Coordinator) copyTo(q *query, p *part, l *attempt) replica {
-	age, many := c.now-l.sentAt, float64(len(q.parts))/fewParts
+func (c *Scheduler) copyTo(q *query, p *subquery, l *attempt) replica {
+	age, many := c.now-l.sentAt, float64(len(q.subqueries))/fewParts
 	if !c.mayCopy || p.in || p.gone || p.held || !c.mayRepeat(p) || !c.mayGoOn() ||
 		age < c.late(l, patience) && !c.stuck(l) {
 		return nowhere
@@ -81,13 +81,13 @@
 	best := c.choose(p, func(r replica) time.Duration {
 		d := c.finish(r, p.work)
 		if p.tried(r, true) || c.credit[r] < 1 || float64(len(c.outs[r])) >= c.limit[r] ||
-			c.erring(r, q.track, false) || d >= min(q.endAt-c.now, max(age, 2*l.base)) ||
+			c.erring(r, q.class, false) || d >= min(q.endAt-c.now, max(age, 2*l.base)) ||
 			(!c.stuck(l) || c.idle(r) == 0) && c.now+scale(d, copyRoom*max(1, many)) <= q.agreed {
 			return -1
 		}
 		return d
 	})
-	last := q.missing() <= max(lastParts, float64(len(q.parts))/lastShare)
+	last := q.missing() <= max(lastParts, float64(len(q.subqueries))/lastShare)
 	if best == nowhere || last || c.copies*c.idle(best) >= 1 {
 		return best
 	}
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -13,7 +13,7 @@
 	ReplicaID     uint32
 	QueryNumber   int64 // what a query and its parts have in common
 	AttemptNumber int   // counts the attempts of a part from 0
-	TrackIndex    int
+	ClassIndex    int
 	TenantIndex   int
 	ShardNumber   int
 	CellNumber    int
@@ -25,38 +25,38 @@
 
 // Turned away, unreachable and moot prove that an attempt never ran.
 const (
-	Fulfilled Outcome = iota
-	Erred
-	TurnedAway
+	Succeeded Outcome = iota
+	Failed
+	Overloaded
 	TimedOut
 	Unreachable
-	Reset
+	ConnectionReset
 	Cancelled
-	Moot
-	Spoilt // what came for it cannot be used; the replica lives
+	NeverSent
+	MalformedReply // what came for it cannot be used; the replica lives
 )
 
-// Life is what the list says of a replica.
-type Life int
+// EndpointState is what the list says of a replica.
+type EndpointState int
 
 const (
-	Active Life = iota
-	Leaving
-	Left
+	Ready EndpointState = iota
+	Draining
+	Removed
 )
 
-// LongAgo is the start of a replica of which no start is known.
-const LongAgo = time.Duration(math.MinInt64 / 4)
+// StartUnknown is the start of a replica of which no start is known.
+const StartUnknown = time.Duration(math.MinInt64 / 4)
 
 // Host carries out what a Coordinator decides, at once and in the order of the calls.
 type Host interface {
-	Send(part RequestID, to ReplicaID, timeout time.Duration) // 0: until the client gives up
-	Cancel(part RequestID, attempt AttemptNumber)
-	Answer(query RequestID, whole bool)
-	TurnBack(query RequestID, comeBack time.Duration) // 0: no time named
-	Scrap(query RequestID)
-	Wake(name string, in time.Duration)
-	FollowList()
-	Tell(message []byte) // to every other co-ordinator; it may be lost
+	StartAttempt(part RequestID, to ReplicaID, timeout time.Duration) // 0: until the client gives up
+	CancelAttempt(part RequestID, attempt AttemptNumber)
+	Complete(query RequestID, whole bool)
+	Reject(query RequestID, comeBack time.Duration) // 0: no time named
+	Fail(query RequestID)
+	ScheduleWakeup(name string, in time.Duration)
+	PollEndpoints()
+	Broadcast(message []byte) // to every other co-ordinator; it may be lost
 	Log(text string)
 }
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -17,7 +17,7 @@
 }
 
 // Ledger is a copy of what has been counted so far.
-func (c *Coordinator) Ledger() Ledger {
+func (c *Scheduler) Ledger() Ledger {
 	l := Ledger{taken: slices.Clone(c.taken), extras: slices.Clone(c.extras), coldUntil: maps.Clone(c.coldBefore),
 		flow: c.flow, warm: c.warm, blank: c.blank, asked: slices.Clone(c.asked)}
 	if l.coldUntil == nil {
@@ -31,7 +31,7 @@
 
 // Resume has a Coordinator that was just made go on with another's ledger, of the same settings and process. It is to be
 // called before anything else.
-func (c *Coordinator) Resume(l Ledger) {
+func (c *Scheduler) Resume(l Ledger) {
 	c.taken, c.extras = l.taken, l.extras
 	c.coldBefore = l.coldUntil
 	c.flow, c.warm, c.blank = l.flow, l.warm, l.blank
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -41,7 +41,7 @@
 }
 
 type modelReplica struct {
-	life          Life
+	life          EndpointState
 	told, started time.Duration
 	cell          int
 	work          []time.Duration // when parts were sent while it was cold
@@ -50,7 +50,7 @@
 
 type model struct {
 	t              testing.TB
-	c              *Coordinator
+	c              *Scheduler
 	now            time.Duration
 	settings       map[string]string
 	effects        []string
@@ -131,7 +131,7 @@
 	}
 	m.settings = s
 	for id := ReplicaID(100); id < 106; id++ {
-		m.replicas[id] = &modelReplica{started: LongAgo, cell: int(id) % 3}
+		m.replicas[id] = &modelReplica{started: StartUnknown, cell: int(id) % 3}
 		m.order = append(m.order, id)
 	}
 	m.start(uint64(bits))
@@ -154,10 +154,10 @@
 
 // tell lists replicas to the module.
 func (m *model) tell(full, old bool, ids ...ReplicaID) {
-	m.c.ListBegins(m.now, full, old)
+	m.c.EndpointListBegins(m.now, full, old)
 	for _, id := range ids {
 		r := m.replicas[id]
-		m.c.ReplicaListed(m.now, id, r.life, r.started, CellNumber(r.cell), ZoneIndex(id%2), 0)
+		m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), ZoneIndex(id%2), 0)
 		r.unknown = false
 	}
 }
@@ -169,7 +169,7 @@
 		happen()
 	}
 	m.lastFirst = 0
-	m.c.TurnEnds(m.now)
+	m.c.Decide(m.now)
 }
 
 func (m *model) bad(format string, args ...any) {
@@ -177,7 +177,7 @@
 	m.t.Fatalf("at %v: "+format, append([]any{m.now}, args...)...)
 }
 
-func (m *model) Send(id RequestID, to ReplicaID, timeout time.Duration) {
+func (m *model) StartAttempt(id RequestID, to ReplicaID, timeout time.Duration) {
 	p, r := m.parts[id], m.replicas[to]
 	if p == nil || r == nil {
 		m.bad("rule 1: a leg of %d to %d, one of them not known", id, to)
@@ -188,7 +188,7 @@
 	if behind := (r.cell - p.shard%m.cells + m.cells) % m.cells; behind >= m.reach {
 		m.bad("replica %d does not hold shard %d", to, p.shard)
 	}
-	if r.life != Active && m.now > r.told+modelGrace {
+	if r.life != Ready && m.now > r.told+modelGrace {
 		m.bad("rule 3: a leg to %d, which was told to be leaving or gone at %v", to, r.told)
 	}
 	if len(p.attempts) >= m.maxAttempts {
@@ -207,7 +207,7 @@
 		if !l.done {
 			running++
 		}
-		provedNot := l.done && (l.how == TurnedAway || l.how == Unreachable || l.how == Moot)
+		provedNot := l.done && (l.how == Overloaded || l.how == Unreachable || l.how == NeverSent)
 		if !provedNot && mayHaveRun < 0 {
 			mayHaveRun = l.at
 		}
@@ -239,7 +239,7 @@
 			m.bad("rule 6: %d further legs for %d taken", within(m.extras), within(m.taken))
 		}
 	}
-	if age := m.now - r.started; r.started != LongAgo && age < modelWarm {
+	if age := m.now - r.started; r.started != StartUnknown && age < modelWarm {
 		// warm replicas here do two parts at once; each part is modelWork
 		r.work = append(r.work, m.now)
 		recent := 0
@@ -257,7 +257,7 @@
 	m.sent = append(m.sent, id)
 }
 
-func (m *model) Cancel(id RequestID, n AttemptNumber) {
+func (m *model) CancelAttempt(id RequestID, n AttemptNumber) {
 	p := m.parts[id]
 	if p == nil || int(n) >= len(p.attempts) || !m.cancel {
 		m.bad("cancel of leg %d of %d", n, id)
@@ -277,7 +277,7 @@
 	return q
 }
 
-func (m *model) Answer(id RequestID, whole bool) {
+func (m *model) Complete(id RequestID, whole bool) {
 	q := m.final(id)
 	got, in := 0.0, 0
 	for _, p := range q.parts {
@@ -306,25 +306,25 @@
 	}
 }
 
-func (m *model) TurnBack(id RequestID, comeBack time.Duration) {
+func (m *model) Reject(id RequestID, comeBack time.Duration) {
 	q := m.final(id)
 	m.turnedBack++
 	for _, p := range q.parts {
 		for _, l := range p.attempts {
-			if m.effects[q.track] == "side_effect" && !(l.done && (l.how == TurnedAway || l.how == Unreachable || l.how == Moot)) {
+			if m.effects[q.track] == "side_effect" && !(l.done && (l.how == Overloaded || l.how == Unreachable || l.how == NeverSent)) {
 				m.bad("rule 2: single-use %d turned back after a leg that may have run", id)
 			}
 		}
 	}
 }
 
-func (m *model) Scrap(id RequestID) { m.final(id) }
+func (m *model) Fail(id RequestID) { m.final(id) }
 
-func (m *model) Wake(name string, in time.Duration) { m.wakes = append(m.wakes, m.now+in) }
+func (m *model) ScheduleWakeup(name string, in time.Duration) { m.wakes = append(m.wakes, m.now+in) }
 
-func (m *model) FollowList() { m.asks = append(m.asks, m.now) }
+func (m *model) PollEndpoints() { m.asks = append(m.asks, m.now) }
 
-func (m *model) Tell(message []byte) { m.told = append(m.told, message) }
+func (m *model) Broadcast(message []byte) { m.told = append(m.told, message) }
 
 func (m *model) Log(text string) { m.logs = append(m.logs, text) }
 
@@ -334,7 +334,7 @@
 	q.parts = append(q.parts, p)
 	m.parts[p.id] = p
 	m.taken = append(m.taken, m.now)
-	m.c.PartArrives(m.now, p.id, q.number, ShardNumber(shard), weight, 0)
+	m.c.SubqueryArrives(m.now, p.id, q.number, ShardNumber(shard), weight, 0)
 }
 
 // ask hands the module a query of so many parts.
@@ -343,7 +343,7 @@
 	q := &modelQuery{id: m.nextID, number: QueryNumber(m.nextID), track: track, endAt: m.now + left}
 	m.queries[q.id] = q
 	m.taken = append(m.taken, m.now)
-	m.c.QueryArrives(m.now, q.id, q.number, TrackIndex(track), 0, left, 0, parts)
+	m.c.QueryArrives(m.now, q.id, q.number, ClassIndex(track), 0, left, 0, parts)
 	for n := range parts {
 		m.newPart(q, m.shard+n, 1/float64(parts))
 	}
@@ -354,7 +354,7 @@
 func (m *model) end(p *modelPart, n int, how Outcome) {
 	l := p.attempts[n]
 	l.done, l.how = true, how
-	if how == Fulfilled && !p.of.ended {
+	if how == Succeeded && !p.of.ended {
 		p.in = true
 	}
 	m.c.AttemptEnds(m.now, p.id, AttemptNumber(n), how, m.now-l.at)
@@ -388,7 +388,7 @@
 		woken := len(m.wakes)
 		m.wakes = slices.DeleteFunc(m.wakes, func(at time.Duration) bool { return at <= m.now })
 		if len(m.wakes) < woken {
-			m.c.Wakes(m.now, "look")
+			m.c.Wakeup(m.now, "look")
 			m.turn()
 		}
 		for _, o := range m.outs() {
@@ -438,18 +438,18 @@
 	case 4, 5, 6, 7:
 		for _, o := range outs[:min(len(outs), 1+b%6)] {
 			if m.now-o.p.attempts[o.n].at >= modelWork/2 {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 			}
 		}
 	case 8:
 		if len(outs) > 0 {
 			o := outs[a%len(outs)]
-			m.end(o.p, o.n, []Outcome{Erred, TurnedAway, TimedOut, Unreachable, Reset, Cancelled, Spoilt}[b%7])
+			m.end(o.p, o.n, []Outcome{Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, MalformedReply}[b%7])
 		}
 	case 9:
 		r := m.replicas[id]
-		r.life, r.told = []Life{Leaving, Left, Active}[b%3], m.now
-		if r.life == Active && b%2 == 0 {
+		r.life, r.told = []EndpointState{Draining, Removed, Ready}[b%3], m.now
+		if r.life == Ready && b%2 == 0 {
 			r.started, r.work = m.now-time.Duration(b)*10*ms, nil
 		}
 		m.tell(false, false, id)
@@ -457,13 +457,13 @@
 		if b%8 == 0 {
 			m.start(uint64(a))
 		} else if m.settings["discovery"] == "subscribe" {
-			m.c.ListFailed(m.now)
+			m.c.EndpointPollFailed(m.now)
 		}
 	case 11:
 		for _, q := range slices.Sorted(maps.Keys(m.queries)) {
 			if !m.queries[q].ended && int(q)%8 == b%8 {
 				m.queries[q].ended = true
-				m.c.ClientLeaves(m.now, q)
+				m.c.ClientDisconnects(m.now, q)
 			}
 		}
 	default:
@@ -484,6 +484,6 @@
 		case (a+n)%7 == 0:
 			message[(a+b)%len(message)] ^= byte(1 + b)
 		}
-		_ = m.c.PeerTells(m.now, PeerIndex(n%3), message) // one that is spoilt may be refused
+		_ = m.c.GossipReceived(m.now, PeerIndex(n%3), message) // one that is spoilt may be refused
 	}
 }
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -90,7 +90,7 @@
 	m.replicas[105].cell = busy.cell + 1 // both hold the shard of that cell
 	m.tell(false, false, 105)
 	for _, message := range told(sentAttempts, attempts, 100*ms, 1, nil, 3) {
-		if err := m.c.PeerTells(m.now, 7, message); err != nil {
+		if err := m.c.GossipReceived(m.now, 7, message); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -128,7 +128,7 @@
 	m.many(40, 0)
 	message := func(tenants int) {
 		for _, b := range told(sentAttempts, []CellNumber{0}, ms, 1, make([]TenantIndex, tenants), 3) {
-			if err := m.c.PeerTells(m.now, 1, b); err != nil {
+			if err := m.c.GossipReceived(m.now, 1, b); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -151,7 +151,7 @@
 	m.only(102)
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
-	m.end(q.parts[0], 0, TurnedAway)
+	m.end(q.parts[0], 0, Overloaded)
 	m.turn()
 	m.pass(150 * ms)
 	if n := len(q.parts[0].attempts); q.ended || n != 1 {
@@ -170,7 +170,7 @@
 		m.start(1)
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.ReplicaListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%2))
+			m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%2))
 		}
 		m.turn()
 		m.ask(0, 1, 3*time.Second)
@@ -203,7 +203,7 @@
 
 // What other settings would decide is counted and nothing else changes.
 func TestWatchingDecidesNothing(t *testing.T) {
-	run := func(watch bool) (sent []RequestID, w Watched) {
+	run := func(watch bool) (sent []RequestID, w ShadowCounts) {
 		m := newModel(t, 0)
 		m.many(3, 0)
 		if watch {
@@ -212,13 +212,13 @@
 				other[k] = v
 			}
 			other["balancers"], other["weightKind"] = "400", "nominal"
-			if err := m.c.Watch(other); err != nil {
+			if err := m.c.EnableShadow(other); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.ReplicaListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%3))
+			m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%3))
 		}
 		m.turn()
 		for _, id := range m.order {
@@ -230,7 +230,7 @@
 			m.turn()
 			m.pass(10 * ms)
 		}
-		w, _ = m.c.Watched()
+		w, _ = m.c.ShadowCounts()
 		return m.sent, w
 	}
 	as, none := run(false)
@@ -238,18 +238,18 @@
 	if len(as) == 0 || !slices.Equal(as, watched) {
 		t.Errorf("%d legs, %d while watching", len(as), len(watched))
 	}
-	if none.Queries != 0 || w.Queries != 40 || w.TurnedBack == 0 || w.Elsewhere == 0 || w.Elsewhere > w.Parts {
+	if none.Queries != 0 || w.Queries != 40 || w.WouldReject == 0 || w.WouldPlaceElsewhere == 0 || w.WouldPlaceElsewhere > w.Subqueries {
 		t.Errorf("not watching %+v, watching %+v", none, w)
 	}
 	m := newModel(t, 0)
-	if err := m.c.Watch(map[string]string{"balancers": "3"}); err == nil {
+	if err := m.c.EnableShadow(map[string]string{"balancers": "3"}); err == nil {
 		t.Error("settings that lack most are watched")
 	}
 }
 
 // Each kind of decision that second copies reach is counted where it differs, and not where it does not.
 func TestWatchingCountsTimeOutsAndCopies(t *testing.T) {
-	run := func(allowed bool, watched string) (w Watched, attempts int) {
+	run := func(allowed bool, watched string) (w ShadowCounts, attempts int) {
 		bits := 0
 		if !allowed {
 			bits = 1
@@ -257,13 +257,13 @@
 		m := newModel(t, bits)
 		other := maps.Clone(m.settings)
 		other["bounds.secondCopies"] = watched
-		if err := m.c.Watch(other); err != nil {
+		if err := m.c.EnableShadow(other); err != nil {
 			t.Fatal(err)
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
 		m.pass(2500 * ms)
-		w, _ = m.c.Watched()
+		w, _ = m.c.ShadowCounts()
 		return w, len(q.parts[0].attempts)
 	}
 	for _, c := range []struct {
@@ -277,7 +277,7 @@
 		{false, "true", 1, 1, 0, 1},
 	} {
 		w, attempts := run(c.allowed, c.watched)
-		if attempts != c.attempts || w.Attempts != attempts || w.TimeOuts != c.timeOuts || w.NotCopied != c.notCopied || w.Copied != c.copied {
+		if attempts != c.attempts || w.Attempts != attempts || w.WouldTimeOutOtherwise != c.timeOuts || w.WouldNotHedge != c.notCopied || w.WouldHedge != c.copied {
 			t.Errorf("copies allowed %v, watched %s: %d legs, %+v", c.allowed, c.watched, attempts, w)
 		}
 	}
@@ -413,7 +413,7 @@
 		t.Errorf("told %v of three legs sent", got)
 	}
 	m.now += 60 * ms
-	m.end(q.parts[0], 0, Fulfilled)
+	m.end(q.parts[0], 0, Succeeded)
 	m.turn()
 	m.end(q.parts[1], 0, Cancelled)
 	m.turn()
@@ -425,7 +425,7 @@
 		t.Errorf("told %v of one leg ended and one called off early", got)
 	}
 	m.now += 800 * ms
-	m.end(q.parts[2], 0, Fulfilled)
+	m.end(q.parts[2], 0, Succeeded)
 	m.turn()
 	m.pass(120 * ms)
 	if got := said(); got[lateAttempts] != 1 {
@@ -445,7 +445,7 @@
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
-		return m.c.limitOf(m.c.parts[q.parts[0].id].attempts[0])
+		return m.c.limitOf(m.c.subqueries[q.parts[0].id].attempts[0])
 	}
 	if few, silent, heard := limit(3, false), limit(60, false), limit(60, true); silent < few*18/10 || heard > few {
 		t.Errorf("time-outs of %v with 3 co-ordinators, %v with 60 that are silent, %v with 60 that tell", few, silent, heard)
@@ -473,7 +473,7 @@
 		m.settings["bounds.peers"] = "true"
 		m.many(40, 0)
 		left := m.c.allowance[0]
-		if err := m.c.PeerTells(m.now, 7, message); err == nil {
+		if err := m.c.GossipReceived(m.now, 7, message); err == nil {
 			t.Errorf("a message %s is taken", name)
 		}
 		for r := range m.c.id {
@@ -486,7 +486,7 @@
 
 func (m *model) hear(messages ...[]byte) {
 	for _, b := range messages {
-		if err := m.c.PeerTells(m.now, 7, b); err != nil {
+		if err := m.c.GossipReceived(m.now, 7, b); err != nil {
 			m.t.Fatal(err)
 		}
 	}
@@ -506,7 +506,7 @@
 		m.settings["bounds.peers"] = "true"
 		m.many(40, 0)
 		before := m.c.peersAt
-		err := m.c.PeerTells(m.now, 1, message)
+		err := m.c.GossipReceived(m.now, 1, message)
 		if (err == nil) != (m.c.peersAt != before) {
 			t.Errorf("%v, and heard %v", err, m.c.peersAt)
 		}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -19,18 +19,18 @@
 
 // setAside takes a replica out of the ordinary path, or one track there; what is held for it is placed anew.
 // Guards against: replicas that hang, are gone or err. Could hurt: when all holders seem dead; trials go on.
-func (c *Coordinator) setAside(r replica, only *track, why string) {
+func (c *Scheduler) setAside(r replica, only *class, why string) {
 	if !slices.Contains(c.aside[r], true) {
 		c.trialAt[r] = c.now + c.trialGap[r]
 		c.host.Log(fmt.Sprintf("replica %d is set aside: it %s", c.id[r], why))
 	}
-	for n := range c.tracks {
+	for n := range c.classes {
 		c.aside[r][n] = c.aside[r][n] || only == nil || only.index == n
 	}
 }
 
 // bringBack takes a replica back, all of it by a trickle that doubles with each good answer.
-func (c *Coordinator) bringBack(r replica, t *track) {
+func (c *Scheduler) bringBack(r replica, t *class) {
 	if !slices.Contains(c.aside[r], false) {
 		c.growing[r], c.limit[r] = true, 1
 		c.sound(r)
@@ -42,9 +42,9 @@
 
 // watch sets a replica aside that has attempts out and has long been silent, or a track that alone gets no
 // answers there, if it can be spared. Could hurt: heavy parts of a rare track, until an answer.
-func (c *Coordinator) watch(r replica) {
+func (c *Scheduler) watch(r replica) {
 	for n, l := range c.outs[r] {
-		t, silent := l.of.of.track, c.now-max(l.sentAt, c.replyAt[r])
+		t, silent := l.of.of.class, c.now-max(l.sentAt, c.replyAt[r])
 		switch {
 		case c.aside[r][t.index]:
 		case c.stuck(l) && c.answeredAt[r][t.index] < l.sentAt && c.spare(r, t):
@@ -55,7 +55,7 @@
 	}
 }
 
-func (c *Coordinator) spare(r replica, t *track) bool {
+func (c *Scheduler) spare(r replica, t *class) bool {
 	for back := range c.reach {
 		others := c.holders(ShardNumber(int(c.cell[r]) - back + c.cells))
 		if !slices.ContainsFunc(others, func(o replica) bool { return o != r && c.sendable(o, t, nil) }) {
@@ -65,15 +65,15 @@
 	return true
 }
 
-func (c *Coordinator) sendable(r replica, t *track, p *part) bool {
-	return c.life[r] == Active && !c.aside[r][t.index] && c.coldRoom(r, p)
+func (c *Scheduler) sendable(r replica, t *class, p *subquery) bool {
+	return c.life[r] == Ready && !c.aside[r][t.index] && c.coldRoom(r, p)
 }
 
 // trial sends a copy of a part to a holder that is set aside, if one is due there; where no copy may go, or
 // none has for a while, the part itself.
-func (c *Coordinator) trial(p *part) bool {
+func (c *Scheduler) trial(p *subquery) bool {
 	copied := len(p.attempts) > 0
-	mayCopy := p.of.track.effect == replayable && c.mayCopy && !c.lastAttempt(p)
+	mayCopy := p.of.class.effect == replayable && c.mayCopy && !c.lastAttempt(p)
 	tooOld := c.now-p.of.arrived > (p.of.endAt-p.of.arrived)/2 // its answer would tell too late
 	if (copied || p.again) && !c.mayGoOn() || p.running() && !mayCopy || p.of.doubtful() || tooOld {
 		return false
@@ -83,7 +83,7 @@
 		if !copied && p.at != nowhere && c.mayCopy {
 			due += scale(trialMost, c.tempo)
 		}
-		if c.aside[r][p.of.track.index] && !p.tried(r, true) && c.now >= due && c.coldRoom(r, p) {
+		if c.aside[r][p.of.class.index] && !p.tried(r, true) && c.now >= due && c.coldRoom(r, p) {
 			c.trialAt[r] = c.now + c.trialGap[r]
 			if c.trialGap[r] = min(scale(trialMost, c.tempo), 2*c.trialGap[r]); p.at == nowhere {
 				c.trialGap[r] = scale(trialFirst, c.tempo) // no other holder is in use
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -14,33 +14,33 @@
 )
 
 // choose picks the holder of a part's shard with the least cost, in time; below 0 it is out of the question.
-func (c *Coordinator) choose(p *part, cost func(replica) time.Duration) replica {
+func (c *Scheduler) choose(p *subquery, cost func(replica) time.Duration) replica {
 	best, least := nowhere, time.Duration(math.MaxInt64)
 	for _, r := range c.holders(p.shard) {
-		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.of.track, p) {
+		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.of.class, p) {
 			best, least = r, d
 		}
 	}
 	return best
 }
 
-func (c *Coordinator) fastest(p *part) replica {
+func (c *Scheduler) fastest(p *subquery) replica {
 	return c.choose(p, func(r replica) time.Duration {
 		if p.tried(r, false) != p.of.doubtful() {
-			return p.of.track.cutOff // only where no other holder is left
+			return p.of.class.cutOff // only where no other holder is left
 		}
 		return scale(p.work, c.takes(r))
 	})
 }
 
 // place gives each part that has none a holder: the fastest, then what spread finds, or nobody.
-func (c *Coordinator) place(q *query) {
+func (c *Scheduler) place(q *query) {
 	if q.waiting() {
 		return
 	}
-	var mine []*part
-	for _, p := range q.parts {
-		stays := p.held && p.at != nowhere && c.sendable(p.at, q.track, p)
+	var mine []*subquery
+	for _, p := range q.subqueries {
+		stays := p.held && p.at != nowhere && c.sendable(p.at, q.class, p)
 		if p.in || p.gone || stays || !p.held && len(p.attempts) > 0 {
 			continue
 		}
@@ -50,15 +50,15 @@
 	c.spread(mine)
 	if !q.admitted {
 		q.admitted = true
-		slices.SortStableFunc(q.parts, func(a, b *part) int { return cmp.Compare(a.work, b.work) })
-		c.look(func(as *Coordinator) { c.watched.comes(c, as, q, mine) })
+		slices.SortStableFunc(q.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
+		c.look(func(as *Scheduler) { c.watched.comes(c, as, q, mine) })
 		c.admit(q, mine)
 	}
 }
 
 // spread moves parts off the replica with the largest expected finish, each to where it is done first, while
 // that lowers it, then the next.
-func (c *Coordinator) spread(mine []*part) {
+func (c *Scheduler) spread(mine []*subquery) {
 	settled := map[replica]bool{nowhere: true}
 	for moves := movesPart * len(mine); moves > 0; moves-- {
 		worst, most := nowhere, time.Duration(-1)
@@ -70,7 +70,7 @@
 		if worst == nowhere {
 			return
 		}
-		var moved, last *part
+		var moved, last *subquery
 		to, least, soonest := nowhere, most-time.Millisecond, time.Duration(0)
 		for _, p := range mine {
 			if p.at != worst || p.of.doubtful() || last != nil && p.alike(last, c.cells) {
@@ -82,7 +82,7 @@
 				there := c.finish(r, p.work)
 				d := max(left, there)
 				if r != worst && (d < least || d == least && moved != nil && there < soonest) &&
-					c.sendable(r, p.of.track, p) && !p.tried(r, false) {
+					c.sendable(r, p.of.class, p) && !p.tried(r, false) {
 					moved, to, least, soonest = p, r, d, there
 				}
 			}
@@ -95,7 +95,7 @@
 
 // release sends held parts in order of their queries' arrival, as caps allow, and drops what is too late;
 // unless all is looked at, only where there is room.
-func (c *Coordinator) release(all bool) {
+func (c *Scheduler) release(all bool) {
 	blocked, ahead := make([]bool, len(c.id)), make([]time.Duration, len(c.id))
 	free := 0
 	for r := range c.id {
@@ -110,7 +110,7 @@
 		if free == 0 && !all {
 			return
 		}
-		for _, p := range q.parts {
+		for _, p := range q.subqueries {
 			if !all && (!p.held || p.at == nowhere || blocked[p.at]) {
 				continue
 			}
@@ -125,7 +125,7 @@
 			case (first || r == nowhere) && c.trial(p) || r == nowhere:
 			case blocked[r] || c.full(r) || !c.coldRoom(r, p) ||
 				(p.again || !first) && !c.mayGoOn() ||
-				!first && (c.credit[r] < 1 && len(c.outs[r]) > 0 || c.erring(r, q.track, c.lastAttempt(p))):
+				!first && (c.credit[r] < 1 && len(c.outs[r]) > 0 || c.erring(r, q.class, c.lastAttempt(p))):
 				if first && !blocked[r] {
 					blocked[r] = true
 					free--
@@ -139,7 +139,7 @@
 	}
 }
 
-func (c *Coordinator) tooLate(q *query, p *part, ahead []time.Duration) bool {
+func (c *Scheduler) tooLate(q *query, p *subquery, ahead []time.Duration) bool {
 	left := q.endAt - c.now
 	if q.let {
 		return c.now >= q.agreed // what is expected is in doubt
@@ -153,7 +153,7 @@
 	return scale(p.work+scale(c.outWork[p.at]+ahead[p.at], 1/c.lanes), c.takes(p.at)) > left
 }
 
-func (c *Coordinator) send(p *part, r replica) {
+func (c *Scheduler) send(p *subquery, r replica) {
 	c.hold(p, nowhere)
 	p.held = false
 	base := scale(p.work+scale(c.outWork[r]+c.waits(r), 1/c.lanes), c.takes(r)/c.pace[r])
@@ -174,6 +174,6 @@
 		c.credit[r]--
 	}
 	c.countSent(r, p.work)
-	c.host.Send(p.id, c.id[r], c.limitOf(l))
-	c.look(func(as *Coordinator) { c.watched.attempt(c.limitOf(l), as.limitOf(l)) })
+	c.host.StartAttempt(p.id, c.id[r], c.limitOf(l))
+	c.look(func(as *Scheduler) { c.watched.attempt(c.limitOf(l), as.limitOf(l)) })
 }
