--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -11,7 +11,7 @@
 // Work taken for far too long turns all back; nothing would ever correct it but what is let in against it.
 func TestBeliefOfLongWorkGivesWayToATrickle(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.tracks[0].unit, m.c.tracks[0].hintUnit = 5*time.Second, 60
+	m.c.classes[0].unit, m.c.classes[0].hintUnit = 5*time.Second, 60
 	served := 0
 	for range 200 {
 		q := m.ask(0, 2, 3*time.Second)
@@ -29,7 +29,7 @@
 // In a jam that is real the trickle stays at one at a time, and the waits between grow.
 func TestTrickleIsThinWhileTheJamIsReal(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.tracks[0].unit, m.c.tracks[0].hintUnit = 5*time.Second, 60
+	m.c.classes[0].unit, m.c.classes[0].hintUnit = 5*time.Second, 60
 	let := 0
 	for range 200 {
 		q := m.ask(0, 1, 3*time.Second)
@@ -47,7 +47,7 @@
 // Many replies to attempts of one belief move it to what they show, not beyond.
 func TestCrowdOfRepliesLearnsWhatItShows(t *testing.T) {
 	m := newModel(t, 0)
-	start := m.c.tracks[0].unit
+	start := m.c.classes[0].unit
 	for range 60 {
 		m.ask(0, 4, 3*time.Second)
 	}
@@ -55,14 +55,14 @@
 	for range 60 {
 		m.answer(start / 4)
 	}
-	if got := m.c.tracks[0].unit; got < start/16 || got > start {
+	if got := m.c.classes[0].unit; got < start/16 || got > start {
 		t.Errorf("work of %v after replies in %v, from %v", got, start/4, start)
 	}
 	for range 4000 {
-		m.c.tracks[0].learn(-1)
+		m.c.classes[0].learn(-1)
 	}
-	if u := m.c.tracks[0].unit; u < leastWork || math.IsNaN(m.c.tracks[0].hintUnit) {
-		t.Errorf("work of %v, hint %v after endless surprises", u, m.c.tracks[0].hintUnit)
+	if u := m.c.classes[0].unit; u < leastWork || math.IsNaN(m.c.classes[0].hintUnit) {
+		t.Errorf("work of %v, hint %v after endless surprises", u, m.c.classes[0].hintUnit)
 	}
 }
 
@@ -114,7 +114,7 @@
 	m.c.credit[m.index(102)] = 0
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
-	m.end(q.parts[0], 0, Erred)
+	m.end(q.parts[0], 0, Failed)
 	m.turn()
 	m.pass(600 * ms)
 	if n := len(q.parts[0].attempts); n != 2 {
@@ -135,7 +135,7 @@
 		}
 		before := m.c.limit[r]
 		for range 8 {
-			m.c.Behind(m.now, behind)
+			m.c.ReadDelayed(m.now, behind)
 			m.ask(0, 1, 3*time.Second)
 			m.turn()
 			m.answer(500 * ms)
@@ -151,7 +151,7 @@
 	m := newModel(t, 0)
 	m.only(102)
 	r := m.index(102)
-	m.c.tracks[0].unit, m.c.tracks[0].hintUnit = ms, 0.0125
+	m.c.classes[0].unit, m.c.classes[0].hintUnit = ms, 0.0125
 	for range 3 * fewOpen {
 		m.ask(0, 1, 3*time.Second)
 	}
@@ -160,7 +160,7 @@
 		sent := len(m.sent)
 		o := m.outs()[0]
 		m.now += 100 * time.Microsecond
-		m.end(o.p, o.n, Fulfilled)
+		m.end(o.p, o.n, Succeeded)
 		m.turn()
 		if len(m.sent) == sent && len(m.c.outs[r]) < int(m.c.limit[r]) && m.c.heldWork[r] > 0 {
 			t.Fatalf("nothing left with a reply: %d out, cap %v", len(m.c.outs[r]), m.c.limit[r])
@@ -188,7 +188,7 @@
 	m.turn()
 	for n, o := range m.outs() {
 		if n >= 6 {
-			m.end(o.p, o.n, TurnedAway)
+			m.end(o.p, o.n, Overloaded)
 		}
 	}
 	m.turn()
@@ -214,7 +214,7 @@
 		m.pass(100 * ms)
 		for _, o := range m.outs() {
 			if o.p != lost {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 				answered++
 			}
 		}
@@ -234,8 +234,8 @@
 	}
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
-	if attempts := q.parts[0].attempts; len(attempts) != 1 || attempts[0].wait < m.c.tracks[0].unit {
-		t.Errorf("%d legs, the first has %v for work of %v", len(attempts), attempts[0].wait, m.c.tracks[0].unit)
+	if attempts := q.parts[0].attempts; len(attempts) != 1 || attempts[0].wait < m.c.classes[0].unit {
+		t.Errorf("%d legs, the first has %v for work of %v", len(attempts), attempts[0].wait, m.c.classes[0].unit)
 	}
 }
 
@@ -247,7 +247,7 @@
 	}
 	trials := 0
 	for range 100 {
-		m.shard, m.c.tracks[0].longer, m.c.tracks[0].unit = 0, mostLonger, 300*ms // tightened, but sound work
+		m.shard, m.c.classes[0].longer, m.c.classes[0].unit = 0, mostLonger, 300*ms // tightened, but sound work
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
 		for _, p := range q.parts {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -18,29 +18,29 @@
 )
 
 // mayRepeat tells whether the rules let a further attempt of a part be sent now.
-func (c *Coordinator) mayRepeat(p *part) bool {
+func (c *Scheduler) mayRepeat(p *subquery) bool {
 	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.ran || !l.done })
-	t := p.of.track
+	t := p.of.class
 	return len(p.attempts)+p.spent < c.maxAttempts && (first < 0 || t.effect == replayable ||
 		t.effect == referenced && c.now < p.attempts[first].sentAt+t.window)
 }
 
 // erring tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
 // attempt of a part, ever. Guards against: all attempts gone at once where holders err.
-func (c *Coordinator) erring(r replica, t *track, last bool) bool {
+func (c *Scheduler) erring(r replica, t *class, last bool) bool {
 	return c.errs[r][t.index] > 0 && (last || c.now-c.errAt[r] < scale(errorWait, c.tempo))
 }
 
-func (c *Coordinator) lastAttempt(p *part) bool { return len(p.attempts)+p.spent >= c.maxAttempts-1 }
+func (c *Scheduler) lastAttempt(p *subquery) bool { return len(p.attempts)+p.spent >= c.maxAttempts-1 }
 
 // mayGoOn tells whether the attempt budget holds a further attempt.
-func (c *Coordinator) mayGoOn() bool {
+func (c *Scheduler) mayGoOn() bool {
 	return c.budgetSpan == 0 || float64(len(c.extras)+1) <= c.budgetFree+c.budgetShare*float64(len(c.taken))
 }
 
 // limitOf is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
-func (c *Coordinator) limitOf(l *attempt) time.Duration {
-	if c.mayCopy || c.lastAttempt(l.of) || l.of.of.track.effect == singleUse {
+func (c *Scheduler) limitOf(l *attempt) time.Duration {
+	if c.mayCopy || c.lastAttempt(l.of) || l.of.of.class.effect == singleUse {
 		return 0
 	}
 	return scale(max(l.work, scale(l.base, c.pace[l.at])), patience*c.others())
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -29,11 +29,11 @@
 const replayable, referenced, singleUse = "pure", "token", "side_effect" // as the settings name them
 
 // New starts a co-ordinator. It fails if a setting that it cannot do without is missing or unreadable.
-func New(host Host, seed uint64, settings map[string]string) (*Coordinator, error) {
-	c := &Coordinator{
+func New(host Host, seed uint64, settings map[string]string) (*Scheduler, error) {
+	c := &Scheduler{
 		host: host, seed: seed, settings: settings, lanes: startLanes, typical: 1, wakeAt: math.MaxInt64,
 		byID: map[RequestID]*query{}, byNum: map[QueryNumber]*query{},
-		parts: map[RequestID]*part{}, index: map[ReplicaID]replica{},
+		subqueries: map[RequestID]*subquery{}, index: map[ReplicaID]replica{},
 	}
 	c.read()
 	return c, c.missing
@@ -42,11 +42,11 @@
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
 // QueryArrives tells a query, or a further try of one, and how many parts its first step has.
-func (c *Coordinator) QueryArrives(now time.Duration, id RequestID, number QueryNumber, n TrackIndex,
+func (c *Scheduler) QueryArrives(now time.Duration, id RequestID, number QueryNumber, n ClassIndex,
 	tenant TenantIndex, left, hint time.Duration, parts int) {
 	c.clock(now)
-	t := &c.tracks[n]
-	q := &query{id: id, number: number, track: t, tenant: tenant, arrived: now, due: parts}
+	t := &c.classes[n]
+	q := &query{id: id, number: number, class: t, tenant: tenant, arrived: now, due: parts}
 	q.endAt = now + left
 	q.agreed = now + min(t.agreed+scale(hint, t.stretch), t.cutOff, left)
 	if gone := t.cutOff - left; c.laterTry(float64(left) / float64(t.cutOff)) {
@@ -67,7 +67,7 @@
 // laterTry tells whether a query with this share of its cut-off left must be a client's further try: most
 // of late came with more, it alone with this; what is missing has passed. Guards against: work for agreed
 // times that are over. Could hurt: clients whose first tries each have a time of their own.
-func (c *Coordinator) laterTry(share float64) bool {
+func (c *Scheduler) laterTry(share float64) bool {
 	usual, more := false, false
 	for n, s := range c.shares {
 		usual = usual || math.Abs(s-share) < sameShare
@@ -80,7 +80,7 @@
 	return more && !usual
 }
 
-func (c *Coordinator) PartArrives(now time.Duration, id RequestID, number QueryNumber, shard ShardNumber,
+func (c *Scheduler) SubqueryArrives(now time.Duration, id RequestID, number QueryNumber, shard ShardNumber,
 	weight float64, hint time.Duration) {
 	c.clock(now)
 	q := c.byNum[number]
@@ -90,25 +90,25 @@
 	if q == nil {
 		return
 	}
-	work := cmp.Or(scale(max(0, hint), q.track.hintUnit), q.track.unit)
-	p := &part{id: id, of: q, shard: shard, weight: weight, at: nowhere, work: work, hintUnit: q.track.hintUnit}
+	work := cmp.Or(scale(max(0, hint), q.class.hintUnit), q.class.unit)
+	p := &subquery{id: id, of: q, shard: shard, weight: weight, at: nowhere, work: work, hintUnit: q.class.hintUnit}
 	if p.spent, p.again = q.spent[shard], q.spent[shard] > 0; q.reserves && q.step == 0 {
 		p.spent = 1
 	}
-	q.parts, c.parts[id] = append(q.parts, p), p
+	q.subqueries, c.subqueries[id] = append(q.subqueries, p), p
 	c.asked[int(shard)%c.cells]++
 }
 
-// StepsFollow tells that a query's steps are whole or nothing and end by NextStep alone; if reserves, the
+// UsePhases tells that a query's steps are whole or nothing and end by NextStep alone; if reserves, the
 // first leaves each part an attempt for the next.
-func (c *Coordinator) StepsFollow(id RequestID, reserves bool) {
+func (c *Scheduler) UsePhases(id RequestID, reserves bool) {
 	if q := c.byID[id]; q != nil {
 		q.goesOn, q.reserves = true, reserves
 	}
 }
 
-// NextStep ends a query's present step and tells how many parts the next has; with none it is fulfilled.
-func (c *Coordinator) NextStep(now time.Duration, id RequestID, parts int) {
+// StartNextPhase ends a query's present step and tells how many parts the next has; with none it is fulfilled.
+func (c *Scheduler) StartNextPhase(now time.Duration, id RequestID, parts int) {
 	c.clock(now)
 	switch q := c.byID[id]; {
 	case q == nil:
@@ -119,29 +119,29 @@
 	}
 }
 
-func (c *Coordinator) advance(q *query, parts int) {
+func (c *Scheduler) advance(q *query, parts int) {
 	if q.spent == nil {
 		q.spent = map[ShardNumber]int{}
 	}
-	for _, p := range q.parts {
+	for _, p := range q.subqueries {
 		c.drop(p)
 		if q.goesOn {
 			q.spent[p.shard] += len(p.attempts)
 		}
 	}
-	q.step, q.due, q.parts, q.touched = q.step+1, parts, nil, true
+	q.step, q.due, q.subqueries, q.touched = q.step+1, parts, nil, true
 	q.got, q.in, q.ratio, q.sent, q.deaths = 0, 0, 0, 0, 0
 }
 
-func (c *Coordinator) AttemptEnds(now time.Duration, id RequestID, n AttemptNumber, how Outcome, took time.Duration) {
+func (c *Scheduler) AttemptEnds(now time.Duration, id RequestID, n AttemptNumber, how Outcome, took time.Duration) {
 	c.clock(now)
-	p := c.parts[id]
+	p := c.subqueries[id]
 	if p == nil || int(n) >= len(p.attempts) || n < 0 || p.attempts[n].done {
 		return
 	}
-	l, r, t := p.attempts[n], p.attempts[n].at, p.of.track
+	l, r, t := p.attempts[n], p.attempts[n].at, p.of.class
 	p.of.touched = true
-	l.done, l.ran = true, how != TurnedAway && how != Unreachable && how != Moot
+	l.done, l.ran = true, how != Overloaded && how != Unreachable && how != NeverSent
 	c.unload(r, func(o *attempt) bool { return o == l })
 	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.tells {
 	} else if times > toldLate && c.behind == 0 {
@@ -150,7 +150,7 @@
 		c.tallies[endedAttempts].add(now, c.cell[r], l.work, 1)
 	}
 	switch how {
-	case Fulfilled:
+	case Succeeded:
 		if c.answered(r, t, l, took); r == p.of.suspect && l.sentAt > p.of.diedAt {
 			p.of.deaths = 0 // it lives: the connection alone was lost
 		}
@@ -159,9 +159,9 @@
 			p.of.ratio += float64(took) / float64(scale(l.base, c.pace[r])+1)
 			c.drop(p)
 		}
-	case Reset, Spoilt, Erred, TimedOut, TurnedAway, Unreachable:
+	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
 		switch {
-		case how == TurnedAway:
+		case how == Overloaded:
 			c.halve(r)
 			c.ceiling[r] = max(1, min(c.ceiling[r], float64(len(c.outs[r]))))
 			if c.unseen > 1 { // full of what others sent
@@ -169,7 +169,7 @@
 			}
 		case how == Unreachable:
 			c.setAside(r, nil, "cannot be reached")
-		case how == Reset && took >= staleTook && (p.of.diedAt != c.now || p.of.suspect != r): // quicker: it idled
+		case how == ConnectionReset && took >= staleTook && (p.of.diedAt != c.now || p.of.suspect != r): // quicker: it idled
 			p.of.deaths, p.of.diedAt, p.of.suspect = p.of.deaths+1, c.now, r
 		}
 		if c.errAt[r] != c.now {
@@ -182,7 +182,7 @@
 	switch {
 	case p.running() || p.held:
 	case p.in || p.gone:
-		delete(c.parts, id)
+		delete(c.subqueries, id)
 	case c.mayRepeat(p):
 		c.hold(p, nowhere)
 	default:
@@ -191,8 +191,8 @@
 	}
 }
 
-// ReplicaReports tells the share of its cores that a replica has in use, as it says itself.
-func (c *Coordinator) ReplicaReports(now time.Duration, id ReplicaID, busy float64) {
+// LoadReported tells the share of its cores that a replica has in use, as it says itself.
+func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, busy float64) {
 	c.clock(now)
 	c.busy, c.reportAt = c.busy+busyStep*(busy-c.busy), now
 	if r, known := c.index[id]; known {
@@ -200,8 +200,8 @@
 	}
 }
 
-// ClientLeaves tells that nobody waits for a query any more; that it was not fulfilled then says nothing.
-func (c *Coordinator) ClientLeaves(now time.Duration, id RequestID) {
+// ClientDisconnects tells that nobody waits for a query any more; that it was not fulfilled then says nothing.
+func (c *Scheduler) ClientDisconnects(now time.Duration, id RequestID) {
 	c.clock(now)
 	if q := c.byID[id]; q != nil {
 		q.judged = true
@@ -209,37 +209,37 @@
 	}
 }
 
-func (c *Coordinator) Wakes(now time.Duration, name string) {
+func (c *Scheduler) Wakeup(now time.Duration, name string) {
 	if c.clock(now); now >= c.wakeAt {
 		c.wakeAt = math.MaxInt64
 	}
 }
 
-// Behind tells for how long what comes for this co-ordinator may wait unread, as its own core is busy. Guards
+// ReadDelayed tells for how long what comes for this co-ordinator may wait unread, as its own core is busy. Guards
 // against: taking that for slow replicas. Could hurt: by learning less of them while its core is short.
-func (c *Coordinator) Behind(now, unread time.Duration) {
+func (c *Scheduler) ReadDelayed(now, unread time.Duration) {
 	c.clock(now)
 	c.behind = unread
 }
 
 // clock takes the time, and by how much this co-ordinator stood still: a look that it asked for is late.
 // Guards against: taking that for slow replicas. Should also cover: a starved machine.
-func (c *Coordinator) clock(now time.Duration) {
+func (c *Scheduler) clock(now time.Duration) {
 	if now > c.now {
 		c.now, c.stalled = now, max(0, now-c.wakeAt-sweepEvery)
 	}
 }
 
-func (c *Coordinator) wake(at time.Duration) {
+func (c *Scheduler) wake(at time.Duration) {
 	if at < c.wakeAt {
 		c.wakeAt = max(at, c.now+time.Millisecond)
-		c.host.Wake("look", c.wakeAt-c.now)
+		c.host.ScheduleWakeup("look", c.wakeAt-c.now)
 	}
 }
 
-// TurnEnds decides, once all that has come in at this time is told. All is looked at in each turn while
+// Decide decides, once all that has come in at this time is told. All is looked at in each turn while
 // little is open, else once in a sweep, and in between what something came in for.
-func (c *Coordinator) TurnEnds(now time.Duration) {
+func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
 	c.follow()
 	c.taken, c.extras = after(c.taken, now-c.budgetSpan+1), after(c.extras, now-c.budgetSpan)
@@ -265,7 +265,7 @@
 		t := &c.tallies[kind]
 		if kind == int(sentAttempts) || now >= t.since+tellWait {
 			for _, message := range t.take(attemptsTold(kind), c.cells, c.lanes) {
-				c.host.Tell(message)
+				c.host.Broadcast(message)
 			}
 		} else if len(t.cells) > 0 {
 			c.wake(t.since + tellWait)
@@ -277,13 +277,13 @@
 }
 
 // refill lets go of what time takes away and looks after the replicas.
-func (c *Coordinator) refill() {
+func (c *Scheduler) refill() {
 	passed := (c.now - c.refilled).Seconds()
 	for t, q := range c.quota {
 		c.allowance[t] = min(max(leastBurst, q*shareBurst), c.allowance[t]+q*passed)
 	}
-	for n := range c.tracks {
-		c.tracks[n].longer = 1 + (c.tracks[n].longer-1)*math.Exp(-passed/longerFades)
+	for n := range c.classes {
+		c.classes[n].longer = 1 + (c.classes[n].longer-1)*math.Exp(-passed/longerFades)
 	}
 	fade := math.Exp(-passed / flowFades)
 	c.flow, c.warm, c.blank = c.flow*fade, 0, c.blank*fade
@@ -295,14 +295,14 @@
 		c.asked[n] *= fade
 	}
 	for r := range c.id {
-		if c.life[r] == Active {
+		if c.life[r] == Ready {
 			if size, active = size+c.size[r], active+1; !c.coldFor(replica(r)) {
 				c.warm++
 			}
 		}
 		c.watch(replica(r))
 		c.unload(replica(r), func(l *attempt) bool { return l.passed > 0 && c.stuck(l) }) // lost, it would hold a place
-		if c.life[r] != Left {
+		if c.life[r] != Removed {
 			c.hereAt[r] = c.now
 		}
 		if len(c.outs[r]) == 0 {
@@ -315,7 +315,7 @@
 	}
 }
 
-func (c *Coordinator) settle(q *query) {
+func (c *Scheduler) settle(q *query) {
 	if q.waiting() {
 		if !q.ended && c.now >= q.endAt-endMargin { // what it waits for never came
 			c.giveUp(q)
@@ -329,37 +329,37 @@
 	switch {
 	case q.got >= need:
 		c.answer(q, q.step == 0 || q.firstWhole)
-	case c.now >= q.endAt-endMargin || q.doubtful() && (q.deaths > 1 || !c.sendable(q.suspect, q.track, nil)):
+	case c.now >= q.endAt-endMargin || q.doubtful() && (q.deaths > 1 || !c.sendable(q.suspect, q.class, nil)):
 		c.giveUp(q)
 	}
 }
 
-func (c *Coordinator) answer(q *query, whole bool) {
-	c.host.Answer(q.id, whole)
+func (c *Scheduler) answer(q *query, whole bool) {
+	c.host.Complete(q.id, whole)
 	switch {
 	case q.goesOn:
 		q.due = math.MaxInt // NextStep comes in the next turn
-	case q.track.fetch == 0 || q.step > 0:
+	case q.class.fetch == 0 || q.step > 0:
 		c.end(q, c.now <= q.agreed)
 	default:
 		q.firstWhole = whole
-		c.advance(q, q.track.fetch)
+		c.advance(q, q.class.fetch)
 	}
 }
 
-func (c *Coordinator) giveUp(q *query) {
-	if _, floor := q.bounds(); q.got >= floor && (q.track.fetch == 0 || q.step > 0) {
-		c.host.Answer(q.id, false)
+func (c *Scheduler) giveUp(q *query) {
+	if _, floor := q.bounds(); q.got >= floor && (q.class.fetch == 0 || q.step > 0) {
+		c.host.Complete(q.id, false)
 	} else {
-		c.host.Scrap(q.id)
+		c.host.Fail(q.id)
 	}
 	c.end(q, false)
 }
 
-func (c *Coordinator) end(q *query, kept bool) {
+func (c *Scheduler) end(q *query, kept bool) {
 	q.ended = true
 	c.judge(q, kept)
-	for _, p := range q.parts {
+	for _, p := range q.subqueries {
 		c.drop(p)
 	}
 	delete(c.byID, q.id)
@@ -367,21 +367,21 @@
 }
 
 // drop abandons a part, or what is still out of one that is in: nothing more is sent for it.
-func (c *Coordinator) drop(p *part) {
+func (c *Scheduler) drop(p *subquery) {
 	c.hold(p, nowhere)
 	p.held, p.gone = false, p.gone || !p.in
 	for n, l := range p.attempts {
 		if !l.done && c.mayCancel {
-			c.host.Cancel(p.id, AttemptNumber(n))
+			c.host.CancelAttempt(p.id, AttemptNumber(n))
 		}
 	}
 	if !p.running() {
-		delete(c.parts, p.id)
+		delete(c.subqueries, p.id)
 	}
 }
 
-func (c *Coordinator) short(q *query) {
-	if !q.ended && !(q.reserves && q.step == 0) && !q.reaches(func(p *part) bool { return p.in || !p.gone }) {
+func (c *Scheduler) short(q *query) {
+	if !q.ended && !(q.reserves && q.step == 0) && !q.reaches(func(p *subquery) bool { return p.in || !p.gone }) {
 		c.giveUp(q)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -22,7 +22,7 @@
 func (m *model) only(ids ...ReplicaID) {
 	for _, id := range m.order {
 		if !slices.Contains(ids, id) {
-			m.replicas[id].life = Left
+			m.replicas[id].life = Removed
 		}
 	}
 	m.tell(true, false, ids...)
@@ -32,7 +32,7 @@
 func (m *model) answer(after time.Duration) {
 	m.pass(after)
 	for _, o := range m.outs() {
-		m.end(o.p, o.n, Fulfilled)
+		m.end(o.p, o.n, Succeeded)
 	}
 	m.turn()
 }
@@ -103,7 +103,7 @@
 			if l := o.p.attempts[o.n]; l.to == 105 {
 				hung = append(hung, l)
 			} else {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 			}
 		}
 		m.turn()
@@ -139,7 +139,7 @@
 			if o.p.of.track == 0 && o.p.attempts[o.n].to == 105 {
 				hung++
 			} else {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 			}
 		}
 		m.turn()
@@ -167,7 +167,7 @@
 		m.pass(40 * ms)
 		for _, o := range m.outs() {
 			if o.p.of != q {
-				m.end(o.p, o.n, Fulfilled)
+				m.end(o.p, o.n, Succeeded)
 			}
 		}
 		m.turn()
@@ -185,11 +185,11 @@
 		m.turn()
 		m.pass(10 * ms)
 		q.ended = true
-		m.c.ClientLeaves(m.now, q.id)
+		m.c.ClientDisconnects(m.now, q.id)
 		m.turn()
 	}
-	if m.turnedBack > 0 || m.c.tracks[0].longer > 1 {
-		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.tracks[0].longer)
+	if m.turnedBack > 0 || m.c.classes[0].longer > 1 {
+		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.classes[0].longer)
 	}
 }
 
@@ -199,13 +199,13 @@
 	m.c.pace[m.index(102)] = 1.5
 	for n := range 500 {
 		id := ReplicaID(1000 + n)
-		m.replicas[id] = &modelReplica{cell: n % 3, started: LongAgo}
+		m.replicas[id] = &modelReplica{cell: n % 3, started: StartUnknown}
 		m.tell(n%2 == 0, false, append(slices.Clone(m.order), id)...)
 		m.turn()
 		m.ask(0, 3, time.Second)
 		m.turn()
 		m.answer(300 * ms)
-		m.replicas[id].life, m.replicas[id].told = Left, m.now
+		m.replicas[id].life, m.replicas[id].told = Removed, m.now
 		m.tell(false, false, id)
 		delete(m.replicas, id)
 		m.turn()
@@ -235,7 +235,7 @@
 	m.turn()
 	o := m.outs()[0]
 	r := m.index(o.p.attempts[o.n].to)
-	m.end(o.p, o.n, Reset)
+	m.end(o.p, o.n, ConnectionReset)
 	m.turn()
 	if m.c.aside[r][0] {
 		t.Error("set aside after one dropped connection")
@@ -255,16 +255,16 @@
 // it. Where it went already they may go: if that one died, it cannot be reached.
 func TestRetrievalUnderWhichAReplicaSeemsToDieGoesOnThereAlone(t *testing.T) {
 	for answers := range 3 {
-		for _, then := range []Outcome{Fulfilled, Unreachable, Reset} {
+		for _, then := range []Outcome{Succeeded, Unreachable, ConnectionReset} {
 			m := newModel(t, 0)
 			q := m.ask(0, 4, 3*time.Second)
 			m.turn()
 			m.pass(50 * ms)
 			for _, p := range q.parts[1 : 1+answers] {
-				m.end(p, 0, Fulfilled)
+				m.end(p, 0, Succeeded)
 			}
 			dead := q.parts[0]
-			m.end(dead, 0, Reset)
+			m.end(dead, 0, ConnectionReset)
 			m.turn()
 			m.pass(250 * ms)
 			if len(dead.attempts) != 2 || answers < 2 && dead.attempts[1].to != dead.attempts[0].to {
@@ -272,7 +272,7 @@
 			}
 			m.end(dead, 1, then)
 			m.turn()
-			if goesOn := then == Fulfilled || answers == 2 && then == Unreachable; q.ended == goesOn {
+			if goesOn := then == Succeeded || answers == 2 && then == Unreachable; q.ended == goesOn {
 				t.Errorf("%d answers, then %v: ended %v", answers, then, q.ended)
 			}
 		}
@@ -319,8 +319,8 @@
 	m.c.outWork[m.index(102)] = 0
 	m.pass(50 * ms)
 	for _, q := range m.c.open {
-		if len(q.parts[0].attempts) == 0 {
-			t.Fatalf("a part is not sent, held at %d, warm is %d", q.parts[0].at, m.index(102))
+		if len(q.subqueries[0].attempts) == 0 {
+			t.Fatalf("a part is not sent, held at %d, warm is %d", q.subqueries[0].at, m.index(102))
 		}
 	}
 }
@@ -340,14 +340,14 @@
 		t.Fatalf("%d copies of a retrieval that has no answer yet", len(m.sent)-sent)
 	}
 	for _, p := range heavy.parts[:3] {
-		m.end(p, 0, Fulfilled)
+		m.end(p, 0, Succeeded)
 	}
 	m.turn()
 	straggler := m.ask(0, 4, 3*time.Second)
 	m.turn()
 	m.pass(60 * ms)
 	for _, p := range straggler.parts[:3] {
-		m.end(p, 0, Fulfilled)
+		m.end(p, 0, Succeeded)
 	}
 	m.turn()
 	if m.pass(900 * ms); len(straggler.parts[3].attempts) < 2 {
@@ -364,7 +364,7 @@
 		m.turn()
 		m.pass(50 * ms)
 		for _, p := range q.parts[missing:] {
-			m.end(p, 0, Fulfilled)
+			m.end(p, 0, Succeeded)
 		}
 		m.c.copies = 0
 		m.turn()
@@ -381,8 +381,8 @@
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.pass(1100 * ms)
-	if m.c.tracks[0].longer < 1.5 || q.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.tracks[0].longer, q.ended)
+	if m.c.classes[0].longer < 1.5 || q.ended {
+		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.classes[0].longer, q.ended)
 	}
 }
 
@@ -397,7 +397,7 @@
 		}
 		m.now += 800*ms - min(m.now-time.Second, 700*ms)
 		for _, o := range m.outs() {
-			m.end(o.p, o.n, Fulfilled)
+			m.end(o.p, o.n, Succeeded)
 		}
 		if got := slices.Max(m.c.pace) > 1.1; got != slow {
 			t.Errorf("paces %v after 800 ms, slow %v", m.c.pace, slow)
@@ -416,7 +416,7 @@
 			m.pass(20 * ms)
 			for _, o := range m.outs() {
 				if m.now-o.p.attempts[o.n].at >= took {
-					m.end(o.p, o.n, Fulfilled)
+					m.end(o.p, o.n, Succeeded)
 				}
 			}
 			m.turn()
@@ -437,7 +437,7 @@
 	if len(m.asks) != 1 {
 		t.Fatalf("asked %d times at the start", len(m.asks))
 	}
-	m.c.ListFailed(m.now)
+	m.c.EndpointPollFailed(m.now)
 	m.turn()
 	m.pass(2 * time.Second)
 	if len(m.asks) < 2 {
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -8,49 +8,49 @@
 // What other settings would decide, counted beside what is decided. Nothing here decides: the choices are those of
 // this package, asked under other settings and not acted on.
 
-// Watched counts queries and attempts and, by kind, where the other settings would have decided otherwise.
-type Watched struct {
+// ShadowCounts counts queries and attempts and, by kind, where the other settings would have decided otherwise.
+type ShadowCounts struct {
 	Queries    int // looked at, as they came
-	TurnedBack int // let in by their estimate, and by the other settings' not
-	LetIn      int // the other way round
-	Parts      int // of those queries
-	Elsewhere  int // parts whose fastest holder would have been another
+	WouldReject int // let in by their estimate, and by the other settings' not
+	WouldAdmit      int // the other way round
+	Subqueries      int // of those queries
+	WouldPlaceElsewhere  int // parts whose fastest holder would have been another
 	Attempts   int // sent
-	TimeOuts   int // of them, those that would have had another time-out, or none where they have one
-	NotCopied  int // copies that went and would not have
-	Copied     int // attempts that got no copy at a time when they would have
+	WouldTimeOutOtherwise   int // of them, those that would have had another time-out, or none where they have one
+	WouldNotHedge  int // copies that went and would not have
+	WouldHedge     int // attempts that got no copy at a time when they would have
 }
 
 type watcher struct {
-	under  *Coordinator
-	counts Watched
+	under  *Scheduler
+	counts ShadowCounts
 }
 
-// Watch counts from now on what other settings would have decided. It fails if a setting cannot be read, or if they
+// EnableShadow counts from now on what other settings would have decided. It fails if a setting cannot be read, or if they
 // tell of other tracks or other shards, as then nothing could be compared.
-func (c *Coordinator) Watch(settings map[string]string) error {
+func (c *Scheduler) EnableShadow(settings map[string]string) error {
 	under, err := New(c.host, c.seed, settings)
 	if err != nil {
 		return err
 	}
-	if len(under.tracks) != len(c.tracks) || under.cells != c.cells || under.reach != c.reach {
+	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.reach != c.reach {
 		return fmt.Errorf("the settings to watch tell of other tracks or shards")
 	}
 	c.watched = &watcher{under: under}
 	return nil
 }
 
-// Watched tells the counts so far; ok is false while nothing is watched.
-func (c *Coordinator) Watched() (counts Watched, ok bool) {
+// ShadowCounts tells the counts so far; ok is false while nothing is watched.
+func (c *Scheduler) ShadowCounts() (counts ShadowCounts, ok bool) {
 	if c.watched == nil {
-		return Watched{}, false
+		return ShadowCounts{}, false
 	}
 	return c.watched.counts, true
 }
 
 // look asks what the other settings would decide, if any are watched: by a copy of this co-ordinator that knows and holds the
 // same. Nothing may be changed through it.
-func (c *Coordinator) look(ask func(as *Coordinator)) {
+func (c *Scheduler) look(ask func(as *Scheduler)) {
 	if c.watched == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 // attempt counts one that has just been sent.
 func (w *watcher) attempt(limit, other time.Duration) {
 	if w.counts.Attempts++; limit != other {
-		w.counts.TimeOuts++
+		w.counts.WouldTimeOutOtherwise++
 	}
 }
 
@@ -73,33 +73,33 @@
 func (w *watcher) copies(l *attempt, to, other replica) {
 	switch {
 	case to != nowhere && other == nowhere:
-		w.counts.NotCopied++
+		w.counts.WouldNotHedge++
 	case to == nowhere && other != nowhere && !l.told:
 		l.told = true
-		w.counts.Copied++
+		w.counts.WouldHedge++
 	}
 }
 
 // comes compares the decisions on a query that has just been placed.
-func (w *watcher) comes(c, as *Coordinator, q *query, mine []*part) {
+func (w *watcher) comes(c, as *Scheduler, q *query, mine []*subquery) {
 	t := *q
-	t.track = &w.under.tracks[q.track.index]
-	learned := *q.track
-	learned.agreed, learned.cutOff, learned.fetch = t.track.agreed, t.track.cutOff, t.track.fetch
-	t.track, t.agreed = &learned, q.agreed+learned.agreed-q.track.agreed
+	t.class = &w.under.classes[q.class.index]
+	learned := *q.class
+	learned.agreed, learned.cutOff, learned.fetch = t.class.agreed, t.class.cutOff, t.class.fetch
+	t.class, t.agreed = &learned, q.agreed+learned.agreed-q.class.agreed
 	now, _ := c.excess(q)
 	then, _ := as.excess(&t)
 	w.counts.Queries++
-	w.counts.Parts += len(mine)
+	w.counts.Subqueries += len(mine)
 	if now <= 0 && then > 0 {
-		w.counts.TurnedBack++
+		w.counts.WouldReject++
 	}
 	if now > 0 && then <= 0 {
-		w.counts.LetIn++
+		w.counts.WouldAdmit++
 	}
 	for _, p := range mine {
 		if c.fastest(p) != as.fastest(p) {
-			w.counts.Elsewhere++
+			w.counts.WouldPlaceElsewhere++
 		}
 	}
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -13,11 +13,11 @@
 	coldFlow   = 0.5 // share of the multiple that topples, of what warm ones get
 )
 
-func (c *Coordinator) coldFor(r replica) bool {
-	return c.tipMultiple > 0 && c.started[r] != LongAgo && c.now-c.started[r] < c.warmAfter+c.tipOver
+func (c *Scheduler) coldFor(r replica) bool {
+	return c.tipMultiple > 0 && c.started[r] != StartUnknown && c.now-c.started[r] < c.warmAfter+c.tipOver
 }
 
-func (c *Coordinator) warmth(r replica) float64 {
+func (c *Scheduler) warmth(r replica) float64 {
 	age := max(0, (c.now-c.started[r]).Seconds()/c.warmAfter.Seconds())
 	return min(1, c.startShare+(1-c.startShare)*age)
 }
@@ -25,7 +25,7 @@
 // coldRoom keeps to this instance's share of a cold replica's budget: where that is less than a part, chance
 // lets each go or not, as many as it and what warm ones get allow. Guards against: pushing over a fresh
 // replica, and leaving it idle. Could hurt: where the warm ones are sent far more than they can do.
-func (c *Coordinator) coldRoom(r replica, p *part) bool {
+func (c *Scheduler) coldRoom(r replica, p *subquery) bool {
 	if !c.coldFor(r) || p == nil {
 		return true
 	}
@@ -42,7 +42,7 @@
 }
 
 // countSent notes that a subquery's work goes to a replica.
-func (c *Coordinator) countSent(r replica, work time.Duration) {
+func (c *Scheduler) countSent(r replica, work time.Duration) {
 	if c.coldFor(r) {
 		c.coldAt[r] = max(c.coldAt[r], c.now) + c.coldTakes(r, work)
 	}
@@ -50,14 +50,14 @@
 
 // countAnswered notes that a replica has answered. What warm ones answer shows what one of them can do; what they are sent
 // does not, while they are sent too much.
-func (c *Coordinator) countAnswered(r replica) {
+func (c *Scheduler) countAnswered(r replica) {
 	if !c.coldFor(r) {
 		c.flow++
 	}
 }
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
-func (c *Coordinator) coldTakes(r replica, work time.Duration) time.Duration {
+func (c *Scheduler) coldTakes(r replica, work time.Duration) time.Duration {
 	share := coldSafety * c.tipMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.balancers)
 	return scale(work, 1/share)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,7 +10,7 @@
 
 // coldCrowd is a number of co-ordinators that share a cold replica and a warm one.
 type coldCrowd struct {
-	members []*Coordinator
+	members []*Scheduler
 	cold    replica
 	warm    replica
 	freeAt  time.Duration // when the warm one has done what it was sent
@@ -36,9 +36,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.ListBegins(0, true, false)
-		c.ReplicaListed(0, 1, Active, LongAgo, 0, 0, 1)
-		c.ReplicaListed(0, 2, Active, time.Minute, 0, 0, 1)
+		c.EndpointListBegins(0, true, false)
+		c.EndpointListed(0, 1, Ready, StartUnknown, 0, 0, 1)
+		c.EndpointListed(0, 2, Ready, time.Minute, 0, 0, 1)
 		c.lanes, c.warm, c.blank = crowdLanes, 1, 1
 		crowd.cold, crowd.warm = c.index[2], c.index[1]
 		crowd.members = append(crowd.members, c)
@@ -48,7 +48,7 @@
 
 // warmAnswer is an answer of the warm replica on its way.
 type warmAnswer struct {
-	to *Coordinator
+	to *Scheduler
 	at time.Duration
 }
 
@@ -65,7 +65,7 @@
 	}
 	c.asked[0]++
 	crowd.nextID++
-	p := &part{id: crowd.nextID, work: crowdWork}
+	p := &subquery{id: crowd.nextID, work: crowdWork}
 	for len(crowd.answers) > 0 && crowd.answers[0].at <= now {
 		crowd.answers[0].to.countAnswered(crowd.warm)
 		crowd.answers = crowd.answers[1:]
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -4,7 +4,7 @@
 
 // What a co-ordinator keeps. Nothing here chooses anything.
 
-type track struct {
+type class struct {
 	index                  int
 	agreed, cutOff, window time.Duration
 	stretch, need, floor   float64
@@ -23,7 +23,7 @@
 type replica int
 
 type attempt struct {
-	of         *part
+	of         *subquery
 	at         replica
 	sentAt     time.Duration
 	base, work time.Duration // expected time at pace 1, and the part's own share of it
@@ -32,7 +32,7 @@
 	told       bool          // watching has counted that others would copy it
 }
 
-type part struct {
+type subquery struct {
 	id             RequestID
 	of             *query
 	shard          ShardNumber
@@ -49,9 +49,9 @@
 type query struct {
 	id                                             RequestID
 	number                                         QueryNumber
-	track                                          *track
+	class                                          *class
 	arrived, agreed, endAt                         time.Duration
-	parts                                          []*part
+	subqueries                                          []*subquery
 	due, step                                      int
 	got                                            float64 // weight of the parts that are in
 	in, ratio, sent                                float64 // parts in, their times over the expected, attempts
@@ -88,8 +88,8 @@
 	unseen                                           float64 // times the expected finish, for what others have waiting
 }
 
-// Coordinator makes the decisions of one co-ordinator.
-type Coordinator struct {
+// Scheduler makes the decisions of one co-ordinator.
+type Scheduler struct {
 	terms
 
 	host        Host
@@ -97,7 +97,7 @@
 	missing     error
 	seed, draws uint64
 
-	tracks                                 []track
+	classes                                 []class
 	allowance                              []float64 // per tenant: left of its quota
 	subscribed                             bool
 	askAt, askWait                         time.Duration
@@ -116,7 +116,7 @@
 	byID          map[RequestID]*query
 	byNum         map[QueryNumber]*query
 	held          [][]replica                 // by cell: the holders of its shards; nil: to be made from the list
-	parts         map[RequestID]*part         // those with attempts out or of open queries
+	subqueries         map[RequestID]*subquery         // those with attempts out or of open queries
 	copies        float64                     // second copies earned
 	lanes         float64                     // learned: parts a replica works on side by side
 	taken, extras []time.Duration             // within the attempt budget's span
@@ -124,7 +124,7 @@
 
 	index                   map[ReplicaID]replica
 	id                      []ReplicaID
-	life                    []Life
+	life                    []EndpointState
 	cell                    []CellNumber
 	zone                    []ZoneIndex
 	aside                   [][]bool          // by track: set aside
@@ -151,7 +151,7 @@
 
 // lastOut is the last attempt of a part that is out; a copy that came back with nothing must not hide the one that
 // goes on.
-func (p *part) lastOut() (last *attempt) {
+func (p *subquery) lastOut() (last *attempt) {
 	for _, l := range p.attempts {
 		if !l.done {
 			last = l
@@ -161,13 +161,13 @@
 }
 
 // alike tells whether two parts not sent yet can go to the same replicas at the same cost.
-func (p *part) alike(o *part, cells int) bool {
+func (p *subquery) alike(o *subquery, cells int) bool {
 	return p.work == o.work && int(p.shard)%cells == int(o.shard)%cells && len(p.attempts)+len(o.attempts) == 0
 }
 
-func (q *query) reaches(pass func(*part) bool) bool {
+func (q *query) reaches(pass func(*subquery) bool) bool {
 	within := 0.0
-	for _, p := range q.parts {
+	for _, p := range q.subqueries {
 		if pass(p) {
 			within += p.weight
 		}
@@ -176,16 +176,16 @@
 	return within >= floor
 }
 
-func (q *query) missing() float64 { return float64(len(q.parts)) - q.in }
+func (q *query) missing() float64 { return float64(len(q.subqueries)) - q.in }
 
 // waiting tells whether parts are still to come. A second step's come in one turn, as many as were counted.
 func (q *query) waiting() bool {
-	return q.ended || q.due > len(q.parts) && (q.step == 0 || q.goesOn || len(q.parts) == 0)
+	return q.ended || q.due > len(q.subqueries) && (q.step == 0 || q.goesOn || len(q.subqueries) == 0)
 }
 
 // bounds are the weights that a whole answer and any answer need at the present step.
 func (q *query) bounds() (need, floor float64) {
-	need, floor = q.track.need, q.track.floor
+	need, floor = q.class.need, q.class.floor
 	if q.goesOn {
 		need, floor = 1, 1
 	}
