--- a/config/config.go
+++ b/config/config.go
@@ -38,13 +38,13 @@
 
 // Config is what a rendered file says.
 type Config struct {
-	Replicas []ReplicaRule           `json:"replicas"` // the first that fits a replica holds for it
-	HTTP2    HTTP2            `json:"http2"`
+	Replicas []ReplicaRule       `json:"replicas"` // the first that fits a replica holds for it
+	HTTP2    HTTP2               `json:"http2"`
 	TLS      map[string]TLSFiles `json:"tls"` // by the name that a rule gives
-	Phases   TwoPhase           `json:"phases"`
-	Peers    Gossip            `json:"peers"`
-	Sizes    []Size           `json:"sizes"` // the first that fits a replica holds for it
-	Watch    Shadow            `json:"watch"`
+	Phases   TwoPhase            `json:"phases"`
+	Peers    Gossip              `json:"peers"`
+	Sizes    []Size              `json:"sizes"` // the first that fits a replica holds for it
+	Watch    Shadow              `json:"watch"`
 }
 
 // Gossip says how messages go between co-ordinators: as datagrams. Without others none goes.
@@ -66,10 +66,10 @@
 
 // ReplicaRule says what replicas speak. A pattern is path.Match's; an empty one fits all.
 type ReplicaRule struct {
-	Model    string            `json:"model"`    // as discovery tells it
-	Endpoint string            `json:"endpoint"` // host:port
-	Protocol  replicaproto.Protocol `json:"dialect"`
-	TLS      string            `json:"tls"` // names an entry of TLS; empty: cleartext
+	Model    string                `json:"model"`    // as discovery tells it
+	Endpoint string                `json:"endpoint"` // host:port
+	Protocol replicaproto.Protocol `json:"dialect"`
+	TLS      string                `json:"tls"` // names an entry of TLS; empty: cleartext
 }
 
 // HTTP2 bounds its connections.
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -45,10 +45,10 @@
 
 // Attempt is one attempt at a part, as it is to be sent. Its Call is for the host to write; the pool reads its id on the wire.
 type Attempt struct {
-	ID     AttemptID
-	Call   *replicaproto.Call
+	ID            AttemptID
+	Call          *replicaproto.Call
 	NonIdempotent bool          // it may not run twice
-	SentAt time.Duration // since the start
+	SentAt        time.Duration // since the start
 
 	conn  *conn
 	at    *replica
@@ -62,11 +62,11 @@
 // What is noted.
 const (
 	ConnectFailed Note = "unreachable" // a connection did not come up
-	Dropped Note = "dropped"     // it ended with attempts out, or unasked
-	Malformed  Note = "spoilt"      // what came on it cannot be used
-	PingTimeout  Note = "silent"      // a ping had no answer in time
-	GoingAway Note = "goes_away"   // the far side takes nothing new on it
-	StreamLimit    Note = "limit"       // attempts wait for the far side's limit
+	Dropped       Note = "dropped"     // it ended with attempts out, or unasked
+	Malformed     Note = "spoilt"      // what came on it cannot be used
+	PingTimeout   Note = "silent"      // a ping had no answer in time
+	GoingAway     Note = "goes_away"   // the far side takes nothing new on it
+	StreamLimit   Note = "limit"       // attempts wait for the far side's limit
 )
 
 // ErrShortage is wrapped by the cause of a connection's end where this machine lacked something for it: it says nothing of
@@ -76,10 +76,10 @@
 // Host carries out what a Pool decides, at once.
 type Host interface {
 	Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Protocol) // Up or Ended follow
-	Close(c ConnID)                                                          // Ended follows
-	Write(c ConnID, l *Attempt)                                              // queues it there
-	Withdraw(c ConnID, l *Attempt) bool                                      // takes it back, unless it is begun
-	Abandon(c ConnID, l *Attempt)                                             // has the far side told that nobody waits for it
+	Close(c ConnID)                                                              // Ended follows
+	Write(c ConnID, l *Attempt)                                                  // queues it there
+	Withdraw(c ConnID, l *Attempt) bool                                          // takes it back, unless it is begun
+	Abandon(c ConnID, l *Attempt)                                                // has the far side told that nobody waits for it
 	Stage(c ConnID, l *Attempt) replicaproto.Stage
 	PeerOpen(c ConnID) bool // the far side has not ended it, as far as the machine knows
 	Ping(c ConnID)
@@ -91,12 +91,12 @@
 
 // Limits bound all connections.
 type Limits struct {
-	ConnectTimeout      time.Duration // for a connection to come up; for what is written to be taken
+	ConnectTimeout     time.Duration // for a connection to come up; for what is written to be taken
 	IdleTimeout        time.Duration // for a connection to rest; 0: for ever
-	MaxAttemptsPerConn   int           // attempts on a connection
-	MaxConns       int           // connections to all replicas
-	MaxStreamsPerConn     int           // attempts on a connection whose dialect shares it; 0: Multiplex
-	MaxSharedConns int           // connections to a replica that take attempts, where its dialect shares them; 0: one
+	MaxAttemptsPerConn int           // attempts on a connection
+	MaxConns           int           // connections to all replicas
+	MaxStreamsPerConn  int           // attempts on a connection whose dialect shares it; 0: Multiplex
+	MaxSharedConns     int           // connections to a replica that take attempts, where its dialect shares them; 0: one
 }
 
 // replica is one as the list tells it.
--- a/connpool/pool_test.go
+++ b/connpool/pool_test.go
@@ -44,21 +44,21 @@
 func (f *farm) Open(c ConnID, to scheduler.ReplicaID, _ string, d replicaproto.Protocol) {
 	f.open, f.kind[c], f.to[c] = append(f.open, c), d, to
 }
-func (f *farm) Close(c ConnID)              { f.shut[c] = true }
-func (f *farm) Write(c ConnID, l *Attempt)  { f.queue[c] = append(f.queue[c], l) }
+func (f *farm) Close(c ConnID)               { f.shut[c] = true }
+func (f *farm) Write(c ConnID, l *Attempt)   { f.queue[c] = append(f.queue[c], l) }
 func (f *farm) Abandon(_ ConnID, l *Attempt) { f.gave = append(f.gave, l.ID) }
 func (f *farm) Ping(c ConnID) {
 	if f.pings[c]++; f.answers {
 		f.p.BytesReceived(f.now, c, f.now)
 	}
 }
-func (f *farm) PeerOpen(c ConnID) bool      { return !f.dead[c] }
+func (f *farm) PeerOpen(c ConnID) bool               { return !f.dead[c] }
 func (f *farm) ReplicaForgotten(scheduler.ReplicaID) {}
 func (f *farm) Withdraw(_ ConnID, l *Attempt) bool {
 	return l.Call.Stage == replicaproto.Waiting
 }
 func (f *farm) Stage(_ ConnID, l *Attempt) replicaproto.Stage { return l.Call.Stage }
-func (f *farm) ScheduleWakeup(c ConnID, in time.Duration)               { f.wakes[c] = append(f.wakes[c], f.now+in) }
+func (f *farm) ScheduleWakeup(c ConnID, in time.Duration)     { f.wakes[c] = append(f.wakes[c], f.now+in) }
 func (f *farm) AttemptEnded(l AttemptID, how scheduler.Outcome, _ time.Duration) {
 	f.ended[l] = append(f.ended[l], how)
 }
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -293,8 +293,8 @@
 	if at, ok := c.zones[t.Zone]; ok {
 		zone = at
 	}
-	c.module.EndpointListed(c.now, r.id, lives[t.State], started, cell, zone,
-		size(c.fleet.installation, t.Model))
+	c.module.EndpointListed(c.now, scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
+		Size: size(c.fleet.installation, t.Model)})
 }
 
 // change applies changes to the list that is held.
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -130,11 +130,13 @@
 		return
 	}
 	c.held += len(query.Parts)
-	c.module.QueryArrives(c.now, q.id, number, track, c.tenantOf(query), left, hint, len(query.Parts))
+	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
+		TimeLeft: left, WorkHint: hint, Subqueries: len(query.Parts)})
 	for _, asked := range query.Parts {
 		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.PartID(query.ID, asked.Shard)}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
-		c.module.SubqueryArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), asked.Weight, asked.Hint)
+		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
+			Weight: asked.Weight, WorkHint: asked.Hint})
 	}
 }
 
@@ -378,7 +380,7 @@
 	if c.Trace {
 		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.part.wire, l.number, c.fleet.uid(l.to), outcomeNames[how], took)
 	}
-	c.module.AttemptEnds(c.now, l.part.id, l.number, how, took)
+	c.module.AttemptEnds(c.now, scheduler.AttemptResult{Subquery: l.part.id, Attempt: l.number, Outcome: how, Took: took})
 	if l.part.over() && l.Call != nil {
 		c.fleet.pool.Forget(c.now, &l.Attempt)
 	}
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -82,7 +82,8 @@
 // takeSteps tells the module of a question and its first step.
 func (c *Coordinator) takeSteps(q *openQuery, track scheduler.ClassIndex, left, hint time.Duration) {
 	s := q.question.run.Next(c.now)
-	c.module.QueryArrives(c.now, q.id, q.number, track, c.tenantOf(q.query), left, hint, max(1, len(s.Blocks)))
+	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: q.number, Class: track, Tenant: c.tenantOf(q.query),
+		TimeLeft: left, WorkHint: hint, Subqueries: max(1, len(s.Blocks))})
 	c.module.UsePhases(q.id, s.Do == twophase.Summarize)
 	if s.Do != twophase.Summarize && s.Do != twophase.Ask { // nothing is wanted
 		c.stepSoon(q)
@@ -108,7 +109,8 @@
 		}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.held++
-		c.module.SubqueryArrives(c.now, p.id, number, scheduler.ShardNumber(p.shard), 1/float64(len(s.Blocks)), hint)
+		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
+			Weight: 1 / float64(len(s.Blocks)), WorkHint: hint})
 	}
 }
 
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,7 +49,9 @@
 	run := func() string {
 		var lines strings.Builder
 		h := Draw(78)
-		h.Spy = func(f *Fleet) { fmt.Fprintln(&lines, f.Now, f.Node.Module.ClassEstimates(), f.Node.Module.DescribeReplicas()) }
+		h.Spy = func(f *Fleet) {
+			fmt.Fprintln(&lines, f.Now, f.Node.Module.ClassEstimates(), f.Node.Module.DescribeReplicas())
+		}
 		v, err := h.Run()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -126,7 +126,7 @@
 	n.happens(func() {
 		n.Module.EndpointListBegins(n.world.Now, true, old)
 		for _, r := range n.fleet.Replicas {
-			n.Module.EndpointListed(n.world.Now, r.ID, scheduler.Ready, r.Started, r.Cell, 0, 0)
+			n.Module.EndpointListed(n.world.Now, scheduler.Endpoint{ID: r.ID, State: scheduler.Ready, Started: r.Started, Cell: r.Cell})
 		}
 	})
 }
@@ -147,10 +147,12 @@
 		n.lastNumber++
 		n.open[q.ID] = q
 		left := max(0, q.CutOff-n.world.Now)
-		n.Module.QueryArrives(n.world.Now, q.ID, n.lastNumber, scheduler.ClassIndex(track), 0, left, 0, len(q.parts))
+		n.Module.QueryArrives(n.world.Now, scheduler.QueryArrival{ID: q.ID, Number: n.lastNumber, Class: scheduler.ClassIndex(track),
+			TimeLeft: left, Subqueries: len(q.parts)})
 		for _, p := range q.parts {
 			n.parts[p.id] = p
-			n.Module.SubqueryArrives(n.world.Now, p.id, n.lastNumber, scheduler.ShardNumber(p.shard), 1/float64(len(q.parts)), 0)
+			n.Module.SubqueryArrives(n.world.Now, scheduler.SubqueryArrival{ID: p.id, Query: n.lastNumber, Shard: scheduler.ShardNumber(p.shard),
+				Weight: 1 / float64(len(q.parts))})
 		}
 	})
 	return q
@@ -201,7 +203,7 @@
 		l.part.in = true
 		l.part.of.got++
 	}
-	n.Module.AttemptEnds(n.world.Now, l.part.id, scheduler.AttemptNumber(l.number), l.how, took)
+	n.Module.AttemptEnds(n.world.Now, scheduler.AttemptResult{Subquery: l.part.id, Attempt: scheduler.AttemptNumber(l.number), Outcome: l.how, Took: took})
 	n.clear(l.part)
 }
 
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -49,7 +49,9 @@
 }
 
 // Abandon has the replica told that a part is given up.
-func (s *Session) Abandon(c *replicaproto.Call) { s.queue = append(s.queue, item{giveUp: c.SubqueryID}) }
+func (s *Session) Abandon(c *replicaproto.Call) {
+	s.queue = append(s.queue, item{giveUp: c.SubqueryID})
+}
 
 // Ping does nothing: there is none.
 func (s *Session) Ping() {}
--- a/internal/replicaproto/replicaproto.go
+++ b/internal/replicaproto/replicaproto.go
@@ -17,8 +17,8 @@
 
 // Traits are what a choice of connections may rest on.
 type Traits struct {
-	Multiplexed  bool // many attempts on few connections: each is told of by itself, and a reply names its attempt
-	Pings   bool // the far side answers a ping whatever its work is
+	Multiplexed   bool // many attempts on few connections: each is told of by itself, and a reply names its attempt
+	Pings         bool // the far side answers a ping whatever its work is
 	LimitsStreams bool // the far side may state how many attempts it takes at a time; giving one up frees its place
 }
 
@@ -43,11 +43,11 @@
 
 // Call is one attempt as it is put on a connection. Session alone changes its stage; what else it says stays.
 type Call struct {
-	Attempt uint64 // names it in events
-	Group   uint64 // calls of one group may share a message
-	SubqueryID    string // the part's id
-	Shard   int
-	Text    []byte
+	Attempt    uint64 // names it in events
+	Group      uint64 // calls of one group may share a message
+	SubqueryID string // the part's id
+	Shard      int
+	Text       []byte
 
 	// Deadline is when the answer stops being awaited, as time since the process' start. Replicas are told what is left
 	// of it as the call's first byte is written.
@@ -79,13 +79,13 @@
 type Kind int
 
 const (
-	Reply Kind = iota // End and Value say how
-	NeverRan             // Evidence says why
-	MayHaveRun              // it ended without an answer and may have run
-	CallLimit                 // the far side takes Most calls at a time from now on
-	GoingAway              // the far side takes nothing new on this connection
-	PingAnswered                // it answered a ping
-	Ready                // calls may go
+	Reply        Kind = iota // End and Value say how
+	NeverRan                 // Evidence says why
+	MayHaveRun               // it ended without an answer and may have run
+	CallLimit                // the far side takes Most calls at a time from now on
+	GoingAway                // the far side takes nothing new on this connection
+	PingAnswered             // it answered a ping
+	Ready                    // calls may go
 )
 
 // End is how a replica says that a part ended.
@@ -108,15 +108,15 @@
 
 // Event is something that came. Where Attempt is 0 the dialect's replies name parts, and Wire says which.
 type Event struct {
-	Kind     Kind
-	Attempt  uint64
-	SubqueryID     string
-	End      End
-	Value    []byte
-	Busy     float64 // of an answer: the share of the far side's cores in use, below 0 if it tells none
-	Evidence Evidence
-	MaxCalls     int
-	Detail    string // for the log
+	Kind       Kind
+	Attempt    uint64
+	SubqueryID string
+	End        End
+	Value      []byte
+	Busy       float64 // of an answer: the share of the far side's cores in use, below 0 if it tells none
+	Evidence   Evidence
+	MaxCalls   int
+	Detail     string // for the log
 }
 
 // Session is one connection's state machine. Its methods are called by one goroutine at a time.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -306,7 +306,7 @@
 				if e.started != 0 {
 					started = micros(e.started - born)
 				}
-				m.EndpointListed(now, e.id, e.life, started, e.cell, e.zone, e.size)
+				m.EndpointListed(now, scheduler.Endpoint{ID: e.id, State: e.life, Started: started, Cell: e.cell, Zone: e.zone, Size: e.size})
 			}
 		}
 	case "DEMAND":
@@ -322,9 +322,11 @@
 		f.truth("update")
 		do = func(m *scheduler.Scheduler, now time.Duration) {
 			if shard < 0 {
-				m.QueryArrives(now, id, number, track, tenant, left, hint, int(amount))
+				m.QueryArrives(now, scheduler.QueryArrival{ID: id, Number: number, Class: track, Tenant: tenant,
+					TimeLeft: left, WorkHint: hint, Subqueries: int(amount)})
 			} else {
-				m.SubqueryArrives(now, id, number, scheduler.ShardNumber(shard), amount, hint)
+				m.SubqueryArrives(now, scheduler.SubqueryArrival{ID: id, Query: number, Shard: scheduler.ShardNumber(shard),
+					Weight: amount, WorkHint: hint})
 			}
 		}
 	case "FIRST": // no track of this wire streams its answers
@@ -343,7 +345,7 @@
 			if busy >= 0 {
 				m.LoadReported(now, replica, busy)
 			}
-			m.AttemptEnds(now, id, attempt, outcome, took)
+			m.AttemptEnds(now, scheduler.AttemptResult{Subquery: id, Attempt: attempt, Outcome: outcome, Took: took})
 		}
 	case "LAPSED":
 		id := scheduler.RequestID(f.id("requestId"))
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -92,7 +92,7 @@
 	Endpoint    EndpointState
 	Effect      Effect
 	Earlier     []Evidence // of the earlier attempts of the same subquery
-	MaxAttempts        int        // attempts of a subquery that the settings allow; 0: any number
+	MaxAttempts int        // attempts of a subquery that the settings allow; 0: any number
 }
 
 // Check tells whether an attempt may be written.
@@ -132,9 +132,9 @@
 
 // Answer is what is known when a final answer is about to be given.
 type Answer struct {
-	Answered bool          // the request has had one
-	Late     time.Duration // past the client's deadline; below 0 before it
-	LoopStalled  time.Duration // for how long this process has just stood still: nothing can be answered meanwhile
+	Answered    bool          // the request has had one
+	Late        time.Duration // past the client's deadline; below 0 before it
+	LoopStalled time.Duration // for how long this process has just stood still: nothing can be answered meanwhile
 }
 
 // answerSlack is how late a final answer may be given: the protocol page's 50 ms on every limit.
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -30,8 +30,8 @@
 		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"scheduler/retry.go": {"(first < 0 || t.effect == replayable ||", "(true ||"},
-		"invariant/invariant.go":  {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
+		"scheduler/retry.go":     {"(first < 0 || t.effect == replayable ||", "(true ||"},
+		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
 		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -29,8 +29,9 @@
 	}
 }
 
-func (c *Scheduler) EndpointListed(now time.Duration, id ReplicaID, life EndpointState, started time.Duration,
-	cell CellNumber, zone ZoneIndex, size float64) {
+// EndpointListed takes one entry of the list that EndpointListBegins opened.
+func (c *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
+	id, started := endpoint.ID, endpoint.Started
 	clear(c.held)
 	r, known := c.index[id]
 	if !known {
@@ -44,7 +45,7 @@
 		delete(c.coldBefore, id)
 		c.sound(r)
 	}
-	c.life[r], c.cell[r], c.zone[r], c.size[r] = life, cell, zone, cmp.Or(max(0, size), 1)
+	c.life[r], c.cell[r], c.zone[r], c.size[r] = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
 	if started > c.started[r] {
 		c.started[r], c.limit[r] = started, startCap
 		c.sound(r)
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -11,10 +11,10 @@
 
 // ClassEstimate is what is believed of one track.
 type ClassEstimate struct {
-	SubqueryWork    time.Duration // of a part
+	SubqueryWork   time.Duration // of a part
 	WorkPerHint    float64       // work for each unit of hint
-	LatenessFactor  float64       // times the expected time that its queries may take
-	ProbeLimit float64       // let in against the belief at a time
+	LatenessFactor float64       // times the expected time that its queries may take
+	ProbeLimit     float64       // let in against the belief at a time
 }
 
 // ClassEstimates tells what is believed of each track, in the order of the settings.
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -157,7 +157,7 @@
 	m.c.EndpointListBegins(m.now, full, old)
 	for _, id := range ids {
 		r := m.replicas[id]
-		m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), ZoneIndex(id%2), 0)
+		m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Zone: ZoneIndex(id % 2)})
 		r.unknown = false
 	}
 }
@@ -334,7 +334,7 @@
 	q.parts = append(q.parts, p)
 	m.parts[p.id] = p
 	m.taken = append(m.taken, m.now)
-	m.c.SubqueryArrives(m.now, p.id, q.number, ShardNumber(shard), weight, 0)
+	m.c.SubqueryArrives(m.now, SubqueryArrival{ID: p.id, Query: q.number, Shard: ShardNumber(shard), Weight: weight})
 }
 
 // ask hands the module a query of so many parts.
@@ -343,7 +343,7 @@
 	q := &modelQuery{id: m.nextID, number: QueryNumber(m.nextID), track: track, endAt: m.now + left}
 	m.queries[q.id] = q
 	m.taken = append(m.taken, m.now)
-	m.c.QueryArrives(m.now, q.id, q.number, ClassIndex(track), 0, left, 0, parts)
+	m.c.QueryArrives(m.now, QueryArrival{ID: q.id, Number: q.number, Class: ClassIndex(track), TimeLeft: left, Subqueries: parts})
 	for n := range parts {
 		m.newPart(q, m.shard+n, 1/float64(parts))
 	}
@@ -357,7 +357,7 @@
 	if how == Succeeded && !p.of.ended {
 		p.in = true
 	}
-	m.c.AttemptEnds(m.now, p.id, AttemptNumber(n), how, m.now-l.at)
+	m.c.AttemptEnds(m.now, AttemptResult{Subquery: p.id, Attempt: AttemptNumber(n), Outcome: how, Took: m.now - l.at})
 }
 
 type out struct {
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -28,7 +28,7 @@
 	m.nextID++
 	id := m.nextID
 	m.queries[id] = &modelQuery{id: id, number: 77, endAt: m.now + time.Second}
-	m.c.QueryArrives(m.now, id, 77, 0, 0, time.Second, 0, 3)
+	m.c.QueryArrives(m.now, QueryArrival{ID: id, Number: 77, TimeLeft: time.Second, Subqueries: 3})
 	m.turn()
 	if m.pass(1100 * ms); !m.queries[id].ended {
 		t.Error("it was never ended")
@@ -170,7 +170,7 @@
 		m.start(1)
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%2))
+			m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%2)})
 		}
 		m.turn()
 		m.ask(0, 1, 3*time.Second)
@@ -218,7 +218,7 @@
 		}
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.EndpointListed(m.now, id, r.life, r.started, CellNumber(r.cell), 0, float64(1+n%3))
+			m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
 		}
 		m.turn()
 		for _, id := range m.order {
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -73,7 +73,7 @@
 	m.nextID++
 	q := &modelQuery{id: m.nextID, number: QueryNumber(m.nextID), endAt: m.now + 3*time.Second}
 	m.queries[q.id] = q
-	m.c.QueryArrives(m.now, q.id, q.number, 0, 0, 3*time.Second, 0, 8)
+	m.c.QueryArrives(m.now, QueryArrival{ID: q.id, Number: q.number, TimeLeft: 3 * time.Second, Subqueries: 8})
 	for range 8 {
 		m.newPart(q, 0, 0.125)
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -41,12 +41,12 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// QueryArrives tells a query, or a further try of one, and how many parts its first step has.
-func (c *Scheduler) QueryArrives(now time.Duration, id RequestID, number QueryNumber, n ClassIndex,
-	tenant TenantIndex, left, hint time.Duration, parts int) {
+// QueryArrives takes a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
+func (c *Scheduler) QueryArrives(now time.Duration, arrival QueryArrival) {
 	c.clock(now)
-	t := &c.classes[n]
-	q := &query{id: id, number: number, class: t, tenant: tenant, arrived: now, due: parts}
+	left, hint, tenant := arrival.TimeLeft, arrival.WorkHint, arrival.Tenant
+	t := &c.classes[arrival.Class]
+	q := &query{id: arrival.ID, number: arrival.Number, class: t, tenant: tenant, arrived: now, due: arrival.Subqueries}
 	q.endAt = now + left
 	q.agreed = now + min(t.agreed+scale(hint, t.stretch), t.cutOff, left)
 	if gone := t.cutOff - left; c.laterTry(float64(left) / float64(t.cutOff)) {
@@ -55,7 +55,7 @@
 		}
 	}
 	q.touched, c.open = true, append(c.open, q)
-	c.byID[id], c.byNum[number] = q, q
+	c.byID[q.id], c.byNum[q.number] = q, q
 	known := int(tenant) < len(c.quota)
 	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseen <= 1 || c.heard()); known && !q.overShare {
 		c.allowance[tenant]--
@@ -80,9 +80,11 @@
 	return more && !usual
 }
 
-func (c *Scheduler) SubqueryArrives(now time.Duration, id RequestID, number QueryNumber, shard ShardNumber,
-	weight float64, hint time.Duration) {
+// SubqueryArrives takes one subquery of the present phase of a query.
+func (c *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
 	c.clock(now)
+	id, number, shard := arrival.ID, arrival.Query, arrival.Shard
+	weight, hint := arrival.Weight, arrival.WorkHint
 	q := c.byNum[number]
 	if q == nil || !q.goesOn || q.step == 0 { // what a later step asks again is not asked for anew
 		c.taken = append(c.taken, now)
@@ -133,8 +135,10 @@
 	q.got, q.in, q.ratio, q.sent, q.deaths = 0, 0, 0, 0, 0
 }
 
-func (c *Scheduler) AttemptEnds(now time.Duration, id RequestID, n AttemptNumber, how Outcome, took time.Duration) {
+// AttemptEnds takes the outcome of an attempt. One that is not known, or that has ended before, changes nothing.
+func (c *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
 	c.clock(now)
+	id, n, how, took := result.Subquery, result.Attempt, result.Outcome, result.Took
 	p := c.subqueries[id]
 	if p == nil || int(n) >= len(p.attempts) || n < 0 || p.attempts[n].done {
 		return
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -10,15 +10,15 @@
 
 // ShadowCounts counts queries and attempts and, by kind, where the other settings would have decided otherwise.
 type ShadowCounts struct {
-	Queries    int // looked at, as they came
-	WouldReject int // let in by their estimate, and by the other settings' not
-	WouldAdmit      int // the other way round
-	Subqueries      int // of those queries
-	WouldPlaceElsewhere  int // parts whose fastest holder would have been another
-	Attempts   int // sent
-	WouldTimeOutOtherwise   int // of them, those that would have had another time-out, or none where they have one
-	WouldNotHedge  int // copies that went and would not have
-	WouldHedge     int // attempts that got no copy at a time when they would have
+	Queries               int // looked at, as they came
+	WouldReject           int // let in by their estimate, and by the other settings' not
+	WouldAdmit            int // the other way round
+	Subqueries            int // of those queries
+	WouldPlaceElsewhere   int // parts whose fastest holder would have been another
+	Attempts              int // sent
+	WouldTimeOutOtherwise int // of them, those that would have had another time-out, or none where they have one
+	WouldNotHedge         int // copies that went and would not have
+	WouldHedge            int // attempts that got no copy at a time when they would have
 }
 
 type watcher struct {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -37,8 +37,8 @@
 			t.Fatal(err)
 		}
 		c.EndpointListBegins(0, true, false)
-		c.EndpointListed(0, 1, Ready, StartUnknown, 0, 0, 1)
-		c.EndpointListed(0, 2, Ready, time.Minute, 0, 0, 1)
+		c.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
+		c.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: time.Minute, Size: 1})
 		c.lanes, c.warm, c.blank = crowdLanes, 1, 1
 		crowd.cold, crowd.warm = c.index[2], c.index[1]
 		crowd.members = append(crowd.members, c)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -51,7 +51,7 @@
 	number                                         QueryNumber
 	class                                          *class
 	arrived, agreed, endAt                         time.Duration
-	subqueries                                          []*subquery
+	subqueries                                     []*subquery
 	due, step                                      int
 	got                                            float64 // weight of the parts that are in
 	in, ratio, sent                                float64 // parts in, their times over the expected, attempts
@@ -97,7 +97,7 @@
 	missing     error
 	seed, draws uint64
 
-	classes                                 []class
+	classes                                []class
 	allowance                              []float64 // per tenant: left of its quota
 	subscribed                             bool
 	askAt, askWait                         time.Duration
@@ -116,7 +116,7 @@
 	byID          map[RequestID]*query
 	byNum         map[QueryNumber]*query
 	held          [][]replica                 // by cell: the holders of its shards; nil: to be made from the list
-	subqueries         map[RequestID]*subquery         // those with attempts out or of open queries
+	subqueries    map[RequestID]*subquery     // those with attempts out or of open queries
 	copies        float64                     // second copies earned
 	lanes         float64                     // learned: parts a replica works on side by side
 	taken, extras []time.Duration             // within the attempt budget's span
