--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -27,8 +27,8 @@
 	sent := 0
 	for n := range 4 {
 		k := c.client(t)
-		query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
-			Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
+			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		q := c.byQuery[query.ID]
 		if q == nil {
@@ -73,8 +73,8 @@
 		c := withSettings(t, others, target)
 		for n := range 60 {
 			k := c.client(t)
-			query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: 5 * time.Second,
-				Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+			query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
+				Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 			c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 			if panics && n%10 == 9 {
 				c.broken("as if")
@@ -111,7 +111,7 @@
 	c := fronted(t)
 	c.born = c.born.Add(-10 * time.Second)
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: 100 * time.Millisecond, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: 100 * time.Millisecond, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now-200*time.Millisecond) }, c.endTurn)
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
 		t.Error("it is not refused")
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -39,7 +39,7 @@
 type client struct {
 	c        *Coordinator
 	conn     net.Conn
-	requests wire.Requests
+	requests wire.RequestReader
 	busy     bool      // a request is out that the other goroutine answers
 	dropped  int       // bytes that came beyond what may come ahead: the connection ends with its answer
 	asked    int       // requests so far
@@ -100,7 +100,7 @@
 
 // turnedBack makes the answer that trying again is harmless.
 func turnedBack(words string) func(last bool) []byte {
-	return func(last bool) []byte { return wire.TurnBackWith(0, words, last) }
+	return func(last bool) []byte { return wire.RejectResponse(0, words, last) }
 }
 
 // wake has the connection's goroutine look up from its reading.
@@ -170,7 +170,7 @@
 	if k.busy {
 		return false, true, 0
 	}
-	if k.requests.Waiting() > 0 {
+	if k.requests.Buffered() > 0 {
 		unread := k.readsOn()
 		if k.gone.Load() {
 			return false, false, closedByClient
@@ -236,9 +236,9 @@
 	if k.busy {
 		most = mostAhead
 	}
-	if k.dropped == 0 && k.requests.Waiting() <= most && (k.large || k.requests.Waiting() < plainRequest) {
-		had := k.requests.Waiting()
-		n, err = k.conn.Read(k.requests.Room())
+	if k.dropped == 0 && k.requests.Buffered() <= most && (k.large || k.requests.Buffered() < plainRequest) {
+		had := k.requests.Buffered()
+		n, err = k.conn.Read(k.requests.Free())
 		k.requests.Filled(n)
 		if had > 0 || n == 0 {
 			return n, err
@@ -274,7 +274,7 @@
 	if !k.lookEnds.IsZero() {
 		return k.lookEnds
 	}
-	partly := k.asked == 0 || k.requests.Waiting() > 0
+	partly := k.asked == 0 || k.requests.Buffered() > 0
 	limit := k.since.Add(requestWithin)
 	switch {
 	case k.evicted.Load() || k.c.leaving.Load() && !partly:
@@ -294,12 +294,12 @@
 // Guards against: many that send their largest at once, where memory is scarce. Could hurt: usual clients whose
 // requests are as large; they are told that trying again is harmless.
 func (k *client) roomy() bool {
-	if k.large || k.requests.Waiting() < plainRequest || k.dropped > 0 {
+	if k.large || k.requests.Buffered() < plainRequest || k.dropped > 0 {
 		return true
 	}
 	if k.large = k.c.front.enlarge(); !k.large && !k.busy { // while a request is open, read drops what is too much
 		k.c.post(func() { k.c.counts.Bad++ })
-		k.give(answer{wire.TurnBackWith(0, "too many large requests", true), true})
+		k.give(answer{wire.RejectResponse(0, "too many large requests", true), true})
 	}
 	return k.large || k.busy
 }
@@ -379,7 +379,7 @@
 		if k.letIn = k.c.lets(); k.letIn {
 			return true
 		}
-		k.requests.Use(size)
+		k.requests.Consume(size)
 		k.begins(false)
 		if !k.give(k.answerWith(turnedBack("busy"))) {
 			return false
@@ -404,7 +404,7 @@
 	}
 	k.busy, k.since = false, time.Now()
 	k.idles()
-	if k.large && k.requests.Waiting() < plainRequest {
+	if k.large && k.requests.Buffered() < plainRequest {
 		k.large = false
 		k.c.front.lessen()
 	}
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -41,7 +41,7 @@
 // silentReason is why a connection goes on which nothing came in its time.
 func (k *client) silentReason() closeReason {
 	switch {
-	case k.requests.Waiting() > 0:
+	case k.requests.Buffered() > 0:
 		return closedSlowRequest
 	case k.evicted.Load():
 		return closedEvicted
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	return &Deployment{Name: "n0", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "8c1f", Nested: json.RawMessage(nested),
-		Known: wire.Listing{All: true, Targets: targets}, settings: settings}
+		Known: wire.EndpointList{All: true, Targets: targets}, settings: settings}
 }
 
 func made(t *testing.T, targets ...wire.Target) *Coordinator {
@@ -148,7 +148,7 @@
 	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 	defer c.fleet.stop()
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: 24 * time.Hour, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: 24 * time.Hour, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	if c.counts.Attempts != 1 || len(c.timers) < 2 {
 		t.Fatalf("%d legs, %d timers", c.counts.Attempts, len(c.timers))
@@ -172,14 +172,14 @@
 	c.list.c = c
 	cell, sizes := 0, ""
 	for n := range 3000 {
-		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Gone}
+		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
 		next := wire.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
 		near, far := net.Pipe()
 		k := newClient(c, near)
-		query := &wire.Query{ID: fmt.Sprint("q", n), Track: "look", Deadline: time.Second,
-			Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: time.Second,
+			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.turn(func() {
-			c.list.tell(&wire.Listing{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
+			c.list.tell(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
 			c.arrives(k, query, c.now)
 		}, c.endTurn)
 		c.turn(func() { c.clientLeaves(k) }, c.endTurn)
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -23,7 +23,7 @@
 	c := made(t, wire.Target{UID: "s-a", Endpoint: l.Addr().String(), State: wire.Ready, Cell: &cell})
 	defer c.fleet.stop()
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	c.turn(<-c.inbox, c.endTurn) // the connection is up
 	if len(c.fleet.attempts) != 1 {
@@ -39,8 +39,8 @@
 func TestRequestAtWhichATurnBreaksIsAnswered(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}},
-		Question: &wire.Question{}} // which this track does not take, so that nothing is ready for it
+	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}},
+		TwoPhase: &wire.TwoPhaseQuery{}} // which this track does not take, so that nothing is ready for it
 	cause := recovered(func() { c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn) })
 	if cause == "" {
 		t.Fatal("nothing breaks")
@@ -49,7 +49,7 @@
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 500 ") {
 		t.Error("it is not answered")
 	}
-	query.Question = nil
+	query.TwoPhase = nil
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	c.broken("as if, later")
 	if len(k.answers) != 1 {
@@ -61,7 +61,7 @@
 func TestWhatABrokenTurnWasToTellIsTold(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 	for _, l := range c.fleet.attempts {
 		c.next = append(c.next, func() { panic("as if") })
@@ -87,7 +87,7 @@
 	k := newLink(c, 1, c.fleet.named("s-a"), "127.0.0.1:1", replicaproto.Frames)
 	var calls []*replicaproto.Call
 	for n := range 60 {
-		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), SubqueryID: wire.PartID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
+		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), SubqueryID: wire.SubqueryID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
 		k.session.Queue(calls[n])
 	}
 	began := time.Now()
@@ -107,7 +107,7 @@
 	for _, leaves := range []bool{true, false} {
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
-		query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		ended := <-c.inbox // of its connection, which is as good as one that was up and broke
 		q := c.byQuery["q"]
@@ -136,7 +136,7 @@
 	for _, begun := range []bool{true, false} {
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
-		query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
+		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		p := c.byQuery["q"].parts[0]
 		<-c.inbox // the end of its connection; they are as good as ones that stand
--- a/coordinator/crossings_list_test.go
+++ b/coordinator/crossings_list_test.go
@@ -25,7 +25,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	waits, ended := make(chan struct{}), make(chan struct{})
 	go func() {
-		c.list.calls(ctx, a.Listener.Addr().String(), func(*wire.Listing) { <-waits })
+		c.list.calls(ctx, a.Listener.Addr().String(), func(*wire.EndpointList) { <-waits })
 		close(ended)
 	}()
 	(<-a.Calls).Tell(`{"rev":5,"all":true,"targets":[]}`)
@@ -55,7 +55,7 @@
 		c.list.hold = wait
 		ended := make(chan error)
 		go func() {
-			ended <- c.list.calls(context.Background(), a.Listener.Addr().String(), func(*wire.Listing) {})
+			ended <- c.list.calls(context.Background(), a.Listener.Addr().String(), func(*wire.EndpointList) {})
 		}()
 		call := <-a.Calls
 		if wait > 0 {
@@ -79,9 +79,9 @@
 		c := fronted(t)
 		c.list.hold = time.Minute
 		ctx, stop := context.WithCancel(context.Background())
-		told, ended := make(chan *wire.Listing, 9), make(chan error, 1)
+		told, ended := make(chan *wire.EndpointList, 9), make(chan error, 1)
 		go func() {
-			ended <- c.list.calls(ctx, a.Listener.Addr().String(), func(l *wire.Listing) { told <- l })
+			ended <- c.list.calls(ctx, a.Listener.Addr().String(), func(l *wire.EndpointList) { told <- l })
 		}()
 		call := <-a.Calls
 		io.WriteString(call.Conn, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":5,\"all\":true,\"targets\":[]}")
--- a/coordinator/crossings_settings_test.go
+++ b/coordinator/crossings_settings_test.go
@@ -16,9 +16,9 @@
 	c := set(t, map[string]string{"orgs.count": "2", "orgs.1.name": "c", "orgs.0.quotaPerS": "1", "orgs.1.quotaPerS": "1"})
 	asks := func(tenant string, parts int) (turnedBack bool) {
 		before := c.counts.TurnedBack
-		query := &wire.Query{ID: "q", Track: "look", Tenant: tenant, Deadline: 6 * time.Second}
+		query := &wire.Query{ID: "q", Class: "look", Tenant: tenant, Deadline: 6 * time.Second}
 		for n := range parts {
-			query.Parts = append(query.Parts, wire.QueryPart{Shard: 2 * n, Weight: 1 / float64(parts)})
+			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: 2 * n, Weight: 1 / float64(parts)})
 		}
 		k := c.client(t)
 		c.turn(func() { c.arrives(k, query, c.now) }, func() { c.module.Decide(c.now) })
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -99,7 +99,7 @@
 	c := fronted(t)
 	k := c.client(t)
 	query := func(id string) *wire.Query {
-		return &wire.Query{ID: id, Track: "look", Deadline: time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+		return &wire.Query{ID: id, Class: "look", Deadline: time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	}
 	c.turn(func() { k.gone.Store(true); c.arrives(k, query("q"), c.now) }, c.endTurn)
 	if c.counts.Attempts > 0 || c.counts.Left != 1 {
@@ -122,7 +122,7 @@
 		if far.Close(); waited > 0 {
 			sees(t, near, ended)
 		}
-		query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.born = c.born.Add(-10 * time.Second)
 		c.turn(func() { c.arrives(k, query, c.now-waited) }, c.endTurn)
 		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
@@ -224,10 +224,10 @@
 func TestAnswerSaysWhatBecomesOfItsConnection(t *testing.T) {
 	c := fronted(t)
 	k := c.client(t)
-	query := &wire.Query{ID: "q", Track: "look", Deadline: time.Minute, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.turn(func() { c.arrives(k, query, c.now) }, func() {})
 	c.reply(c.byQuery["q"].id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
-		text := wire.AnswerWith(true, nil, last)
+		text := wire.CompleteResponse(true, nil, last)
 		k.evicted.Store(true)
 		return text
 	})
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -21,13 +21,13 @@
 
 // Deployment is what a co-ordinator is told before it starts.
 type Deployment struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     wire.Listing    `json:"known"`
-	Nested    json.RawMessage `json:"settings"`
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	Discovery string            `json:"discovery"`
+	Seed      string            `json:"seed"`
+	Limits    Limits            `json:"limits"`
+	Known     wire.EndpointList `json:"known"`
+	Nested    json.RawMessage   `json:"settings"`
 
 	// Installation is the project's own settings; nil: as without a file.
 	Installation *config.Config `json:"-"`
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -29,7 +29,7 @@
 	failing  bool   // the last call did
 	asked    bool   // changes come only to those who ask, and the module decides when
 	hold     time.Duration
-	held     wire.Listing
+	held     wire.EndpointList
 	stopCall context.CancelFunc
 	boots    *incarnation.Tracker
 	stopMove context.CancelFunc // of the watch at a new address that has yet to tell the whole list; or nil
@@ -108,7 +108,7 @@
 	}
 	began := l.c.now
 	l.c.drivers.Go(func() {
-		err := l.calls(ctx, host, func(told *wire.Listing) {
+		err := l.calls(ctx, host, func(told *wire.EndpointList) {
 			post(func() {
 				l.c.counts.Lists++
 				if host != l.host {
@@ -150,20 +150,20 @@
 }
 
 // calls makes one call after the other on one connection; it returns what ended it.
-func (l *list) calls(ctx context.Context, host string, tell func(*wire.Listing)) error {
+func (l *list) calls(ctx context.Context, host string, tell func(*wire.EndpointList)) error {
 	var conn net.Conn
-	var answers wire.Listings
+	var answers wire.EndpointListReader
 	release := func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}
 	defer func() { release() }()
-	request, wait, rev, within := wire.WholeList(host), time.Duration(0), int64(0), answersIn
+	request, wait, rev, within := wire.ListRequest(host), time.Duration(0), int64(0), answersIn
 	if !l.asked {
 		within = agentsIn
 	}
-	var told *wire.Listing
+	var told *wire.EndpointList
 	for {
 		if conn == nil {
 			if told != nil {
@@ -174,7 +174,7 @@
 			if conn, err = dial(ctx, host, time.Now().Add(within)); err != nil {
 				return err
 			}
-			answers = wire.Listings{}
+			answers = wire.EndpointListReader{}
 			now, forget := conn, stopWith(ctx, conn)
 			release = func() {
 				forget()
@@ -202,23 +202,23 @@
 			return fmt.Errorf("changes of revision %d after %d", told.Rev, rev)
 		}
 		rev = told.Rev
-		request, wait = wire.Watch(host, rev, l.hold.Milliseconds()), l.hold
+		request, wait = wire.WatchRequest(host, rev, l.hold.Milliseconds()), l.hold
 		within = min(within, dueIn)
 	}
 }
 
-func nextListing(conn net.Conn, answers *wire.Listings) (*wire.Listing, bool, error) {
+func nextListing(conn net.Conn, answers *wire.EndpointListReader) (*wire.EndpointList, bool, error) {
 	for {
 		told, last, err := answers.Next()
 		if told != nil || err != nil {
 			return told, last, err
 		}
-		n, err := conn.Read(answers.Room())
+		n, err := conn.Read(answers.Free())
 		answers.Filled(n)
 		switch {
 		case err == nil || n > 0:
-		case errors.Is(err, io.EOF) && !answers.Ended():
-			answers.Ends()
+		case errors.Is(err, io.EOF) && !answers.Complete():
+			answers.ConnClosed()
 		default:
 			return nil, false, err
 		}
@@ -226,9 +226,9 @@
 }
 
 // tell tells the module what discovery said and keeps the list that follows from it.
-func (l *list) tell(told *wire.Listing, old bool) {
+func (l *list) tell(told *wire.EndpointList, old bool) {
 	c := l.c
-	if odd := told.Sift(); len(odd) > 0 {
+	if odd := told.DropUnusable(); len(odd) > 0 {
 		c.log.Printf("event=odd_targets rev=%d targets=%q", told.Rev, odd)
 	}
 	now := time.Now()
@@ -268,10 +268,10 @@
 	c := l.c
 	r := c.fleet.named(t.UID)
 	r.state.Store(int32(states[t.State]))
-	if r.addr != t.Endpoint && t.State != wire.Gone {
+	if r.addr != t.Endpoint && t.State != wire.Removed {
 		c.log.Printf("event=listed replica=%s id=%d addr=%s zone=%s", t.UID, r.id, t.Endpoint, t.Zone)
 	}
-	if t.State == wire.Gone {
+	if t.State == wire.Removed {
 		c.fleet.pool.ReplicaRemoved(c.now, r.id)
 	} else {
 		r.addr = t.Endpoint
@@ -310,7 +310,7 @@
 		}
 	}
 	for _, t := range targets {
-		if t.State != wire.Gone {
+		if t.State != wire.Removed {
 			kept = append(kept, t)
 		}
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -73,7 +73,7 @@
 		defer c.peers.close()
 		c.client(t)
 	}
-	query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second, Parts: []wire.QueryPart{{Shard: 0, Weight: 1}}}
+	query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	a.turn(func() { a.arrives(a.client(t), query, a.now) }, a.endTurn)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
@@ -180,9 +180,9 @@
 		}
 		defer c.fleet.stop()
 		k := c.client(t)
-		query := &wire.Query{ID: "q", Track: "look", Deadline: 5 * time.Second}
+		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second}
 		for shard := range 4 {
-			query.Parts = append(query.Parts, wire.QueryPart{Shard: shard, Weight: 0.25})
+			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: shard, Weight: 0.25})
 		}
 		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
 		return c.counts.Attempts, c.countersLine()
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -62,7 +62,7 @@
 // for is a violation.
 func (c *Coordinator) mayDecide(l *attempt, earlier []*attempt) invariant.Reason {
 	attempt := l.snapshot(c.now)
-	attempt.Effect, attempt.MaxAttempts = c.effects[l.part.of.query.Track], c.maxAttempts
+	attempt.Effect, attempt.MaxAttempts = c.effects[l.part.of.query.Class], c.maxAttempts
 	for _, e := range earlier {
 		attempt.Earlier = append(attempt.Earlier, e.evidence())
 	}
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -93,7 +93,7 @@
 }
 
 func (c *Coordinator) unknownShard(query *wire.Query) int {
-	for _, p := range query.Parts {
+	for _, p := range query.Subqueries {
 		if p.Shard >= c.shards {
 			return p.Shard
 		}
@@ -104,14 +104,14 @@
 func (c *Coordinator) take(from *client, query *wire.Query, at time.Duration) {
 	at = c.cameAt(at)
 	q := &openQuery{id: c.newID(), client: from, query: query, came: at, cutOff: at + query.Deadline}
-	track := c.tracks[query.Track]
+	track := c.tracks[query.Class]
 	c.lastNumber++
 	number := c.lastNumber
 	hint := time.Duration(0)
-	for _, p := range query.Parts {
+	for _, p := range query.Subqueries {
 		hint += p.Hint
 	}
-	if query.Question != nil {
+	if query.TwoPhase != nil {
 		if err := c.takeQuestion(q); err != nil {
 			c.counts.Taken--
 			c.bad(from, http.StatusBadRequest, err.Error())
@@ -124,16 +124,16 @@
 	c.held++
 	left := max(0, q.cutOff-c.now)
 	q.ends = c.after(left, "", func() { c.overdue(q) })
-	c.trace("retrieval=%s track=%s left=%v parts=%d", query.ID, query.Track, left, len(query.Parts))
+	c.trace("retrieval=%s track=%s left=%v parts=%d", query.ID, query.Class, left, len(query.Subqueries))
 	if q.question != nil {
 		c.takeSteps(q, track, left, hint)
 		return
 	}
-	c.held += len(query.Parts)
+	c.held += len(query.Subqueries)
 	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
-		TimeLeft: left, WorkHint: hint, Subqueries: len(query.Parts)})
-	for _, asked := range query.Parts {
-		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.PartID(query.ID, asked.Shard)}
+		TimeLeft: left, WorkHint: hint, Subqueries: len(query.Subqueries)})
+	for _, asked := range query.Subqueries {
+		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.SubqueryID(query.ID, asked.Shard)}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
 			Weight: asked.Weight, WorkHint: asked.Hint})
@@ -273,14 +273,14 @@
 		if !whole {
 			c.counts.Partial++
 		}
-		var matches []wire.Match
+		var matches []wire.SubqueryValue
 		for _, p := range q.parts {
 			if p.in {
-				matches = append(matches, wire.Match{Segment: p.shard, Payload: string(p.value)})
+				matches = append(matches, wire.SubqueryValue{Segment: p.shard, Payload: string(p.value)})
 			}
 		}
 		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.now-q.came)
-		return wire.AnswerWith(whole, matches, last)
+		return wire.CompleteResponse(whole, matches, last)
 	})
 }
 
@@ -288,7 +288,7 @@
 func (c *Coordinator) Reject(id scheduler.RequestID, comeBack time.Duration) {
 	c.reply(id, &c.counts.TurnedBack, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.now-q.came)
-		return wire.TurnBackWith(comeBack, "turned back", last)
+		return wire.RejectResponse(comeBack, "turned back", last)
 	})
 }
 
@@ -316,7 +316,7 @@
 		wait = min(wait, timeout)
 	}
 	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.now + wait, to: to, endpoint: c.fleet.endpoint(to)}
-	l.SentAt, l.NonIdempotent = c.now, c.effects[p.of.query.Track] == invariant.NonIdempotent
+	l.SentAt, l.NonIdempotent = c.now, c.effects[p.of.query.Class] == invariant.NonIdempotent
 	earlier := p.attempts
 	p.attempts = append(p.attempts, l)
 	c.noteSent(l, earlier)
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -16,17 +16,17 @@
 // questions is what belongs to them; it belongs to the turns.
 type questions struct {
 	takes    map[string]bool // tracks
-	learns   map[string]*twophase.Track
+	learns   map[string]*twophase.Class
 	shared   bool // versions
 	attempts int  // allowance of a part; 0: any number
 }
 
 // question is an open one.
 type question struct {
-	run       *twophase.Run
-	form      twophase.Form
-	asked     *wire.Question
-	hints     map[twophase.Block]time.Duration
+	run       *twophase.Query
+	form      twophase.Options
+	asked     *wire.TwoPhaseQuery
+	hints     map[twophase.Shard]time.Duration
 	summaries bool // the present parts ask for them
 	due       bool // a step is to be taken in the next turn
 	wake      *timer
@@ -35,7 +35,7 @@
 }
 
 func (n *questions) begin(d *Deployment, tracks map[string]scheduler.ClassIndex) error {
-	*n = questions{takes: map[string]bool{}, learns: map[string]*twophase.Track{}}
+	*n = questions{takes: map[string]bool{}, learns: map[string]*twophase.Class{}}
 	if d.Installation == nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 		}
 		agreed, err := d.span(path+"aim", time.Second)
 		bad = errors.Join(bad, err)
-		n.takes[name], n.learns[name] = true, twophase.NewTrack(agreed)
+		n.takes[name], n.learns[name] = true, twophase.NewClass(agreed)
 	}
 	var err error
 	n.attempts, err = d.whole("bounds.maxAttempts", 1<<30)
@@ -59,20 +59,20 @@
 
 // takeQuestion begins a question, whose module's query has not been told of yet.
 func (c *Coordinator) takeQuestion(q *openQuery) error {
-	t := c.questions.learns[q.query.Track]
-	asked := q.query.Question
-	form := twophase.Form{Ranked: asked.Best != nil, Shared: c.questions.shared}
+	t := c.questions.learns[q.query.Class]
+	asked := q.query.TwoPhase
+	form := twophase.Options{Ranked: asked.Best != nil, SharedVersions: c.questions.shared}
 	if form.Ranked {
-		form.Best = *asked.Best
+		form.Limit = *asked.Best
 	}
-	n := &question{form: form, asked: asked, hints: map[twophase.Block]time.Duration{}}
-	var blocks []twophase.Block
-	for _, p := range q.query.Parts {
-		blocks = append(blocks, twophase.Block(p.Shard))
-		n.hints[twophase.Block(p.Shard)] = p.Hint
+	n := &question{form: form, asked: asked, hints: map[twophase.Shard]time.Duration{}}
+	var blocks []twophase.Shard
+	for _, p := range q.query.Subqueries {
+		blocks = append(blocks, twophase.Shard(p.Shard))
+		n.hints[twophase.Shard(p.Shard)] = p.Hint
 	}
 	var err error
-	agreed := min(q.came+c.agreed[q.query.Track], q.cutOff)
+	agreed := min(q.came+c.agreed[q.query.Class], q.cutOff)
 	if n.run, err = t.Begin(c.now, form, blocks, agreed, q.cutOff, c.questions.attempts); err == nil {
 		q.question = n
 	}
@@ -83,9 +83,9 @@
 func (c *Coordinator) takeSteps(q *openQuery, track scheduler.ClassIndex, left, hint time.Duration) {
 	s := q.question.run.Next(c.now)
 	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: q.number, Class: track, Tenant: c.tenantOf(q.query),
-		TimeLeft: left, WorkHint: hint, Subqueries: max(1, len(s.Blocks))})
-	c.module.UsePhases(q.id, s.Do == twophase.Summarize)
-	if s.Do != twophase.Summarize && s.Do != twophase.Ask { // nothing is wanted
+		TimeLeft: left, WorkHint: hint, Subqueries: max(1, len(s.Shards))})
+	c.module.UsePhases(q.id, s.Action == twophase.CanMatch)
+	if s.Action != twophase.CanMatch && s.Action != twophase.Fetch { // nothing is wanted
 		c.stepSoon(q)
 		return
 	}
@@ -95,22 +95,22 @@
 // stepParts tells the module the parts of a step.
 func (c *Coordinator) stepParts(q *openQuery, number scheduler.QueryNumber, s twophase.Step) {
 	n := q.question
-	n.summaries = s.Do == twophase.Summarize
-	for _, id := range s.Blocks {
-		p := &part{id: c.newID(), of: q, shard: int(id), wire: wire.PartID(q.query.ID, int(id))}
+	n.summaries = s.Action == twophase.CanMatch
+	for _, id := range s.Shards {
+		p := &part{id: c.newID(), of: q, shard: int(id), wire: wire.SubqueryID(q.query.ID, int(id))}
 		hint := n.hints[id]
 		if n.summaries {
 			p.wire += "s"
-			p.text = wire.AskSummary(n.asked, q.query.Text)
-			hint = n.run.Hint(true, hint)
+			p.text = wire.CanMatchRequest(n.asked, q.query.Text)
+			hint = n.run.WorkHint(true, hint)
 		} else {
-			p.text = wire.AskAnswer(n.asked, n.run.Version(id), q.query.Text)
-			hint = n.run.Hint(false, hint)
+			p.text = wire.FetchRequest(n.asked, n.run.Version(id), q.query.Text)
+			hint = n.run.WorkHint(false, hint)
 		}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.held++
 		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
-			Weight: 1 / float64(len(s.Blocks)), WorkHint: hint})
+			Weight: 1 / float64(len(s.Shards)), WorkHint: hint})
 	}
 }
 
@@ -131,22 +131,22 @@
 	n := q.question
 	c.callOff(n.wake)
 	n.wake = nil
-	switch s := n.run.Next(c.now); s.Do {
+	switch s := n.run.Next(c.now); s.Action {
 	case twophase.Wait:
-		n.wake = c.after(s.Wake-c.now, "", func() { c.stepSoon(q) })
-	case twophase.Ask:
+		n.wake = c.after(s.Wakeup-c.now, "", func() { c.stepSoon(q) })
+	case twophase.Fetch:
 		c.endStep(q)
-		c.module.StartNextPhase(c.now, q.id, len(s.Blocks))
+		c.module.StartNextPhase(c.now, q.id, len(s.Shards))
 		c.stepParts(q, q.number, s)
-	case twophase.Whole:
-		c.trace("retrieval=%s question whole words=%q", q.query.ID, s.Why)
+	case twophase.Done:
+		c.trace("retrieval=%s question whole words=%q", q.query.ID, s.Reason)
 		c.module.StartNextPhase(c.now, q.id, 0)
 		c.reply(q.id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
-			return wire.HitsWith(n.run.Hits(), last)
+			return wire.HitsResponse(n.run.Hits(), last)
 		})
-	case twophase.Refuse:
+	case twophase.Reject:
 		c.counts.RefusedQuestions++
-		c.trace("retrieval=%s question refused words=%q", q.query.ID, s.Why)
+		c.trace("retrieval=%s question refused words=%q", q.query.ID, s.Reason)
 		c.Reject(q.id, 0)
 		c.module.ClientDisconnects(c.now, q.id)
 	}
@@ -168,7 +168,7 @@
 // tells gives a question what a box replied; it tells how the attempt ended.
 func (c *Coordinator) tells(l *attempt, value []byte, took time.Duration) scheduler.Outcome {
 	q := l.part.of
-	n, id, from := q.question, twophase.Block(l.part.shard), twophase.Holder(l.to)
+	n, id, from := q.question, twophase.Shard(l.part.shard), twophase.Replica(l.to)
 	if l.part.over() {
 		return scheduler.Succeeded
 	}
@@ -177,7 +177,7 @@
 		s, err := wire.ReadSummary(value)
 		if err != nil || !n.run.Summarized(c.now, id, from, s) {
 			c.counts.BadSummaries++
-			n.run.Unsummarized(id)
+			n.run.NoSummary(id)
 		}
 		n.took[0], n.replies[0] = n.took[0]+took, n.replies[0]+1
 		return scheduler.Succeeded
@@ -198,16 +198,16 @@
 func (c *Coordinator) endQuestion(q *openQuery) {
 	n := q.question
 	c.callOff(n.wake)
-	t := c.questions.learns[q.query.Track]
+	t := c.questions.learns[q.query.Class]
 	if n.replies[0] > 0 && n.replies[1] > 0 {
-		t.Costs(n.took[0]/time.Duration(n.replies[0]), n.took[1]/time.Duration(n.replies[1]))
+		t.ObserveCost(n.took[0]/time.Duration(n.replies[0]), n.took[1]/time.Duration(n.replies[1]))
 	}
-	n.run.Ends(c.now)
+	n.run.Close(c.now)
 	two, asked := n.run.Phases()
 	c.counts.Questions++
 	if two == 2 {
 		c.counts.TwoPhases++
-		c.counts.Pruned += len(q.query.Parts) - asked
+		c.counts.Pruned += len(q.query.Subqueries) - asked
 	}
 }
 
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -45,8 +45,8 @@
 	connectWithin time.Duration
 	mostLinks     int
 	batch         int
-	dirty         []*link     // with calls queued in this turn
-	sizes         *wire.Sizes // of values
+	dirty         []*link          // with calls queued in this turn
+	sizes         *wire.ValueSizes // of values
 	installation  *config.Config
 	secure        map[string]*config.ClientTLS // what TLS needs, by name; replaced as a whole
 	context       context.Context
@@ -55,7 +55,7 @@
 
 func (f *fleet) begin(c *Coordinator, d *Deployment) error {
 	*f = fleet{c: c, all: map[scheduler.ReplicaID]*replica{}, links: map[connpool.ConnID]*link{}, attempts: map[connpool.AttemptID]*attempt{},
-		mostLinks: math.MaxInt, sizes: &wire.Sizes{}}
+		mostLinks: math.MaxInt, sizes: &wire.ValueSizes{}}
 	f.context, f.stop = context.WithCancel(context.Background())
 	if d.Limits.Sockets > 0 {
 		f.mostLinks = max(2, (d.Limits.Sockets-spare)/fleetShare)
@@ -292,9 +292,9 @@
 
 // states are what discovery's words for a replica's state mean to package invariant.
 var states = map[string]invariant.EndpointState{
-	wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Gone: invariant.Removed,
+	wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Removed: invariant.Removed,
 }
 
 var lives = map[string]scheduler.EndpointState{
-	wire.Ready: scheduler.Ready, wire.Draining: scheduler.Draining, wire.Gone: scheduler.Removed,
+	wire.Ready: scheduler.Ready, wire.Draining: scheduler.Draining, wire.Removed: scheduler.Removed,
 }
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -13,7 +13,7 @@
 // Session is one connection's.
 type Session struct {
 	batch   int
-	replies wire.Replies
+	replies wire.ReplyReader
 	queue   []item
 	ends    []end // of the calls in the last output
 }
@@ -30,8 +30,8 @@
 }
 
 // New makes a session that puts so many parts of a group into one call at the most; sizes may be nil.
-func New(batch int, sizes *wire.Sizes) *Session {
-	return &Session{batch: max(1, batch), replies: wire.Replies{Sizes: sizes}}
+func New(batch int, sizes *wire.ValueSizes) *Session {
+	return &Session{batch: max(1, batch), replies: wire.ReplyReader{Sizes: sizes}}
 }
 
 var _ replicaproto.Session = (*Session)(nil)
@@ -66,7 +66,7 @@
 	for len(s.queue) > 0 && (most <= 0 || len(b)-from < most) {
 		first := s.queue[0]
 		if first.call == nil {
-			b = wire.AppendGiveUp(b, first.giveUp)
+			b = wire.AppendAbandon(b, first.giveUp)
 			s.queue = s.queue[1:]
 			continue
 		}
@@ -87,7 +87,7 @@
 
 // frame takes the calls of the next frame off the queue: those of the first one's group, up to the batch. What is not
 // permitted any more is left out.
-func (s *Session) frame(now time.Duration) (parts []wire.CallPart, begun []*replicaproto.Call) {
+func (s *Session) frame(now time.Duration) (parts []wire.SubqueryCall, begun []*replicaproto.Call) {
 	group := s.queue[0].call.Group
 	for len(s.queue) > 0 && len(parts) < s.batch {
 		call := s.queue[0].call
@@ -99,7 +99,7 @@
 		if !permitted {
 			continue
 		}
-		parts = append(parts, wire.CallPart{ID: call.SubqueryID, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
+		parts = append(parts, wire.SubqueryCall{ID: call.SubqueryID, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
 		begun = append(begun, call)
 	}
 	return parts, begun
@@ -119,13 +119,13 @@
 }
 
 // ReadBuffer gives space for what comes next.
-func (s *Session) ReadBuffer() []byte { return s.replies.Room() }
+func (s *Session) ReadBuffer() []byte { return s.replies.Free() }
 
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.replies.Filled(n) }
 
 var ends = map[wire.End]replicaproto.End{
-	wire.OK: replicaproto.OK, wire.Error: replicaproto.Error, wire.Rejected: replicaproto.Rejected,
+	wire.OK: replicaproto.OK, wire.ProtocolError: replicaproto.Error, wire.Rejected: replicaproto.Rejected,
 }
 
 // Next gives the next reply.
@@ -138,4 +138,4 @@
 }
 
 // MidMessage tells whether a frame has begun to come that is not whole.
-func (s *Session) MidMessage() bool { return s.replies.Waiting() > 0 }
+func (s *Session) MidMessage() bool { return s.replies.Buffered() > 0 }
--- a/internal/replicaproto/frames/session_test.go
+++ b/internal/replicaproto/frames/session_test.go
@@ -10,12 +10,12 @@
 
 // Of several calls in one write, those whose last byte went may have run; the others never did.
 func TestCallsCutOffNeverRan(t *testing.T) {
-	one := len(wire.AppendCall(nil, wire.CallPart{ID: "q.0", WaitMS: 1000, Text: []byte("text")}))
+	one := len(wire.AppendCall(nil, wire.SubqueryCall{ID: "q.0", WaitMS: 1000, Text: []byte("text")}))
 	for room, want := range map[int]int{0: 0, one - 1: 0, one: 1, 2*one + 3: 2, 3 * one: 3} {
 		s := New(1, nil)
 		var calls []*replicaproto.Call
 		for n := range 3 {
-			c := &replicaproto.Call{SubqueryID: wire.PartID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
+			c := &replicaproto.Call{SubqueryID: wire.SubqueryID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
 			calls = append(calls, c)
 			s.Queue(c)
 		}
@@ -46,12 +46,12 @@
 	if !s.Withdraw(a) {
 		t.Error("it is not")
 	}
-	alone := wire.AppendCall(nil, wire.CallPart{ID: "q.2", WaitMS: 1000})
+	alone := wire.AppendCall(nil, wire.SubqueryCall{ID: "q.2", WaitMS: 1000})
 	if out := s.Output(nil, 0, 0); string(out) != string(alone) {
 		t.Errorf("%q", out)
 	}
 	s.Wrote(len(alone))
-	if s.Abandon(b); string(s.Output(nil, 0, 0)) != string(wire.AppendGiveUp(nil, "q.2")) {
+	if s.Abandon(b); string(s.Output(nil, 0, 0)) != string(wire.AppendAbandon(nil, "q.2")) {
 		t.Error("the word that a part is given up is not written")
 	}
 }
@@ -62,7 +62,7 @@
 	s := New(1, nil)
 	var calls []*replicaproto.Call
 	for n := range 3 {
-		calls = append(calls, &replicaproto.Call{SubqueryID: wire.PartID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
+		calls = append(calls, &replicaproto.Call{SubqueryID: wire.SubqueryID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
 		s.Queue(calls[n])
 	}
 	one := len(s.Output(nil, 90, 0))
--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -92,7 +92,7 @@
 		h.bad = h.bad || h.end != ""
 		h.end = f.Value
 	case PartLoad:
-		h.busy = wire.Busy(f.Value, "=")
+		h.busy = wire.LoadReported(f.Value, "=")
 	}
 }
 
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -298,13 +298,13 @@
 }
 
 // ReadBuffer gives space for what comes next.
-func (s *Session) ReadBuffer() []byte { return s.in.Room() }
+func (s *Session) ReadBuffer() []byte { return s.in.Free() }
 
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.in.Filled(n) }
 
 // MidMessage tells whether a frame, or a head of several, has begun to come that is not whole.
-func (s *Session) MidMessage() bool { return s.in.Waiting() > 0 || s.head.open }
+func (s *Session) MidMessage() bool { return s.in.Buffered() > 0 || s.head.open }
 
 func (s *Session) tell(e replicaproto.Event) { s.events = append(s.events, e) }
 
@@ -344,7 +344,7 @@
 	}
 	s.one.Reset(b[:header+size])
 	f, err := s.framer.ReadFrame()
-	s.in.Use(header + size)
+	s.in.Consume(header + size)
 	return f, err
 }
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -514,5 +514,5 @@
 			return -1
 		}
 	}
-	return wire.Busy(v, ":")
+	return wire.LoadReported(v, ":")
 }
--- a/internal/wire/buffer.go
+++ b/internal/wire/buffer.go
@@ -13,8 +13,8 @@
 	from int // what stands before is used up
 }
 
-// Room gives free bytes to read into; Filled tells how many were.
-func (b *Buffer) Room() []byte {
+// Free gives free bytes to read into; Filled tells how many were.
+func (b *Buffer) Free() []byte {
 	if b.from > 0 {
 		n := copy(b.data, b.data[b.from:])
 		b.data, b.from = b.data[:n], 0
@@ -36,17 +36,17 @@
 // Feed takes in a copy of some bytes.
 func (b *Buffer) Feed(p []byte) {
 	for len(p) > 0 {
-		n := copy(b.Room(), p)
+		n := copy(b.Free(), p)
 		b.Filled(n)
 		p = p[n:]
 	}
 }
 
-// Waiting is how many bytes are in and not used up.
-func (b *Buffer) Waiting() int { return len(b.data) - b.from }
+// Buffered is how many bytes are in and not used up.
+func (b *Buffer) Buffered() int { return len(b.data) - b.from }
 
 // Bytes is what is in and not used up; it is good until the next call of Room.
 func (b *Buffer) Bytes() []byte { return b.data[b.from:] }
 
-// Use lets go of the first n bytes of it.
-func (b *Buffer) Use(n int) { b.from += n }
+// Consume lets go of the first n bytes of it.
+func (b *Buffer) Consume(n int) { b.from += n }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -23,8 +23,8 @@
 	turnedBack = http.StatusServiceUnavailable
 )
 
-// Requests cuts a client's requests out of the bytes of a connection.
-type Requests struct {
+// RequestReader cuts a client's requests out of the bytes of a connection.
+type RequestReader struct {
 	messages
 	told bool // Expect: 100-continue has been shown
 }
@@ -39,7 +39,7 @@
 
 // Next gives the next request; nil without an error means that more bytes must come in first. Expected
 // tells that the client waits for a word before it sends the body.
-func (m *Requests) Next() (r *Request, expected bool, err error) {
+func (m *RequestReader) Next() (r *Request, expected bool, err error) {
 	if due, err := m.due(); err != nil || !due {
 		return nil, false, err
 	}
@@ -67,7 +67,7 @@
 // Plain looks at a request that is in whole and whose end is beyond doubt, without reading it: it gives the path behind its
 // first slash, good until the next call of Room, and the bytes that the request takes. Anything out of the ordinary gives
 // none: Next then reads it.
-func (m *Requests) Plain() (path []byte, size int) {
+func (m *RequestReader) Plain() (path []byte, size int) {
 	b := m.Bytes()
 	if m.looked > 0 || !bytes.HasPrefix(b, []byte("POST /")) {
 		return nil, 0
@@ -146,22 +146,22 @@
 
 // Query is what a client asks for.
 type Query struct {
-	ID       string
-	Track    string
-	Tenant   string        // who asks; empty: nobody says
-	Deadline time.Duration // from when it was sent
-	Text     []byte
-	Parts    []QueryPart
-	Question *Question // nil: none, or its track takes none
+	ID         string
+	Class      string
+	Tenant     string        // who asks; empty: nobody says
+	Deadline   time.Duration // from when it was sent
+	Text       []byte
+	Subqueries []Subquery
+	TwoPhase   *TwoPhaseQuery // nil: none, or its track takes none
 }
 
-// Question is what a query says that it wants, where its text is something that replicas can bound (docs/phases.md).
-type Question struct {
+// TwoPhaseQuery is what a query says that it wants, where its text is something that replicas can bound (docs/phases.md).
+type TwoPhaseQuery struct {
 	Best *int `json:"best"` // so many by score; nil: all that match
 }
 
-// QueryPart is one shard's part of a query.
-type QueryPart struct {
+// Subquery is one shard's part of a query.
+type Subquery struct {
 	Shard  int
 	Weight float64
 	Hint   time.Duration // 0: none
@@ -172,13 +172,13 @@
 // a Fault.
 func ReadQuery(r *Request, longest map[string]time.Duration, questions map[string]bool) (*Query, error) {
 	q := &Query{ID: r.Header.Get("Req-Id"), Tenant: r.Header.Get("Req-Owner")}
-	q.Track, _, _ = strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
+	q.Class, _, _ = strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	if !usableID(q.ID) {
 		return nil, fault(http.StatusBadRequest, "Req-Id is missing or not of 1 to %d plain characters", mostID)
 	}
 	waits := r.Header.Get("Req-Deadline")
 	seconds, err := strconv.ParseFloat(waits, 64)
-	if err != nil || strings.Trim(waits, "0123456789.") != "" || !(seconds > 0 && seconds <= longest[q.Track].Seconds()) {
+	if err != nil || strings.Trim(waits, "0123456789.") != "" || !(seconds > 0 && seconds <= longest[q.Class].Seconds()) {
 		return nil, fault(http.StatusBadRequest, "Req-Deadline is missing, or no number of seconds that can be meant")
 	}
 	q.Deadline = time.Duration(seconds * float64(time.Second))
@@ -203,10 +203,10 @@
 		return nil, fault(http.StatusBadRequest, "the query has no segments or no usable text")
 	}
 	q.Text = []byte(*body.Text)
-	if questions[q.Track] && body.Question != nil {
+	if questions[q.Class] && body.Question != nil {
 		in := json.NewDecoder(bytes.NewReader(body.Question))
 		in.DisallowUnknownFields()
-		if err := in.Decode(&q.Question); err != nil || q.Question == nil || q.Question.Best != nil && (*q.Question.Best < 0 || *q.Question.Best > mostBest) {
+		if err := in.Decode(&q.TwoPhase); err != nil || q.TwoPhase == nil || q.TwoPhase.Best != nil && (*q.TwoPhase.Best < 0 || *q.TwoPhase.Best > mostBest) {
 			return nil, fault(http.StatusBadRequest, "the question is none, or wants less than 0 or more than %d", mostBest)
 		}
 	}
@@ -223,7 +223,7 @@
 		}
 		seen[*s.Segment] = true
 		sum += *s.Boost
-		q.Parts = append(q.Parts, QueryPart{*s.Segment, *s.Boost, time.Duration(s.Work) * time.Microsecond})
+		q.Subqueries = append(q.Subqueries, Subquery{*s.Segment, *s.Boost, time.Duration(s.Work) * time.Microsecond})
 	}
 	// Shares that add up to more would let an answer pass for whole while parts are missing.
 	if math.Abs(sum-1) > sharesOff {
@@ -246,30 +246,30 @@
 	return id != "" && len(id) <= mostID
 }
 
-// Match is the value that a part brought, as the replica gave it.
-type Match struct {
+// SubqueryValue is the value that a part brought, as the replica gave it.
+type SubqueryValue struct {
 	Segment int    `json:"segment"`
 	Payload string `json:"payload"`
 }
 
-// AnswerWith makes the response to a fulfilled query.
-func AnswerWith(whole bool, matches []Match, last bool) []byte {
+// CompleteResponse makes the response to a fulfilled query.
+func CompleteResponse(whole bool, matches []SubqueryValue, last bool) []byte {
 	var body bytes.Buffer
 	e := json.NewEncoder(&body)
 	e.SetEscapeHTML(false)
 	if matches == nil {
-		matches = []Match{}
+		matches = []SubqueryValue{}
 	}
 	// Strings, numbers and truth values always encode.
 	_ = e.Encode(struct {
-		AllIn   bool    `json:"all_in"`
-		Matches []Match `json:"matches"`
+		AllIn   bool            `json:"all_in"`
+		Matches []SubqueryValue `json:"matches"`
 	}{whole, matches})
 	return Respond(fulfilled, "application/json", body.Bytes(), 0, last)
 }
 
-// TurnBackWith makes the response to a query that is turned back.
-func TurnBackWith(comeBack time.Duration, words string, last bool) []byte {
+// RejectResponse makes the response to a query that is turned back.
+func RejectResponse(comeBack time.Duration, words string, last bool) []byte {
 	return Respond(turnedBack, "text/plain", []byte(words+"\n"), comeBack, last)
 }
 
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Listing is what discovery tells: all replicas, or those that changed.
-type Listing struct {
+// EndpointList is what discovery tells: all replicas, or those that changed.
+type EndpointList struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
@@ -31,22 +31,22 @@
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed  = "gone"
 )
 
-// Sift drops the targets that cannot be used and says which; one in a state that has no meaning here wants
+// DropUnusable drops the targets that cannot be used and says which; one in a state that has no meaning here wants
 // nothing new. Guards against: one odd entry that makes the whole list useless, and drains with it. Should
 // also cover: states of a later version. Could hurt: a replica that is sound but listed badly gets nothing.
-func (l *Listing) Sift() (odd []string) {
+func (l *EndpointList) DropUnusable() (odd []string) {
 	l.Targets = slices.DeleteFunc(l.Targets, func(t Target) bool {
-		bad := t.UID == "" || t.State != Gone && (t.Endpoint == "" || t.Cell == nil || *t.Cell < 0)
+		bad := t.UID == "" || t.State != Removed && (t.Endpoint == "" || t.Cell == nil || *t.Cell < 0)
 		if bad {
 			odd = append(odd, fmt.Sprintf("%s %q", t.State, t.UID))
 		}
 		return bad
 	})
 	for n, t := range l.Targets {
-		if !slices.Contains([]string{Ready, Draining, Gone}, t.State) {
+		if !slices.Contains([]string{Ready, Draining, Removed}, t.State) {
 			odd = append(odd, fmt.Sprintf("%s %q", t.State, t.UID))
 			l.Targets[n].State = Draining
 		}
@@ -54,33 +54,33 @@
 	return odd
 }
 
-// WholeList and Watch make the calls of discovery.
-func WholeList(host string) []byte {
+// ListRequest and Watch make the calls of discovery.
+func ListRequest(host string) []byte {
 	return fmt.Appendf(nil, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", host)
 }
 
-// Watch asks for what is newer than a revision; the answer may take so many milliseconds.
-func Watch(host string, from, holdMS int64) []byte {
+// WatchRequest asks for what is newer than a revision; the answer may take so many milliseconds.
+func WatchRequest(host string, from, holdMS int64) []byte {
 	return fmt.Appendf(nil, "GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		from, holdMS, host)
 }
 
-// Listings cuts discovery's answers out of the bytes of a connection.
-type Listings struct {
+// EndpointListReader cuts discovery's answers out of the bytes of a connection.
+type EndpointListReader struct {
 	messages
 	ended bool
 }
 
-// Ends tells that the far side has ended the connection in order: an answer that states no length is whole then (RFC 9112,
+// ConnClosed tells that the far side has ended the connection in order: an answer that states no length is whole then (RFC 9112,
 // section 6.3). A connection that is reset ends nothing.
-func (m *Listings) Ends() { m.ended = true }
+func (m *EndpointListReader) ConnClosed() { m.ended = true }
 
-// Ended tells whether it has.
-func (m *Listings) Ended() bool { return m.ended }
+// Complete tells whether it has.
+func (m *EndpointListReader) Complete() bool { return m.ended }
 
 // Next gives the next listing; nil without an error means that more bytes must come in first. Last tells
 // that the connection ends with it.
-func (m *Listings) Next() (l *Listing, last bool, err error) {
+func (m *EndpointListReader) Next() (l *EndpointList, last bool, err error) {
 	if due, err := m.due(); err != nil || !due {
 		return nil, false, err
 	}
@@ -89,7 +89,7 @@
 		return nil, false, fmt.Errorf("no HTTP response: %w", err)
 	}
 	if head.ContentLength < 0 && !slices.Contains(head.TransferEncoding, "chunked") {
-		if head.ContentLength = int64(m.Waiting() - m.headEnd); !m.ended && head.ContentLength <= mostBody {
+		if head.ContentLength = int64(m.Buffered() - m.headEnd); !m.ended && head.ContentLength <= mostBody {
 			return nil, false, nil
 		}
 	}
@@ -101,7 +101,7 @@
 	if head.StatusCode != http.StatusOK {
 		return nil, false, fmt.Errorf("status %d", head.StatusCode)
 	}
-	l = &Listing{}
+	l = &EndpointList{}
 	if err := json.Unmarshal(body, l); err != nil {
 		return nil, false, fmt.Errorf("no list: %w", err)
 	}
--- a/internal/wire/frames.go
+++ b/internal/wire/frames.go
@@ -19,16 +19,16 @@
 
 // The ends of a part.
 const (
-	OK       End = "OK"
-	Error    End = "ERROR"
-	Rejected End = "REJECTED"
+	OK            End = "OK"
+	ProtocolError End = "ERROR"
+	Rejected      End = "REJECTED"
 )
 
-// PartID is a part's id on the wire.
-func PartID(query string, shard int) string { return query + "." + strconv.Itoa(shard) }
+// SubqueryID is a part's id on the wire.
+func SubqueryID(query string, shard int) string { return query + "." + strconv.Itoa(shard) }
 
-// CallPart is one part of a call.
-type CallPart struct {
+// SubqueryCall is one part of a call.
+type SubqueryCall struct {
 	ID     string
 	Shard  int
 	WaitMS int64 // how long the co-ordinator will wait
@@ -36,7 +36,7 @@
 }
 
 // AppendCall appends the frame of one call.
-func AppendCall(b []byte, parts ...CallPart) []byte {
+func AppendCall(b []byte, parts ...SubqueryCall) []byte {
 	b, at := begin(b, 'R')
 	for _, p := range parts {
 		b = fmt.Appendf(b, "%s %d d=%d %d\n", p.ID, p.Shard, p.WaitMS, len(p.Text))
@@ -45,8 +45,8 @@
 	return finish(b, at)
 }
 
-// AppendGiveUp appends the frame that gives a part up.
-func AppendGiveUp(b []byte, id string) []byte {
+// AppendAbandon appends the frame that gives a part up.
+func AppendAbandon(b []byte, id string) []byte {
 	b, at := begin(b, 'A')
 	return finish(append(b, id...), at)
 }
@@ -66,22 +66,22 @@
 	Busy  float64 // as Busy tells it
 }
 
-// Replies cuts a replica's frames out of the bytes of a connection.
-type Replies struct {
+// ReplyReader cuts a replica's frames out of the bytes of a connection.
+type ReplyReader struct {
 	Buffer
-	Sizes *Sizes // what values of all connections were like; may be nil
+	Sizes *ValueSizes // what values of all connections were like; may be nil
 }
 
 // Next gives the next reply; nil without an error means that more bytes must come in first. After an error
 // the connection is of no more use.
-func (m *Replies) Next() (*Reply, error) {
+func (m *ReplyReader) Next() (*Reply, error) {
 	b := m.Bytes()
 	length, err := frameLength(b)
 	if err != nil || length == 0 || len(b)-4 < length {
 		return nil, err
 	}
 	letter, rest, behind := b[4], b[5:4+length], b[4+length:]
-	m.Use(4 + length)
+	m.Consume(4 + length)
 	switch letter {
 	case 'Y':
 		line, value, ok := bytes.Cut(rest, []byte("\n"))
@@ -90,7 +90,7 @@
 			return nil, fmt.Errorf("a reply's line %q", cut(line))
 		}
 		end := End(words[1])
-		if end != OK && end != Error && end != Rejected {
+		if end != OK && end != ProtocolError && end != Rejected {
 			return nil, fmt.Errorf("a reply's end %q", cut(words[1]))
 		}
 		if score, err := strconv.ParseFloat(string(words[2]), 64); err != nil || math.IsNaN(score) || math.IsInf(score, 0) {
@@ -100,7 +100,7 @@
 		if end == OK && m.Sizes.odd(len(value), bad != nil) {
 			return nil, fmt.Errorf("a value of %d bytes with what is no frame behind it", len(value))
 		}
-		return &Reply{string(words[0]), end, bytes.Clone(value), Busy(string(words[3]), "=")}, nil
+		return &Reply{string(words[0]), end, bytes.Clone(value), LoadReported(string(words[3]), "=")}, nil
 	case 'N':
 		return nil, fmt.Errorf("the replica could not use a frame: %q", cut(rest))
 	}
@@ -119,15 +119,15 @@
 	return int(length), nil
 }
 
-// Sizes knows whether values have all been of one size. Guards against: a value that is cut short by a frame's
+// ValueSizes knows whether values have all been of one size. Guards against: a value that is cut short by a frame's
 // wrong length, whose rest then stands behind it. Could hurt: a sound value of a rare size with noise behind it.
-type Sizes struct {
+type ValueSizes struct {
 	mu    sync.Mutex
 	size  int
 	alike int // so many were of it; below 0 once another was sound
 }
 
-func (s *Sizes) odd(size int, noise bool) bool {
+func (s *ValueSizes) odd(size int, noise bool) bool {
 	if s == nil {
 		return false
 	}
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -44,7 +44,7 @@
 	b := m.Bytes()
 	if m.headEnd == 0 {
 		for m.looked == 0 && len(b) > 0 && (b[0] == '\r' || b[0] == '\n') { // blank lines before a message
-			m.Use(1)
+			m.Consume(1)
 			b = m.Bytes()
 		}
 		from := max(0, m.looked-3)
@@ -158,7 +158,7 @@
 
 // done uses up a message that is whole.
 func (m *messages) done() {
-	m.Use(m.wanted)
+	m.Consume(m.wanted)
 	m.headEnd, m.wanted, m.looked, m.end = 0, 0, 0, 0
 	m.chunked, m.last, m.chunks = false, false, nil
 }
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Busy is the share of its cores in use that a load report tells, from 0 to 1, or below 0 if it tells none. Reports are
+// LoadReported is the share of its cores in use that a load report tells, from 0 to 1, or below 0 if it tells none. Reports are
 // noisy, so a figure just beyond these bounds counts as them; anything else that cannot be one is as if it were absent.
 // The names are those that PROTOCOL and the settings' report.fields give the same figure; between stands between name and value.
-func Busy(report, between string) float64 {
+func LoadReported(report, between string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
 		name, figure, _ := strings.Cut(pair, between)
 		if name != "util" && name != "cpu" {
--- a/internal/wire/protocol_test.go
+++ b/internal/wire/protocol_test.go
@@ -12,7 +12,7 @@
 
 // requestsOf feeds bytes in pieces of a size and lists what comes out.
 func requestsOf(text string, piece int) (got []string) {
-	var m Requests
+	var m RequestReader
 	for len(text) > 0 {
 		n := min(piece, len(text))
 		m.Feed([]byte(text[:n]))
@@ -95,7 +95,7 @@
 }
 
 func TestExpectingClientIsToldOnce(t *testing.T) {
-	var m Requests
+	var m RequestReader
 	m.Feed([]byte("POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	if _, expected, err := m.Next(); !expected || err != nil {
 		t.Fatalf("expected %t, error %v", expected, err)
@@ -139,8 +139,8 @@
 			map[string]time.Duration{"checkout": 10 * time.Second}, nil)
 	}
 	q, err := ask("9b1f", "0.480", good)
-	if err != nil || q.Track != "checkout" || q.Tenant != "a, b" || q.Deadline != 480*time.Millisecond || string(q.Text) != "c4\né" ||
-		len(q.Parts) != 2 || q.Parts[0] != (QueryPart{3, 0.5, 9 * time.Millisecond}) || q.Parts[1].Hint != 0 {
+	if err != nil || q.Class != "checkout" || q.Tenant != "a, b" || q.Deadline != 480*time.Millisecond || string(q.Text) != "c4\né" ||
+		len(q.Subqueries) != 2 || q.Subqueries[0] != (Subquery{3, 0.5, 9 * time.Millisecond}) || q.Subqueries[1].Hint != 0 {
 		t.Errorf("%+v, %v", q, err)
 	}
 	for name, c := range map[string][3]string{
@@ -185,21 +185,21 @@
 }
 
 func TestAnswers(t *testing.T) {
-	got := string(AnswerWith(false, []Match{{3, "5be<&"}}, true))
+	got := string(CompleteResponse(false, []SubqueryValue{{3, "5be<&"}}, true))
 	for _, want := range []string{"HTTP/1.1 200 OK\r\n", "Connection: close\r\n",
 		`{"all_in":false,"matches":[{"segment":3,"payload":"5be<&"}]}`} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%q lacks %q", got, want)
 		}
 	}
-	if got := string(TurnBackWith(250*time.Millisecond, "x", false)); !strings.HasPrefix(got, "HTTP/1.1 503 ") ||
+	if got := string(RejectResponse(250*time.Millisecond, "x", false)); !strings.HasPrefix(got, "HTTP/1.1 503 ") ||
 		!strings.Contains(got, "Retry-After: 0.250\r\n") {
 		t.Errorf("%q", got)
 	}
 }
 
 func listingsOf(text string, piece int) (got []string) {
-	var m Listings
+	var m EndpointListReader
 	for len(text) > 0 {
 		n := min(piece, len(text))
 		m.Feed([]byte(text[:n]))
@@ -252,12 +252,12 @@
 		"HTTP/1.1 200 OK\r\n":     "none",
 		"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\":4,\"all\":true,\"targets\":[]}": "none",
 	} {
-		var m Listings
+		var m EndpointListReader
 		m.Feed([]byte(text))
 		if l, _, err := m.Next(); l != nil || err != nil {
 			t.Errorf("%q before its end: %v, %v", text, l, err)
 		}
-		m.Ends()
+		m.ConnClosed()
 		got := "none"
 		if l, last, err := m.Next(); err != nil {
 			got = "error"
@@ -271,13 +271,13 @@
 }
 
 func TestOddTargetsCostOnlyThemselves(t *testing.T) {
-	var l Listing
+	var l EndpointList
 	if err := json.Unmarshal([]byte(`{"targets":[{"uid":"a","endpoint":"1:2","pod_group":3,"state":"ready"},
 		{"uid":"b","endpoint":"1:2","pod_group":3,"state":"odd"},{"uid":"","state":"gone"},
 		{"uid":"c","pod_group":3,"state":"ready"},{"uid":"d","endpoint":"1:2","state":"ready"},{"uid":"e","state":"gone"}]}`), &l); err != nil {
 		t.Fatal(err)
 	}
-	odd, got := l.Sift(), ""
+	odd, got := l.DropUnusable(), ""
 	for _, target := range l.Targets {
 		got += target.UID + ":" + target.State + " "
 	}
@@ -300,7 +300,7 @@
 
 // repliesOf feeds frames in pieces and lists what comes out.
 func repliesOf(b []byte, piece int) (got []string) {
-	var m Replies
+	var m ReplyReader
 	for len(b) > 0 {
 		n := min(piece, len(b))
 		m.Feed(b[:n])
@@ -362,8 +362,8 @@
 }
 
 func TestFramesSent(t *testing.T) {
-	b := AppendCall(nil, CallPart{"9b1f.3", 3, 240, []byte("c41e77d0")}, CallPart{"9b1f.4", 4, 240, []byte("x")})
-	b = AppendGiveUp(b, "9b1f.3")
+	b := AppendCall(nil, SubqueryCall{"9b1f.3", 3, 240, []byte("c41e77d0")}, SubqueryCall{"9b1f.4", 4, 240, []byte("x")})
+	b = AppendAbandon(b, "9b1f.3")
 	want := "\x00\x00\x00\x36R9b1f.3 3 d=240 8\nc41e77d09b1f.4 4 d=240 1\nx" + "\x00\x00\x00\x07A9b1f.3"
 	want = strings.Replace(want, "\x36", string(rune(len("R9b1f.3 3 d=240 8\nc41e77d09b1f.4 4 d=240 1\nx"))), 1)
 	if string(b) != want {
@@ -374,8 +374,8 @@
 func TestBufferLetsGoOfWhatItGrewFor(t *testing.T) {
 	var b Buffer
 	b.Feed(make([]byte, 4*keptRoom))
-	b.Use(4 * keptRoom)
-	if b.Room(); cap(b.data) > keptRoom {
+	b.Consume(4 * keptRoom)
+	if b.Free(); cap(b.data) > keptRoom {
 		t.Errorf("an empty buffer keeps %d bytes", cap(b.data))
 	}
 }
@@ -389,15 +389,15 @@
 	f.Add("POST /look HTTP/1.1\r\nContent-Length : 4\r\n\r\nbody")
 	f.Add("POST /look HTTP/1.1\r\nX: a\r\n Content-Length: 9\r\nContent-Length: 4\r\n\r\nbody")
 	f.Fuzz(func(t *testing.T, text string) {
-		var quick, whole Requests
+		var quick, whole RequestReader
 		quick.Feed([]byte(text))
 		_, size := quick.Plain()
 		if size == 0 {
 			return
 		}
 		whole.Feed([]byte(text))
-		if r, _, err := whole.Next(); err == nil && r == nil || err == nil && len(text)-whole.Waiting() != size {
-			t.Errorf("%q: plain takes %d bytes, whole leaves %d of %d", text, size, whole.Waiting(), len(text))
+		if r, _, err := whole.Next(); err == nil && r == nil || err == nil && len(text)-whole.Buffered() != size {
+			t.Errorf("%q: plain takes %d bytes, whole leaves %d of %d", text, size, whole.Buffered(), len(text))
 		}
 	})
 }
@@ -407,7 +407,7 @@
 		"inflight=7,util=0.61": 0.61, "active=1,rps=2.5,cpu=0.430": 0.43, "cpu=1.04": 1, "util=-0.01": 0,
 		"-": -1, "": -1, "inflight=7": -1, "cpu=": -1, "cpu=NaN": -1, "cpu=1e9": -1, "cpu=-50": -1, "busy, very": -1, "cpu": -1,
 	} {
-		if got := Busy(report, "="); got != want {
+		if got := LoadReported(report, "="); got != want {
 			t.Errorf("%q: %v, want %v", report, got, want)
 		}
 	}
--- a/internal/wire/question.go
+++ b/internal/wire/question.go
@@ -23,13 +23,13 @@
 	Version twophase.Version `json:"version,omitempty"`
 }
 
-// AskSummary is what a box is asked for its block's summary.
-func AskSummary(q *Question, text []byte) []byte {
+// CanMatchRequest is what a box is asked for its block's summary.
+func CanMatchRequest(q *TwoPhaseQuery, text []byte) []byte {
 	return askWith(asking{Ask: "summary", Best: q.Best}, text)
 }
 
-// AskAnswer is what it is asked for its part of the answer; the version is that of the summary that was used, if any was.
-func AskAnswer(q *Question, v twophase.Version, text []byte) []byte {
+// FetchRequest is what it is asked for its part of the answer; the version is that of the summary that was used, if any was.
+func FetchRequest(q *TwoPhaseQuery, v twophase.Version, text []byte) []byte {
 	return askWith(asking{Ask: "answer", Best: q.Best, Version: v}, text)
 }
 
@@ -76,7 +76,7 @@
 	}
 	out := twophase.Answer{Version: a.Version}
 	for _, h := range a.Hits {
-		out.Hits = append(out.Hits, twophase.Hit{Block: twophase.Block(shard), ID: h.ID, Score: h.Score})
+		out.Hits = append(out.Hits, twophase.Hit{Shard: twophase.Shard(shard), ID: h.ID, Score: h.Score})
 	}
 	return out, nil
 }
@@ -93,10 +93,10 @@
 	return nil
 }
 
-// HitsWith makes the response to a question whose answer is whole.
-func HitsWith(hits []twophase.Hit, last bool) []byte {
+// HitsResponse makes the response to a question whose answer is whole.
+func HitsResponse(hits []twophase.Hit, last bool) []byte {
 	type hit struct {
-		Segment twophase.Block `json:"segment"`
+		Segment twophase.Shard `json:"segment"`
 		ID      string         `json:"id"`
 		Score   float64        `json:"score"`
 	}
@@ -105,7 +105,7 @@
 		Hits  []hit `json:"hits"`
 	}{true, make([]hit, 0, len(hits))}
 	for _, h := range hits {
-		out.Hits = append(out.Hits, hit{h.Block, h.ID, h.Score + 0}) // negative zero is zero
+		out.Hits = append(out.Hits, hit{h.Shard, h.ID, h.Score + 0}) // negative zero is zero
 	}
 	body, _ := json.Marshal(out)
 	return Respond(fulfilled, "application/json", append(body, '\n'), 0, last)
--- a/twophase/learn.go
+++ b/twophase/learn.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Track is what is learned of one track's questions. It belongs to one goroutine, as its runs do.
-type Track struct {
+// Class is what is learned of one track's questions. It belongs to one goroutine, as its runs do.
+type Class struct {
 	usual         time.Duration // the track's agreed time
 	first, second took
 	share         float64 // of blocks that were asked after a first phase
@@ -16,13 +16,13 @@
 	vain          float64 // share of first phases after which all blocks were asked
 	passed        int     // questions in a row that were not asked in two phases
 	fadedAt       time.Duration
-	spoilt        map[Holder]time.Duration // until then their summaries are not believed
-	known         map[Block][]sighting
+	spoilt        map[Replica]time.Duration // until then their summaries are not believed
+	known         map[Shard][]sighting
 }
 
 // sighting is the version of a block that a holder was last seen to have.
 type sighting struct {
-	holder  Holder
+	holder  Replica
 	version Version
 	at      time.Duration
 }
@@ -41,17 +41,17 @@
 	t.off += weighs * (math.Abs(off) - t.off)
 }
 
-// NewTrack begins without knowledge; agreed is the track's agreed time.
-func NewTrack(agreed time.Duration) *Track {
+// NewClass begins without knowledge; agreed is the track's agreed time.
+func NewClass(agreed time.Duration) *Class {
 	guess := took{timeGuess * agreed.Seconds(), timeGuess * agreed.Seconds() / deviations}
-	return &Track{usual: agreed, first: guess, second: guess, share: shareGuess, cost: firstGuess,
-		spoilt: map[Holder]time.Duration{}, known: map[Block][]sighting{}}
+	return &Class{usual: agreed, first: guess, second: guess, share: shareGuess, cost: firstGuess,
+		spoilt: map[Replica]time.Duration{}, known: map[Shard][]sighting{}}
 }
 
 // pays tells whether two phases are expected to cost less work than one, in time. Guards against: first phases in vain, and
 // in a jam any at all, as phases take long then. Should also cover: tracks whose questions change: one is tried now and then
 // while there is time for it. Could hurt: by those tries.
-func (t *Track) pays(blocks int, left time.Duration) bool {
+func (t *Class) pays(blocks int, left time.Duration) bool {
 	if blocks < fewBlocks {
 		return false
 	}
@@ -70,7 +70,7 @@
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
 // fade has what is learned go back towards the guesses while nothing confirms it.
-func (t *Track) fade(now time.Duration) {
+func (t *Class) fade(now time.Duration) {
 	by := math.Exp(-float64(now-t.fadedAt) / float64(fades))
 	t.fadedAt = now
 	back := func(v *float64, guess float64) { *v = guess + (*v-guess)*by }
@@ -84,24 +84,24 @@
 }
 
 // firstTook learns from a first phase; one that was cut short took at least so long.
-func (t *Track) firstTook(d time.Duration, all bool) {
+func (t *Class) firstTook(d time.Duration, all bool) {
 	if all || d > t.first.usual() {
 		t.first.learns(d)
 	}
 }
 
-func (t *Track) secondTook(d time.Duration) { t.second.learns(d) }
+func (t *Class) secondTook(d time.Duration) { t.second.learns(d) }
 
-// Costs tells the work of a summary in parts of an answer's, as attempts show it.
-func (t *Track) Costs(summary, answer time.Duration) {
+// ObserveCost tells the work of a summary in parts of an answer's, as attempts show it.
+func (t *Class) ObserveCost(summary, answer time.Duration) {
 	if summary > 0 && answer > 0 {
 		t.cost += weighs * (min(mostCost, float64(summary)/float64(answer)) - t.cost)
 	}
 }
 
-// Hint guesses the work of a part: an answer's is what its client guessed, if anything, or an equal part of what the
+// WorkHint guesses the work of a part: an answer's is what its client guessed, if anything, or an equal part of what the
 // track's agreed time allows; a summary's a share of it, as learned.
-func (r *Run) Hint(summary bool, asked time.Duration) time.Duration {
+func (r *Query) WorkHint(summary bool, asked time.Duration) time.Duration {
 	if asked == 0 {
 		asked = scale(r.track.usual, workGuess)
 	}
@@ -112,7 +112,7 @@
 }
 
 // ended learns what a question left.
-func (t *Track) ended(two bool, blocks, asks int) {
+func (t *Class) ended(two bool, blocks, asks int) {
 	if !two {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // saw notes which version a holder has of a block; it tells whether all holders seen of late agree.
-func (t *Track) saw(now time.Duration, id Block, from Holder, v Version) bool {
+func (t *Class) saw(now time.Duration, id Shard, from Replica, v Version) bool {
 	all := slices.DeleteFunc(t.known[id], func(s sighting) bool { return s.holder == from || now-s.at > knownFor })
 	if len(all) >= mostKnown {
 		all = all[1:]
@@ -139,7 +139,7 @@
 }
 
 // spoil has a holder's summaries not believed for a while.
-func (t *Track) spoil(now time.Duration, h Holder) {
+func (t *Class) spoil(now time.Duration, h Replica) {
 	for o, until := range t.spoilt {
 		if until <= now || len(t.spoilt) >= mostSpoilt {
 			delete(t.spoilt, o)
@@ -148,10 +148,10 @@
 	t.spoilt[h] = now + spoiltFor
 }
 
-func (t *Track) isSpoilt(now time.Duration, h Holder) bool { return t.spoilt[h] > now }
+func (t *Class) isSpoilt(now time.Duration, h Replica) bool { return t.spoilt[h] > now }
 
 // String tells what is learned, for those who watch.
-func (t *Track) String() string {
+func (t *Class) String() string {
 	return fmt.Sprintf("share=%.2f cost=%.2f vain=%.2f first=%v second=%v spoilt=%d", t.share, t.cost, t.vain,
 		t.first.usual().Round(100*time.Microsecond), t.second.usual().Round(100*time.Microsecond), len(t.spoilt))
 }
--- a/twophase/twophase.go
+++ b/twophase/twophase.go
@@ -43,18 +43,18 @@
 	mostBlocks = 4096                 // whose holders' versions are remembered
 )
 
-// Block is a shard; Holder a replica that holds some. Version names a state of a block's data.
+// Shard is a shard; Replica a replica that holds some. Version names a state of a block's data.
 type (
-	Block   int
-	Holder  uint32
+	Shard   int
+	Replica uint32
 	Version string
 )
 
-// Form is what a question wants.
-type Form struct {
-	Ranked bool // the best by score, else all that match
-	Best   int  // so many; only where ranked
-	Shared bool // blocks share one line of versions: an answer of another version ends a summary's proof
+// Options is what a question wants.
+type Options struct {
+	Ranked         bool // the best by score, else all that match
+	Limit          int  // so many; only where ranked
+	SharedVersions bool // blocks share one line of versions: an answer of another version ends a summary's proof
 }
 
 // Summary is what a block says of a question without answering it.
@@ -73,14 +73,14 @@
 
 // Hit is one answer; Score has no meaning where the question is not ranked.
 type Hit struct {
-	Block Block
+	Shard Shard
 	ID    string
 	Score float64
 }
 
 // Before is the order of answers: the better score first, then the lower block, then the lesser id. Negative zero is zero.
 func Before(a, b Hit) int {
-	return cmp.Or(cmp.Compare(b.Score+0, a.Score+0), cmp.Compare(a.Block, b.Block), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(b.Score+0, a.Score+0), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.ID, b.ID))
 }
 
 // Answer is a block's part: of a ranked question its best hits in order, no more than are wanted.
@@ -89,24 +89,24 @@
 	Hits    []Hit
 }
 
-// Act is what is to be done.
-type Act int
+// Action is what is to be done.
+type Action int
 
 // The acts.
 const (
-	Wait      Act = iota
-	Summarize     // ask Blocks for their summaries
-	Ask           // ask Blocks for their answers; what of them is still out for the first phase is given up
-	Whole         // the answer is whole: Hits
-	Refuse        // no whole answer can come in time
+	Wait     Action = iota
+	CanMatch        // ask Blocks for their summaries
+	Fetch           // ask Blocks for their answers; what of them is still out for the first phase is given up
+	Done            // the answer is whole: Hits
+	Reject          // no whole answer can come in time
 )
 
 // Step is an act.
 type Step struct {
-	Do     Act
-	Blocks []Block
-	Wake   time.Duration // of Wait: when to ask again, at the latest
-	Why    string        // for those who watch
+	Action Action
+	Shards []Shard
+	Wakeup time.Duration // of Wait: when to ask again, at the latest
+	Reason string        // for those who watch
 }
 
 type state int
@@ -121,20 +121,20 @@
 )
 
 type block struct {
-	id      Block
+	id      Shard
 	state   state
 	summary Summary
-	holder  Holder
+	holder  Replica
 	doubted bool // its holders' versions differ, or its summaries are not believed
 	answer  Answer
 }
 
-// Run is one question that is open.
-type Run struct {
-	track          *Track
-	form           Form
+// Query is one question that is open.
+type Query struct {
+	track          *Class
+	form           Options
 	blocks         []*block
-	byID           map[Block]*block
+	byID           map[Shard]*block
 	began          time.Duration
 	agreed, cutOff time.Duration
 	two            bool // asked in two phases
@@ -149,11 +149,11 @@
 
 // Begin takes a question for its blocks, to be answered by the agreed time and at the cut-off at the latest. Allowance is
 // how many attempts each block may be sent in all; with one there can be no first phase.
-func (t *Track) Begin(now time.Duration, f Form, blocks []Block, agreed, cutOff time.Duration, allowance int) (*Run, error) {
-	if f.Best < 0 || !f.Ranked && f.Best > 0 || len(blocks) == 0 {
+func (t *Class) Begin(now time.Duration, f Options, blocks []Shard, agreed, cutOff time.Duration, allowance int) (*Query, error) {
+	if f.Limit < 0 || !f.Ranked && f.Limit > 0 || len(blocks) == 0 {
 		return nil, errForm
 	}
-	r := &Run{track: t, form: f, byID: map[Block]*block{}, began: now, agreed: agreed, cutOff: cutOff}
+	r := &Query{track: t, form: f, byID: map[Shard]*block{}, began: now, agreed: agreed, cutOff: cutOff}
 	for _, id := range blocks {
 		if r.byID[id] != nil {
 			return nil, fmt.Errorf("block %d stands twice", id)
@@ -167,15 +167,15 @@
 }
 
 // Next says what is to be done now. Each act is said once.
-func (r *Run) Next(now time.Duration) Step {
+func (r *Query) Next(now time.Duration) Step {
 	switch {
 	case r.refused != "":
-		return Step{Do: Refuse, Why: r.refused}
-	case r.form.Ranked && r.form.Best == 0:
-		return Step{Do: Whole, Why: "nothing is wanted"}
+		return Step{Action: Reject, Reason: r.refused}
+	case r.form.Ranked && r.form.Limit == 0:
+		return Step{Action: Done, Reason: "nothing is wanted"}
 	case r.phase == 0 && r.two:
 		r.phase = 1
-		return Step{Do: Summarize, Blocks: r.in(unknown)}
+		return Step{Action: CanMatch, Shards: r.in(unknown)}
 	case r.phase == 0:
 		r.phase, r.secondAt = 2, now
 		return r.ask(r.blocks, "in one phase")
@@ -186,17 +186,17 @@
 		if now >= r.cutOff {
 			return r.refuse("the cut-off")
 		}
-		return Step{Do: Wait, Wake: r.cutOff}
+		return Step{Action: Wait, Wakeup: r.cutOff}
 	}
 	return r.wave(now)
 }
 
-func (r *Run) refuse(why string) Step {
+func (r *Query) refuse(why string) Step {
 	r.refused = why
-	return Step{Do: Refuse, Why: why}
+	return Step{Action: Reject, Reason: why}
 }
 
-func (r *Run) in(s state) (all []Block) {
+func (r *Query) in(s state) (all []Shard) {
 	for _, b := range r.blocks {
 		if b.state == s {
 			all = append(all, b.id)
@@ -208,7 +208,7 @@
 // gather waits for summaries as long as that serves the answer. Stragglers among the last fifth are waited for as long as
 // a first phase usually takes; all, until what the second needs would be gone. Guards against: a slow block that costs the
 // whole answer. Should also cover: blocks that say nothing at all. Could hurt: by asking a block that had nothing.
-func (r *Run) gather(now time.Duration) Step {
+func (r *Query) gather(now time.Duration) Step {
 	out := len(r.in(unknown))
 	usual := r.began + r.track.first.most()
 	latest := r.latest()
@@ -217,7 +217,7 @@
 		until = min(until, usual)
 	}
 	if out > 0 && now < until {
-		return Step{Do: Wait, Wake: until}
+		return Step{Action: Wait, Wakeup: until}
 	}
 	for _, b := range r.blocks {
 		if b.state == unknown {
@@ -231,7 +231,7 @@
 }
 
 // latest is when the second phase must have begun to be whole in time: by the agreed time if it can, else by the cut-off.
-func (r *Run) latest() time.Duration {
+func (r *Query) latest() time.Duration {
 	need := gap + r.track.second.most()
 	if at := r.agreed - need; at > r.began {
 		return at
@@ -240,7 +240,7 @@
 }
 
 // wavesFor is how many waves the time allows, where they can save work.
-func (r *Run) wavesFor(now time.Duration) int {
+func (r *Query) wavesFor(now time.Duration) int {
 	if !r.form.Ranked {
 		return 1
 	}
@@ -249,11 +249,11 @@
 }
 
 // wave asks the next blocks that may matter, or ends.
-func (r *Run) wave(now time.Duration) Step {
+func (r *Query) wave(now time.Duration) Step {
 	r.prune()
 	left := r.left()
 	if len(left) == 0 {
-		return Step{Do: Whole, Why: fmt.Sprintf("%d of %d blocks asked", r.asks, len(r.blocks))}
+		return Step{Action: Done, Reason: fmt.Sprintf("%d of %d blocks asked", r.asks, len(r.blocks))}
 	}
 	if now+gap+r.track.second.usual() > r.cutOff {
 		return r.refuse("too little time is left for what must still be asked")
@@ -262,7 +262,7 @@
 	slices.SortStableFunc(left, func(a, b *block) int { return cmp.Compare(b.upper(), a.upper()) })
 	if r.waves--; r.waves > 0 {
 		n := max(leastWave, (len(left)+r.waves)/(r.waves+1))
-		for n < len(left) && (math.IsInf(left[n].upper(), 1) || r.covers(left[:n]) < r.form.Best) {
+		for n < len(left) && (math.IsInf(left[n].upper(), 1) || r.covers(left[:n]) < r.form.Limit) {
 			n++
 		}
 		left = left[:min(n, len(left))]
@@ -271,7 +271,7 @@
 }
 
 // left are the blocks that are neither asked nor proved to add nothing.
-func (r *Run) left() (all []*block) {
+func (r *Query) left() (all []*block) {
 	for _, b := range r.blocks {
 		if b.state == summarized || b.state == without {
 			all = append(all, b)
@@ -281,7 +281,7 @@
 }
 
 // covers is how many hits blocks say that they have.
-func (r *Run) covers(blocks []*block) (n int) {
+func (r *Query) covers(blocks []*block) (n int) {
 	for _, b := range blocks {
 		if b.state == summarized && !b.doubted {
 			n += b.summary.Count
@@ -297,13 +297,13 @@
 	return b.summary.Upper
 }
 
-func (r *Run) ask(blocks []*block, why string) Step {
-	s := Step{Do: Ask, Why: why}
+func (r *Query) ask(blocks []*block, why string) Step {
+	s := Step{Action: Fetch, Reason: why}
 	for _, b := range blocks {
 		b.state = asked
-		s.Blocks = append(s.Blocks, b.id)
+		s.Shards = append(s.Shards, b.id)
 	}
-	slices.Sort(s.Blocks)
-	r.asks += len(s.Blocks)
+	slices.Sort(s.Shards)
+	r.asks += len(s.Shards)
 	return s
 }
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -16,17 +16,17 @@
 type data []Hit
 
 // best answers a question from a block's data, the slow and plain way.
-func (d data) best(f Form) []Hit {
+func (d data) best(f Options) []Hit {
 	all := slices.Clone(d)
 	slices.SortFunc(all, Before)
 	if f.Ranked {
-		all = all[:min(len(all), f.Best)]
+		all = all[:min(len(all), f.Limit)]
 	}
 	return all
 }
 
 // truth is what asking every block would give.
-func truth(f Form, blocks []data) []Hit {
+func truth(f Options, blocks []data) []Hit {
 	var all data
 	for _, d := range blocks {
 		all = append(all, d...)
@@ -45,8 +45,8 @@
 func equal(a, b []Hit) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
 // sure is a track that asks in two phases whenever it may.
-func sure() *Track {
-	t := NewTrack(time.Second)
+func sure() *Class {
+	t := NewClass(time.Second)
 	t.share, t.cost, t.first, t.second = 0, 0, took{0.01, 0}, took{0.01, 0}
 	return t
 }
@@ -62,15 +62,15 @@
 		for n, kind := range []int{mix % 5, mix / 5 % 5, mix / 25, 1} {
 			var d data
 			for i, score := range kinds[kind] {
-				d = append(d, Hit{Block(n), fmt.Sprint("h", i), score})
+				d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score})
 			}
 			blocks = append(blocks, d)
 		}
 		for best := range 5 {
 			for subset := range 16 {
 				for _, order := range orders {
-					f := Form{Ranked: true, Best: best}
-					r, err := sure().Begin(0, f, []Block{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
+					f := Options{Ranked: true, Limit: best}
+					r, err := sure().Begin(0, f, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -86,37 +86,37 @@
 }
 
 // finish plays a run to its end: summaries of a subset arrive, the others never do.
-func finish(t *testing.T, r *Run, f Form, blocks []data, subset int, order []int) {
+func finish(t *testing.T, r *Query, f Options, blocks []data, subset int, order []int) {
 	t.Helper()
 	now := time.Duration(0)
 	wereAsked := 0
 	for range 40 {
-		switch s := r.Next(now); s.Do {
-		case Summarize:
+		switch s := r.Next(now); s.Action {
+		case CanMatch:
 			for _, n := range order {
 				if subset>>n&1 == 1 {
-					r.Summarized(now, Block(n), Holder(n), blocks[n].summary("v1"))
+					r.Summarized(now, Shard(n), Replica(n), blocks[n].summary("v1"))
 				}
 			}
 		case Wait:
-			now = s.Wake
-		case Ask:
-			for _, id := range s.Blocks {
+			now = s.Wakeup
+		case Fetch:
+			for _, id := range s.Shards {
 				wereAsked |= 1 << id
-				if err := r.Answered(now, id, Holder(id), Answer{"v1", blocks[id].best(f)}); err != nil {
+				if err := r.Answered(now, id, Replica(id), Answer{"v1", blocks[id].best(f)}); err != nil {
 					t.Fatal(err)
 				}
 			}
-		case Whole:
+		case Done:
 			if got, want := r.Hits(), truth(f, blocks); !equal(got, want) {
-				t.Fatalf("best %d of %v, summaries %b: %v, want %v", f.Best, blocks, subset, got, want)
+				t.Fatalf("best %d of %v, summaries %b: %v, want %v", f.Limit, blocks, subset, got, want)
 			}
-			if f.Best > 0 && wereAsked|subset != 15 {
+			if f.Limit > 0 && wereAsked|subset != 15 {
 				t.Fatalf("blocks %b neither summarized nor asked", 15&^(wereAsked|subset))
 			}
 			return
-		case Refuse:
-			t.Fatalf("refused: %s", s.Why)
+		case Reject:
+			t.Fatalf("refused: %s", s.Reason)
 		}
 	}
 	t.Fatal("it does not end")
@@ -130,9 +130,9 @@
 func FuzzAnyFleet(f *testing.F) { f.Fuzz(rapid.MakeFuzz(anyFleet)) }
 
 func anyFleet(t *rapid.T) {
-	f := Form{Ranked: rapid.Bool().Draw(t, "ranked"), Shared: rapid.Bool().Draw(t, "shared")}
+	f := Options{Ranked: rapid.Bool().Draw(t, "ranked"), SharedVersions: rapid.Bool().Draw(t, "shared")}
 	if f.Ranked {
-		f.Best = rapid.IntRange(0, 6).Draw(t, "best")
+		f.Limit = rapid.IntRange(0, 6).Draw(t, "best")
 	}
 	count := rapid.IntRange(1, 9).Draw(t, "blocks")
 	version := make([]int, count)
@@ -141,14 +141,14 @@
 	fill := func(n int) {
 		var d data
 		for i := range rapid.IntRange(0, 4).Draw(t, "hits") {
-			d = append(d, Hit{Block(n), fmt.Sprint("h", i), score.Draw(t, "score")})
+			d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score.Draw(t, "score")})
 		}
 		states[n] = append(states[n], d)
 	}
-	var ids []Block
+	var ids []Shard
 	for n := range count {
 		fill(n)
-		ids = append(ids, Block(n))
+		ids = append(ids, Shard(n))
 	}
 	track := sure()
 	r, err := track.Begin(0, f, ids, time.Second, 2*time.Second, rapid.IntRange(1, 3).Draw(t, "allowance"))
@@ -162,7 +162,7 @@
 		proved[n], was[n] = -1, -1
 	}
 	asked := make([]bool, count)
-	var pending []Block
+	var pending []Shard
 	for range 300 {
 		if len(pending) > 0 {
 			at := rapid.IntRange(0, len(pending)-1).Draw(t, "which")
@@ -178,8 +178,8 @@
 			}
 			was[id] = v
 		}
-		switch s := r.Next(now); s.Do {
-		case Summarize:
+		switch s := r.Next(now); s.Action {
+		case CanMatch:
 			for _, id := range rapid.Permutation(ids).Draw(t, "order") {
 				v := version[id]
 				good := states[id][v].summary(Version(fmt.Sprint("v", v)))
@@ -212,20 +212,20 @@
 			}
 		case Wait:
 			if len(pending) == 0 {
-				now = s.Wake
+				now = s.Wakeup
 			}
-		case Ask:
-			for _, id := range s.Blocks {
+		case Fetch:
+			for _, id := range s.Shards {
 				if asked[id] {
 					t.Fatalf("block %d is asked twice", id)
 				}
 				asked[id] = true
 			}
-			pending = append(pending, s.Blocks...)
-		case Refuse:
+			pending = append(pending, s.Shards...)
+		case Reject:
 			return
-		case Whole:
-			if f.Ranked && f.Best == 0 {
+		case Done:
+			if f.Ranked && f.Limit == 0 {
 				if len(r.Hits()) > 0 {
 					t.Fatal("hits where none are wanted")
 				}
@@ -253,12 +253,12 @@
 
 // Ties at the last place, between what was asked and what was not, are never left out.
 func TestTiesAreAsked(t *testing.T) {
-	r, _ := sure().Begin(0, Form{Ranked: true, Best: 1}, []Block{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
+	r, _ := sure().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
 	r.Next(0)
 	for n, upper := range []float64{5, 5, 4, math.Copysign(0, -1)} {
-		r.Summarized(0, Block(n), Holder(n), Summary{"v", 1, upper, upper})
+		r.Summarized(0, Shard(n), Replica(n), Summary{"v", 1, upper, upper})
 	}
-	if s := r.Next(0); s.Do != Ask || fmt.Sprint(s.Blocks) != "[0 1]" {
+	if s := r.Next(0); s.Action != Fetch || fmt.Sprint(s.Shards) != "[0 1]" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -267,14 +267,14 @@
 func TestFirstPhaseThatTakesAllTheTime(t *testing.T) {
 	track := sure()
 	track.second = took{0.3, 0.01}
-	r, _ := track.Begin(0, Form{Ranked: true, Best: 1}, []Block{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
+	r, _ := track.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
 	r.Next(0)
-	if s := r.Next(900 * ms); s.Do != Ask { // too late for the agreed time; the cut-off can be kept
+	if s := r.Next(900 * ms); s.Action != Fetch { // too late for the agreed time; the cut-off can be kept
 		t.Errorf("%+v", s)
 	}
-	r, _ = track.Begin(0, Form{Ranked: true, Best: 1}, []Block{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
+	r, _ = track.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
 	r.Next(0)
-	if s := r.Next(1800 * ms); s.Do != Refuse || r.asks != 0 {
+	if s := r.Next(1800 * ms); s.Action != Reject || r.asks != 0 {
 		t.Errorf("%+v after %d asks", s, r.asks)
 	}
 }
@@ -282,21 +282,21 @@
 // Two holders of a block at different versions: it is asked, until they agree.
 func TestHoldersThatDiffer(t *testing.T) {
 	track := sure()
-	ask := func(now time.Duration, from Holder, v Version) Step {
-		r, _ := track.Begin(now, Form{Ranked: true, Best: 1}, []Block{0, 1, 2, 3}, now+time.Second, now+2*time.Second, 2)
+	ask := func(now time.Duration, from Replica, v Version) Step {
+		r, _ := track.Begin(now, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, now+time.Second, now+2*time.Second, 2)
 		r.Next(now)
 		for n := range 3 {
-			r.Summarized(now, Block(n), 7, Summary{"v", 1, 9, 9})
+			r.Summarized(now, Shard(n), 7, Summary{"v", 1, 9, 9})
 		}
 		r.Summarized(now, 3, from, Summary{v, 0, 0, 0})
 		return r.Next(now)
 	}
 	for n, step := range []struct {
-		from  Holder
+		from  Replica
 		v     Version
 		asked bool
 	}{{1, "a", false}, {2, "b", true}, {2, "a", false}, {1, "b", true}, {2, "b", false}} {
-		if s := ask(time.Duration(n)*ms, step.from, step.v); slices.Contains(s.Blocks, 3) != step.asked {
+		if s := ask(time.Duration(n)*ms, step.from, step.v); slices.Contains(s.Shards, 3) != step.asked {
 			t.Errorf("step %d: %+v", n, s)
 		}
 	}
@@ -305,34 +305,34 @@
 // An answer above its own bound spoils that holder's summaries, and the question.
 func TestLiarsAreFound(t *testing.T) {
 	track := sure()
-	r, _ := track.Begin(0, Form{Ranked: true, Best: 2}, []Block{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
+	r, _ := track.Begin(0, Options{Ranked: true, Limit: 2}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
 	r.Next(0)
 	for n := range 4 {
-		r.Summarized(0, Block(n), Holder(n), Summary{"v", 2, 5, 1})
+		r.Summarized(0, Shard(n), Replica(n), Summary{"v", 2, 5, 1})
 	}
 	r.Next(0)
 	if err := r.Answered(0, 2, 2, Answer{"v", []Hit{{2, "a", 7}, {2, "b", 1}}}); err != nil {
 		t.Fatal(err)
 	}
-	if s := r.Next(0); s.Do != Refuse || !track.isSpoilt(0, 2) || track.isSpoilt(0, 1) || track.isSpoilt(spoiltFor, 2) {
+	if s := r.Next(0); s.Action != Reject || !track.isSpoilt(0, 2) || track.isSpoilt(0, 1) || track.isSpoilt(spoiltFor, 2) {
 		t.Errorf("%+v", s)
 	}
 }
 
 // Under a jam, and where all blocks are left, the choice falls on one phase; it finds its way back.
 func TestTwoPhasesOnlyWhereTheyPay(t *testing.T) {
-	track, now := NewTrack(time.Second), time.Duration(0)
+	track, now := NewClass(time.Second), time.Duration(0)
 	play := func(left float64, takes time.Duration) (two int) {
 		for range 200 {
 			now += 20 * ms
-			var ids []Block
+			var ids []Shard
 			for n := range 20 {
-				ids = append(ids, Block(n))
+				ids = append(ids, Shard(n))
 			}
-			r, _ := track.Begin(now, Form{}, ids, now+time.Second, now+2*time.Second, 2)
-			for s := r.Next(now); s.Do != Whole && s.Do != Refuse; s = r.Next(now) {
-				switch s.Do {
-				case Summarize:
+			r, _ := track.Begin(now, Options{}, ids, now+time.Second, now+2*time.Second, 2)
+			for s := r.Next(now); s.Action != Done && s.Action != Reject; s = r.Next(now) {
+				switch s.Action {
+				case CanMatch:
 					two++
 					now += takes
 					for n := range 20 {
@@ -340,16 +340,16 @@
 						if float64(n) >= left*20 {
 							count = 0
 						}
-						r.Summarized(now, Block(n), 1, Summary{"v", count, 1, 1})
+						r.Summarized(now, Shard(n), 1, Summary{"v", count, 1, 1})
 					}
-				case Ask:
+				case Fetch:
 					now += takes
-					for _, id := range s.Blocks {
+					for _, id := range s.Shards {
 						r.Answered(now, id, 1, Answer{"v", []Hit{{id, "a", 1}}})
 					}
 				}
 			}
-			r.Ends(now)
+			r.Close(now)
 		}
 		return two
 	}
@@ -372,14 +372,14 @@
 
 func TestFormsThatCannotBe(t *testing.T) {
 	for _, bad := range []struct {
-		f      Form
-		blocks []Block
-	}{{Form{Best: 3}, []Block{1}}, {Form{Ranked: true, Best: -1}, []Block{1}}, {Form{}, nil}, {Form{}, []Block{1, 1}}} {
+		f      Options
+		blocks []Shard
+	}{{Options{Limit: 3}, []Shard{1}}, {Options{Ranked: true, Limit: -1}, []Shard{1}}, {Options{}, nil}, {Options{}, []Shard{1, 1}}} {
 		if _, err := sure().Begin(0, bad.f, bad.blocks, time.Second, time.Second, 2); err == nil {
 			t.Errorf("%+v passes", bad)
 		}
 	}
-	r, _ := sure().Begin(0, Form{Ranked: true, Best: 1}, []Block{0}, time.Second, time.Second, 1)
+	r, _ := sure().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0}, time.Second, time.Second, 1)
 	r.Next(0)
 	for _, bad := range []Answer{{"", nil}, {"v", []Hit{{0, "a", 1}, {0, "b", 1}}}, {"v", []Hit{{1, "a", 1}}}, {"v", []Hit{{0, "", 1}}},
 		{"v", []Hit{{0, "a", math.NaN()}}}, {"v", []Hit{{0, "a", math.Inf(1)}}}} {
