--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"terntray/internal/netconn"
 	"terntray/internal/wire"
 	"terntray/invariant"
 )
@@ -152,7 +153,7 @@
 			k.leaves()
 			return closedByClient
 		case k.busy || n > 0 || time.Now().Before(limit): // woken
-		case k.lookEnds.IsZero() || peek(k.conn) == readable:
+		case k.lookEnds.IsZero() || netconn.Peek(k.conn) == netconn.Readable:
 			k.lookEnds = time.Now().Add(lastLook)
 		default:
 			reason := k.silentReason()
@@ -204,17 +205,17 @@
 	if k.asked > 0 {
 		return now
 	}
-	return now - sinceLastData(k.conn)
+	return now - netconn.SinceLastData(k.conn)
 }
 
 // readsOn tells whether there is more to be read before a request is looked at; it notices a client that has left.
 // Guards against: requests sent on whose clients had left while they waited unread, behind a standstill or a crowd.
 // Should also cover: clients that send much at once and go. Could hurt: by a system call for each request.
 func (k *client) readsOn() bool {
-	switch peek(k.conn) {
-	case ended:
+	switch netconn.Peek(k.conn) {
+	case netconn.Ended:
 		k.leaves()
-	case readable:
+	case netconn.Readable:
 		return k.dropped <= mostDropped
 	}
 	k.seenAt.Store(int64(k.c.since(time.Now())))
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"terntray/incarnation"
+	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/overload"
 	"terntray/scheduler"
@@ -199,7 +200,7 @@
 func listen(addr string) (l net.Listener, err error) {
 	for end := time.Now().Add(bindWait); ; time.Sleep(bindWait / 20) {
 		l, err = net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) && !isShortage(err) || time.Now().After(end) {
+		if !errors.Is(err, syscall.EADDRINUSE) && !netconn.IsShortage(err) || time.Now().After(end) {
 			return l, err
 		}
 	}
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"terntray/internal/netconn"
 	"terntray/internal/wire"
 )
 
@@ -34,8 +35,8 @@
 }
 
 // sees waits until a connection's end shows something.
-func sees(t *testing.T, conn net.Conn, what connectionState) {
-	for end := time.Now().Add(20 * time.Second); peek(conn) != what; time.Sleep(time.Millisecond) {
+func sees(t *testing.T, conn net.Conn, what netconn.State) {
+	for end := time.Now().Add(20 * time.Second); netconn.Peek(conn) != what; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing comes")
 		}
@@ -120,7 +121,7 @@
 		near, far := pair(t)
 		k := newClient(c, near)
 		if far.Close(); waited > 0 {
-			sees(t, near, ended)
+			sees(t, near, netconn.Ended)
 		}
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.born = c.born.Add(-10 * time.Second)
@@ -158,7 +159,7 @@
 			close(sent)
 		}()
 		<-sent
-		for end := time.Now().Add(20 * time.Second); peek(near) == readable && time.Now().Before(end); {
+		for end := time.Now().Add(20 * time.Second); netconn.Peek(near) == netconn.Readable && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if len(k.answers) > 0 || c.queries[q.id] == nil {
@@ -182,17 +183,17 @@
 		"a standstill": func(k *client, far net.Conn) bool {
 			k.lookEnds = time.Now().Add(-time.Second)
 			io.WriteString(far, up)
-			sees(t, k.conn, readable)
+			sees(t, k.conn, netconn.Readable)
 			go k.serveSafely()
 			return true
 		},
 		"in two pieces": func(k *client, far net.Conn) bool {
 			io.WriteString(far, up[:9])
-			sees(t, k.conn, readable)
+			sees(t, k.conn, netconn.Readable)
 			began := time.Now()
 			k.lookEnds = began.Add(lastLook)
 			go k.serveSafely()
-			sees(t, k.conn, quiet)
+			sees(t, k.conn, netconn.Quiet)
 			time.Sleep(2 * lastLook) // the look is over by then
 			io.WriteString(far, up[9:])
 			return time.Since(began) < crossing // else it may have come too late
@@ -260,7 +261,7 @@
 			case <-parted:
 				end = began
 			default:
-				read = peek(near) == quiet
+				read = netconn.Peek(near) == netconn.Quiet
 			}
 		}
 		inTime := time.Since(began) < parting
--- a/coordinator/front.go
+++ b/coordinator/front.go
@@ -1,7 +1,6 @@
 package coordinator
 
 import (
-	"context"
 	"errors"
 	"net"
 	"os"
@@ -257,8 +256,3 @@
 		l.SetDeadline(time.Now().Add(in))
 	}
 }
-
-// stopWith closes a connection when a context ends; what it returns calls that off.
-func stopWith(ctx context.Context, conn net.Conn) func() bool {
-	return context.AfterFunc(ctx, func() { conn.Close() })
-}
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"terntray/connpool"
+	"terntray/internal/netconn"
 	"terntray/internal/replicaproto"
 )
 
@@ -69,7 +70,7 @@
 func (k *link) alive() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.conn != nil && !hasEnded(k.conn)
+	return k.conn != nil && !netconn.HasEnded(k.conn)
 }
 
 // run opens the connection, reads it to its end and gives it back.
@@ -82,12 +83,12 @@
 func (k *link) carry() error {
 	f := &k.c.fleet
 	began := time.Now()
-	conn, err := dial(f.context, k.addr, began.Add(f.connectWithin))
+	conn, err := netconn.Dial(f.context, k.addr, began.Add(f.connectWithin))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	defer stopWith(f.context, conn)()
+	defer netconn.CloseOnDone(f.context, conn)()
 	k.mu.Lock()
 	k.conn = conn
 	ended := k.ended
@@ -139,7 +140,7 @@
 		all, partly, bad := k.take(n)
 		if !partly || !began || len(all) > 0 {
 			whole = time.Now().Add(wholeTimes * within)
-		} else if n > 0 && bad == nil && time.Now().After(whole) && peek(conn) != readable { // else it may have waited here
+		} else if n > 0 && bad == nil && time.Now().After(whole) && netconn.Peek(conn) != netconn.Readable { // else it may have waited here
 			bad = errors.New("a message that does not end")
 		}
 		began = partly
@@ -242,7 +243,7 @@
 
 // writeSome writes and tells whether the connection goes on.
 func (k *link) writeSome(conn, raw net.Conn, bytes []byte) bool {
-	gone := hasEnded(raw)
+	gone := netconn.HasEnded(raw)
 	n, err := 0, error(nil)
 	if !gone {
 		conn.SetWriteDeadline(time.Now().Add(min(k.c.fleet.connectWithin, takenWithin)))
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"terntray/incarnation"
+	"terntray/internal/netconn"
 	"terntray/internal/wire"
 	"terntray/invariant"
 	"terntray/scheduler"
@@ -171,11 +172,11 @@
 				told = nil
 			}
 			var err error
-			if conn, err = dial(ctx, host, time.Now().Add(within)); err != nil {
+			if conn, err = netconn.Dial(ctx, host, time.Now().Add(within)); err != nil {
 				return err
 			}
 			answers = wire.EndpointListReader{}
-			now, forget := conn, stopWith(ctx, conn)
+			now, forget := conn, netconn.CloseOnDone(ctx, conn)
 			release = func() {
 				forget()
 				now.Close()
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/scheduler"
 )
@@ -136,7 +137,7 @@
 	if now-time.Duration(k.seenAt.Load()) < clientSeenFresh {
 		return false
 	}
-	if hasHungUp(k.conn) {
+	if netconn.HasHungUp(k.conn) {
 		k.gone.Store(true)
 		return true
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -243,7 +243,7 @@
 	}
 }
 
-// Complete, TurnBack and Scrap give a query its final answer.
+// Complete gives a query its final answer, as Reject and Fail do.
 func (n *Node) Complete(id scheduler.RequestID, whole bool) {
 	how := Partial
 	if whole {
--- a/coordinator/dial.go
+++ b/internal/netconn/dial.go
@@ -1,4 +1,4 @@
-package coordinator
+package netconn
 
 import (
 	"context"
@@ -33,16 +33,16 @@
 	return errors.As(err, &errno) && slices.Contains(among, errno)
 }
 
-// isShortage tells whether a system call failed for want of something on this machine.
-func isShortage(err error) bool { return isErrno(err, shortages) }
+// IsShortage tells whether a system call failed for want of something on this machine.
+func IsShortage(err error) bool { return isErrno(err, shortages) }
 
 // retryShortage calls again what fails for want of something on this machine, or of a route, until a time or the context's
-// end. What still fails for want of something here then is a pool.ErrShortage. Guards against: a shortage of a moment that counts against whoever was to be
+// end. What still fails for want of something here then is a connpool.ErrShortage. Guards against: a shortage of a moment that counts against whoever was to be
 // reached. Should also cover: one that lasts, which must not spin. Could hurt: by some milliseconds.
 func retryShortage(ctx context.Context, until time.Time, call func() error) error {
 	for wait := shortageFirstWait; ; wait = min(shortageMostWait, 2*wait) {
 		err := call()
-		short := isShortage(err)
+		short := IsShortage(err)
 		if !short && !isErrno(err, routeErrors) {
 			return err
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// dial connects to an address until a time.
-func dial(ctx context.Context, addr string, until time.Time) (conn net.Conn, err error) {
+// Dial connects to an address until a time.
+func Dial(ctx context.Context, addr string, until time.Time) (conn net.Conn, err error) {
 	dialer := net.Dialer{Deadline: until}
 	err = retryShortage(ctx, until, func() error {
 		conn, err = dialer.DialContext(ctx, "tcp", addr)
--- a/coordinator/peek.go
+++ b/internal/netconn/peek.go
@@ -1,4 +1,4 @@
-package coordinator
+package netconn
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// connectionState is what can be seen of a connection without reading it.
-type connectionState int
+// State is what can be seen of a connection without reading it.
+type State int
 
 const (
-	quiet    connectionState = iota // nothing is there to be read, or it cannot be told
-	readable                        // something is there to be read
-	ended                           // the far side has ended it, and all before that is read
+	Quiet    State = iota // nothing is there to be read, or it cannot be told
+	Readable              // something is there to be read
+	Ended                 // the far side has ended it, and all before that is read
 )
 
 // deadErrors are the errors of a socket that end its connection. All others, as a shortage of buffers, say nothing of the
@@ -53,24 +53,24 @@
 	return n, err
 }
 
-// peek looks at a connection; it never waits.
-func peek(conn net.Conn) (state connectionState) {
+// Peek looks at a connection; it never waits.
+func Peek(conn net.Conn) (state State) {
 	onSocket(conn, func(descriptor int) {
 		one := make([]byte, 1)
 		n, err := peekFunc(descriptor, one)
 		switch {
 		case n > 0:
-			state = readable
+			state = Readable
 		case err == nil || isDead(err):
-			state = ended
+			state = Ended
 		}
 	})
 	return state
 }
 
-// hasEnded tells whether the far side has closed a connection, which its reader may not have been able to tell yet.
+// HasEnded tells whether the far side has closed a connection, which its reader may not have been able to tell yet.
 // Guards against: frames written after that, which may then have run as far as anybody knows.
-func hasEnded(conn net.Conn) bool { return peek(conn) == ended }
+func HasEnded(conn net.Conn) bool { return Peek(conn) == Ended }
 
 // States of a TCP connection as tcp_info gives them (linux/tcp.h, include/net/tcp_states.h).
 const (
@@ -81,8 +81,8 @@
 	tcpClosing     = 11
 )
 
-// hasHungUp tells whether the far side has closed a connection, also behind bytes that nobody has read yet.
-func hasHungUp(conn net.Conn) bool {
+// HasHungUp tells whether the far side has closed a connection, also behind bytes that nobody has read yet.
+func HasHungUp(conn net.Conn) bool {
 	state := uint8(0)
 	onSocket(conn, func(descriptor int) {
 		if info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -95,12 +95,12 @@
 	case tcpEstablished:
 		return false
 	}
-	return hasEnded(conn)
+	return HasEnded(conn)
 }
 
-// sinceLastData is how long ago the last bytes arrived on a connection, whether or not they have been read; 0 where the
+// SinceLastData is how long ago the last bytes arrived on a connection, whether or not they have been read; 0 where the
 // machine does not tell.
-func sinceLastData(conn net.Conn) (ago time.Duration) {
+func SinceLastData(conn net.Conn) (ago time.Duration) {
 	onSocket(conn, func(descriptor int) {
 		info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil && info.State != 0 {
