--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -17,6 +17,7 @@
 
 	"terntray/config"
 	"terntray/internal/wire"
+	"terntray/scheduler"
 )
 
 // Deployment is what a co-ordinator is told before it starts.
@@ -208,6 +209,28 @@
 	return nil
 }
 
+// schedulerConfigs reads what the scheduler starts with, and what the installation file wants decisions to be counted under
+// beside it; nil: nothing.
+func (d *Deployment) schedulerConfigs() (decided scheduler.Config, shadow *scheduler.Config, err error) {
+	installation := d.Installation
+	if installation == nil {
+		installation = &config.Config{}
+	}
+	settings := d.carried(len(installation.Peers.Others) > 0)
+	if decided, err = scheduler.ParseConfig(settings); err != nil {
+		return decided, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	if len(installation.Watch.Settings) == 0 {
+		return decided, nil, nil
+	}
+	maps.Copy(settings, installation.Watch.Settings)
+	other, err := scheduler.ParseConfig(settings)
+	if err != nil {
+		return decided, nil, fmt.Errorf("installation: watch.settings: %w", err)
+	}
+	return decided, &other, nil
+}
+
 // carried gives the settings as this program can carry them out: messages between co-ordinators are allowed, not asked for,
 // and go to nobody where nobody is named; the protocol has no second step, and tracks with one are answered 501. Guards
 // against: settings of another customer that are valid, and with which this would not start.
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -39,10 +39,10 @@
 // start tells the module the list as it was last held and, where changes come unasked, begins to follow it.
 func (l *list) start(c *Coordinator) {
 	l.c, l.held, l.host = c, c.deployment.Known, c.deployment.Discovery
-	l.asked = c.deployment.settings["discovery"] == "subscribe"
+	l.asked = c.config.Discovery == scheduler.DiscoverySubscribe
 	// Half of the time in which silence counts as told leaves room for a second call.
 	l.hold = hold
-	if every, err := c.deployment.span("guarantees.askEvery", 0); err == nil && every > 0 {
+	if every := c.config.PollInterval; every > 0 {
 		l.hold = min(every/2, time.Minute)
 	}
 	l.stopCall = func() {}
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"net"
 	"net/netip"
 	"path"
@@ -30,22 +29,16 @@
 	strangers atomic.Int64 // messages from elsewhere, which nobody reads
 }
 
-// settled gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
-// of co-ordinators and sizes must fit them.
-func (d *Deployment) settled(in *config.Config) (settings, watched map[string]string, err error) {
-	settings, weighed := d.carried(len(in.Peers.Others) > 0), d.settings["weightKind"]
-	allowed := d.settings["bounds.peers"] == "true"
+// checkPeersAndSizes refuses what the installation file says of co-ordinators and sizes if it does not fit the settings.
+func (d *Deployment) checkPeersAndSizes(in *config.Config) (err error) {
+	weighed, allowed := d.settings["weightKind"], d.settings["bounds.peers"] == "true"
 	if len(in.Peers.Others) > 0 && !allowed {
 		err = errors.New("installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 	}
 	if len(in.Sizes) > 0 && weighed != "nominal" && weighed != "rough" && in.Watch.Settings["weightKind"] == "" {
 		err = errors.Join(err, fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weighed))
 	}
-	if len(in.Watch.Settings) > 0 {
-		watched = maps.Clone(settings)
-		maps.Copy(watched, in.Watch.Settings)
-	}
-	return settings, watched, err
+	return err
 }
 
 // size is how large a replica of a model is beside others, 0 where nothing says it.
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -1,11 +1,14 @@
 package coordinator
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"terntray/internal/wire"
+	"terntray/invariant"
 	"terntray/scheduler"
 	"terntray/twophase"
 )
@@ -34,7 +37,7 @@
 	replies   [2]int
 }
 
-func (n *questions) begin(d *Deployment, tracks map[string]scheduler.ClassIndex) error {
+func (n *questions) begin(d *Deployment, config *scheduler.Config) error {
 	*n = questions{takes: map[string]bool{}, learns: map[string]*twophase.Class{}}
 	if d.Installation == nil {
 		return nil
@@ -42,19 +45,15 @@
 	n.shared = d.Installation.Phases.SharedVersions
 	var bad error
 	for _, name := range d.Installation.Phases.Tracks {
-		at, known := tracks[name]
-		path := fmt.Sprintf("lanes.%d.", at)
-		if !known || d.settings[path+"effect"] != "pure" {
+		at := slices.IndexFunc(config.Classes, func(class scheduler.ClassConfig) bool { return class.Name == name })
+		if at < 0 || config.Classes[at].Effect != invariant.Idempotent {
 			bad = errors.Join(bad, fmt.Errorf("installation: phases.tracks: found %q, wanted a replayable track", name))
 			continue
 		}
-		agreed, err := d.span(path+"aim", time.Second)
-		bad = errors.Join(bad, err)
-		n.takes[name], n.learns[name] = true, twophase.NewClass(agreed)
+		n.takes[name], n.learns[name] = true, twophase.NewClass(config.Classes[at].Objective)
 	}
-	var err error
-	n.attempts, err = d.whole("bounds.maxAttempts", 1<<30)
-	return errors.Join(bad, err)
+	n.attempts = cmp.Or(config.MaxAttempts, 1<<30)
+	return bad
 }
 
 // takeQuestion begins a question, whose module's query has not been told of yet.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -80,7 +80,11 @@
 func newNode(f *Fleet, seed uint64, settings map[string]string) (*Node, error) {
 	n := &Node{world: f.World, fleet: f, Hop: hop, open: map[scheduler.RequestID]*Query{}, parts: map[scheduler.RequestID]*part{}}
 	n.Ledger = newLedger(f)
-	module, err := scheduler.New(n, seed, settings)
+	config, err := scheduler.ParseConfig(settings)
+	if err != nil {
+		return nil, err
+	}
+	module, err := scheduler.New(n, seed, config)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -213,7 +213,12 @@
 	i.module = nil
 	i.pending.Reset()
 	s.guard(i, func() {
-		module, err := scheduler.New(&host{i}, uint64(salt), settings)
+		config, err := scheduler.ParseConfig(settings)
+		if err != nil {
+			i.say("EXCEPTION", err.Error())
+			return
+		}
+		module, err := scheduler.New(&host{i}, uint64(salt), config)
 		if err != nil {
 			i.say("EXCEPTION", err.Error())
 			return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 package scheduler
 
 // The loop: what happens is told by one method each, and TurnEnds decides, once all that has come in at one time is told.
-// New is handed the host and the settings; everything else acts through the Host in host.go. docs/design.md tells the
+// New is handed the host and the configuration; everything else acts through the Host in host.go. docs/design.md tells the
 // mechanism and its departures.
 
 import (
@@ -9,6 +9,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"terntray/invariant"
 )
 
 const (
@@ -26,17 +28,25 @@
 	sharesKept = 16   // queries; the last ones that tell what first tries come with
 )
 
-const replayable, referenced, singleUse = "pure", "token", "side_effect" // as the settings name them
+const replayable, referenced, singleUse = invariant.Idempotent, invariant.Keyed, invariant.NonIdempotent
 
-// New starts a co-ordinator. It fails if a setting that it cannot do without is missing or unreadable.
-func New(host Host, seed uint64, settings map[string]string) (*Scheduler, error) {
+// New starts a co-ordinator. It fails if the configuration is not valid.
+func New(host Host, seed uint64, config Config) (*Scheduler, error) {
+	if err := config.Validate(); err != nil {
+		return nil, err
+	}
 	c := &Scheduler{
-		host: host, seed: seed, settings: settings, lanes: startLanes, typical: 1, wakeAt: math.MaxInt64,
+		host: host, seed: seed, terms: newTerms(&config), classes: newClasses(config.Classes),
+		lanes: startLanes, typical: 1, wakeAt: math.MaxInt64, blank: 1, askWait: askFirst,
 		byID: map[RequestID]*query{}, byNum: map[QueryNumber]*query{},
 		subqueries: map[RequestID]*subquery{}, index: map[ReplicaID]replica{},
+		held: make([][]replica, config.Cells), asked: make([]float64, config.Cells),
+	}
+	c.copies = maxCopies * c.thrift
+	for _, quota := range c.quota {
+		c.allowance = append(c.allowance, max(leastBurst, quota*shareBurst))
 	}
-	c.read()
-	return c, c.missing
+	return c, nil
 }
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -26,10 +26,10 @@
 	counts ShadowCounts
 }
 
-// EnableShadow counts from now on what other settings would have decided. It fails if a setting cannot be read, or if they
-// tell of other tracks or other shards, as then nothing could be compared.
-func (c *Scheduler) EnableShadow(settings map[string]string) error {
-	under, err := New(c.host, c.seed, settings)
+// EnableShadow counts from now on what other settings would have decided. It fails if they are
+// not valid, or tell of other classes or other shards, as then nothing could be compared.
+func (c *Scheduler) EnableShadow(config Config) error {
+	under, err := New(c.host, c.seed, config)
 	if err != nil {
 		return err
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "time"
+import (
+	"time"
+
+	"terntray/invariant"
+)
 
 // What a co-ordinator keeps. Nothing here chooses anything.
 
@@ -8,7 +12,7 @@
 	index                  int
 	agreed, cutOff, window time.Duration
 	stretch, need, floor   float64
-	effect                 string
+	effect                 invariant.Effect
 	endedAt                time.Duration // the last query that counted
 	fetch                  int
 	unit                   time.Duration // learned: work of a part
@@ -93,8 +97,6 @@
 	terms
 
 	host        Host
-	settings    map[string]string
-	missing     error
 	seed, draws uint64
 
 	classes                                []class
