--- a/cmd/terntray-settings/main.go
+++ b/cmd/terntray-settings/main.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := i.LoadAll(); err != nil {
+			if _, err := i.LoadTLS(); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ok:", args[0])
--- a/config/certificates.go
+++ b/config/certificates.go
@@ -15,53 +15,85 @@
 	"time"
 )
 
-// MakeCertificates makes a CA and, from it, certificates of a box (box.pem, box.key) for some hosts and of a co-ordinator
-// (client.pem, client.key) in a folder, which is made where it is missing. For trying things out: the CA's own key is
-// kept beside them (ca.key) and a later call replaces all.
-func MakeCertificates(folder string, hosts []string, lasts time.Duration) error {
+const (
+	serialBits = 120       // of a certificate's random serial number
+	backdating = time.Hour // of the start of validity, for clocks that are behind
+)
+
+// issuer signs certificates.
+type issuer struct {
+	certificate *x509.Certificate
+	key         *ecdsa.PrivateKey
+}
+
+// MakeCertificates creates a folder, if it is missing, with a CA (ca.pem, ca.key) and two certificates that it signed:
+// one of a replica for the given hosts (box.pem, box.key) and one of a co-ordinator (client.pem, client.key). They are
+// for trials only, as the CA's key is kept beside them; a later call replaces all.
+func MakeCertificates(folder string, hosts []string, validity time.Duration) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
-	until := time.Now().Add(lasts)
-	ca := &x509.Certificate{Subject: pkix.Name{CommonName: "terntray trial CA"}, NotAfter: until, IsCA: true,
-		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	caKey, err := certificate(folder, "ca", ca, ca, nil)
+	notAfter := time.Now().Add(validity)
+	authority := &x509.Certificate{
+		Subject:               pkix.Name{CommonName: "terntray trial CA"},
+		NotAfter:              notAfter,
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+	}
+	authorityKey, err := writeCertificate(folder, "ca", authority, nil)
 	if err != nil {
 		return err
 	}
-	box := &x509.Certificate{Subject: pkix.Name{CommonName: "terntray trial box"}, NotAfter: until,
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
-	for _, h := range hosts {
-		if ip := net.ParseIP(h); ip != nil {
-			box.IPAddresses = append(box.IPAddresses, ip)
+	signer := &issuer{certificate: authority, key: authorityKey}
+	if _, err := writeCertificate(folder, "box", replicaCertificate(hosts, notAfter), signer); err != nil {
+		return err
+	}
+	_, err = writeCertificate(folder, "client", clientCertificate(notAfter), signer)
+	return err
+}
+
+func replicaCertificate(hosts []string, notAfter time.Time) *x509.Certificate {
+	certificate := &x509.Certificate{
+		Subject:     pkix.Name{CommonName: "terntray trial box"},
+		NotAfter:    notAfter,
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
+	}
+	for _, host := range hosts {
+		if ip := net.ParseIP(host); ip != nil {
+			certificate.IPAddresses = append(certificate.IPAddresses, ip)
 		} else {
-			box.DNSNames = append(box.DNSNames, h)
+			certificate.DNSNames = append(certificate.DNSNames, host)
 		}
 	}
-	client := &x509.Certificate{Subject: pkix.Name{CommonName: "terntray trial co-ordinator"}, NotAfter: until,
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	for name, c := range map[string]*x509.Certificate{"box": box, "client": client} {
-		if _, err := certificate(folder, name, c, ca, caKey); err != nil {
-			return err
-		}
+	return certificate
+}
+
+func clientCertificate(notAfter time.Time) *x509.Certificate {
+	return &x509.Certificate{
+		Subject:     pkix.Name{CommonName: "terntray trial co-ordinator"},
+		NotAfter:    notAfter,
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
 	}
-	return nil
 }
 
-// certificate makes one and its key, signed by a parent's; without a key it signs itself.
-func certificate(folder, name string, c, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*ecdsa.PrivateKey, error) {
+// writeCertificate writes NAME.pem and NAME.key with a new key; without a signer the certificate signs itself.
+func writeCertificate(folder, name string, template *x509.Certificate, signer *issuer) (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
 	if signer == nil {
-		signer = key
+		signer = &issuer{certificate: template, key: key}
 	}
-	if c.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)); err != nil {
+	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+	if err != nil {
 		return nil, err
 	}
-	c.NotBefore = time.Now().Add(-time.Hour)
-	der, err := x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, signer)
+	template.NotBefore = time.Now().Add(-backdating)
+	certificateDER, err := x509.CreateCertificate(rand.Reader, template, signer.certificate, &key.PublicKey, signer.key)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -69,12 +101,16 @@
 	if err != nil {
 		return nil, err
 	}
-	for file, block := range map[string]*pem.Block{
-		name + ".pem": {Type: "CERTIFICATE", Bytes: der}, name + ".key": {Type: "EC PRIVATE KEY", Bytes: keyDER},
-	} {
-		if err := os.WriteFile(filepath.Join(folder, file), pem.EncodeToMemory(block), 0o600); err != nil {
-			return nil, err
-		}
+	if err := writePEM(filepath.Join(folder, name+".pem"), "CERTIFICATE", certificateDER); err != nil {
+		return nil, err
+	}
+	if err := writePEM(filepath.Join(folder, name+".key"), "EC PRIVATE KEY", keyDER); err != nil {
+		return nil, err
 	}
 	return key, nil
 }
+
+func writePEM(file, blockType string, der []byte) error {
+	block := &pem.Block{Type: blockType, Bytes: der}
+	return os.WriteFile(file, pem.EncodeToMemory(block), 0o600)
+}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,28 +10,29 @@
 const sample = `{"replicas":[{"model":"m2*","dialect":"http2","tls":"boxes"},{"endpoint":"10.1.*:8081","dialect":"http2"}],
 "http2":{"streams":7},"tls":{"boxes":{"ca":"ca.pem"}}}`
 
-func TestRulesInTheirOrder(t *testing.T) {
-	i, err := Parse([]byte(sample))
+func TestFirstMatchingRuleApplies(t *testing.T) {
+	config, err := Parse([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		model, endpoint string
 		want            replicaproto.Protocol
 		tls             string
 	}{
 		{"m2x", "10.1.0.1:8081", replicaproto.HTTP2, "boxes"}, {"m1", "10.1.0.1:8081", replicaproto.HTTP2, ""}, {"m1", "10.2.0.1:8081", replicaproto.Frames, ""},
 	} {
-		if d, name := i.ProtocolOf(one.model, one.endpoint); d != one.want || name != one.tls {
-			t.Errorf("%+v: %s %q", one, d, name)
+		protocol, tlsKey := config.ProtocolOf(test.model, test.endpoint)
+		if protocol != test.want || tlsKey != test.tls {
+			t.Errorf("%+v: %s %q", test, protocol, tlsKey)
 		}
 	}
-	if i.HTTP2 != (HTTP2{7, usualConns}) {
-		t.Errorf("%+v", i.HTTP2)
+	if config.HTTP2 != (HTTP2{7, defaultConnections}) {
+		t.Errorf("%+v", config.HTTP2)
 	}
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestErrorsNameFieldFoundAndWanted(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:       "unexpected",
 		`{"x":1}`: `unknown field "x"`,
@@ -63,22 +64,22 @@
 	}
 }
 
-// Whatever stands in a file, it is taken whole or turned down with a reason.
+// Whatever a file holds, it is either accepted or rejected with an error.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte(`{"replicas":[{"dialect":"http2","endpoint":"[a-"}],"http2":{"streams":-1}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		i, err := Parse(text)
-		if (i == nil) == (err == nil) {
-			t.Fatalf("%v, %v", i, err)
+		config, err := Parse(text)
+		if (config == nil) == (err == nil) {
+			t.Fatalf("%v, %v", config, err)
 		}
-		if i == nil {
+		if config == nil {
 			return
 		}
-		if i.HTTP2.Streams < 1 || i.HTTP2.Connections < 1 {
-			t.Errorf("%+v", i.HTTP2)
+		if config.HTTP2.Streams < 1 || config.HTTP2.Connections < 1 {
+			t.Errorf("%+v", config.HTTP2)
 		}
-		if d, name := i.ProtocolOf("m", "a:1"); name != "" && (d != replicaproto.HTTP2 || i.TLS[name].CA == "") {
+		if d, name := config.ProtocolOf("m", "a:1"); name != "" && (d != replicaproto.HTTP2 || config.TLS[name].CA == "") {
 			t.Errorf("%s, TLS %q", d, name)
 		}
 	})
--- a/config/tls.go
+++ b/config/tls.go
@@ -9,59 +9,84 @@
 	"time"
 )
 
-// suites are those of TLS 1.2 that RFC 9113 (9.2.2) does not forbid; those of 1.3 all may be used.
-var suites = []uint16{
+// tls12Suites are the cipher suites of TLS 1.2 that RFC 9113 (9.2.2) allows; all those of TLS 1.3 are allowed.
+var tls12Suites = []uint16{
 	tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256, tls.TLS_ECDHE_RSA_WITH_AES_128_GCM_SHA256,
 	tls.TLS_ECDHE_ECDSA_WITH_AES_256_GCM_SHA384, tls.TLS_ECDHE_RSA_WITH_AES_256_GCM_SHA384,
 	tls.TLS_ECDHE_ECDSA_WITH_CHACHA20_POLY1305_SHA256, tls.TLS_ECDHE_RSA_WITH_CHACHA20_POLY1305_SHA256,
 }
 
-// ClientTLS is what Files hold: the client's side of TLS, and when the first of its certificates runs out.
+// ClientTLS is what TLSFiles hold, ready for use: the client's side of TLS.
 type ClientTLS struct {
-	Client  *tls.Config
-	RunsOut time.Time
+	Config   *tls.Config
+	NotAfter time.Time // end of the client certificate's validity; zero without one
 }
 
-// Load reads the files. ALPN offers h2 alone; who uses it must check that it was taken.
-func (f TLSFiles) Load() (*ClientTLS, error) {
-	text, err := os.ReadFile(f.CA)
+// Load reads and checks the files. ALPN offers h2 alone; the caller has to check that the replica accepted it. A
+// certificate whose validity has ended is an error.
+func (files TLSFiles) Load() (*ClientTLS, error) {
+	roots, err := files.loadRoots()
 	if err != nil {
-		return nil, fmt.Errorf("ca: %w", err)
+		return nil, err
+	}
+	client := &ClientTLS{Config: &tls.Config{
+		RootCAs:            roots,
+		ServerName:         files.ServerName,
+		NextProtos:         []string{"h2"},
+		MinVersion:         tls.VersionTLS12,
+		CipherSuites:       tls12Suites,
+		ClientSessionCache: tls.NewLRUClientSessionCache(0),
+	}}
+	if files.Cert == "" {
+		return client, nil
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("ca: %s: found no PEM certificate", f.CA)
+	certificate, err := files.loadCertificate()
+	if err != nil {
+		return nil, err
+	}
+	client.NotAfter = certificate.Leaf.NotAfter
+	client.Config.Certificates = []tls.Certificate{certificate}
+	return client, nil
+}
+
+func (files TLSFiles) loadRoots() (*x509.CertPool, error) {
+	text, err := os.ReadFile(files.CA)
+	if err != nil {
+		return nil, fmt.Errorf("ca: %w", err)
 	}
-	l := &ClientTLS{Client: &tls.Config{RootCAs: pool, ServerName: f.ServerName, NextProtos: []string{"h2"},
-		MinVersion: tls.VersionTLS12, CipherSuites: suites, ClientSessionCache: tls.NewLRUClientSessionCache(0)}}
-	if f.Cert == "" {
-		return l, nil
+	roots := x509.NewCertPool()
+	if !roots.AppendCertsFromPEM(text) {
+		return nil, fmt.Errorf("ca: %s: found no PEM certificate", files.CA)
 	}
-	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
+	return roots, nil
+}
+
+// loadCertificate returns the client certificate, with its Leaf parsed.
+func (files TLSFiles) loadCertificate() (tls.Certificate, error) {
+	certificate, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
-		return nil, fmt.Errorf("cert %s, key %s: %w", f.Cert, f.Key, err)
+		return tls.Certificate{}, fmt.Errorf("cert %s, key %s: %w", files.Cert, files.Key, err)
 	}
-	if pair.Leaf == nil {
-		return nil, errors.New("cert: cannot be read")
+	if certificate.Leaf == nil {
+		return tls.Certificate{}, errors.New("cert: cannot be read")
 	}
-	if l.RunsOut = pair.Leaf.NotAfter; time.Now().After(l.RunsOut) {
-		return nil, fmt.Errorf("cert: %s: it has run out at %s", f.Cert, l.RunsOut.Format(time.RFC3339))
+	if notAfter := certificate.Leaf.NotAfter; time.Now().After(notAfter) {
+		return tls.Certificate{}, fmt.Errorf("cert: %s: it has run out at %s", files.Cert, notAfter.Format(time.RFC3339))
 	}
-	l.Client.Certificates = []tls.Certificate{pair}
-	return l, nil
+	return certificate, nil
 }
 
-// LoadAll reads the files of all entries.
-func (i *Config) LoadAll() (map[string]*ClientTLS, error) {
-	all := map[string]*ClientTLS{}
-	var bad error
-	for name, f := range i.TLS {
-		l, err := f.Load()
+// LoadTLS loads the files of all entries of TLS, by their keys. The error names every entry that cannot be used.
+func (config *Config) LoadTLS() (map[string]*ClientTLS, error) {
+	loaded := map[string]*ClientTLS{}
+	var errs []error
+	for name, files := range config.TLS {
+		client, err := files.Load()
 		if err != nil {
-			bad = errors.Join(bad, fmt.Errorf("tls.%s.%w", name, err))
+			errs = append(errs, fmt.Errorf("tls.%s.%w", name, err))
 			continue
 		}
-		all[name] = l
+		loaded[name] = client
 	}
-	return all, bad
+	return loaded, errors.Join(errs...)
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -144,7 +144,7 @@
 	if bad = errors.Join(bad, c.fleet.begin(c, d), c.questions.begin(d, c.tracks)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
-	unused := d.notUsed(len(c.fleet.installation.Peers.Others) > 0)
+	unused := d.notUsed(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
 	}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.meet(c.fleet.installation.Peers); err != nil {
+	if err := c.meet(c.fleet.installation.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -44,7 +44,7 @@
 func newLink(c *Coordinator, id connpool.ConnID, to *replica, addr string, kind replicaproto.Protocol) *link {
 	k := &link{c: c, id: id, to: to, addr: addr, kind: kind, session: c.fleet.session(kind, to)}
 	if l := c.fleet.secure[to.tls]; l != nil && kind == replicaproto.HTTP2 {
-		k.tls = l.Client
+		k.tls = l.Config
 	}
 	k.more = sync.NewCond(&k.mu)
 	return k
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -6,7 +6,6 @@
 	"maps"
 	"net"
 	"net/netip"
-	"path"
 	"sync/atomic"
 	"time"
 
@@ -33,38 +32,33 @@
 // settled gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
 // of co-ordinators and sizes must fit them.
 func (d *Deployment) settled(in *config.Config) (settings, watched map[string]string, err error) {
-	settings, weighed := d.carried(len(in.Peers.Others) > 0), d.settings["weightKind"]
+	settings, weighed := d.carried(len(in.Gossip.Peers) > 0), d.settings["weightKind"]
 	allowed := d.settings["bounds.peers"] == "true"
-	if len(in.Peers.Others) > 0 && !allowed {
+	if len(in.Gossip.Peers) > 0 && !allowed {
 		err = errors.New("installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 	}
-	if len(in.Sizes) > 0 && weighed != "nominal" && weighed != "rough" && in.Watch.Settings["weightKind"] == "" {
+	if len(in.Sizes) > 0 && weighed != "nominal" && weighed != "rough" && in.Shadow.Settings["weightKind"] == "" {
 		err = errors.Join(err, fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weighed))
 	}
-	if len(in.Watch.Settings) > 0 {
+	if len(in.Shadow.Settings) > 0 {
 		watched = maps.Clone(settings)
-		maps.Copy(watched, in.Watch.Settings)
+		maps.Copy(watched, in.Shadow.Settings)
 	}
 	return settings, watched, err
 }
 
 // size is how large a replica of a model is beside others, 0 where nothing says it.
 func size(in *config.Config, model string) float64 {
-	for _, s := range in.Sizes {
-		if fits, _ := path.Match(s.Model, model); fits {
-			return s.Size
-		}
-	}
-	return 0
+	return in.SizeOf(model)
 }
 
 // meet opens the socket and reads until it is closed.
 func (c *Coordinator) meet(in config.Gossip) error {
-	if len(in.Others) == 0 {
+	if len(in.Peers) == 0 {
 		return nil
 	}
 	p := &peers{index: map[netip.AddrPort]scheduler.PeerIndex{}}
-	for n, other := range in.Others {
+	for n, other := range in.Peers {
 		addr, err := net.ResolveUDPAddr("udp4", other)
 		if err != nil {
 			return fmt.Errorf("installation: peers.others[%d]: %w", n, err)
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range []*Coordinator{a, b} {
 		defer c.fleet.stop()
-		if err := c.meet(c.fleet.installation.Peers); err != nil {
+		if err := c.meet(c.fleet.installation.Gossip); err != nil {
 			t.Fatal(err)
 		}
 		defer c.drivers.Wait()
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.meet(c.fleet.installation.Peers); err != nil || c.peers != nil {
+	if err := c.meet(c.fleet.installation.Gossip); err != nil || c.peers != nil {
 		t.Errorf("%v, peers %v", err, c.peers)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -39,9 +39,9 @@
 	if d.Installation == nil {
 		return nil
 	}
-	n.shared = d.Installation.Phases.SharedVersions
+	n.shared = d.Installation.TwoPhase.SharedVersions
 	var bad error
-	for _, name := range d.Installation.Phases.Tracks {
+	for _, name := range d.Installation.TwoPhase.Classes {
 		at, known := tracks[name]
 		path := fmt.Sprintf("lanes.%d.", at)
 		if !known || d.settings[path+"effect"] != "pure" {
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -72,7 +72,7 @@
 	}
 	limits.MaxStreamsPerConn, limits.MaxSharedConns = f.installation.HTTP2.Streams, f.installation.HTTP2.Connections
 	var err error
-	if f.secure, err = f.installation.LoadAll(); err != nil {
+	if f.secure, err = f.installation.LoadTLS(); err != nil {
 		return fmt.Errorf("installation: %w", err)
 	}
 	limits.IdleTimeout /= 2 // the far side closes idle ones after that time at the latest
--- a/coordinator/secure.go
+++ b/coordinator/secure.go
@@ -52,7 +52,7 @@
 	if len(c.fleet.installation.TLS) == 0 {
 		return
 	}
-	fresh, err := c.fleet.installation.LoadAll()
+	fresh, err := c.fleet.installation.LoadTLS()
 	c.post(func() {
 		if err != nil {
 			c.log.Printf("event=tls_reload_failed cause=%q words=%q", err, "what could not be read stays as it was")
@@ -82,11 +82,11 @@
 	for _, name := range slices.Sorted(maps.Keys(c.fleet.secure)) {
 		if l := c.fleet.secure[name]; runsOut(l, time.Now()) {
 			c.counts.RunningOut++
-			c.log.Printf("event=certificate_runs_out tls=%s at=%s", name, l.RunsOut.Format(time.RFC3339))
+			c.log.Printf("event=certificate_runs_out tls=%s at=%s", name, l.NotAfter.Format(time.RFC3339))
 		}
 	}
 }
 
 func runsOut(l *config.ClientTLS, now time.Time) bool {
-	return !l.RunsOut.IsZero() && l.RunsOut.Sub(now) < runsOutSoon
+	return !l.NotAfter.IsZero() && l.NotAfter.Sub(now) < runsOutSoon
 }
