--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -29,7 +29,7 @@
 		k := c.client(t)
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 		q := c.byQuery[query.ID]
 		if q == nil {
 			continue
@@ -75,7 +75,7 @@
 			k := c.client(t)
 			query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
 				Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-			c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+			c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 			if panics && n%10 == 9 {
 				c.broken("as if")
 				c.turnWith()
@@ -90,29 +90,13 @@
 	}
 }
 
-// What was taken from the inbox for an iteration that panics before it comes to it is done in the next. Guards against: a
-// request that is never answered, a change of the list that is never told, as something else broke the iteration.
-func TestPanicLosesNothingThatWaited(t *testing.T) {
-	for n := range 100 {
-		c := newTurns()
-		done, over := false, false
-		c.next = append(c.next, func() { panic("as if") })
-		c.inbox <- func() { done = true }
-		time.AfterFunc(5*time.Millisecond, func() { c.post(func() { over = true }) })
-		c.run(func() {}, func(string) {}, func() bool { return over })
-		if !done {
-			t.Fatalf("lost, at try %d", n)
-		}
-	}
-}
-
 // A request whose time was over before it could be read is refused at once: nothing of it was sent.
 func TestRequestWhoseTimeIsOverIsRefusedAtOnce(t *testing.T) {
 	c := fronted(t)
-	c.born = c.born.Add(-10 * time.Second)
+	c.loop.AdvanceClock(10 * time.Second)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 100 * time.Millisecond, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.turn(func() { c.arrives(k, query, c.now-200*time.Millisecond) }, c.endTurn)
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-200*time.Millisecond) }, c.endTurn)
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
 		t.Error("it is not refused")
 	}
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"terntray/eventloop"
 	"terntray/internal/netconn"
 	"terntray/internal/wire"
 	"terntray/invariant"
@@ -74,7 +75,7 @@
 }
 
 // idles notes that no request is out.
-func (k *client) idles() { k.idleSince.Store(max(1, int64(k.c.since(k.since)))) }
+func (k *client) idles() { k.idleSince.Store(max(1, int64(k.c.loop.Since(k.since)))) }
 
 // last tells whether an answer made now is the connection's last.
 func (k *client) last() bool {
@@ -114,9 +115,9 @@
 // is told as left.
 func (k *client) serveSafely() {
 	reason := closedBroken
-	if cause := recovered(func() { reason = k.serve() }); cause != "" {
+	if cause := eventloop.Recover(func() { reason = k.serve() }); cause != "" {
 		k.c.log.Printf("event=client_broken cause=%q", cause)
-		k.c.post(func() { k.c.clientLeaves(k) })
+		k.c.loop.Post(func() { k.c.clientLeaves(k) })
 	}
 	k.noteClosed(reason)
 }
@@ -201,7 +202,7 @@
 // its last bytes came is then known to the machine alone. Guards against: answers and told times that are late by that wait.
 // Could hurt: by a system call for each connection.
 func (k *client) cameAt() time.Duration {
-	now := k.c.since(time.Now())
+	now := k.c.loop.Since(time.Now())
 	if k.asked > 0 {
 		return now
 	}
@@ -218,7 +219,7 @@
 	case netconn.Readable:
 		return k.dropped <= mostDropped
 	}
-	k.seenAt.Store(int64(k.c.since(time.Now())))
+	k.seenAt.Store(int64(k.c.loop.Since(time.Now())))
 	return false
 }
 
@@ -226,7 +227,7 @@
 func (k *client) leaves() {
 	k.gone.Store(true)
 	if k.busy {
-		k.c.post(func() { k.c.clientLeaves(k) })
+		k.c.loop.Post(func() { k.c.clientLeaves(k) })
 	}
 }
 
@@ -281,7 +282,7 @@
 	case k.evicted.Load() || k.c.leaving.Load() && !partly:
 		return longAgo
 	case k.c.leaving.Load(): // later ones might not be answered before the end
-		limit = k.c.born.Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)
+		limit = k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)
 		if least := k.since.Add(crossing); limit.Before(least) {
 			limit = least
 		}
@@ -299,7 +300,7 @@
 		return true
 	}
 	if k.large = k.c.front.enlarge(); !k.large && !k.busy { // while a request is open, read drops what is too much
-		k.c.post(func() { k.c.counts.Bad++ })
+		k.c.loop.Post(func() { k.c.counts.Bad++ })
 		k.give(answer{wire.RejectResponse(0, "too many large requests", true), true})
 	}
 	return k.large || k.busy
@@ -307,7 +308,7 @@
 
 // refuse answers what is no request and ends the connection: where the next one begins is in doubt.
 func (k *client) refuse(err error) bool {
-	k.c.post(func() { k.c.counts.Bad++ })
+	k.c.loop.Post(func() { k.c.counts.Bad++ })
 	return k.give(answer{refuse(err, true), true})
 }
 
@@ -324,9 +325,9 @@
 		}
 		return k.give(k.answerWith(plainly(http.StatusOK, "up")))
 	case r.Path == "/counters" && r.Method == http.MethodGet:
-		return k.c.post(func() { k.answer(plainly(http.StatusOK, k.c.countersLine())) })
+		return k.c.loop.Post(func() { k.answer(plainly(http.StatusOK, k.c.countersLine())) })
 	case r.Path == "/beliefs" && r.Method == http.MethodGet:
-		return k.c.post(func() { k.answer(plainly(http.StatusOK, k.c.beliefs())) })
+		return k.c.loop.Post(func() { k.answer(plainly(http.StatusOK, k.c.beliefs())) })
 	case r.Path == "/up" || r.Path == "/counters" || r.Path == "/beliefs" || known && r.Method != http.MethodPost:
 		return k.refuse(&wire.Fault{Status: http.StatusMethodNotAllowed, Words: "this is for another method"})
 	case !known:
@@ -342,16 +343,16 @@
 		lacks = "a reference cannot be passed on to replicas"
 	}
 	if lacks != "" {
-		k.c.post(func() { k.c.counts.Bad++ })
+		k.c.loop.Post(func() { k.c.counts.Bad++ })
 		return k.give(k.answerWith(plainly(http.StatusNotImplemented, lacks)))
 	}
 	query, err := wire.ReadQuery(r, k.c.longest, k.c.questions.takes)
 	if err != nil {
 		return k.refuse(err)
 	}
-	read := k.c.since(time.Now())
-	return k.c.post(func() {
-		k.c.gate.QueueDelay(k.c.now, k.c.now-read)
+	read := k.c.loop.Since(time.Now())
+	return k.c.loop.Post(func() {
+		k.c.gate.QueueDelay(k.c.loop.Now(), k.c.loop.Now()-read)
 		k.c.arrives(k, query, at)
 	})
 }
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -63,7 +63,7 @@
 func (k *client) noteClosed(reason closeReason) {
 	closing := invariant.ClientClose{RequestOpen: k.busy, ClientGone: k.gone.Load() || k.unwritable}
 	refused, id := closing.Check(), k.conn.RemoteAddr()
-	k.c.post(func() {
+	k.c.loop.Post(func() {
 		k.c.counts.Closed[reason]++
 		if refused != invariant.Allowed {
 			k.c.violated(refused, "close", fmt.Sprint(id, " ", reason), 0)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -16,6 +16,7 @@
 	"syscall"
 	"time"
 
+	"terntray/eventloop"
 	"terntray/incarnation"
 	"terntray/internal/netconn"
 	"terntray/invariant"
@@ -33,7 +34,7 @@
 // Coordinator is one co-ordinator. Its fields belong to the goroutine that takes the turns, but for those
 // that say otherwise.
 type Coordinator struct {
-	turns
+	loop       *eventloop.Loop
 	deployment *Deployment
 	log        *log.Logger
 	Trace      bool // a line for each query and attempt; to be set before Serve
@@ -91,7 +92,7 @@
 // New makes a co-ordinator; it opens nothing yet.
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
-		turns: newTurns(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
+		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
 		tracks:  map[string]scheduler.ClassIndex{},
 		longest: map[string]time.Duration{},
 		effects: map[string]invariant.Effect{},
@@ -185,8 +186,8 @@
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
-	context.AfterFunc(ctx, func() { c.post(c.leave) })
-	c.run(c.endTurn, c.broken, c.over)
+	context.AfterFunc(ctx, func() { c.loop.Post(c.leave) })
+	c.loop.Run(c.endTurn, c.broken, c.over)
 	c.list.stop()
 	c.fleet.stop()
 	c.peers.close()
@@ -207,15 +208,15 @@
 }
 
 func (c *Coordinator) endTurn() {
-	c.module.Decide(c.now)
+	c.module.Decide(c.loop.Now())
 	c.fleet.flush()
-	if c.core.look(c.now) {
-		c.gate.CoreUsed(c.now, c.core.used)
-		c.module.ReadDelayed(c.now, c.gate.ReadDelay())
+	if c.core.look(c.loop.Now()) {
+		c.gate.CoreUsed(c.loop.Now(), c.core.used)
+		c.module.ReadDelayed(c.loop.Now(), c.gate.ReadDelay())
 	}
 	if share := c.gate.Share(); share != math.Float64frombits(c.share.Load()) {
-		if share < 1 && c.now >= c.busyAt+busyLines {
-			c.busyAt = c.now
+		if share < 1 && c.loop.Now() >= c.busyAt+busyLines {
+			c.busyAt = c.loop.Now()
 			c.log.Printf("event=busy share=%.2f words=%q", share, "this core is short, not the replicas: turning back at the door")
 		}
 		c.share.Store(math.Float64bits(share))
@@ -249,8 +250,7 @@
 		}
 		c.Fail(q.id)
 	}
-	told := append(c.told, c.next...)
-	c.told, c.next = nil, nil
+	told := c.loop.TakeNextIteration()
 	counted := c.module.Ledger()
 	if err := c.begin(); err != nil {
 		c.log.Printf("event=broken cause=%q", err)
@@ -266,9 +266,9 @@
 // leave begins the end: clients are asked to go elsewhere, and those that still come are served.
 func (c *Coordinator) leave() {
 	c.log.Printf("event=leaving %s", c.countersLine())
-	c.leftAt.Store(int64(c.since(time.Now())))
+	c.leftAt.Store(int64(c.loop.Since(time.Now())))
 	c.leaving.Store(true)
-	c.front.leave(func() { c.post(func() { c.gone = true }) })
+	c.front.leave(func() { c.loop.Post(func() { c.gone = true }) })
 }
 
 func (c *Coordinator) countersLine() string {
@@ -291,17 +291,17 @@
 
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
-		c.log.Printf("t=%.4f "+format, append([]any{c.now.Seconds()}, args...)...)
+		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
 	}
 }
 
 // seldom logs what others can bring about as often as they like: so many lines in a second, then a count.
 func (c *Coordinator) seldom(format string, args ...any) {
-	if c.now-c.seldomAt >= time.Second {
+	if c.loop.Now()-c.seldomAt >= time.Second {
 		if c.unlogged > 0 {
 			c.log.Printf("event=more_of_these n=%d", c.unlogged)
 		}
-		c.seldomAt, c.seldomLeft, c.unlogged = c.now, seldomLines, 0
+		c.seldomAt, c.seldomLeft, c.unlogged = c.loop.Now(), seldomLines, 0
 	}
 	if c.seldomLeft--; c.seldomLeft < 0 {
 		c.unlogged++
@@ -315,7 +315,7 @@
 
 // ScheduleWakeup tells the module when a time has passed.
 func (c *Coordinator) ScheduleWakeup(name string, in time.Duration) {
-	c.after(in, name, func() { c.module.Wakeup(c.now, name) })
+	c.loop.After(in, name, func() { c.module.Wakeup(c.loop.Now(), name) })
 }
 
 // PollEndpoints asks discovery to tell of changes.
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -63,62 +63,6 @@
 	return c
 }
 
-func TestTimersGoInOrderAndAlikeOnesOnce(t *testing.T) {
-	c := newTurns()
-	var got []string
-	add := func(in time.Duration, name string) { c.after(in, name, func() { got = append(got, name) }) }
-	for _, in := range []time.Duration{3, 1, 2, 1, 3} {
-		add(in*time.Millisecond, fmt.Sprint(int(in)))
-	}
-	add(time.Hour, "never")
-	c.callOff(c.after(time.Millisecond, "", func() { got = append(got, "called off") }))
-	time.Sleep(4 * time.Millisecond)
-	if c.turn(func() {}, func() {}); fmt.Sprint(got) != "[1 2 3]" || len(c.timers) != 1 {
-		t.Errorf("%v went, %d wait", got, len(c.timers))
-	}
-}
-
-// What is read at the end of a standstill may have come at its start.
-func TestRequestsReadAfterAStandstillCountFromItsStart(t *testing.T) {
-	c := newTurns()
-	c.born = time.Now().Add(-10 * time.Second)
-	c.noteStandstill(9900 * time.Millisecond)
-	if read := c.since(time.Now()); c.cameAt(read) != 9900*time.Millisecond {
-		t.Errorf("read at %v, came at %v", read, c.cameAt(read))
-	}
-	for _, read := range []time.Duration{9 * time.Second, c.stoodTo + time.Second} {
-		if c.cameAt(read) != read {
-			t.Errorf("read at %v, came at %v", read, c.cameAt(read))
-		}
-	}
-	d := newTurns()
-	d.noteStandstill(d.since(time.Now()))
-	if d.stoodTo != 0 {
-		t.Error("a turn in time counts as a standstill")
-	}
-}
-
-// A process that is stopped in the midst of an iteration has stood still as well: what came meanwhile counts from then, and
-// nothing is timed out before it is read.
-func TestStandstillWithinAnIterationIsNoticed(t *testing.T) {
-	c := newTurns()
-	over := false
-	var begun, read time.Duration
-	go c.post(func() {
-		begun = c.now
-		time.Sleep(150 * time.Millisecond) // as if stopped
-		read = c.since(time.Now())
-	})
-	go func() {
-		time.Sleep(300 * time.Millisecond)
-		c.post(func() { over = true })
-	}()
-	c.run(func() {}, func(string) {}, func() bool { return over })
-	if came := c.cameAt(read); came > begun+10*time.Millisecond {
-		t.Errorf("read at %v, came at %v, though it stood still from %v on", read, came, begun)
-	}
-}
-
 func TestReplicaIDsDependOnTheUIDAlone(t *testing.T) {
 	a, b := made(t), made(t)
 	a.fleet.named("s-x")
@@ -149,16 +93,14 @@
 	defer c.fleet.stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 24 * time.Hour, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
-	if c.counts.Attempts != 1 || len(c.timers) < 2 {
-		t.Fatalf("%d legs, %d timers", c.counts.Attempts, len(c.timers))
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+	if timers, _ := c.loop.Timers(); c.counts.Attempts != 1 || timers < 2 {
+		t.Fatalf("%d legs, %d timers", c.counts.Attempts, timers)
 	}
-	c.turn(func() { c.clientLeaves(k) }, c.endTurn)
-	c.turn(func() {}, c.endTurn)
-	for _, left := range c.timers {
-		if left.due > time.Minute {
-			t.Errorf("a timer is left that is due at %v", left.due)
-		}
+	c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
+	c.loop.RunIteration(func() {}, c.endTurn)
+	if _, last := c.loop.Timers(); last > time.Minute {
+		t.Errorf("a timer is left that is due at %v", last)
 	}
 	if len(c.queries)+len(c.byQuery)+len(c.parts)+c.held > 0 || c.counts.Left != 1 {
 		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.byQuery), len(c.parts), c.held, c.counts)
@@ -178,18 +120,19 @@
 		k := newClient(c, near)
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.turn(func() {
+		c.loop.RunIteration(func() {
 			c.list.tell(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
-			c.arrives(k, query, c.now)
+			c.arrives(k, query, c.loop.Now())
 		}, c.endTurn)
-		c.turn(func() { c.clientLeaves(k) }, c.endTurn)
+		c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
 		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
-			c.turn(<-c.inbox, c.endTurn)
+			c.loop.RunIteration(c.loop.Receive(), c.endTurn)
 		}
 		near.Close()
 		far.Close()
 		if n%1000 == 999 {
-			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.parts), len(c.list.held.Targets), len(c.timers) < 10, c.held)
+			timers, _ := c.loop.Timers()
+			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.parts), len(c.list.held.Targets), timers < 10, c.held)
 			if sizes == "" {
 				sizes = now
 			}
@@ -239,7 +182,7 @@
 	if _, err := l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	c.post(func() { panic("as if") })
+	c.loop.Post(func() { panic("as if") })
 	status := make([]byte, 12)
 	if _, err := io.ReadFull(conn, status); err != nil || string(status) != "HTTP/1.1 500" {
 		t.Errorf("%q, %v", status, err)
--- a/coordinator/crossings_front_test.go
+++ b/coordinator/crossings_front_test.go
@@ -36,10 +36,10 @@
 		c.front.release(k)
 	}()
 	io.WriteString(far, asking("q"))
-	(<-c.inbox)()
+	(c.loop.Receive())()
 	close(b.now)
 	k.wake()
-	(<-c.inbox)()
+	(c.loop.Receive())()
 	if n, err := far.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes come", n)
 	}
@@ -131,7 +131,7 @@
 	for n := range far {
 		far[n] = asksUp(t, l)
 	}
-	c.leftAt.Store(int64(c.since(time.Now().Add(-goingOn))))
+	c.leftAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(-time.Second))
 	c.front.listener = l
 	go c.front.accept(c)
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"terntray/eventloop"
 	"terntray/internal/replicaproto"
 	"terntray/internal/wire"
 	"terntray/scheduler"
@@ -24,8 +25,8 @@
 	defer c.fleet.stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
-	c.turn(<-c.inbox, c.endTurn) // the connection is up
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+	c.loop.RunIteration(c.loop.Receive(), c.endTurn) // the connection is up
 	if len(c.fleet.attempts) != 1 {
 		t.Fatalf("%d legs are out", len(c.fleet.attempts))
 	}
@@ -41,7 +42,7 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}},
 		TwoPhase: &wire.TwoPhaseQuery{}} // which this track does not take, so that nothing is ready for it
-	cause := recovered(func() { c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn) })
+	cause := eventloop.Recover(func() { c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn) })
 	if cause == "" {
 		t.Fatal("nothing breaks")
 	}
@@ -50,7 +51,7 @@
 		t.Error("it is not answered")
 	}
 	query.TwoPhase = nil
-	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 	c.broken("as if, later")
 	if len(k.answers) != 1 {
 		t.Errorf("the next has %d answers", len(k.answers))
@@ -62,12 +63,12 @@
 	c := fronted(t)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 	for _, l := range c.fleet.attempts {
-		c.next = append(c.next, func() { panic("as if") })
+		c.loop.NextIteration(func() { panic("as if") })
 		c.giveUp(l, scheduler.TimedOut)
 	}
-	if cause := recovered(c.turnWith); cause == "" || len(c.fleet.attempts) != 1 {
+	if cause := eventloop.Recover(c.turnWith); cause == "" || len(c.fleet.attempts) != 1 {
 		t.Fatalf("it breaks by %q with %d legs", cause, len(c.fleet.attempts))
 	}
 	c.broken("as if")
@@ -108,20 +109,20 @@
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
 		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
-		ended := <-c.inbox // of its connection, which is as good as one that was up and broke
+		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+		ended := c.loop.Receive() // of its connection, which is as good as one that was up and broke
 		q := c.byQuery["q"]
 		for id := range c.fleet.links {
-			c.fleet.pool.ConnUp(c.now, id)
+			c.fleet.pool.ConnUp(c.loop.Now(), id)
 		}
 		l := q.parts[0].attempts[0]
 		l.call.Stage = replicaproto.Begun
 		if leaves {
-			c.turn(func() { c.clientLeaves(k) }, c.endTurn)
+			c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
 		} else {
-			c.turn(func() { c.Fail(q.id) }, c.endTurn)
+			c.loop.RunIteration(func() { c.Fail(q.id) }, c.endTurn)
 		}
-		if c.turn(ended, c.endTurn); len(c.fleet.links) > 0 {
+		if c.loop.RunIteration(ended, c.endTurn); len(c.fleet.links) > 0 {
 			t.Errorf("its client leaves %t: it goes on another connection", leaves)
 		}
 		c.turnWith()
@@ -137,18 +138,18 @@
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
 		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
-		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 		p := c.byQuery["q"].parts[0]
-		<-c.inbox // the end of its connection; they are as good as ones that stand
+		c.loop.Receive() // the end of its connection; they are as good as ones that stand
 		c.StartAttempt(p.id, p.attempts[0].to, time.Second)
-		<-c.inbox
+		c.loop.Receive()
 		first, other := p.attempts[0], p.attempts[1]
 		if begun {
 			other.call.Stage = replicaproto.Begun
 		}
 		var on, beside *link
 		for id, l := range c.fleet.links {
-			c.fleet.pool.ConnUp(c.now, id)
+			c.fleet.pool.ConnUp(c.loop.Now(), id)
 			if on == nil || id < on.id {
 				on = l
 			}
@@ -156,15 +157,15 @@
 				beside = l
 			}
 		}
-		c.turn(func() {
-			c.replied(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.now)
+		c.loop.RunIteration(func() {
+			c.replied(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.loop.Now())
 		}, func() {})
 		if !p.in {
 			t.Fatal("the part is not in")
 		}
 		before := len(c.fleet.links)
-		c.turn(func() { c.linkEnded(beside, io.EOF, c.now) }, func() {})
-		if c.turn(func() {}, func() {}); !other.over || len(c.fleet.links) > before-1 {
+		c.loop.RunIteration(func() { c.linkEnded(beside, io.EOF, c.loop.Now()) }, func() {})
+		if c.loop.RunIteration(func() {}, func() {}); !other.over || len(c.fleet.links) > before-1 {
 			t.Errorf("begun %t: over %t, %d connections after %d", begun, other.over, len(c.fleet.links), before)
 		}
 	}
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -61,7 +61,7 @@
 }
 
 // turnWith takes a turn with all that waits; nothing else is under way.
-func (c *Coordinator) turnWith() { c.turn(func() {}, c.endTurn) }
+func (c *Coordinator) turnWith() { c.loop.RunIteration(func() {}, c.endTurn) }
 
 // What waited unread for a client that has left meanwhile is not taken in, however much stands before the client's end.
 // Guards against: a crowd or a standstill behind which requests go out for nobody.
@@ -102,12 +102,12 @@
 	query := func(id string) *wire.Query {
 		return &wire.Query{ID: id, Class: "look", Deadline: time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	}
-	c.turn(func() { k.gone.Store(true); c.arrives(k, query("q"), c.now) }, c.endTurn)
+	c.loop.RunIteration(func() { k.gone.Store(true); c.arrives(k, query("q"), c.loop.Now()) }, c.endTurn)
 	if c.counts.Attempts > 0 || c.counts.Left != 1 {
 		t.Errorf("not begun: counts %+v", c.counts)
 	}
 	d := c.client(t)
-	c.turn(func() { c.arrives(d, query("r"), c.now); d.gone.Store(true) }, c.endTurn)
+	c.loop.RunIteration(func() { c.arrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endTurn)
 	c.turnWith()
 	if len(c.fleet.links) > 0 {
 		t.Errorf("taken in, then left: %d connections for its parts", len(c.fleet.links))
@@ -124,8 +124,8 @@
 			sees(t, near, netconn.Ended)
 		}
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.born = c.born.Add(-10 * time.Second)
-		c.turn(func() { c.arrives(k, query, c.now-waited) }, c.endTurn)
+		c.loop.AdvanceClock(10 * time.Second)
+		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-waited) }, c.endTurn)
 		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
 			t.Errorf("it waited for %v: counts %+v", waited, c.counts)
 		}
@@ -148,7 +148,7 @@
 			close(served)
 		}()
 		io.WriteString(far, asking("q"))
-		(<-c.inbox)()
+		(c.loop.Receive())()
 		q := c.byQuery["q"]
 		if q == nil {
 			t.Fatal("it is not taken in")
@@ -226,7 +226,7 @@
 	c := fronted(t)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.turn(func() { c.arrives(k, query, c.now) }, func() {})
+	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, func() {})
 	c.reply(c.byQuery["q"].id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
 		text := wire.CompleteResponse(true, nil, last)
 		k.evicted.Store(true)
@@ -284,9 +284,9 @@
 	k := newClient(c, near)
 	io.WriteString(far, asking("q"))
 	go k.serveSafely()
-	(<-c.inbox)()
+	(c.loop.Receive())()
 	c.Complete(c.byQuery["q"].id, true)
-	c.leftAt.Store(int64(c.since(time.Now())))
+	c.leftAt.Store(int64(c.loop.Since(time.Now())))
 	c.leaving.Store(true)
 	io.WriteString(far, "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
 	text, err := io.ReadAll(far)
@@ -302,12 +302,12 @@
 	c := fronted(t)
 	near, _ := pair(t)
 	k := newClient(c, near)
-	c.leftAt.Store(int64(c.since(time.Now().Add(-goingOn))))
+	c.leftAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
 	c.leaving.Store(true)
 	if left := time.Until(k.limit()); left > crossing {
 		t.Errorf("a new connection may bring a request for %v", left)
 	}
-	c.leftAt.Store(int64(c.since(time.Now())))
+	c.leftAt.Store(int64(c.loop.Since(time.Now())))
 	if left := time.Until(k.limit()); left < goingOn/2 {
 		t.Errorf("right after the word to end it has only %v", left)
 	}
--- a/coordinator/front.go
+++ b/coordinator/front.go
@@ -106,7 +106,7 @@
 
 // maySweep tells whether the last look for connections that the machine has accepted may go on.
 func (f *front) maySweep(c *Coordinator) bool {
-	return c.since(time.Now())-time.Duration(c.leftAt.Load()) < goingOn+writeLimit
+	return c.loop.Since(time.Now())-time.Duration(c.leftAt.Load()) < goingOn+writeLimit
 }
 
 // noteFailed counts an accept that failed, and logs it now and then: a shortage may last.
@@ -216,7 +216,7 @@
 		if since == 0 || k.evicted.Load() || known && !k.known.Load() {
 			continue
 		}
-		idle := max(0, int64(k.c.since(time.Now()))-since)
+		idle := max(0, int64(k.c.loop.Since(time.Now()))-since)
 		if !k.known.Load() {
 			idle *= newIdles
 		}
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"terntray/connpool"
+	"terntray/eventloop"
 	"terntray/internal/netconn"
 	"terntray/internal/replicaproto"
 )
@@ -76,8 +77,8 @@
 // run opens the connection, reads it to its end and gives it back.
 func (k *link) run() {
 	cause := k.carry()
-	at := k.c.since(time.Now())
-	k.c.post(func() { k.c.linkEnded(k, cause, at) })
+	at := k.c.loop.Since(time.Now())
+	k.c.loop.Post(func() { k.c.linkEnded(k, cause, at) })
 }
 
 func (k *link) carry() error {
@@ -106,7 +107,7 @@
 	if replicaproto.TraitsOf(k.kind).Multiplexed {
 		ready = began.Add(f.connectWithin)
 	} else {
-		k.c.post(func() { k.c.linkUp(k) })
+		k.c.loop.Post(func() { k.c.linkUp(k) })
 	}
 	writer := make(chan struct{})
 	go func() {
@@ -117,7 +118,7 @@
 		k.mute = true
 	}()
 	var cause error
-	if panicked := recovered(func() { cause = k.read(talk, ready) }); panicked != "" {
+	if panicked := eventloop.Recover(func() { cause = k.read(talk, ready) }); panicked != "" {
 		cause = errors.New(panicked)
 	}
 	k.close()
@@ -136,7 +137,7 @@
 	conn.SetReadDeadline(ready)
 	for {
 		n, err := conn.Read(k.session.ReadBuffer())
-		at := k.c.since(time.Now())
+		at := k.c.loop.Since(time.Now())
 		all, partly, bad := k.take(n)
 		if !partly || !began || len(all) > 0 {
 			whole = time.Now().Add(wholeTimes * within)
@@ -161,7 +162,7 @@
 			}
 		}
 		if len(all) > 0 || bad != nil || shares && n > 0 {
-			k.c.post(func() { k.c.came(k, all, bad, at) })
+			k.c.loop.Post(func() { k.c.came(k, all, bad, at) })
 		}
 		switch {
 		case bad != nil:
@@ -221,14 +222,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for !k.ended {
-		now := k.c.since(time.Now())
+		now := k.c.loop.Since(time.Now())
 		if bytes = k.session.Output(bytes, mostOutput, now); len(bytes) > 0 || k.c.withheld.waits() {
 			return bytes, false
 		}
 		k.more.Wait()
 	}
 	if replicaproto.TraitsOf(k.kind).Multiplexed {
-		bytes = k.session.Output(bytes, mostOutput, k.c.since(time.Now()))
+		bytes = k.session.Output(bytes, mostOutput, k.c.loop.Since(time.Now()))
 	}
 	return bytes, true
 }
@@ -255,6 +256,6 @@
 	if gone || err == nil {
 		return !gone
 	}
-	k.c.post(func() { k.c.fleet.pool.WriteStalled(k.c.now, k.id) })
+	k.c.loop.Post(func() { k.c.fleet.pool.WriteStalled(k.c.loop.Now(), k.id) })
 	return false
 }
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -101,13 +101,13 @@
 // watch asks for the whole list, then for what changes, until that fails or is stopped.
 func (l *list) watch(ctx context.Context, host string) {
 	post := func(do func()) {
-		l.c.post(func() {
+		l.c.loop.Post(func() {
 			if ctx.Err() == nil {
 				do()
 			}
 		})
 	}
-	began := l.c.now
+	began := l.c.loop.Now()
 	l.c.drivers.Go(func() {
 		err := l.calls(ctx, host, func(told *wire.EndpointList) {
 			post(func() {
@@ -124,7 +124,7 @@
 			if l.asked && l.stopMove == nil {
 				return // the module says when
 			}
-			l.c.after(began+askAgain-l.c.now, "", func() { // at once, if it went well for so long
+			l.c.loop.After(began+askAgain-l.c.loop.Now(), "", func() { // at once, if it went well for so long
 				if ctx.Err() == nil {
 					l.watch(ctx, host)
 				}
@@ -145,7 +145,7 @@
 		l.c.log.Printf("event=list_failed at=%s cause=%q", host, cause)
 	}
 	if told {
-		l.c.module.EndpointPollFailed(l.c.now)
+		l.c.module.EndpointPollFailed(l.c.loop.Now())
 	}
 	l.failing = true
 }
@@ -233,9 +233,9 @@
 		c.log.Printf("event=odd_targets rev=%d targets=%q", told.Rev, odd)
 	}
 	now := time.Now()
-	l.boots.ObserveWallClock(c.since(now), now)
+	l.boots.ObserveWallClock(c.loop.Since(now), now)
 	if !old {
-		l.boots.ListReceived(c.since(now))
+		l.boots.ListReceived(c.loop.Since(now))
 	}
 	held := map[string]bool{}
 	if told.All {
@@ -246,14 +246,14 @@
 		for _, r := range c.fleet.all {
 			if !held[r.uid] {
 				r.state.Store(int32(invariant.Removed))
-				c.fleet.pool.ReplicaRemoved(c.now, r.id)
+				c.fleet.pool.ReplicaRemoved(c.loop.Now(), r.id)
 			}
 		}
 	} else {
 		l.change(told.Targets)
 	}
 	l.held.Rev = told.Rev
-	c.module.EndpointListBegins(c.now, told.All, old)
+	c.module.EndpointListBegins(c.loop.Now(), told.All, old)
 	for _, t := range told.Targets {
 		l.tellOf(t)
 	}
@@ -273,20 +273,20 @@
 		c.log.Printf("event=listed replica=%s id=%d addr=%s zone=%s", t.UID, r.id, t.Endpoint, t.Zone)
 	}
 	if t.State == wire.Removed {
-		c.fleet.pool.ReplicaRemoved(c.now, r.id)
+		c.fleet.pool.ReplicaRemoved(c.loop.Now(), r.id)
 	} else {
 		r.addr = t.Endpoint
-		c.fleet.pool.ReplicaListed(c.now, r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == wire.Draining)
+		c.fleet.pool.ReplicaListed(c.loop.Now(), r.id, r.addr, c.fleet.speaks(r, t.Model), t.State == wire.Draining)
 	}
 	started, cell, zone := scheduler.StartUnknown, scheduler.CellNumber(0), scheduler.ZoneIndex(-1)
 	if t.BootMS > 0 {
 		exact := false
-		started, exact = l.boots.StartOf(c.now, t.UID, t.BootMS)
+		started, exact = l.boots.StartOf(c.loop.Now(), t.UID, t.BootMS)
 		closesBefore := started
 		if !exact { // whatever is up may be the process' before
 			closesBefore += c.fleet.connectWithin
 		}
-		c.fleet.pool.ReplicaRestarted(c.now, r.id, closesBefore)
+		c.fleet.pool.ReplicaRestarted(c.loop.Now(), r.id, closesBefore)
 	}
 	if t.Cell != nil {
 		cell = scheduler.CellNumber(*t.Cell)
@@ -294,7 +294,7 @@
 	if at, ok := c.zones[t.Zone]; ok {
 		zone = at
 	}
-	c.module.EndpointListed(c.now, scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
+	c.module.EndpointListed(c.loop.Now(), scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
 		Size: size(c.fleet.installation, t.Model)})
 }
 
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -105,9 +105,9 @@
 		}
 		message := append([]byte(nil), buffer[:n]...)
 		p.unread.Add(1)
-		c.post(func() {
+		c.loop.Post(func() {
 			p.unread.Add(-1)
-			if err := c.module.GossipReceived(c.now, peer, message); err != nil {
+			if err := c.module.GossipReceived(c.loop.Now(), peer, message); err != nil {
 				c.counts.BadPeerMessages++
 				c.seldom("event=bad_peer_message cause=%q", err)
 				return
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -42,7 +42,7 @@
 func (c *Coordinator) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if c.turn(func() {}, c.endTurn); holds() {
+		if c.loop.RunIteration(func() {}, c.endTurn); holds() {
 			return
 		}
 	}
@@ -74,7 +74,7 @@
 		c.client(t)
 	}
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	a.turn(func() { a.arrives(a.client(t), query, a.now) }, a.endTurn)
+	a.loop.RunIteration(func() { a.arrives(a.client(t), query, a.loop.Now()) }, a.endTurn)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
 	}
@@ -184,7 +184,7 @@
 		for shard := range 4 {
 			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: shard, Weight: 0.25})
 		}
-		c.turn(func() { c.arrives(k, query, c.now) }, c.endTurn)
+		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 		return c.counts.Attempts, c.countersLine()
 	}
 	attempts, line := run("")
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -62,7 +62,7 @@
 // mayDecide tells whether the loop may send an attempt that the decision module asks for. What the module must not ask
 // for is a violation.
 func (c *Coordinator) mayDecide(l *attempt, earlier []*attempt) invariant.Reason {
-	attempt := l.snapshot(c.now)
+	attempt := l.snapshot(c.loop.Now())
 	attempt.Effect, attempt.MaxAttempts = c.effects[l.part.of.query.Class], c.maxAttempts
 	for _, e := range earlier {
 		attempt.Earlier = append(attempt.Earlier, e.evidence())
@@ -105,10 +105,10 @@
 	if len(all) == 0 {
 		return
 	}
-	c.post(func() {
+	c.loop.Post(func() {
 		for _, w := range all {
 			c.noteWithheld(w.attempt, w.reason, "written")
-			c.fleet.pool.WriteRefused(c.now, &w.attempt.Attempt)
+			c.fleet.pool.WriteRefused(c.loop.Now(), &w.attempt.Attempt)
 			if w.reason == invariant.ClientGone {
 				c.clientLeaves(w.attempt.part.of.client)
 			}
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -11,6 +11,7 @@
 	"unicode/utf8"
 
 	"terntray/connpool"
+	"terntray/eventloop"
 	"terntray/internal/replicaproto"
 	"terntray/internal/wire"
 	"terntray/invariant"
@@ -26,7 +27,7 @@
 	parts    []*part
 	closed   atomic.Bool // read by all
 	came     time.Duration
-	ends     *timer // at the cut-off
+	ends     *eventloop.Timer // at the cut-off
 	number   scheduler.QueryNumber
 	question *question // nil: it is none
 }
@@ -54,14 +55,14 @@
 	endpoint         *replica
 	over             bool              // the module has been told, or is about to be
 	outcome          scheduler.Outcome // once it is over
-	ends             *timer            // when its time is over
+	ends             *eventloop.Timer  // when its time is over
 }
 
 // arrives takes a query in. It was whole at that time.
 func (c *Coordinator) arrives(from *client, query *wire.Query, at time.Duration) {
 	c.arriving = from
 	switch {
-	case from.hasGone(c.now): // while it waited; what tells that comes behind
+	case from.hasGone(c.loop.Now()): // while it waited; what tells that comes behind
 		c.counts.Taken++
 		c.counts.Left++
 	case c.byQuery[query.ID] != nil:
@@ -73,7 +74,7 @@
 		c.counts.TurnedBack++
 		c.counts.Full++
 		from.answer(turnedBack("too much is open"))
-	case c.cameAt(at)+query.Deadline <= c.now:
+	case c.loop.EarliestArrival(at)+query.Deadline <= c.loop.Now():
 		c.counts.Taken++
 		c.counts.TurnedBack++
 		c.counts.Expired++
@@ -102,7 +103,7 @@
 }
 
 func (c *Coordinator) take(from *client, query *wire.Query, at time.Duration) {
-	at = c.cameAt(at)
+	at = c.loop.EarliestArrival(at)
 	q := &openQuery{id: c.newID(), client: from, query: query, came: at, cutOff: at + query.Deadline}
 	track := c.tracks[query.Class]
 	c.lastNumber++
@@ -122,20 +123,20 @@
 	c.queries[q.id], c.byQuery[query.ID] = q, q
 	from.open, c.arriving = q, nil
 	c.held++
-	left := max(0, q.cutOff-c.now)
-	q.ends = c.after(left, "", func() { c.overdue(q) })
+	left := max(0, q.cutOff-c.loop.Now())
+	q.ends = c.loop.After(left, "", func() { c.overdue(q) })
 	c.trace("retrieval=%s track=%s left=%v parts=%d", query.ID, query.Class, left, len(query.Subqueries))
 	if q.question != nil {
 		c.takeSteps(q, track, left, hint)
 		return
 	}
 	c.held += len(query.Subqueries)
-	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
+	c.module.QueryArrives(c.loop.Now(), scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
 		TimeLeft: left, WorkHint: hint, Subqueries: len(query.Subqueries)})
 	for _, asked := range query.Subqueries {
 		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.SubqueryID(query.ID, asked.Shard)}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
-		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
+		c.module.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
 			Weight: asked.Weight, WorkHint: asked.Hint})
 	}
 }
@@ -154,9 +155,9 @@
 // module that would lose it. Could hurt: never, as its time is over.
 func (c *Coordinator) overdue(q *openQuery) {
 	if !q.closed.Load() {
-		c.log.Printf("event=overdue retrieval=%s stalled=%v loop_late=%v", q.query.ID, c.justStalled(), c.lateBy)
+		c.log.Printf("event=overdue retrieval=%s stalled=%v loop_late=%v", q.query.ID, c.loop.StalledFor(), c.loop.LateBy())
 		c.Fail(q.id)
-		c.module.ClientDisconnects(c.now, q.id)
+		c.module.ClientDisconnects(c.loop.Now(), q.id)
 	}
 }
 
@@ -179,8 +180,8 @@
 func (c *Coordinator) clientLeaves(from *client) {
 	if q := from.open; q != nil {
 		c.counts.Left++
-		c.trace("retrieval=%s left after=%v", q.query.ID, c.now-q.came)
-		c.module.ClientDisconnects(c.now, q.id)
+		c.trace("retrieval=%s left after=%v", q.query.ID, c.loop.Now()-q.came)
+		c.module.ClientDisconnects(c.loop.Now(), q.id)
 		c.close(q)
 	}
 }
@@ -189,7 +190,7 @@
 func (c *Coordinator) close(q *openQuery) {
 	q.closed.Store(true)
 	q.client.open = nil
-	c.callOff(q.ends)
+	c.loop.Cancel(q.ends)
 	delete(c.queries, q.id)
 	delete(c.byQuery, q.query.ID)
 	c.held--
@@ -209,7 +210,7 @@
 	c.withhold(p)
 	for _, l := range p.attempts {
 		if l.over && l.Call != nil {
-			c.fleet.pool.Forget(c.now, &l.Attempt)
+			c.fleet.pool.Forget(c.loop.Now(), &l.Attempt)
 		}
 	}
 	c.clear(p)
@@ -220,7 +221,7 @@
 	for _, l := range p.attempts {
 		switch {
 		case l.over:
-		case c.fleet.pool.Withdraw(c.now, &l.Attempt):
+		case c.fleet.pool.Withdraw(c.loop.Now(), &l.Attempt):
 			c.tell(l, scheduler.Cancelled)
 		default: // it is begun: if that fails, it is not begun anew
 			c.fleet.pool.NoRetransmit(&l.Attempt)
@@ -245,11 +246,11 @@
 		c.violated(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), 0)
 		return
 	}
-	if reason := (invariant.Answer{Late: c.now - q.cutOff, LoopStalled: c.justStalled()}).Check(); reason != invariant.Allowed {
+	if reason := (invariant.Answer{Late: c.loop.Now() - q.cutOff, LoopStalled: c.loop.StalledFor()}).Check(); reason != invariant.Allowed {
 		c.violated(reason, "answer", q.query.ID, 0)
 	}
 	*count++
-	if count != &c.counts.Fulfilled && c.now-q.came > (q.cutOff-q.came)/2 && !c.went(q) {
+	if count != &c.counts.Fulfilled && c.loop.Now()-q.came > (q.cutOff-q.came)/2 && !c.went(q) {
 		c.counts.HeldBack++
 	}
 	c.close(q)
@@ -279,7 +280,7 @@
 				matches = append(matches, wire.SubqueryValue{Segment: p.shard, Payload: string(p.value)})
 			}
 		}
-		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.now-q.came)
+		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.loop.Now()-q.came)
 		return wire.CompleteResponse(whole, matches, last)
 	})
 }
@@ -287,7 +288,7 @@
 // Reject answers that trying again is harmless.
 func (c *Coordinator) Reject(id scheduler.RequestID, comeBack time.Duration) {
 	c.reply(id, &c.counts.TurnedBack, func(q *openQuery, last bool) []byte {
-		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.now-q.came)
+		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.loop.Now()-q.came)
 		return wire.RejectResponse(comeBack, "turned back", last)
 	})
 }
@@ -295,7 +296,7 @@
 // Fail answers that the query failed.
 func (c *Coordinator) Fail(id scheduler.RequestID) {
 	c.reply(id, &c.counts.Scrapped, func(q *openQuery, last bool) []byte {
-		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.now-q.came)
+		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.loop.Now()-q.came)
 		return refusal(http.StatusInternalServerError, "scrapped", last)
 	})
 }
@@ -311,12 +312,12 @@
 		c.log.Printf("event=unknown_part id=%d", id)
 		return
 	}
-	wait := p.of.cutOff - c.now
+	wait := p.of.cutOff - c.loop.Now()
 	if timeout > 0 {
 		wait = min(wait, timeout)
 	}
-	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.now + wait, to: to, endpoint: c.fleet.endpoint(to)}
-	l.SentAt, l.NonIdempotent = c.now, c.effects[p.of.query.Class] == invariant.NonIdempotent
+	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.loop.Now() + wait, to: to, endpoint: c.fleet.endpoint(to)}
+	l.SentAt, l.NonIdempotent = c.loop.Now(), c.effects[p.of.query.Class] == invariant.NonIdempotent
 	earlier := p.attempts
 	p.attempts = append(p.attempts, l)
 	c.noteSent(l, earlier)
@@ -326,7 +327,7 @@
 	case !c.fleet.send(l):
 		c.tell(l, scheduler.Unreachable)
 	default:
-		l.ends = c.after(wait, "", func() { c.giveUp(l, scheduler.TimedOut) })
+		l.ends = c.loop.After(wait, "", func() { c.giveUp(l, scheduler.TimedOut) })
 	}
 }
 
@@ -344,7 +345,7 @@
 	}
 	if c.Trace {
 		c.trace("sent=%s.%d query=%s replica=%s kind=%s left=%v", l.part.wire, l.number, l.part.of.query.ID, c.fleet.uid(l.to),
-			kind, l.deadline-c.now)
+			kind, l.deadline-c.loop.Now())
 	}
 }
 
@@ -360,36 +361,36 @@
 	if l.over {
 		return
 	}
-	c.fleet.pool.Abandon(c.now, &l.Attempt)
+	c.fleet.pool.Abandon(c.loop.Now(), &l.Attempt)
 	c.tell(l, how)
 }
 
 // tell has the module told at the start of the next turn how an attempt ended.
 func (c *Coordinator) tell(l *attempt, how scheduler.Outcome) {
 	l.over, l.outcome = true, how
-	c.callOff(l.ends)
-	took := c.now - l.SentAt
-	c.next = append(c.next, func() { c.ends(l, how, took) })
+	c.loop.Cancel(l.ends)
+	took := c.loop.Now() - l.SentAt
+	c.loop.NextIteration(func() { c.ends(l, how, took) })
 }
 
 func (c *Coordinator) ends(l *attempt, how scheduler.Outcome, took time.Duration) {
 	l.over, l.outcome = true, how
-	c.callOff(l.ends)
+	c.loop.Cancel(l.ends)
 	delete(c.fleet.attempts, l.ID)
 	c.counts.Outcomes[how]++
 	if c.Trace {
 		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.part.wire, l.number, c.fleet.uid(l.to), outcomeNames[how], took)
 	}
-	c.module.AttemptEnds(c.now, scheduler.AttemptResult{Subquery: l.part.id, Attempt: l.number, Outcome: how, Took: took})
+	c.module.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{Subquery: l.part.id, Attempt: l.number, Outcome: how, Took: took})
 	if l.part.over() && l.Call != nil {
-		c.fleet.pool.Forget(c.now, &l.Attempt)
+		c.fleet.pool.Forget(c.loop.Now(), &l.Attempt)
 	}
 	c.clear(l.part)
 }
 
 // replied takes what a replica says of a part; at is when it was read.
 func (c *Coordinator) replied(from *link, r *replicaproto.Event, at time.Duration) {
-	ended, late := c.fleet.pool.ReplyReceived(c.now, from.id, connpool.AttemptID(r.Attempt), r.SubqueryID, at)
+	ended, late := c.fleet.pool.ReplyReceived(c.loop.Now(), from.id, connpool.AttemptID(r.Attempt), r.SubqueryID, at)
 	if late {
 		c.counts.Late++
 	}
@@ -398,7 +399,7 @@
 	}
 	l := c.fleet.attempts[ended.ID]
 	if r.Busy >= 0 {
-		c.module.LoadReported(c.now, l.to, r.Busy)
+		c.module.LoadReported(c.loop.Now(), l.to, r.Busy)
 	}
 	how := scheduler.Failed
 	switch r.End {
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"terntray/eventloop"
 	"terntray/internal/wire"
 	"terntray/scheduler"
 	"terntray/twophase"
@@ -29,7 +30,7 @@
 	hints     map[twophase.Shard]time.Duration
 	summaries bool // the present parts ask for them
 	due       bool // a step is to be taken in the next turn
-	wake      *timer
+	wake      *eventloop.Timer
 	took      [2]time.Duration // sums over replies: of summaries, of answers
 	replies   [2]int
 }
@@ -73,7 +74,7 @@
 	}
 	var err error
 	agreed := min(q.came+c.agreed[q.query.Class], q.cutOff)
-	if n.run, err = t.Begin(c.now, form, blocks, agreed, q.cutOff, c.questions.attempts); err == nil {
+	if n.run, err = t.Begin(c.loop.Now(), form, blocks, agreed, q.cutOff, c.questions.attempts); err == nil {
 		q.question = n
 	}
 	return err
@@ -81,8 +82,8 @@
 
 // takeSteps tells the module of a question and its first step.
 func (c *Coordinator) takeSteps(q *openQuery, track scheduler.ClassIndex, left, hint time.Duration) {
-	s := q.question.run.Next(c.now)
-	c.module.QueryArrives(c.now, scheduler.QueryArrival{ID: q.id, Number: q.number, Class: track, Tenant: c.tenantOf(q.query),
+	s := q.question.run.Next(c.loop.Now())
+	c.module.QueryArrives(c.loop.Now(), scheduler.QueryArrival{ID: q.id, Number: q.number, Class: track, Tenant: c.tenantOf(q.query),
 		TimeLeft: left, WorkHint: hint, Subqueries: max(1, len(s.Shards))})
 	c.module.UsePhases(q.id, s.Action == twophase.CanMatch)
 	if s.Action != twophase.CanMatch && s.Action != twophase.Fetch { // nothing is wanted
@@ -109,7 +110,7 @@
 		}
 		q.parts, c.parts[p.id] = append(q.parts, p), p
 		c.held++
-		c.module.SubqueryArrives(c.now, scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
+		c.module.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
 			Weight: 1 / float64(len(s.Shards)), WorkHint: hint})
 	}
 }
@@ -118,7 +119,7 @@
 func (c *Coordinator) stepSoon(q *openQuery) {
 	if n := q.question; !n.due {
 		n.due = true
-		c.next = append(c.next, func() {
+		c.loop.NextIteration(func() {
 			if n.due = false; !q.closed.Load() {
 				c.step(q)
 			}
@@ -129,18 +130,18 @@
 // step does what is to be done next.
 func (c *Coordinator) step(q *openQuery) {
 	n := q.question
-	c.callOff(n.wake)
+	c.loop.Cancel(n.wake)
 	n.wake = nil
-	switch s := n.run.Next(c.now); s.Action {
+	switch s := n.run.Next(c.loop.Now()); s.Action {
 	case twophase.Wait:
-		n.wake = c.after(s.Wakeup-c.now, "", func() { c.stepSoon(q) })
+		n.wake = c.loop.After(s.Wakeup-c.loop.Now(), "", func() { c.stepSoon(q) })
 	case twophase.Fetch:
 		c.endStep(q)
-		c.module.StartNextPhase(c.now, q.id, len(s.Shards))
+		c.module.StartNextPhase(c.loop.Now(), q.id, len(s.Shards))
 		c.stepParts(q, q.number, s)
 	case twophase.Done:
 		c.trace("retrieval=%s question whole words=%q", q.query.ID, s.Reason)
-		c.module.StartNextPhase(c.now, q.id, 0)
+		c.module.StartNextPhase(c.loop.Now(), q.id, 0)
 		c.reply(q.id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
 			return wire.HitsResponse(n.run.Hits(), last)
 		})
@@ -148,7 +149,7 @@
 		c.counts.RefusedQuestions++
 		c.trace("retrieval=%s question refused words=%q", q.query.ID, s.Reason)
 		c.Reject(q.id, 0)
-		c.module.ClientDisconnects(c.now, q.id)
+		c.module.ClientDisconnects(c.loop.Now(), q.id)
 	}
 }
 
@@ -175,7 +176,7 @@
 	defer c.stepSoon(q)
 	if n.summaries {
 		s, err := wire.ReadSummary(value)
-		if err != nil || !n.run.Summarized(c.now, id, from, s) {
+		if err != nil || !n.run.Summarized(c.loop.Now(), id, from, s) {
 			c.counts.BadSummaries++
 			n.run.NoSummary(id)
 		}
@@ -184,7 +185,7 @@
 	}
 	a, err := wire.ReadAnswer(l.part.shard, value)
 	if err == nil {
-		err = n.run.Answered(c.now, id, from, a)
+		err = n.run.Answered(c.loop.Now(), id, from, a)
 	}
 	if err != nil {
 		c.seldom("event=bad_answer replica=%s part=%s cause=%q", c.fleet.uid(l.to), l.part.wire, err)
@@ -197,12 +198,12 @@
 // endQuestion learns from a question that is over.
 func (c *Coordinator) endQuestion(q *openQuery) {
 	n := q.question
-	c.callOff(n.wake)
+	c.loop.Cancel(n.wake)
 	t := c.questions.learns[q.query.Class]
 	if n.replies[0] > 0 && n.replies[1] > 0 {
 		t.ObserveCost(n.took[0]/time.Duration(n.replies[0]), n.took[1]/time.Duration(n.replies[1]))
 	}
-	n.run.Close(c.now)
+	n.run.Close(c.loop.Now())
 	two, asked := n.run.Phases()
 	c.counts.Questions++
 	if two == 2 {
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -15,7 +15,7 @@
 // Reload reads the configuration file anew and takes up what can change while the service runs: where discovery
 // is. It may be called from any goroutine and at any time; of several calls the last counts.
 func (c *Coordinator) Reload() {
-	c.post(func() {
+	c.loop.Post(func() {
 		c.drivers.Go(c.rereadTLS)
 		c.stopReading()
 		ctx, stop := context.WithCancel(c.fleet.context)
@@ -34,7 +34,7 @@
 			err = errors.New("ROUTER_CONFIG: no address of discovery")
 		}
 		if err == nil {
-			c.post(func() {
+			c.loop.Post(func() {
 				if ctx.Err() == nil {
 					c.reconfigure(d)
 				}
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -142,7 +142,7 @@
 		Deadline: l.deadline, Permit: func(now time.Duration) bool { return f.c.permit(l, now) }}
 	l.Call = &l.call
 	f.attempts[l.ID] = l
-	if !f.pool.Send(f.c.now, &l.Attempt, l.to) {
+	if !f.pool.Send(f.c.loop.Now(), &l.Attempt, l.to) {
 		delete(f.attempts, l.ID)
 		return false
 	}
@@ -216,7 +216,7 @@
 
 // ScheduleWakeup has the pool told when a time has passed.
 func (f *fleet) ScheduleWakeup(id connpool.ConnID, in time.Duration) {
-	f.c.after(in, "", func() { f.pool.Wakeup(f.c.now, id) })
+	f.c.loop.After(in, "", func() { f.pool.Wakeup(f.c.loop.Now(), id) })
 }
 
 // AttemptEnded tells how an attempt ended.
@@ -255,12 +255,12 @@
 // linkUp notes that calls may go on a connection.
 func (c *Coordinator) linkUp(k *link) {
 	c.counts.Opened++
-	c.fleet.pool.ConnUp(c.now, k.id)
+	c.fleet.pool.ConnUp(c.loop.Now(), k.id)
 }
 
 // linkEnded takes a connection back; both of its goroutines have ended.
 func (c *Coordinator) linkEnded(k *link, cause error, at time.Duration) {
-	c.fleet.pool.ConnEnded(c.now, k.id, cause, at)
+	c.fleet.pool.ConnEnded(c.loop.Now(), k.id, cause, at)
 	delete(c.fleet.links, k.id)
 }
 
@@ -268,7 +268,7 @@
 func (c *Coordinator) came(k *link, all []replicaproto.Event, bad error, at time.Duration) {
 	p := c.fleet.pool
 	if replicaproto.TraitsOf(k.kind).Pings {
-		p.BytesReceived(c.now, k.id, at)
+		p.BytesReceived(c.loop.Now(), k.id, at)
 	}
 	for n := range all {
 		e := &all[n]
@@ -276,17 +276,17 @@
 		case replicaproto.Reply:
 			c.replied(k, e, at)
 		case replicaproto.NeverRan, replicaproto.MayHaveRun:
-			p.AttemptSettled(c.now, k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
+			p.AttemptSettled(c.loop.Now(), k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
 		case replicaproto.CallLimit:
-			p.StreamLimitChanged(c.now, k.id, e.MaxCalls)
+			p.StreamLimitChanged(c.loop.Now(), k.id, e.MaxCalls)
 		case replicaproto.GoingAway:
-			p.GoingAway(c.now, k.id, e.Detail)
+			p.GoingAway(c.loop.Now(), k.id, e.Detail)
 		case replicaproto.Ready:
 			c.linkUp(k)
 		}
 	}
 	if bad != nil {
-		p.MalformedReceived(c.now, k.id, bad)
+		p.MalformedReceived(c.loop.Now(), k.id, bad)
 	}
 }
 
--- a/coordinator/secure.go
+++ b/coordinator/secure.go
@@ -53,7 +53,7 @@
 		return
 	}
 	fresh, err := c.fleet.installation.LoadAll()
-	c.post(func() {
+	c.loop.Post(func() {
 		if err != nil {
 			c.log.Printf("event=tls_reload_failed cause=%q words=%q", err, "what could not be read stays as it was")
 		}
@@ -68,13 +68,13 @@
 // watchCertificates says, now and then, which of the certificates that TLS needs is about to run out.
 func (c *Coordinator) watchCertificates() {
 	if len(c.fleet.secure) > 0 {
-		c.post(c.watchOn)
+		c.loop.Post(c.watchOn)
 	}
 }
 
 func (c *Coordinator) watchOn() {
 	c.lookAtCertificates()
-	c.after(lookAtCerts, "", c.watchOn)
+	c.loop.After(lookAtCerts, "", c.watchOn)
 }
 
 func (c *Coordinator) lookAtCertificates() {
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -2,7 +2,7 @@
 
 // panicking is a program whose loop panics about once a second, before, between or after what an iteration does.
 var panicking = map[string][2]string{
-	"coordinator/turns.go": {"	first()\n	for len(t.taken)", "	if t.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	first()\n	if t.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(t.taken)"},
+	"eventloop/loop.go": {"	event()\n	for len(l.received)", "	if l.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	event()\n	if l.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(l.received)"},
 }
 
 // deliberate are changes of the program that break a rule, each to be caught by the oracle as that rule.
@@ -46,7 +46,7 @@
 		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
 	}},
 	{"wall_clock", "shutdown", map[string][2]string{ // the limit is kept without its monotonic reading
-		"coordinator/client.go": {"limit = k.c.born.Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)",
-			"limit = time.Unix(0, k.c.born.Add(time.Duration(k.c.leftAt.Load())).UnixNano()).Add(goingOn)"},
+		"coordinator/client.go": {"limit = k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)",
+			"limit = time.Unix(0, k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).UnixNano()).Add(goingOn)"},
 	}},
 }
