--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -52,7 +52,7 @@
 
 // excess is by how much a query is expected to miss the bound that its agreed time sets.
 func (c *Scheduler) excess(q *query) (over, bound time.Duration) {
-	at, mean, left, steps := map[replica]bool{}, time.Duration(0), q.agreed-q.arrived, 0.0
+	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.agreed-q.arrived, 0.0
 	if q.class.fetch > 0 && q.step == 0 { // what follows takes as long as these do
 		steps = c.slowestOf(q.class.fetch)
 		left -= scale(q.class.unit, c.others()*steps)
@@ -62,12 +62,12 @@
 		bound = scale(bound, overShare)
 	}
 	for _, p := range q.subqueries { // those at one replica end together
-		if p.at != nowhere && !at[p.at] {
-			at[p.at], mean = true, mean+c.finish(p.at, 0)
+		if p.replica != nil && !at[p.replica] {
+			at[p.replica], mean = true, mean+c.finish(p.replica, 0)
 		}
 	}
 	over = scale(mean, (steps+c.slowestOf(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
-	if !q.reaches(func(p *subquery) bool { return p.at == nowhere || c.finish(p.at, 0) <= bound }) {
+	if !q.reaches(func(p *subquery) bool { return p.replica == nil || c.finish(p.replica, 0) <= bound }) {
 		for r := range at {
 			over = max(over, c.finish(r, 0)-bound)
 		}
@@ -106,15 +106,15 @@
 		t.trickle, t.letGap, t.letAt = 1, scale(letFirst, c.letTimes(q)), c.now+scale(letFirst, c.letTimes(q))
 	}
 	t.shedAt = c.now
-	bound = scale(bound, t.longer)  // tightening fades by itself
-	waits := func(r replica) bool { // no trial otherwise
-		return c.aside[r][t.index] && c.now >= c.trialAt[r]+scale(trialMost, c.tempo)
+	bound = scale(bound, t.longer)        // tightening fades by itself
+	waits := func(r *replicaState) bool { // no trial otherwise
+		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.tempo)
 	}
 	over := slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.at != nowhere && c.finish(p.at, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
+		return p.replica != nil && c.finish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
 	})
 	q.let = over && c.now >= t.letAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.at != nowhere && float64(len(c.outs[p.at])) >= t.trickle && c.finish(p.at, 0) > bound
+		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.trickle && c.finish(p.replica, 0) > bound
 	})
 	return q.let
 }
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -15,16 +15,16 @@
 	fullWait = 400 * time.Millisecond // from an attempt turned away to the next there
 )
 
-func (c *Scheduler) halve(r replica) {
-	if c.now-c.halvedAt[r] >= scale(c.classes[0].unit, c.pace[r]) {
-		c.halvedAt[r], c.limit[r] = c.now, max(1, c.limit[r]/2)
+func (c *Scheduler) halve(r *replicaState) {
+	if c.now-r.limitHalvedAt >= scale(c.classes[0].unit, r.slowdown) {
+		r.limitHalvedAt, r.limit = c.now, max(1, r.limit/2)
 	}
 }
 
 // full tells whether a replica turned an attempt away just now or the cap lets nothing go; in each silence one attempt
 // goes all the same. Guards against: lost attempts that hold all places. Could hurt: by one, in a jam.
-func (c *Scheduler) full(r replica) bool {
-	n := len(c.outs[r])
-	return c.now < c.fullTo[r] || float64(n+1) > c.limit[r] &&
-		c.now-max(c.replyAt[r], c.outs[r][n-1].sentAt) < scale(hungAfter, c.tempo)
+func (c *Scheduler) full(r *replicaState) bool {
+	n := len(r.outstanding)
+	return c.now < r.fullUntil || float64(n+1) > r.limit &&
+		c.now-max(r.lastReplyAt, r.outstanding[n-1].sentAt) < scale(hungAfter, c.tempo)
 }
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -47,7 +47,7 @@
 	settings := c.settings
 	c.balancers = max(1, int(c.number("balancers", true)))
 	c.cells, c.reach = int(c.number("familyInfo.cells", true)), int(c.number("familyInfo.span", true))
-	c.held, c.asked, c.blank = make([][]replica, c.cells), make([]float64, c.cells), 1
+	c.holdersByCell, c.asked, c.blank = make([][]*replicaState, c.cells), make([]float64, c.cells), 1
 	c.quickest, c.self = math.MaxInt64, int(c.number("selfIndex", false))
 	for n := range int(c.number("lanes.count", true)) {
 		path := fmt.Sprintf("lanes.%d.", n)
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -18,40 +18,41 @@
 // EndpointListBegins opens a list: changes, or all, when who is not told is gone; an old one is an earlier life's.
 func (c *Scheduler) EndpointListBegins(now time.Duration, full, old bool) {
 	c.clock(now)
-	clear(c.held)
+	clear(c.holdersByCell)
 	if old {
 		c.refilled = now
 	} else {
 		c.subscribed, c.askWait = true, askFirst
 	}
-	for r := 0; full && r < len(c.life); r++ {
-		c.life[r] = Removed
+	if full {
+		for _, r := range c.replicas {
+			r.state = Removed
+		}
 	}
 }
 
 // EndpointListed takes one entry of the list that EndpointListBegins opened.
 func (c *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
 	id, started := endpoint.ID, endpoint.Started
-	clear(c.held)
-	r, known := c.index[id]
+	clear(c.holdersByCell)
+	r, known := c.replicasByID[id]
 	if !known {
-		r = c.room()
-		delete(c.index, c.id[r])
-		c.index[id], c.id[r], c.started[r], c.growing[r] = r, id, StartUnknown, false
-		c.pace[r], c.recent[r], c.usual[r], c.limit[r] = 1, 1, 1, startCap
-		c.credit[r], c.ceiling[r] = startCredit, maxCap
-		c.toldAt[r], c.ahead[r], c.fullTo[r] = 0, 0, 0
-		c.coldAt[r] = c.coldBefore[id]
+		r = c.newReplica()
+		c.replicasByID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
+		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, startCap
+		r.retryCredit, r.limitCeiling = startCredit, maxCap
+		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
+		r.slowStartUsedUntil = c.coldBefore[id]
 		delete(c.coldBefore, id)
-		c.sound(r)
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
 	}
-	c.life[r], c.cell[r], c.zone[r], c.size[r] = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
-	if started > c.started[r] {
-		c.started[r], c.limit[r] = started, startCap
-		c.sound(r)
+	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
+	if started > r.startedAt {
+		r.startedAt, r.limit = started, startCap
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
 		if c.coldFor(r) { // slow at first
-			c.pace[r], c.usual[r] = 1/math.Sqrt(c.warmth(r)), 1
-			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", c.id[r]))
+			r.slowdown, r.usualLatency = 1/math.Sqrt(c.warmth(r)), 1
+			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
 		}
 	}
 }
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -32,53 +32,53 @@
 	spreads   = 1.2  // times one part's time, for each e-fold of parts, to the slowest
 )
 
-func (c *Scheduler) answered(r replica, t *class, l *attempt, took time.Duration) {
-	c.replyAt[r], c.answeredAt[r][t.index], c.errs[r][t.index] = c.now, c.now, 0
+func (c *Scheduler) answered(r *replicaState, t *class, l *attempt, took time.Duration) {
+	r.lastReplyAt, r.forClass(t).lastReplyAt, r.forClass(t).consecutiveErrors = c.now, c.now, 0
 	c.countAnswered(r)
-	for _, o := range c.outs[r] {
+	for _, o := range r.outstanding {
 		if o.sentAt < l.sentAt {
 			o.passed++
 		}
 	}
-	c.credit[r] = min(maxCredit, c.credit[r]+creditReply)
-	c.ceiling[r] = min(maxCap, c.ceiling[r]+ceilingReply)
+	r.retryCredit = min(maxCredit, r.retryCredit+creditReply)
+	r.limitCeiling = min(maxCap, r.limitCeiling+ceilingReply)
 	c.copies = min(maxCopies*c.thrift, c.copies+copyReply*c.thrift*c.idle(r))
-	here, expected := c.stalled, scale(l.base, c.pace[r])
+	here, expected := c.stalled, scale(l.base, r.slowdown)
 	if c.behind > 0 { // the reply itself waited here for so long; what that explains says the replica is sound
 		here, expected = here+ownShare*max(c.behind, c.now-l.sentAt-took), min(expected, l.base)
 	}
 	own := c.behind > 0 && took-here <= expected
 	took = max(min(took, expected), took-here)
 	surprise := math.Log(float64(took+time.Millisecond) / float64(l.base+time.Millisecond))
-	off := max(-maxSurprise, min(maxSurprise, surprise-math.Log(c.pace[r])))
-	c.pace[r] *= math.Exp(paceStep * off)
+	off := max(-maxSurprise, min(maxSurprise, surprise-math.Log(r.slowdown)))
+	r.slowdown *= math.Exp(paceStep * off)
 	if !c.coldFor(r) {
 		queued := 1 - float64(l.work)/float64(l.base)
 		c.lanes = max(startLanes, min(mostLanes, c.lanes*math.Exp(-lanesStep*queued*off)))
 	}
-	c.pace[r] = math.Pow(c.pace[r], 1-pacePull)
+	r.slowdown = math.Pow(r.slowdown, 1-pacePull)
 	if c.lanes >= 0.5*mostLanes { // more side by side than is counted on: the queue was less, not the work
 		alone := math.Log(float64(took+time.Millisecond) / float64(l.work+time.Millisecond))
 		surprise = max(surprise, min(0, alone))
 	}
-	t.learn(surprise + math.Log(l.of.hintUnit/t.hintUnit))
+	t.learn(surprise + math.Log(l.subquery.hintUnit/t.hintUnit))
 	ratio := float64(took+jitter) / float64(l.work+jitter)
 	if own {
-		ratio = min(ratio, c.usual[r])
+		ratio = min(ratio, r.usualLatency)
 	}
-	c.recent[r] += recentShare * (ratio - c.recent[r])
-	rise := ratio - c.usual[r]
-	c.usual[r] += usualFalls*min(0, rise) + usualRises*max(0, min(rise, c.usual[r]))
+	r.recentLatency += recentShare * (ratio - r.recentLatency)
+	rise := ratio - r.usualLatency
+	r.usualLatency += usualFalls*min(0, rise) + usualRises*max(0, min(rise, r.usualLatency))
 	switch {
-	case c.aside[r][t.index]:
+	case r.forClass(t).ejected:
 		c.bringBack(r, t)
-	case c.recent[r] > climbed*max(1, c.usual[r]):
+	case r.recentLatency > climbed*max(1, r.usualLatency):
 		c.halve(r)
-	case c.growing[r]:
-		c.limit[r] *= 2
-		c.growing[r] = c.limit[r] < startCap
+	case r.recovering:
+		r.limit *= 2
+		r.recovering = r.limit < startCap
 	default:
-		c.limit[r] = min(c.ceiling[r], c.limit[r]+1)
+		r.limit = min(r.limitCeiling, r.limit+1)
 	}
 }
 
@@ -90,23 +90,23 @@
 	t.unit, t.hintUnit = scale(t.unit, grow), t.hintUnit*grow
 }
 
-func (c *Scheduler) finish(r replica, more time.Duration) time.Duration {
-	d := scale(scale(c.outWork[r]+c.heldWork[r]+c.waits(r)+more, 1/c.lanes), c.takes(r))
-	if c.now < c.fullTo[r] {
+func (c *Scheduler) finish(r *replicaState, more time.Duration) time.Duration {
+	d := scale(scale(r.outstandingWork+r.queuedWork+c.waits(r)+more, 1/c.lanes), c.takes(r))
+	if c.now < r.fullUntil {
 		d += c.slowest
 	}
-	if c.zone[r] != c.ownZone {
+	if r.zone != c.ownZone {
 		d += c.zonePenalty
 	}
 	return d
 }
 
 // takes is how many times a part's work its replica takes for it.
-func (c *Scheduler) takes(r replica) float64 {
+func (c *Scheduler) takes(r *replicaState) float64 {
 	if !c.sized {
-		return c.pace[r]
+		return r.slowdown
 	}
-	return c.pace[r] * c.typical / c.size[r]
+	return r.slowdown * c.typical / r.size
 }
 
 // slowestOf is how many times the time of one part the slowest of so many is expected to take.
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 )
@@ -32,13 +31,13 @@
 	var s strings.Builder
 	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.lanes, c.copies, len(c.extras), len(c.taken),
 		len(c.open))
-	for r := range c.id {
-		if c.life[r] == Removed {
+	for _, r := range c.replicas {
+		if r.state == Removed {
 			continue
 		}
 		fmt.Fprintf(&s, "replica %d: pace %.3g cap %.0f out %d (%v) held %v aside %v credit %.1f recent %.3g usual %.3g cold %v trial in %v gap %v\n",
-			c.id[r], c.pace[r], c.limit[r], len(c.outs[r]), c.outWork[r], c.heldWork[r],
-			slices.Contains(c.aside[r], true), c.credit[r], c.recent[r], c.usual[r], c.coldFor(replica(r)), c.trialAt[r]-c.now, c.trialGap[r])
+			r.id, r.slowdown, r.limit, len(r.outstanding), r.outstandingWork, r.queuedWork,
+			r.ejectedForAny(), r.retryCredit, r.recentLatency, r.usualLatency, c.coldFor(r), r.nextProbeAt-c.now, r.probeInterval)
 	}
 	return s.String()
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -16,8 +16,8 @@
 
 // waits is the work that other co-ordinators have out at a replica, by what they told of attempts sent and ended,
 // less with time, as what is lost would stay. It stands in for the controller, which knows all work ahead.
-func (c *Scheduler) waits(r replica) time.Duration {
-	return scale(c.ahead[r], math.Exp(-float64(c.now-c.aheadAt[r])/float64(toldFresh)))
+func (c *Scheduler) waits(r *replicaState) time.Duration {
+	return scale(r.peerWork, math.Exp(-float64(c.now-r.peerWorkAt)/float64(toldFresh)))
 }
 
 // GossipReceived takes what another co-ordinator says of its attempts. Late ones count for the pace as own replies do.
@@ -25,7 +25,7 @@
 	c.clock(now)
 	err := decodeAhead(message, c.cells, func(l attemptsAt) {
 		for _, r := range c.holders(ShardNumber(l.cell)) {
-			if c.cell[r] != l.cell {
+			if r.cell != l.cell {
 				continue
 			}
 			work := time.Duration(l.attempts) * l.work
@@ -34,11 +34,11 @@
 			}
 			if l.kind != sentAttempts {
 				work = -work
-				if off := math.Log(max(1, l.late) / c.pace[r]); l.kind == lateAttempts || off < 0 {
-					c.pace[r] *= math.Exp(paceStep * float64(l.attempts) * max(-maxSurprise, min(maxSurprise, off)))
+				if off := math.Log(max(1, l.late) / r.slowdown); l.kind == lateAttempts || off < 0 {
+					r.slowdown *= math.Exp(paceStep * float64(l.attempts) * max(-maxSurprise, min(maxSurprise, off)))
 				}
 			}
-			c.ahead[r], c.aheadAt[r] = max(0, min(scale(c.quickest, c.lanes), c.waits(r)+work)), now
+			r.peerWork, r.peerWorkAt = max(0, min(scale(c.quickest, c.lanes), c.waits(r)+work)), now
 		}
 	}, func(tenant TenantIndex) {
 		if int(tenant) < len(c.quota) {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -27,10 +27,10 @@
 
 // idle is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
 // Guards against: copies that make a jam unseen by one of many. Could hurt: stragglers of a busy fleet wait.
-func (c *Scheduler) idle(r replica) float64 {
+func (c *Scheduler) idle(r *replicaState) float64 {
 	busy := c.busy
-	if c.toldAt[r] > 0 && c.now-c.toldAt[r] < toldFresh {
-		busy = c.told[r]
+	if r.utilizationAt > 0 && c.now-r.utilizationAt < toldFresh {
+		busy = r.utilization
 	}
 	return max(0, min(1, (busyMost-busy)/(busyMost-busyFrom)))
 }
@@ -38,12 +38,12 @@
 // late is how long an attempt may take before it is a straggler among its query's; while most others are out,
 // any time. Guards against: copies of heavy queries, or in a jam. Could hurt: where most replicas hang.
 func (c *Scheduler) late(l *attempt, times float64) time.Duration {
-	q := l.of.of
+	q := l.subquery.query
 	many := float64(len(q.subqueries)) / fewParts
 	if q.in < mostIn*min(1, many)*float64(len(q.subqueries)-1) {
 		return math.MaxInt64
 	}
-	pace := c.pace[l.at]
+	pace := l.replica.slowdown
 	if times = max(leastTimes, times/max(1, many)); q.missing() <= float64(len(q.subqueries))/lastShare {
 		times, pace = lastTimes, min(1, pace)
 	}
@@ -53,8 +53,8 @@
 // stuck tells whether an attempt can be given up for dead: later ones are answered there, or its track is set
 // aside. Guards against: connections that fall silent, lost parts. Could hurt: by copies of heavy parts.
 func (c *Scheduler) stuck(l *attempt) bool {
-	return c.aside[l.at][l.of.of.class.index] ||
-		l.passed >= hungPassed && c.now-l.sentAt > scale(l.base+jitter, hungTimes*c.pace[l.at])
+	return l.replica.forClass(l.subquery.query.class).ejected ||
+		l.passed >= hungPassed && c.now-l.sentAt > scale(l.base+jitter, hungTimes*l.replica.slowdown)
 }
 
 // further sends a second copy of a part whose attempt takes much longer than expected, where there is credit.
@@ -63,7 +63,7 @@
 		if l := p.lastOut(); l != nil && !q.ended && !q.doubtful() {
 			best := c.copyTo(q, p, l)
 			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.copyTo(q, p, l)) })
-			if best != nowhere {
+			if best != nil {
 				c.copies = max(0, c.copies-1)
 				c.send(p, best)
 			}
@@ -71,16 +71,16 @@
 	}
 }
 
-// copyTo is where a copy beside a part's last attempt is to go now, or nowhere.
-func (c *Scheduler) copyTo(q *query, p *subquery, l *attempt) replica {
+// copyTo is where a copy beside a part's last attempt is to go now, or nil.
+func (c *Scheduler) copyTo(q *query, p *subquery, l *attempt) *replicaState {
 	age, many := c.now-l.sentAt, float64(len(q.subqueries))/fewParts
 	if !c.mayCopy || p.in || p.gone || p.held || !c.mayRepeat(p) || !c.mayGoOn() ||
 		age < c.late(l, patience) && !c.stuck(l) {
-		return nowhere
+		return nil
 	}
-	best := c.choose(p, func(r replica) time.Duration {
+	best := c.choose(p, func(r *replicaState) time.Duration {
 		d := c.finish(r, p.work)
-		if p.tried(r, true) || c.credit[r] < 1 || float64(len(c.outs[r])) >= c.limit[r] ||
+		if p.tried(r, true) || r.retryCredit < 1 || float64(len(r.outstanding)) >= r.limit ||
 			c.erring(r, q.class, false) || d >= min(q.endAt-c.now, max(age, 2*l.base)) ||
 			(!c.stuck(l) || c.idle(r) == 0) && c.now+scale(d, copyRoom*max(1, many)) <= q.agreed {
 			return -1
@@ -88,8 +88,8 @@
 		return d
 	})
 	last := q.missing() <= max(lastParts, float64(len(q.subqueries))/lastShare)
-	if best == nowhere || last || c.copies*c.idle(best) >= 1 {
+	if best == nil || last || c.copies*c.idle(best) >= 1 {
 		return best
 	}
-	return nowhere
+	return nil
 }
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -23,8 +23,8 @@
 	if l.coldUntil == nil {
 		l.coldUntil = map[ReplicaID]time.Duration{}
 	}
-	for id, r := range c.index {
-		l.coldUntil[id] = c.coldAt[r]
+	for id, r := range c.replicasByID {
+		l.coldUntil[id] = r.slowStartUsedUntil
 	}
 	return l
 }
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -45,7 +45,7 @@
 		m.only(102, 105)
 		for m.now < 12*time.Second {
 			for _, id := range []ReplicaID{102, 105} {
-				m.c.outWork[m.index(id)] = 20 * time.Second // what is believed speaks against all
+				m.index(id).outstandingWork = 20 * time.Second // what is believed speaks against all
 			}
 			q := m.ask(0, parts, time.Second)
 			m.turn()
@@ -67,7 +67,7 @@
 	m := newModel(t, 0)
 	m.many(9, 0)
 	for _, id := range m.order {
-		m.c.outWork[m.index(id)] = 500 * ms
+		m.index(id).outstandingWork = 500 * ms
 	}
 	large, small := m.ask(0, 60, 3*time.Second), m.ask(0, 1, 3*time.Second)
 	m.turn()
@@ -222,7 +222,7 @@
 		}
 		m.turn()
 		for _, id := range m.order {
-			m.c.outWork[m.index(id)] = 300 * ms
+			m.index(id).outstandingWork = 300 * ms
 		}
 		for n := range 40 {
 			m.shard = n
@@ -340,8 +340,8 @@
 	if m.pass(500 * ms); m.c.waits(r) < 150*ms {
 		t.Errorf("%v ahead after half a second, though nobody tells of an end", m.c.waits(r))
 	}
-	if m.hear(told(endedAttempts, attempts, 100*ms, 1, nil, 3)...); m.c.waits(r) != 0 || m.c.pace[r] != 1 {
-		t.Errorf("%v ahead after both ended, pace %.2f", m.c.waits(r), m.c.pace[r])
+	if m.hear(told(endedAttempts, attempts, 100*ms, 1, nil, 3)...); m.c.waits(r) != 0 || r.slowdown != 1 {
+		t.Errorf("%v ahead after both ended, pace %.2f", m.c.waits(r), r.slowdown)
 	}
 }
 
@@ -354,16 +354,16 @@
 	for range 8 {
 		m.hear(told(lateAttempts, cell, 100*ms, 6, nil, 3)...)
 	}
-	slow := m.c.pace[r]
+	slow := r.slowdown
 	for range 1000 {
 		m.hear(told(lateAttempts, cell, 100*ms, 1000, nil, 3)...)
 	}
-	most := m.c.pace[r]
+	most := r.slowdown
 	for range 20 {
 		m.hear(told(endedAttempts, cell, 100*ms, 1, nil, 3)...)
 	}
-	if slow < 3 || slow > 6 || most > 33 || m.c.pace[r] > 1.2 || m.c.pace[r] < 1 {
-		t.Errorf("pace %.2f after eight told six times late, %.2f at the most, %.2f after twenty in time", slow, most, m.c.pace[r])
+	if slow < 3 || slow > 6 || most > 33 || r.slowdown > 1.2 || r.slowdown < 1 {
+		t.Errorf("pace %.2f after eight told six times late, %.2f at the most, %.2f after twenty in time", slow, most, r.slowdown)
 	}
 }
 
@@ -476,8 +476,8 @@
 		if err := m.c.GossipReceived(m.now, 7, message); err == nil {
 			t.Errorf("a message %s is taken", name)
 		}
-		for r := range m.c.id {
-			if m.c.waits(replica(r)) != 0 || m.c.pace[r] != 1 || m.c.heard() || m.c.allowance[0] != left {
+		for _, r := range m.c.replicas {
+			if m.c.waits(r) != 0 || r.slowdown != 1 || m.c.heard() || m.c.allowance[0] != left {
 				t.Errorf("a message %s is believed", name)
 			}
 		}
@@ -510,10 +510,10 @@
 		if (err == nil) != (m.c.peersAt != before) {
 			t.Errorf("%v, and heard %v", err, m.c.peersAt)
 		}
-		for r := range m.c.id {
-			w, most := m.c.waits(replica(r)), scale(m.c.quickest, m.c.lanes)
-			if w < 0 || w > most || err != nil && w > 0 || m.c.pace[r] < 0.9 || m.c.pace[r] > 32 {
-				t.Errorf("%v ahead, pace %.1f after %v", w, m.c.pace[r], err)
+		for _, r := range m.c.replicas {
+			w, most := m.c.waits(r), scale(m.c.quickest, m.c.lanes)
+			if w < 0 || w > most || err != nil && w > 0 || r.slowdown < 0.9 || r.slowdown > 32 {
+				t.Errorf("%v ahead, pace %.1f after %v", w, r.slowdown, err)
 			}
 		}
 	})
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -14,20 +14,21 @@
 )
 
 // choose picks the holder of a part's shard with the least cost, in time; below 0 it is out of the question.
-func (c *Scheduler) choose(p *subquery, cost func(replica) time.Duration) replica {
-	best, least := nowhere, time.Duration(math.MaxInt64)
+func (c *Scheduler) choose(p *subquery, cost func(*replicaState) time.Duration) *replicaState {
+	var best *replicaState
+	least := time.Duration(math.MaxInt64)
 	for _, r := range c.holders(p.shard) {
-		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.of.class, p) {
+		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.query.class, p) {
 			best, least = r, d
 		}
 	}
 	return best
 }
 
-func (c *Scheduler) fastest(p *subquery) replica {
-	return c.choose(p, func(r replica) time.Duration {
-		if p.tried(r, false) != p.of.doubtful() {
-			return p.of.class.cutOff // only where no other holder is left
+func (c *Scheduler) fastest(p *subquery) *replicaState {
+	return c.choose(p, func(r *replicaState) time.Duration {
+		if p.tried(r, false) != p.query.doubtful() {
+			return p.query.class.cutOff // only where no other holder is left
 		}
 		return scale(p.work, c.takes(r))
 	})
@@ -40,7 +41,7 @@
 	}
 	var mine []*subquery
 	for _, p := range q.subqueries {
-		stays := p.held && p.at != nowhere && c.sendable(p.at, q.class, p)
+		stays := p.held && p.replica != nil && c.sendable(p.replica, q.class, p)
 		if p.in || p.gone || stays || !p.held && len(p.attempts) > 0 {
 			continue
 		}
@@ -59,21 +60,23 @@
 // spread moves parts off the replica with the largest expected finish, each to where it is done first, while
 // that lowers it, then the next.
 func (c *Scheduler) spread(mine []*subquery) {
-	settled := map[replica]bool{nowhere: true}
+	settled := map[*replicaState]bool{nil: true}
 	for moves := movesPart * len(mine); moves > 0; moves-- {
-		worst, most := nowhere, time.Duration(-1)
+		var worst *replicaState
+		most := time.Duration(-1)
 		for _, p := range mine {
-			if !settled[p.at] && c.finish(p.at, 0) > most {
-				worst, most = p.at, c.finish(p.at, 0)
+			if !settled[p.replica] && c.finish(p.replica, 0) > most {
+				worst, most = p.replica, c.finish(p.replica, 0)
 			}
 		}
-		if worst == nowhere {
+		if worst == nil {
 			return
 		}
 		var moved, last *subquery
-		to, least, soonest := nowhere, most-time.Millisecond, time.Duration(0)
+		var to *replicaState
+		least, soonest := most-time.Millisecond, time.Duration(0)
 		for _, p := range mine {
-			if p.at != worst || p.of.doubtful() || last != nil && p.alike(last, c.cells) {
+			if p.replica != worst || p.query.doubtful() || last != nil && p.alike(last, c.cells) {
 				continue
 			}
 			last = p
@@ -82,7 +85,7 @@
 				there := c.finish(r, p.work)
 				d := max(left, there)
 				if r != worst && (d < least || d == least && moved != nil && there < soonest) &&
-					c.sendable(r, p.of.class, p) && !p.tried(r, false) {
+					c.sendable(r, p.query.class, p) && !p.tried(r, false) {
 					moved, to, least, soonest = p, r, d, there
 				}
 			}
@@ -96,10 +99,10 @@
 // release sends held parts in order of their queries' arrival, as caps allow, and drops what is too late;
 // unless all is looked at, only where there is room.
 func (c *Scheduler) release(all bool) {
-	blocked, ahead := make([]bool, len(c.id)), make([]time.Duration, len(c.id))
+	blocked, ahead := make([]bool, len(c.replicas)), make([]time.Duration, len(c.replicas))
 	free := 0
-	for r := range c.id {
-		if blocked[r] = !all && (c.heldWork[r] == 0 || c.full(replica(r))); !blocked[r] {
+	for _, r := range c.replicas {
+		if blocked[r.index] = !all && (r.queuedWork == 0 || c.full(r)); !blocked[r.index] {
 			free++
 		}
 	}
@@ -111,26 +114,26 @@
 			return
 		}
 		for _, p := range q.subqueries {
-			if !all && (!p.held || p.at == nowhere || blocked[p.at]) {
+			if !all && (!p.held || p.replica == nil || blocked[p.replica.index]) {
 				continue
 			}
 			if q.ended || !p.held || c.scouting(q) || q.doubtful() && len(p.attempts) == 0 {
 				continue
 			}
-			r := p.at
+			r := p.replica
 			switch first := len(p.attempts) == 0; {
 			case c.tooLate(q, p, ahead) || (!first || p.again) && !c.mayRepeat(p):
 				c.drop(p)
 				c.short(q)
-			case (first || r == nowhere) && c.trial(p) || r == nowhere:
-			case blocked[r] || c.full(r) || !c.coldRoom(r, p) ||
+			case (first || r == nil) && c.trial(p) || r == nil:
+			case blocked[r.index] || c.full(r) || !c.coldRoom(r, p) ||
 				(p.again || !first) && !c.mayGoOn() ||
-				!first && (c.credit[r] < 1 && len(c.outs[r]) > 0 || c.erring(r, q.class, c.lastAttempt(p))):
-				if first && !blocked[r] {
-					blocked[r] = true
+				!first && (r.retryCredit < 1 && len(r.outstanding) > 0 || c.erring(r, q.class, c.lastAttempt(p))):
+				if first && !blocked[r.index] {
+					blocked[r.index] = true
 					free--
 				}
-				ahead[r] += p.work
+				ahead[r.index] += p.work
 			default:
 				c.send(p, r)
 				c.trial(p)
@@ -144,36 +147,36 @@
 	if q.let {
 		return c.now >= q.agreed // what is expected is in doubt
 	}
-	if p.at == nowhere {
+	if p.replica == nil {
 		return p.work > left
 	}
-	if float64(len(c.outs[p.at])) >= c.limit[p.at] && q.step == 0 {
+	if float64(len(p.replica.outstanding)) >= p.replica.limit && q.step == 0 {
 		left = min(left, q.agreed-c.now)
 	}
-	return scale(p.work+scale(c.outWork[p.at]+ahead[p.at], 1/c.lanes), c.takes(p.at)) > left
+	return scale(p.work+scale(p.replica.outstandingWork+ahead[p.replica.index], 1/c.lanes), c.takes(p.replica)) > left
 }
 
-func (c *Scheduler) send(p *subquery, r replica) {
-	c.hold(p, nowhere)
+func (c *Scheduler) send(p *subquery, r *replicaState) {
+	c.hold(p, nil)
 	p.held = false
-	base := scale(p.work+scale(c.outWork[r]+c.waits(r), 1/c.lanes), c.takes(r)/c.pace[r])
+	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.lanes), c.takes(r)/r.slowdown)
 	if c.tells {
 		t := &c.tallies[sentAttempts]
-		if t.add(c.now, c.cell[r], p.work, 1); p.of.sent == 0 && len(c.quota) > 0 {
-			t.tenants = append(t.tenants, p.of.tenant)
+		if t.add(c.now, r.cell, p.work, 1); p.query.sent == 0 && len(c.quota) > 0 {
+			t.tenants = append(t.tenants, p.query.tenant)
 		}
 	}
-	l := &attempt{of: p, at: r, sentAt: c.now, base: base, work: p.work}
-	p.attempts, c.outs[r] = append(p.attempts, l), append(c.outs[r], l)
-	p.of.sent++
-	c.outWork[r] += p.work
+	l := &attempt{subquery: p, replica: r, sentAt: c.now, base: base, work: p.work}
+	p.attempts, r.outstanding = append(p.attempts, l), append(r.outstanding, l)
+	p.query.sent++
+	r.outstandingWork += p.work
 	if len(p.attempts) > 1 || p.again {
 		c.extras = append(c.extras, c.now)
 	}
 	if len(p.attempts) > 1 {
-		c.credit[r]--
+		r.retryCredit--
 	}
 	c.countSent(r, p.work)
-	c.host.StartAttempt(p.id, c.id[r], c.limitOf(l))
+	c.host.StartAttempt(p.id, r.id, c.limitOf(l))
 	c.look(func(as *Scheduler) { c.watched.attempt(c.limitOf(l), as.limitOf(l)) })
 }
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -97,7 +97,7 @@
 	m.c.setAside(m.index(102), nil, "test")
 	old := m.ask(0, 1, 3*time.Second)
 	m.turn()
-	m.c.trialAt[m.index(102)] = m.now + 2*time.Second // due when the first has a third of its time left
+	m.index(102).nextProbeAt = m.now + 2*time.Second // due when the first has a third of its time left
 	m.pass(1900 * ms)
 	young := m.ask(0, 1, 3*time.Second)
 	m.turn()
@@ -111,7 +111,7 @@
 func TestIdleHolderWithoutCreditGetsOneFurtherLeg(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.c.credit[m.index(102)] = 0
+	m.index(102).retryCredit = 0
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.end(q.parts[0], 0, Failed)
@@ -133,15 +133,15 @@
 			m.turn()
 			m.answer(80 * ms)
 		}
-		before := m.c.limit[r]
+		before := r.limit
 		for range 8 {
 			m.c.ReadDelayed(m.now, behind)
 			m.ask(0, 1, 3*time.Second)
 			m.turn()
 			m.answer(500 * ms)
 		}
-		if kept := m.c.limit[r] >= before && m.c.pace[r] < 2; kept != (behind > 0) {
-			t.Errorf("behind %v: cap %v before, %v after, pace %v", behind, before, m.c.limit[r], m.c.pace[r])
+		if kept := r.limit >= before && r.slowdown < 2; kept != (behind > 0) {
+			t.Errorf("behind %v: cap %v before, %v after, pace %v", behind, before, r.limit, r.slowdown)
 		}
 	}
 }
@@ -162,8 +162,8 @@
 		m.now += 100 * time.Microsecond
 		m.end(o.p, o.n, Succeeded)
 		m.turn()
-		if len(m.sent) == sent && len(m.c.outs[r]) < int(m.c.limit[r]) && m.c.heldWork[r] > 0 {
-			t.Fatalf("nothing left with a reply: %d out, cap %v", len(m.c.outs[r]), m.c.limit[r])
+		if len(m.sent) == sent && len(r.outstanding) < int(r.limit) && r.queuedWork > 0 {
+			t.Fatalf("nothing left with a reply: %d out, cap %v", len(r.outstanding), r.limit)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		}
 	}
 	serve(30)
-	before := m.c.limit[r]
+	before := r.limit
 	for range 16 {
 		m.ask(0, 1, 3*time.Second)
 	}
@@ -193,7 +193,7 @@
 	}
 	m.turn()
 	serve(20)
-	if now := m.c.limit[r]; before < 20 || now > 12 {
+	if now := r.limit; before < 20 || now > 12 {
 		t.Errorf("cap %v before, %v twenty replies after it was turned away at 6", before, now)
 	}
 }
@@ -203,7 +203,7 @@
 	m := newModel(t, 0)
 	id := m.holdersOf(0)[0]
 	m.only(id)
-	m.c.limit[m.index(id)], m.shard = 1, 0
+	m.index(id).limit, m.shard = 1, 0
 	lost := m.ask(0, 1, 30*time.Second).parts[0]
 	m.turn()
 	answered := 0
@@ -229,8 +229,8 @@
 func TestLegWithoutCopiesHasTimeForItsOwnWork(t *testing.T) {
 	m := newModel(t, 0)
 	m.c.mayCopy = false
-	for r := range m.c.id {
-		m.c.pace[r] = 0.05
+	for _, r := range m.c.replicas {
+		r.slowdown = 0.05
 	}
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
--- /dev/null
+++ b/scheduler/replica.go
@@ -0,0 +1,124 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// replicaState is all that is known of one replica. The scheduler keeps one for each replica in the endpoint list, in the
+// order in which they were first listed; the state of one that is long removed is used again for a new one.
+type replicaState struct {
+	index int // place in Scheduler.replicas
+
+	// As the endpoint list has it.
+	id           ReplicaID
+	state        EndpointState
+	cell         CellNumber // first of the cells whose shards it holds
+	zone         ZoneIndex
+	size         float64       // relative to the other replicas, above 0
+	startedAt    time.Duration // of its present incarnation; StartUnknown where no start is known
+	lastListedAt time.Duration // when it was last in the list, other than as removed
+
+	// Load.
+	outstanding     []*attempt    // attempts in flight, in order of sending
+	outstandingWork time.Duration // expected work of the attempts in flight
+	queuedWork      time.Duration // expected work of the subqueries queued for it
+	peerWork        time.Duration // work that other co-ordinators had in flight there at peerWorkAt
+	peerWorkAt      time.Duration
+	utilization     float64       // share of its cores in use, from 0 to 1, by its last load report
+	utilizationAt   time.Duration // time of that report; 0: none yet
+
+	// Latency estimate.
+	slowdown      float64 // times the expected time that its subqueries take
+	recentLatency float64 // mean of latency over expected work, of the last few replies
+	usualLatency  float64 // the same over a long time, to tell a rise by
+
+	// Concurrency limit.
+	limit         float64       // attempts that may be in flight there
+	limitCeiling  float64       // what the limit may grow to: below what the replica rejected attempts at
+	limitHalvedAt time.Duration // when the limit was last halved
+	fullUntil     time.Duration // until then it counts as full, as it rejected an attempt
+	recovering    bool          // reinstated from ejection for all classes: the limit doubles with each reply
+
+	// Retries.
+	retryCredit float64       // retries and hedges that it has earned
+	lastErrorAt time.Duration // when an attempt last ended there without an answer
+
+	// Outlier ejection.
+	classes       []replicaClassState // by class index
+	lastReplyAt   time.Duration       // when it last answered, for any class
+	nextProbeAt   time.Duration       // when the next probe is due, while it is ejected
+	probeInterval time.Duration       // from that probe to the one after it
+
+	slowStartUsedUntil time.Duration // until then this co-ordinator's share of its slow-start budget is used up
+}
+
+// replicaClassState is what is known of a replica for one class of queries.
+type replicaClassState struct {
+	ejected           bool
+	consecutiveErrors int           // attempts in a row that ended without an answer
+	lastReplyAt       time.Duration // when it last answered; 0: not since it was last sound
+}
+
+// forClass is what is known of the replica for the queries of a class.
+func (r *replicaState) forClass(of *class) *replicaClassState { return &r.classes[of.index] }
+
+// ejectedForAny tells whether the replica is ejected for one class at least.
+func (r *replicaState) ejectedForAny() bool {
+	return slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return state.ejected })
+}
+
+// ejectedForAll tells whether the replica is ejected for every class.
+func (r *replicaState) ejectedForAll() bool {
+	return !slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return !state.ejected })
+}
+
+// reinstateAll forgets the errors of the replica and its ejection for any class.
+func (r *replicaState) reinstateAll(classes int, firstProbe time.Duration) {
+	r.classes = make([]replicaClassState, classes)
+	r.probeInterval = firstProbe
+}
+
+// unload takes attempts off the replica's load. Those that have not ended yet count as overtaken from then on.
+func (r *replicaState) unload(off func(*attempt) bool) {
+	r.outstanding = slices.DeleteFunc(r.outstanding, func(other *attempt) bool {
+		gone := off(other)
+		if gone {
+			r.outstandingWork -= other.work
+			other.passed = max(other.passed, hungPassed)
+		}
+		return gone
+	})
+}
+
+// newReplica gives the state of a replica that is listed for the first time. It is the state of one that was removed long
+// ago and that nothing open can refer to, if there is one, so that a long-lived co-ordinator does not hold
+// a state for each replica that was ever listed.
+func (c *Scheduler) newReplica() *replicaState {
+	for _, replica := range c.replicas {
+		unused := replica.state == Removed && len(replica.outstanding) == 0 && c.now-replica.lastListedAt > trialMost
+		if unused && (len(c.open) == 0 || c.open[0].arrived > replica.lastListedAt) {
+			delete(c.replicasByID, replica.id)
+			return replica
+		}
+	}
+	replica := &replicaState{index: len(c.replicas), state: Removed}
+	c.replicas = append(c.replicas, replica)
+	return replica
+}
+
+// holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result holds
+// until the next change of the list.
+func (c *Scheduler) holders(shard ShardNumber) []*replicaState {
+	cell := int(shard) % c.cells
+	if c.holdersByCell[cell] == nil {
+		c.holdersByCell[cell] = []*replicaState{}
+		for _, replica := range c.replicas {
+			behind := (int(replica.cell) - cell + c.cells) % c.cells
+			if replica.state == Ready && behind < c.reach {
+				c.holdersByCell[cell] = append(c.holdersByCell[cell], replica)
+			}
+		}
+	}
+	return c.holdersByCell[cell]
+}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -20,15 +20,15 @@
 // mayRepeat tells whether the rules let a further attempt of a part be sent now.
 func (c *Scheduler) mayRepeat(p *subquery) bool {
 	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.ran || !l.done })
-	t := p.of.class
+	t := p.query.class
 	return len(p.attempts)+p.spent < c.maxAttempts && (first < 0 || t.effect == replayable ||
 		t.effect == referenced && c.now < p.attempts[first].sentAt+t.window)
 }
 
 // erring tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
 // attempt of a part, ever. Guards against: all attempts gone at once where holders err.
-func (c *Scheduler) erring(r replica, t *class, last bool) bool {
-	return c.errs[r][t.index] > 0 && (last || c.now-c.errAt[r] < scale(errorWait, c.tempo))
+func (c *Scheduler) erring(r *replicaState, t *class, last bool) bool {
+	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.tempo))
 }
 
 func (c *Scheduler) lastAttempt(p *subquery) bool { return len(p.attempts)+p.spent >= c.maxAttempts-1 }
@@ -40,8 +40,8 @@
 
 // limitOf is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
 func (c *Scheduler) limitOf(l *attempt) time.Duration {
-	if c.mayCopy || c.lastAttempt(l.of) || l.of.of.class.effect == singleUse {
+	if c.mayCopy || c.lastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
 		return 0
 	}
-	return scale(max(l.work, scale(l.base, c.pace[l.at])), patience*c.others())
+	return scale(max(l.work, scale(l.base, l.replica.slowdown)), patience*c.others())
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 	c := &Scheduler{
 		host: host, seed: seed, settings: settings, lanes: startLanes, typical: 1, wakeAt: math.MaxInt64,
 		byID: map[RequestID]*query{}, byNum: map[QueryNumber]*query{},
-		subqueries: map[RequestID]*subquery{}, index: map[ReplicaID]replica{},
+		subqueries: map[RequestID]*subquery{}, replicasByID: map[ReplicaID]*replicaState{},
 	}
 	c.read()
 	return c, c.missing
@@ -93,7 +93,7 @@
 		return
 	}
 	work := cmp.Or(scale(max(0, hint), q.class.hintUnit), q.class.unit)
-	p := &subquery{id: id, of: q, shard: shard, weight: weight, at: nowhere, work: work, hintUnit: q.class.hintUnit}
+	p := &subquery{id: id, query: q, shard: shard, weight: weight, work: work, hintUnit: q.class.hintUnit}
 	if p.spent, p.again = q.spent[shard], q.spent[shard] > 0; q.reserves && q.step == 0 {
 		p.spent = 1
 	}
@@ -143,43 +143,43 @@
 	if p == nil || int(n) >= len(p.attempts) || n < 0 || p.attempts[n].done {
 		return
 	}
-	l, r, t := p.attempts[n], p.attempts[n].at, p.of.class
-	p.of.touched = true
+	l, r, t := p.attempts[n], p.attempts[n].replica, p.query.class
+	p.query.touched = true
 	l.done, l.ran = true, how != Overloaded && how != Unreachable && how != NeverSent
-	c.unload(r, func(o *attempt) bool { return o == l })
+	r.unload(func(o *attempt) bool { return o == l })
 	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.tells {
 	} else if times > toldLate && c.behind == 0 {
-		c.tallies[lateAttempts].add(now, c.cell[r], l.work, times)
+		c.tallies[lateAttempts].add(now, r.cell, l.work, times)
 	} else if how != Cancelled { // else it may go on there
-		c.tallies[endedAttempts].add(now, c.cell[r], l.work, 1)
+		c.tallies[endedAttempts].add(now, r.cell, l.work, 1)
 	}
 	switch how {
 	case Succeeded:
-		if c.answered(r, t, l, took); r == p.of.suspect && l.sentAt > p.of.diedAt {
-			p.of.deaths = 0 // it lives: the connection alone was lost
+		if c.answered(r, t, l, took); r == p.query.suspect && l.sentAt > p.query.diedAt {
+			p.query.deaths = 0 // it lives: the connection alone was lost
 		}
-		if !p.in && !p.gone && !p.of.ended {
-			p.in, p.of.got, p.of.in = true, p.of.got+p.weight, p.of.in+1
-			p.of.ratio += float64(took) / float64(scale(l.base, c.pace[r])+1)
+		if !p.in && !p.gone && !p.query.ended {
+			p.in, p.query.got, p.query.in = true, p.query.got+p.weight, p.query.in+1
+			p.query.ratio += float64(took) / float64(scale(l.base, r.slowdown)+1)
 			c.drop(p)
 		}
 	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
 		switch {
 		case how == Overloaded:
 			c.halve(r)
-			c.ceiling[r] = max(1, min(c.ceiling[r], float64(len(c.outs[r]))))
+			r.limitCeiling = max(1, min(r.limitCeiling, float64(len(r.outstanding))))
 			if c.unseen > 1 { // full of what others sent
-				c.fullTo[r] = c.now + scale(fullWait, 0.5+c.chance())
+				r.fullUntil = c.now + scale(fullWait, 0.5+c.chance())
 			}
 		case how == Unreachable:
 			c.setAside(r, nil, "cannot be reached")
-		case how == ConnectionReset && took >= staleTook && (p.of.diedAt != c.now || p.of.suspect != r): // quicker: it idled
-			p.of.deaths, p.of.diedAt, p.of.suspect = p.of.deaths+1, c.now, r
+		case how == ConnectionReset && took >= staleTook && (p.query.diedAt != c.now || p.query.suspect != r): // quicker: it idled
+			p.query.deaths, p.query.diedAt, p.query.suspect = p.query.deaths+1, c.now, r
 		}
-		if c.errAt[r] != c.now {
-			c.errs[r][t.index]++
+		if r.lastErrorAt != c.now {
+			r.forClass(t).consecutiveErrors++
 		}
-		if c.errAt[r] = c.now; c.errs[r][t.index] >= errorLimit {
+		if r.lastErrorAt = c.now; r.forClass(t).consecutiveErrors >= errorLimit {
 			c.setAside(r, t, "brings errors only")
 		}
 	}
@@ -188,10 +188,10 @@
 	case p.in || p.gone:
 		delete(c.subqueries, id)
 	case c.mayRepeat(p):
-		c.hold(p, nowhere)
+		c.hold(p, nil)
 	default:
 		c.drop(p)
-		c.short(p.of)
+		c.short(p.query)
 	}
 }
 
@@ -199,8 +199,8 @@
 func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, busy float64) {
 	c.clock(now)
 	c.busy, c.reportAt = c.busy+busyStep*(busy-c.busy), now
-	if r, known := c.index[id]; known {
-		c.told[r], c.toldAt[r] = busy, now
+	if r, known := c.replicasByID[id]; known {
+		r.utilization, r.utilizationAt = busy, now
 	}
 }
 
@@ -298,19 +298,19 @@
 	for n := range c.asked {
 		c.asked[n] *= fade
 	}
-	for r := range c.id {
-		if c.life[r] == Ready {
-			if size, active = size+c.size[r], active+1; !c.coldFor(replica(r)) {
+	for _, r := range c.replicas {
+		if r.state == Ready {
+			if size, active = size+r.size, active+1; !c.coldFor(r) {
 				c.warm++
 			}
 		}
-		c.watch(replica(r))
-		c.unload(replica(r), func(l *attempt) bool { return l.passed > 0 && c.stuck(l) }) // lost, it would hold a place
-		if c.life[r] != Removed {
-			c.hereAt[r] = c.now
+		c.watch(r)
+		r.unload(func(l *attempt) bool { return l.passed > 0 && c.stuck(l) }) // lost, it would hold a place
+		if r.state != Removed {
+			r.lastListedAt = c.now
 		}
-		if len(c.outs[r]) == 0 {
-			c.pace[r] = math.Pow(c.pace[r], math.Exp(-passed/paceFades))
+		if len(r.outstanding) == 0 {
+			r.slowdown = math.Pow(r.slowdown, math.Exp(-passed/paceFades))
 		}
 	}
 	c.refilled = c.now
@@ -372,7 +372,7 @@
 
 // drop abandons a part, or what is still out of one that is in: nothing more is sent for it.
 func (c *Scheduler) drop(p *subquery) {
-	c.hold(p, nowhere)
+	c.hold(p, nil)
 	p.held, p.gone = false, p.gone || !p.in
 	for n, l := range p.attempts {
 		if !l.done && c.mayCancel {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -37,14 +37,14 @@
 	m.turn()
 }
 
-func (m *model) aside(id ReplicaID) bool { return !slices.Contains(m.c.aside[m.index(id)], false) }
+func (m *model) aside(id ReplicaID) bool { return m.index(id).ejectedForAll() }
 
-func (m *model) index(id ReplicaID) replica { return m.c.index[id] }
+func (m *model) index(id ReplicaID) *replicaState { return m.c.replicasByID[id] }
 
 func TestPartsLeaveInOrderOfArrival(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.c.limit[m.index(102)] = 1
+	m.index(102).limit = 1
 	for range 6 {
 		m.ask(0, 1, 3*time.Second)
 		m.turn()
@@ -60,7 +60,7 @@
 func TestHeldPartWithTooLittleTimeIsNotSent(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.c.limit[m.index(102)] = 1
+	m.index(102).limit = 1
 	first, second := m.ask(0, 1, 3*time.Second), m.ask(0, 1, 600*ms)
 	m.turn()
 	m.pass(590 * ms)
@@ -82,12 +82,12 @@
 		}
 	}
 	serve(20, 80*ms)
-	before := m.c.limit[r]
+	before := r.limit
 	serve(12, 700*ms)
-	jam := m.c.limit[r]
+	jam := r.limit
 	serve(30, 80*ms)
-	if before <= startCap || jam > startCap/2 || m.c.limit[r] <= jam {
-		t.Errorf("cap %v before, %v in the jam, %v after", before, jam, m.c.limit[r])
+	if before <= startCap || jam > startCap/2 || r.limit <= jam {
+		t.Errorf("cap %v before, %v in the jam, %v after", before, jam, r.limit)
 	}
 }
 
@@ -113,8 +113,8 @@
 	}
 	r := m.index(105)
 	m.answer(ms)
-	if m.c.aside[r][0] || m.c.limit[r] != 1 {
-		t.Errorf("set aside %v, cap %v after it has answered", m.c.aside[r][0], m.c.limit[r])
+	if r.classes[0].ejected || r.limit != 1 {
+		t.Errorf("set aside %v, cap %v after it has answered", r.classes[0].ejected, r.limit)
 	}
 	logs := strings.Join(m.logs, "\n")
 	if !strings.Contains(logs, "has gone silent") || !strings.Contains(logs, "answers again") {
@@ -129,7 +129,7 @@
 	m.only(102, 105)
 	hung := 0
 	for range 40 {
-		m.c.pace[m.index(102)] = 3 // so that the other is preferred
+		m.index(102).slowdown = 3 // so that the other is preferred
 		m.ask(0, 1, 3*time.Second)
 		m.ask(2, 1, 3*time.Second)
 		m.turn()
@@ -145,11 +145,11 @@
 		m.turn()
 	}
 	r := m.index(105)
-	if !m.c.aside[r][0] || m.c.aside[r][2] || hung > 8 {
-		t.Fatalf("set aside by track: %v, %d legs hang", m.c.aside[r], hung)
+	if !r.classes[0].ejected || r.classes[2].ejected || hung > 8 {
+		t.Fatalf("ejected by class: %v, %d attempts hang", r.classes, hung)
 	}
 	m.answer(ms)
-	if m.c.aside[r][0] {
+	if r.classes[0].ejected {
 		t.Error("still set aside after it has answered")
 	}
 }
@@ -158,7 +158,7 @@
 func TestLegThatLaterOnesHavePassedIsCopied(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102, 105)
-	m.c.pace[m.index(102)] = 3
+	m.index(102).slowdown = 3
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	for range 12 {
@@ -196,7 +196,7 @@
 // Replicas that were replaced leave no figures behind, and a full list leaves those of the others alone.
 func TestFiguresOfReplacedReplicasMakeRoom(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.pace[m.index(102)] = 1.5
+	m.index(102).slowdown = 1.5
 	for n := range 500 {
 		id := ReplicaID(1000 + n)
 		m.replicas[id] = &modelReplica{cell: n % 3, started: StartUnknown}
@@ -210,8 +210,8 @@
 		delete(m.replicas, id)
 		m.turn()
 	}
-	if n := len(m.c.id); n > len(m.order)+30 || len(m.c.index) > n || m.c.pace[m.index(102)] == 1 {
-		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.index), len(m.order), m.c.pace[m.index(102)])
+	if n := len(m.c.replicas); n > len(m.order)+30 || len(m.c.replicasByID) > n || m.index(102).slowdown == 1 {
+		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.replicasByID), len(m.order), m.index(102).slowdown)
 	}
 }
 
@@ -237,7 +237,7 @@
 	r := m.index(o.p.attempts[o.n].to)
 	m.end(o.p, o.n, ConnectionReset)
 	m.turn()
-	if m.c.aside[r][0] {
+	if r.classes[0].ejected {
 		t.Error("set aside after one dropped connection")
 	}
 	m.ask(0, 4, 3*time.Second)
@@ -246,7 +246,7 @@
 	r = m.index(o.p.attempts[o.n].to)
 	m.end(o.p, o.n, Unreachable)
 	m.turn()
-	if !m.c.aside[r][0] {
+	if !r.classes[0].ejected {
 		t.Error("not set aside though it cannot be reached")
 	}
 }
@@ -311,16 +311,16 @@
 	m.only(102, 105)
 	m.replicas[105].started = m.now
 	m.tell(false, false, 105)
-	m.c.outWork[m.index(102)] = 3 * time.Second // the warm one looks worse at first
+	m.index(102).outstandingWork = 3 * time.Second // the warm one looks worse at first
 	for range 6 {
 		m.ask(0, 1, 3*time.Second)
 	}
 	m.turn()
-	m.c.outWork[m.index(102)] = 0
+	m.index(102).outstandingWork = 0
 	m.pass(50 * ms)
 	for _, q := range m.c.open {
 		if len(q.subqueries[0].attempts) == 0 {
-			t.Fatalf("a part is not sent, held at %d, warm is %d", q.subqueries[0].at, m.index(102))
+			t.Fatalf("a part is not sent, held at %p, warm is %p", q.subqueries[0].replica, m.index(102))
 		}
 	}
 }
@@ -399,8 +399,12 @@
 		for _, o := range m.outs() {
 			m.end(o.p, o.n, Succeeded)
 		}
-		if got := slices.Max(m.c.pace) > 1.1; got != slow {
-			t.Errorf("paces %v after 800 ms, slow %v", m.c.pace, slow)
+		var slowdowns []float64
+		for _, replica := range m.c.replicas {
+			slowdowns = append(slowdowns, replica.slowdown)
+		}
+		if got := slices.Max(slowdowns) > 1.1; got != slow {
+			t.Errorf("slowdowns %v after 800 ms, slow %v", slowdowns, slow)
 		}
 	}
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -70,11 +70,11 @@
 }
 
 // copies counts where a copy of an attempt goes, and would go; each attempt once for a copy that it did not get.
-func (w *watcher) copies(l *attempt, to, other replica) {
+func (w *watcher) copies(l *attempt, to, other *replicaState) {
 	switch {
-	case to != nowhere && other == nowhere:
+	case to != nil && other == nil:
 		w.counts.WouldNotHedge++
-	case to == nowhere && other != nowhere && !l.told:
+	case to == nil && other != nil && !l.told:
 		l.told = true
 		w.counts.WouldHedge++
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -13,51 +13,51 @@
 	coldFlow   = 0.5 // share of the multiple that topples, of what warm ones get
 )
 
-func (c *Scheduler) coldFor(r replica) bool {
-	return c.tipMultiple > 0 && c.started[r] != StartUnknown && c.now-c.started[r] < c.warmAfter+c.tipOver
+func (c *Scheduler) coldFor(r *replicaState) bool {
+	return c.tipMultiple > 0 && r.startedAt != StartUnknown && c.now-r.startedAt < c.warmAfter+c.tipOver
 }
 
-func (c *Scheduler) warmth(r replica) float64 {
-	age := max(0, (c.now-c.started[r]).Seconds()/c.warmAfter.Seconds())
+func (c *Scheduler) warmth(r *replicaState) float64 {
+	age := max(0, (c.now-r.startedAt).Seconds()/c.warmAfter.Seconds())
 	return min(1, c.startShare+(1-c.startShare)*age)
 }
 
 // coldRoom keeps to this instance's share of a cold replica's budget: where that is less than a part, chance
 // lets each go or not, as many as it and what warm ones get allow. Guards against: pushing over a fresh
 // replica, and leaving it idle. Could hurt: where the warm ones are sent far more than they can do.
-func (c *Scheduler) coldRoom(r replica, p *subquery) bool {
+func (c *Scheduler) coldRoom(r *replicaState, p *subquery) bool {
 	if !c.coldFor(r) || p == nil {
 		return true
 	}
 	takes := c.coldTakes(r, p.work)
 	if burst := scale(c.tipOver, 1/coldSafety-1); takes <= burst {
-		return c.now >= c.coldAt[r]+takes-burst
+		return c.now >= r.slowStartUsedUntil+takes-burst
 	}
 	allowed, asked := coldFlow*c.tipMultiple*c.warmth(r)*c.flow/max(1, c.warm), 0.0
 	allowed += (1 - c.blank) * flowFades / takes.Seconds() / coldMany
 	for back := range c.reach {
-		asked += c.asked[(int(c.cell[r])-back+c.cells)%c.cells]
+		asked += c.asked[(int(r.cell)-back+c.cells)%c.cells]
 	}
-	return c.draw(uint64(p.id), uint64(c.id[r]))*asked < allowed
+	return c.draw(uint64(p.id), uint64(r.id))*asked < allowed
 }
 
 // countSent notes that a subquery's work goes to a replica.
-func (c *Scheduler) countSent(r replica, work time.Duration) {
+func (c *Scheduler) countSent(r *replicaState, work time.Duration) {
 	if c.coldFor(r) {
-		c.coldAt[r] = max(c.coldAt[r], c.now) + c.coldTakes(r, work)
+		r.slowStartUsedUntil = max(r.slowStartUsedUntil, c.now) + c.coldTakes(r, work)
 	}
 }
 
 // countAnswered notes that a replica has answered. What warm ones answer shows what one of them can do; what they are sent
 // does not, while they are sent too much.
-func (c *Scheduler) countAnswered(r replica) {
+func (c *Scheduler) countAnswered(r *replicaState) {
 	if !c.coldFor(r) {
 		c.flow++
 	}
 }
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
-func (c *Scheduler) coldTakes(r replica, work time.Duration) time.Duration {
+func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
 	share := coldSafety * c.tipMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.balancers)
 	return scale(work, 1/share)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -11,8 +11,8 @@
 // coldCrowd is a number of co-ordinators that share a cold replica and a warm one.
 type coldCrowd struct {
 	members []*Scheduler
-	cold    replica
-	warm    replica
+	cold    *replicaState
+	warm    *replicaState
 	freeAt  time.Duration // when the warm one has done what it was sent
 	answers []warmAnswer  // of the warm one, in order
 	chance  *rand.Rand
@@ -40,7 +40,7 @@
 		c.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
 		c.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: time.Minute, Size: 1})
 		c.lanes, c.warm, c.blank = crowdLanes, 1, 1
-		crowd.cold, crowd.warm = c.index[2], c.index[1]
+		crowd.cold, crowd.warm = c.replicasByID[2], c.replicasByID[1]
 		crowd.members = append(crowd.members, c)
 	}
 	return crowd
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -19,12 +19,9 @@
 	letAt, letGap          time.Duration // when one may be let in against it; from a late one to that
 }
 
-// replica is the dense index under which figures about replicas stand.
-type replica int
-
 type attempt struct {
-	of         *subquery
-	at         replica
+	subquery   *subquery
+	replica    *replicaState
 	sentAt     time.Duration
 	base, work time.Duration // expected time at pace 1, and the part's own share of it
 	done, ran  bool          // ran: it may have, as far as its end tells
@@ -34,15 +31,15 @@
 
 type subquery struct {
 	id             RequestID
-	of             *query
+	query          *query
 	shard          ShardNumber
 	weight         float64
 	work           time.Duration
-	hintUnit       float64 // the track's when the work was told from it
-	at             replica // where it is held, or nowhere
-	held, in, gone bool    // gone: abandoned, it gets no further attempt
-	spent          int     // attempts of its allowance that other steps have had, or are to have
-	again          bool    // an earlier step had some: its first attempt is a further one
+	hintUnit       float64       // the track's when the work was told from it
+	replica        *replicaState // where it is held; nil: nowhere
+	held, in, gone bool          // gone: abandoned, it gets no further attempt
+	spent          int           // attempts of its allowance that other steps have had, or are to have
+	again          bool          // an earlier step had some: its first attempt is a further one
 	attempts       []*attempt
 }
 
@@ -64,11 +61,9 @@
 	spent                                          map[ShardNumber]int
 	deaths                                         float64       // times that a replica seemed to die under it
 	diedAt                                         time.Duration // the last of them
-	suspect                                        replica       // where
+	suspect                                        *replicaState // where
 }
 
-const nowhere replica = -1
-
 // terms are what the settings say and what follows from them alone; they never change in a life.
 type terms struct {
 	self, balancers, cells, reach, maxAttempts       int
@@ -115,38 +110,15 @@
 	open          []*query // in order of arrival
 	byID          map[RequestID]*query
 	byNum         map[QueryNumber]*query
-	held          [][]replica                 // by cell: the holders of its shards; nil: to be made from the list
 	subqueries    map[RequestID]*subquery     // those with attempts out or of open queries
 	copies        float64                     // second copies earned
 	lanes         float64                     // learned: parts a replica works on side by side
 	taken, extras []time.Duration             // within the attempt budget's span
 	coldBefore    map[ReplicaID]time.Duration // of replicas not listed yet: coldAt as an earlier Coordinator left it
 
-	index                   map[ReplicaID]replica
-	id                      []ReplicaID
-	life                    []EndpointState
-	cell                    []CellNumber
-	zone                    []ZoneIndex
-	aside                   [][]bool          // by track: set aside
-	growing                 []bool            // back from there, the cap doubling
-	ceiling                 []float64         // what the cap grows to: less than it was turned away at
-	limit, credit           []float64         // the cap; further attempts earned
-	pace                    []float64         // times the expected time that it takes
-	size                    []float64         // as listed, where that tells one replica's size beside another's
-	fullTo                  []time.Duration   // until then it counts as full, as it turned an attempt away
-	ahead                   []time.Duration   // work that others had sent there and that was not done, as they told
-	aheadAt                 []time.Duration   // when it was so much
-	told                    []float64         // share of its cores in use, as it last said
-	toldAt                  []time.Duration   // when; 0: never
-	recent, usual           []float64         // latency over work, of late and usually
-	started, replyAt        []time.Duration   // last start and answer
-	answeredAt              [][]time.Duration // last answer, by track
-	halvedAt, errAt, hereAt []time.Duration   // last halving of the cap, last error, last time in the list
-	trialAt, trialGap       []time.Duration   // next trial, and from it to the one after
-	coldAt                  []time.Duration   // until then its cold budget is used up here
-	outWork, heldWork       []time.Duration   // expected work out there and held for it
-	errs                    [][]int           // by track: replies in a row that brought no answer
-	outs                    [][]*attempt      // in order of sending
+	replicas      []*replicaState // in the order in which they were first listed
+	replicasByID  map[ReplicaID]*replicaState
+	holdersByCell [][]*replicaState // the holders of a cell's shards; nil: to be made from the list
 }
 
 // lastOut is the last attempt of a part that is out; a copy that came back with nothing must not hide the one that
