--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -216,14 +216,14 @@
 	if installation == nil {
 		installation = &config.Config{}
 	}
-	settings := d.carried(len(installation.Peers.Others) > 0)
+	settings := d.carried(len(installation.Gossip.Peers) > 0)
 	if decided, err = scheduler.ParseConfig(settings); err != nil {
 		return decided, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if len(installation.Watch.Settings) == 0 {
+	if len(installation.Shadow.Settings) == 0 {
 		return decided, nil, nil
 	}
-	maps.Copy(settings, installation.Watch.Settings)
+	maps.Copy(settings, installation.Shadow.Settings)
 	other, err := scheduler.ParseConfig(settings)
 	if err != nil {
 		return decided, nil, fmt.Errorf("installation: watch.settings: %w", err)
