--- a/cmd/terntray-settings/render.go
+++ b/cmd/terntray-settings/render.go
@@ -13,64 +13,91 @@
 	"terntray/config"
 )
 
-// rendered renders a template and checks what comes out: by the schema, then by what it means.
-func rendered(file string, external []string) ([]byte, error) {
+// schemaName names the schema in error messages.
+const schemaName = "installation.json"
+
+// render renders a template and checks the result by the schema, then by what its sections mean together. Errors name
+// the file and the line or field.
+func render(file string, variables []string) ([]byte, error) {
+	text, err := evaluate(file, variables)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkSchema(text); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	if _, err := config.Parse([]byte(text)); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	return []byte(text), nil
+}
+
+// checkTemplate renders a template and loads the certificates that it names.
+func checkTemplate(file string, variables []string) error {
+	text, err := render(file, variables)
+	if err != nil {
+		return err
+	}
+	parsed, err := config.Parse(text)
+	if err != nil {
+		return err
+	}
+	_, err = parsed.LoadTLS()
+	return err
+}
+
+// evaluate evaluates a Jsonnet template with external variables, each as NAME=VALUE.
+func evaluate(file string, variables []string) (string, error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(file)}})
-	for _, pair := range external {
+	for _, pair := range variables {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, fmt.Errorf("--var: found %q, wanted NAME=VALUE", pair)
+			return "", fmt.Errorf("--var: found %q, wanted NAME=VALUE", pair)
 		}
 		vm.ExtVar(name, value)
 	}
-	text, err := vm.EvaluateFile(file)
-	if err != nil { // names file and line
-		return nil, err
-	}
-	schema, err := compiled()
+	return vm.EvaluateFile(file) // its errors name file and line
+}
+
+// checkSchema checks a rendered file; its errors name the path, what was found and what is wanted.
+func checkSchema(text string) error {
+	schema, err := compileSchema()
 	if err != nil {
-		return nil, err
+		return err
 	}
 	value, err := jsonschema.UnmarshalJSON(strings.NewReader(text))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
-	}
-	if err := schema.Validate(value); err != nil { // names path, found and wanted
-		return nil, fmt.Errorf("%s: %w", file, err)
-	}
-	if _, err := config.Parse([]byte(text)); err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return err
 	}
-	return []byte(text), nil
+	return schema.Validate(value)
 }
 
-func compiled() (*jsonschema.Schema, error) {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(config.Schema))
+func compileSchema() (*jsonschema.Schema, error) {
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(config.Schema))
 	if err != nil {
 		return nil, err
 	}
-	const name = "installation.json"
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, doc); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(schemaName, document); err != nil {
 		return nil, err
 	}
-	return c.Compile(name)
+	return compiler.Compile(schemaName)
 }
 
-// replace writes a file in one go: who reads it sees the old or the new one.
-func replace(file string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
+// replaceFile replaces a file's content by a rename, so that a reader sees the old or the new content and never a part.
+func replaceFile(file string, text []byte) error {
+	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
-	if _, err := f.Write(text); err != nil {
-		f.Close()
+	defer os.Remove(temporary.Name())
+	if _, err := temporary.Write(text); err != nil {
+		temporary.Close()
 		return err
 	}
-	if err := f.Close(); err != nil {
+	if err := temporary.Close(); err != nil {
 		return err
 	}
-	return os.Rename(f.Name(), file)
+	return os.Rename(temporary.Name(), file)
 }
--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -11,25 +11,25 @@
 )
 
 func TestTemplateOfTheRepositoryRenders(t *testing.T) {
-	text, err := rendered("../../deploy/terntray.jsonnet", nil)
+	text, err := render("../../deploy/terntray.jsonnet", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := filepath.Join(t.TempDir(), "terntray.json")
-	if err := replace(out, text); err != nil {
+	if err := replaceFile(out, text); err != nil {
 		t.Fatal(err)
 	}
-	i, err := config.Read(out)
+	parsed, err := config.Read(out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, _ := i.ProtocolOf("zone-h2-large", "10.0.0.1:1"); d != replicaproto.HTTP2 {
-		t.Errorf("a model of the template speaks %s", d)
+	if protocol, _ := parsed.ProtocolOf("zone-h2-large", "10.0.0.1:1"); protocol != replicaproto.HTTP2 {
+		t.Errorf("a model of the template speaks %s", protocol)
 	}
 }
 
-// What is wrong is named by file and line, or by path, with what was found and what is wanted.
-func TestWhatIsWrongWithATemplateIsNamed(t *testing.T) {
+// An error names the file with the line, or with the field, what was found there and what is wanted.
+func TestTemplateErrorsNameFileAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\n  replicas: [\n": "bad.jsonnet:3",
 		"{ replicas: [{ dialect: std.extVar('which') }] }":   "which",
@@ -43,7 +43,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rendered(file, nil); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bad.jsonnet") {
+		if _, err := render(file, nil); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bad.jsonnet") {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
--- a/cmd/terntray/main.go
+++ b/cmd/terntray/main.go
@@ -7,6 +7,12 @@
 	"os"
 )
 
+// Exit statuses.
+const (
+	exitFailure = 1 // the command failed
+	exitUsage   = 2 // the command line is wrong
+)
+
 const usage = `usage: terntray COMMAND [FLAGS]
 
   serve     serve clients until told to end (SIGTERM, SIGINT)
@@ -18,25 +24,33 @@
 `
 
 var commands = map[string]func(*flag.FlagSet, []string) error{
-	"serve": serve, "check": check, "version": version,
+	"serve":   serve,
+	"check":   check,
+	"version": version,
 }
 
 func main() {
-	name, args := "help", []string(nil)
-	if len(os.Args) > 1 {
-		name, args = os.Args[1], os.Args[2:]
+	if len(os.Args) < 2 {
+		failUsage()
 	}
-	run, known := commands[name]
-	switch {
-	case name == "help" && len(os.Args) > 1:
+	name := os.Args[1]
+	if name == "help" {
 		fmt.Print(usage)
-	case !known:
-		fmt.Fprint(os.Stderr, usage)
-		os.Exit(2)
-	default:
-		if err := run(flag.NewFlagSet("terntray "+name, flag.ExitOnError), args); err != nil {
-			fmt.Fprintln(os.Stderr, "terntray:", err)
-			os.Exit(1)
-		}
+		return
+	}
+	command, known := commands[name]
+	if !known {
+		failUsage()
 	}
+	flags := flag.NewFlagSet("terntray "+name, flag.ExitOnError)
+	if err := command(flags, os.Args[2:]); err != nil {
+		fmt.Fprintln(os.Stderr, "terntray:", err)
+		os.Exit(exitFailure)
+	}
+}
+
+// failUsage prints the usage and ends the process.
+func failUsage() {
+	fmt.Fprint(os.Stderr, usage)
+	os.Exit(exitUsage)
 }
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -35,15 +35,15 @@
 // A log that nobody reads holds up nothing.
 func TestLogThatIsNotReadHoldsUpNothing(t *testing.T) {
 	stuck := make(chan struct{})
-	l := newLogs(writer(func(b []byte) { <-stuck }))
-	for range 2 * linesWaiting {
+	l := newAsyncWriter(writer(func(b []byte) { <-stuck }))
+	for range 2 * maxPendingLines {
 		l.Write([]byte("line\n"))
 	}
 	if l.dropped.Load() == 0 {
 		t.Error("no line was dropped")
 	}
 	close(stuck)
-	l.end()
+	l.Close()
 }
 
 type writer func([]byte)
--- /dev/null
+++ b/cmd/terntray/serve.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"log"
+	"math"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"terntray/coordinator"
+)
+
+// memoryShare is the share of the machine's memory limit that the garbage collector keeps the heap to; the rest is for
+// stacks, the runtime and the kernel's buffers.
+const memoryShare = 0.7
+
+// serve is the command that runs the co-ordinator. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP has the
+// configuration read again.
+func serve(flags *flag.FlagSet, args []string) error {
+	trace := flags.Bool("trace", false, "log a line for each query and attempt")
+	configFile := configFlag(flags)
+	parse(flags, args)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP) // before anything else, as an unhandled one ends the process
+	signal.Ignore(syscall.SIGPIPE)         // the end of the log's reader is no reason to end
+	deployment, err := readDeployment(*configFile)
+	if err != nil {
+		return err
+	}
+	applyLimits(deployment.Limits)
+	output := newAsyncWriter(os.Stderr)
+	defer output.Close()
+	service, err := coordinator.New(deployment, log.New(output, "", log.Lmicroseconds))
+	if err != nil {
+		return err
+	}
+	service.Trace = *trace
+	go func() {
+		for range hangups {
+			service.Reload()
+		}
+	}()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	return service.Serve(ctx)
+}
+
+// applyLimits sets the runtime's limits on memory and processors to those of the deployment.
+func applyLimits(limits coordinator.Limits) {
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(limits.MemoryMB) * memoryShare * (1 << 20)))
+	}
+	if limits.Cores > 0 {
+		processors := max(1, int(math.Ceil(limits.Cores)))
+		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), processors))
+	}
+}
