--- /dev/null
+++ b/server/presence.go
@@ -0,0 +1,46 @@
+package server
+
+import (
+	"time"
+
+	"terntray/internal/netconn"
+)
+
+// Whether a client is still there. A query whose client has left must not send anything to replicas any more;
+// what tells of the leaving may wait behind a full inbox of the loop, or lie unread in the kernel while this
+// process stood still.
+
+// seenRecently is how old the knowledge that a client is there may be when an attempt is written: an attempt may
+// begin 100 ms after its client has gone at the latest, and this process may be held up in between.
+const seenRecently = 40 * time.Millisecond
+
+// HasGone tells whether the client has left by a loop time that is about now. It asks the kernel where the last
+// look was a while ago, as the connection's reader may not have been able to tell yet. Any goroutine may call it.
+func (client *ClientConn) HasGone(now time.Duration) bool {
+	if client.gone.Load() {
+		return true
+	}
+	if now-time.Duration(client.lastSeen.Load()) < seenRecently {
+		return false
+	}
+	if netconn.HasHungUp(client.conn) {
+		client.gone.Store(true)
+		return true
+	}
+	client.lastSeen.Store(int64(now))
+	return false
+}
+
+// hasUnread tells whether the kernel has more of the client to read before a request is looked at, and notes a
+// client that has left. Without it the requests would be run of clients that left while these waited unread,
+// behind a standstill or a crowd. What a client sends is read up to its end, as far as machines buffer.
+func (client *ClientConn) hasUnread() bool {
+	switch netconn.Peek(client.conn) {
+	case netconn.Ended:
+		client.leave()
+	case netconn.Readable:
+		return client.discardedBytes <= maxDiscardedBytes
+	}
+	client.lastSeen.Store(int64(client.server.now()))
+	return false
+}
--- /dev/null
+++ b/server/server_test.go
@@ -0,0 +1,123 @@
+package server
+
+import (
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"terntray/eventloop"
+	"terntray/internal/netconn"
+)
+
+// recorder is a Handler that keeps what it is told and answers nothing by itself.
+type recorder struct {
+	ready    atomic.Bool
+	arrivals []Arrival
+	left     []*ClientConn
+	refused  int
+	closed   []ConnClosed
+}
+
+func (handler *recorder) Ready() bool          { return handler.ready.Load() }
+func (handler *recorder) IsSheddingLoad() bool { return false }
+func (handler *recorder) Admit() bool          { return true }
+func (handler *recorder) QueryArrived(arrival Arrival) {
+	handler.arrivals = append(handler.arrivals, arrival)
+}
+func (handler *recorder) ClientLeft(client *ClientConn) { handler.left = append(handler.left, client) }
+func (handler *recorder) RequestRefused()               { handler.refused++ }
+func (handler *recorder) ConnClosed(closed ConnClosed) {
+	handler.closed = append(handler.closed, closed)
+}
+func (handler *recorder) CountersText() string  { return "" }
+func (handler *recorder) EstimatesText() string { return "" }
+
+// fixture is a server whose event loop the test runs itself.
+type fixture struct {
+	server  *Server
+	handler *recorder
+	loop    *eventloop.Loop
+}
+
+func newFixture() fixture {
+	handler, loop := &recorder{}, eventloop.New()
+	config := Config{Classes: map[string]Class{"look": {MaxTimeout: time.Minute}}}
+	server := New(config, handler, loop, log.New(io.Discard, "", 0))
+	server.slots = newConnSlots(100)
+	server.largeSlots = newLargeRequestSlots(1)
+	return fixture{server: server, handler: handler, loop: loop}
+}
+
+// runOne runs the next thing that the server posts.
+func (f fixture) runOne() { f.loop.Receive()() }
+
+// runPosted runs all that the server has posted.
+func (f fixture) runPosted() { f.loop.RunIteration(func() {}, func() {}) }
+
+// newConn makes a connection that holds a slot, as an accepted one does.
+func (f fixture) newConn(conn net.Conn) *ClientConn {
+	client := f.server.NewConn(conn)
+	f.server.slots.taken <- struct{}{}
+	f.server.conns.add(client)
+	return client
+}
+
+// serve drives a connection to its end and gives back what it holds.
+func (f fixture) serve(client *ClientConn) {
+	client.Serve()
+	f.server.release(client)
+}
+
+// shutDown is as Shutdown was called at a time, without what follows later.
+func (f fixture) shutDown(at time.Time) { f.server.shutdownStart.Store(&at) }
+
+// requestUp is a request that is answered without the loop.
+const requestUp = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
+
+// queryRequest is a request of a query.
+func queryRequest(id string) string {
+	body := `{"segments":[{"segment":0,"boost":1}],"text":"x"}`
+	head := "POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s"
+	return fmt.Sprintf(head, id, len(body), body)
+}
+
+// connPair gives the two ends of a connection on loopback, the server's first.
+func connPair(t *testing.T) (near, far *net.TCPConn) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	other, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close(); other.Close() })
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return other.(*net.TCPConn), conn.(*net.TCPConn)
+}
+
+// awaitState waits until a connection's end shows something.
+func awaitState(t *testing.T, conn net.Conn, state netconn.State) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); netconn.Peek(conn) != state; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("nothing comes")
+		}
+	}
+}
+
+// readStatus reads the status line's beginning.
+func readStatus(conn net.Conn) (string, error) {
+	status := make([]byte, len("HTTP/1.1 200"))
+	_, err := io.ReadFull(conn, status)
+	return string(status), err
+}
