--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -40,7 +40,7 @@
 		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
-		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
+		"scheduler/retry.go": {"	return c.retryBudgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
 		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -86,15 +86,15 @@
 		c.host.Log("turning retrievals back: too much work is waiting")
 	}
 	c.shedAt = c.now
-	c.host.Reject(q.id, min(over, c.maxReturn))
+	c.host.Reject(q.id, min(over, c.maxRetryAfter))
 	c.end(q, false)
 }
 
 // letTimes is how many times the times between those that are let in so: others let some in as well, and what
 // each lets in weighs on all; large ones cost more.
 func (c *Scheduler) letTimes(q *query) float64 {
-	crowd := max(1, float64(c.balancers)/fewAlike)
-	return c.tempo * min(letRarest, crowd*math.Pow(max(1, float64(len(q.subqueries))/scoutsMany), 2))
+	crowd := max(1, float64(c.coordinators)/fewCoordinators)
+	return c.timeScale * min(letRarest, crowd*math.Pow(max(1, float64(len(q.subqueries))/scoutsMany), 2))
 }
 
 // letIn lets a query in that would be turned back, if nothing is out that could show whether the replicas
@@ -108,7 +108,7 @@
 	t.shedAt = c.now
 	bound = scale(bound, t.longer)        // tightening fades by itself
 	waits := func(r *replicaState) bool { // no trial otherwise
-		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.tempo)
+		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.timeScale)
 	}
 	over := slices.ContainsFunc(mine, func(p *subquery) bool {
 		return p.replica != nil && c.finish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -22,6 +22,6 @@
 // times as many in each step. Guards against: deadly queries, where one of many co-ordinators sees too few
 // deaths to be warned. Could hurt: by some steps while replicas are busy.
 func (c *Scheduler) scouting(q *query) bool {
-	return q.in < 1+2*q.deaths && len(q.subqueries) > scoutsMany && c.unseen > 1 && q.sent > 0 &&
+	return q.in < 1+2*q.deaths && len(q.subqueries) > scoutsMany && c.unseenLoadFactor > 1 && q.sent > 0 &&
 		q.sent >= math.Pow(scoutGrow, math.Floor(float64(c.now-q.arrived)/float64(scoutStep)))
 }
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -26,5 +26,5 @@
 func (c *Scheduler) full(r *replicaState) bool {
 	n := len(r.outstanding)
 	return c.now < r.fullUntil || float64(n+1) > r.limit &&
-		c.now-max(r.lastReplyAt, r.outstanding[n-1].sentAt) < scale(hungAfter, c.tempo)
+		c.now-max(r.lastReplyAt, r.outstanding[n-1].sentAt) < scale(hungAfter, c.timeScale)
 }
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -84,7 +84,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if terms := newTerms(&got); terms.maxAttempts <= 1<<30 || terms.budgetSpan != 0 {
+	if terms := newParameters(&got); terms.maxAttempts <= 1<<30 || terms.retryBudgetSpan != 0 {
 		t.Errorf("nothing limits attempts, yet: %+v", terms)
 	}
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -44,12 +44,12 @@
 		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
 		r.slowStartUsedUntil = c.coldBefore[id]
 		delete(c.coldBefore, id)
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
 	}
 	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
 	if started > r.startedAt {
 		r.startedAt, r.limit = started, startCap
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
 		if c.coldFor(r) { // slow at first
 			r.slowdown, r.usualLatency = 1/math.Sqrt(c.warmth(r)), 1
 			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
@@ -61,15 +61,15 @@
 	c.clock(now)
 	c.subscribed = false
 	c.askAt = now + scale(c.askWait, 0.5+c.chance())
-	c.askWait = min(askMost, c.askEvery/4, 2*c.askWait)
+	c.askWait = min(askMost, c.pollInterval/4, 2*c.askWait)
 }
 
 // follow asks to be told of changes to the list. Guards against: a list that is lost, silently or not. Could
 // hurt: by adding to the load of a list service that is swamped, hence the wait.
 func (c *Scheduler) follow() {
-	if c.asks && !c.subscribed {
+	if c.mustSubscribe && !c.subscribed {
 		if c.now >= c.askAt {
-			c.askAt = c.now + min(askPatience, c.askEvery/2)
+			c.askAt = c.now + min(askPatience, c.pollInterval/2)
 			c.host.PollEndpoints()
 		}
 		c.wake(c.askAt)
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -16,7 +16,6 @@
 	startLanes  = 1.0              // parts a replica is taken to work on side by side before more was seen
 	mostLanes   = 8.0              // parts; more would hide any queue
 	lanesStep   = 0.05             // share of a queued attempt's surprise that this takes up
-	startUnit   = 0.08             // share of the agreed time that a part is taken to need before any was seen
 	leastWork   = time.Millisecond // least work of a part that latencies can tell from none
 	paceStep    = 0.2              // share of a reply's surprise (in logarithms) that its replica is blamed for
 	unitStep    = 0.02             // share of it that the track's expected work takes up
@@ -29,7 +28,6 @@
 	paceFades = 10.0 // seconds in which the pace of an idle replica goes back to a third
 
 	flowFades = 10.0 // seconds in which what went to warm ones is forgotten to a third
-	spreads   = 1.2  // times one part's time, for each e-fold of parts, to the slowest
 )
 
 func (c *Scheduler) answered(r *replicaState, t *class, l *attempt, took time.Duration) {
@@ -42,7 +40,7 @@
 	}
 	r.retryCredit = min(maxCredit, r.retryCredit+creditReply)
 	r.limitCeiling = min(maxCap, r.limitCeiling+ceilingReply)
-	c.copies = min(maxCopies*c.thrift, c.copies+copyReply*c.thrift*c.idle(r))
+	c.copies = min(maxCopies*c.hedgeScale, c.copies+copyReply*c.hedgeScale*c.idle(r))
 	here, expected := c.stalled, scale(l.base, r.slowdown)
 	if c.behind > 0 { // the reply itself waited here for so long; what that explains says the replica is sound
 		here, expected = here+ownShare*max(c.behind, c.now-l.sentAt-took), min(expected, l.base)
@@ -93,17 +91,17 @@
 func (c *Scheduler) finish(r *replicaState, more time.Duration) time.Duration {
 	d := scale(scale(r.outstandingWork+r.queuedWork+c.waits(r)+more, 1/c.lanes), c.takes(r))
 	if c.now < r.fullUntil {
-		d += c.slowest
+		d += c.longestDeadline
 	}
 	if r.zone != c.ownZone {
-		d += c.zonePenalty
+		d += c.crossZoneDelay
 	}
 	return d
 }
 
 // takes is how many times a part's work its replica takes for it.
 func (c *Scheduler) takes(r *replicaState) float64 {
-	if !c.sized {
+	if !c.listedSizes {
 		return r.slowdown
 	}
 	return r.slowdown * c.typical / r.size
@@ -111,5 +109,5 @@
 
 // slowestOf is how many times the time of one part the slowest of so many is expected to take.
 func (c *Scheduler) slowestOf(parts int) float64 {
-	return 1 + c.spreads*math.Log(float64(max(1, parts)))
+	return 1 + c.fanoutSpread*math.Log(float64(max(1, parts)))
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -38,10 +38,10 @@
 					r.slowdown *= math.Exp(paceStep * float64(l.attempts) * max(-maxSurprise, min(maxSurprise, off)))
 				}
 			}
-			r.peerWork, r.peerWorkAt = max(0, min(scale(c.quickest, c.lanes), c.waits(r)+work)), now
+			r.peerWork, r.peerWorkAt = max(0, min(scale(c.shortestObjective, c.lanes), c.waits(r)+work)), now
 		}
 	}, func(tenant TenantIndex) {
-		if int(tenant) < len(c.quota) {
+		if int(tenant) < len(c.tenantQuotas) {
 			c.allowance[tenant] = max(0, c.allowance[tenant]-1)
 		}
 	})
@@ -57,7 +57,7 @@
 	if c.heard() {
 		return 1
 	}
-	return c.unseen
+	return c.unseenLoadFactor
 }
 
 // heard tells whether the others tell what they send.
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -14,15 +14,14 @@
 	patience   = 6.0  // times the expected time after which a further attempt is thought of
 	copyRoom   = 2.5  // times a copy's expected time; while more is left, the first attempt is waited for
 
-	copyReply   = 0.3  // second copies of stragglers earned by an answer, wherever it came from
-	lastParts   = 1.5  // parts; the copy of a query's only missing part is always worth it
-	lastTimes   = 1.5  // times the expected time of a sound replica; what these wait
-	lastShare   = 12.0 // so are those of its last twelfth: each saves eleven others
-	busyFrom    = 0.4  // share of the replicas' cores in use; up to it copies cost nobody
-	busyMost    = 0.7  // the same; beyond, a queue forms at some and each copy makes it longer
-	busyStep    = 0.05 // weight of a report in what that is taken for
-	maxCopies   = 24.0 // second copies; the most that may be saved up
-	wasteWeighs = 22.0 // times the price of waste, squared and added to 1: what both are divided by
+	copyReply = 0.3  // second copies of stragglers earned by an answer, wherever it came from
+	lastParts = 1.5  // parts; the copy of a query's only missing part is always worth it
+	lastTimes = 1.5  // times the expected time of a sound replica; what these wait
+	lastShare = 12.0 // so are those of its last twelfth: each saves eleven others
+	busyFrom  = 0.4  // share of the replicas' cores in use; up to it copies cost nobody
+	busyMost  = 0.7  // the same; beyond, a queue forms at some and each copy makes it longer
+	busyStep  = 0.05 // weight of a report in what that is taken for
+	maxCopies = 24.0 // second copies; the most that may be saved up
 )
 
 // idle is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
@@ -74,7 +73,7 @@
 // copyTo is where a copy beside a part's last attempt is to go now, or nil.
 func (c *Scheduler) copyTo(q *query, p *subquery, l *attempt) *replicaState {
 	age, many := c.now-l.sentAt, float64(len(q.subqueries))/fewParts
-	if !c.mayCopy || p.in || p.gone || p.held || !c.mayRepeat(p) || !c.mayGoOn() ||
+	if !c.hedgeAllowed || p.in || p.gone || p.held || !c.mayRepeat(p) || !c.mayGoOn() ||
 		age < c.late(l, patience) && !c.stuck(l) {
 		return nil
 	}
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -511,7 +511,7 @@
 			t.Errorf("%v, and heard %v", err, m.c.peersAt)
 		}
 		for _, r := range m.c.replicas {
-			w, most := m.c.waits(r), scale(m.c.quickest, m.c.lanes)
+			w, most := m.c.waits(r), scale(m.c.shortestObjective, m.c.lanes)
 			if w < 0 || w > most || err != nil && w > 0 || r.slowdown < 0.9 || r.slowdown > 32 {
 				t.Errorf("%v ahead, pace %.1f after %v", w, r.slowdown, err)
 			}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -33,10 +33,10 @@
 func (c *Scheduler) bringBack(r *replicaState, t *class) {
 	if r.ejectedForAll() {
 		r.recovering, r.limit = true, 1
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
 	}
 	r.forClass(t).ejected = false
-	r.probeInterval, r.recentLatency = scale(trialFirst, c.tempo), min(r.recentLatency, r.usualLatency)
+	r.probeInterval, r.recentLatency = scale(trialFirst, c.timeScale), min(r.recentLatency, r.usualLatency)
 	c.host.Log(fmt.Sprintf("replica %d answers again: a trickle goes to it", r.id))
 }
 
@@ -49,14 +49,14 @@
 		case r.forClass(t).ejected:
 		case c.stuck(l) && r.forClass(t).lastReplyAt < l.sentAt && c.spare(r, t):
 			c.setAside(r, t, "answers other tracks only")
-		case n == 0 && silent > scale(hungAfter, c.tempo) && silent > c.late(l, hungTimes) && c.spare(r, t):
+		case n == 0 && silent > scale(hungAfter, c.timeScale) && silent > c.late(l, hungTimes) && c.spare(r, t):
 			c.setAside(r, nil, "has gone silent")
 		}
 	}
 }
 
 func (c *Scheduler) spare(r *replicaState, t *class) bool {
-	for back := range c.reach {
+	for back := range c.cellsPerShard {
 		others := c.holders(ShardNumber(int(r.cell) - back + c.cells))
 		if !slices.ContainsFunc(others, func(o *replicaState) bool { return o != r && c.sendable(o, t, nil) }) {
 			return false
@@ -73,20 +73,20 @@
 // none has for a while, the part itself.
 func (c *Scheduler) trial(p *subquery) bool {
 	copied := len(p.attempts) > 0
-	mayCopy := p.query.class.effect == replayable && c.mayCopy && !c.lastAttempt(p)
+	mayCopy := p.query.class.effect == replayable && c.hedgeAllowed && !c.lastAttempt(p)
 	tooOld := c.now-p.query.arrived > (p.query.endAt-p.query.arrived)/2 // its answer would tell too late
 	if (copied || p.again) && !c.mayGoOn() || p.running() && !mayCopy || p.query.doubtful() || tooOld {
 		return false
 	}
 	for _, r := range c.holders(p.shard) {
 		due := r.nextProbeAt
-		if !copied && p.replica != nil && c.mayCopy {
-			due += scale(trialMost, c.tempo)
+		if !copied && p.replica != nil && c.hedgeAllowed {
+			due += scale(trialMost, c.timeScale)
 		}
 		if r.forClass(p.query.class).ejected && !p.tried(r, true) && c.now >= due && c.coldRoom(r, p) {
 			r.nextProbeAt = c.now + r.probeInterval
-			if r.probeInterval = min(scale(trialMost, c.tempo), 2*r.probeInterval); p.replica == nil {
-				r.probeInterval = scale(trialFirst, c.tempo) // no other holder is in use
+			if r.probeInterval = min(scale(trialMost, c.timeScale), 2*r.probeInterval); p.replica == nil {
+				r.probeInterval = scale(trialFirst, c.timeScale) // no other holder is in use
 			}
 			c.send(p, r)
 			return true
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -160,9 +160,9 @@
 	c.hold(p, nil)
 	p.held = false
 	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.lanes), c.takes(r)/r.slowdown)
-	if c.tells {
+	if c.gossipEnabled {
 		t := &c.tallies[sentAttempts]
-		if t.add(c.now, r.cell, p.work, 1); p.query.sent == 0 && len(c.quota) > 0 {
+		if t.add(c.now, r.cell, p.work, 1); p.query.sent == 0 && len(c.tenantQuotas) > 0 {
 			t.tenants = append(t.tenants, p.query.tenant)
 		}
 	}
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -228,7 +228,7 @@
 // Where no copy may go an attempt has the time that its own work takes, however quick its replica was with others.
 func TestLegWithoutCopiesHasTimeForItsOwnWork(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.mayCopy = false
+	m.c.hedgeAllowed = false
 	for _, r := range m.c.replicas {
 		r.slowdown = 0.05
 	}
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -115,7 +115,7 @@
 		c.holdersByCell[cell] = []*replicaState{}
 		for _, replica := range c.replicas {
 			behind := (int(replica.cell) - cell + c.cells) % c.cells
-			if replica.state == Ready && behind < c.reach {
+			if replica.state == Ready && behind < c.cellsPerShard {
 				c.holdersByCell[cell] = append(c.holdersByCell[cell], replica)
 			}
 		}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -28,19 +28,19 @@
 // erring tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
 // attempt of a part, ever. Guards against: all attempts gone at once where holders err.
 func (c *Scheduler) erring(r *replicaState, t *class, last bool) bool {
-	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.tempo))
+	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.timeScale))
 }
 
 func (c *Scheduler) lastAttempt(p *subquery) bool { return len(p.attempts)+p.spent >= c.maxAttempts-1 }
 
 // mayGoOn tells whether the attempt budget holds a further attempt.
 func (c *Scheduler) mayGoOn() bool {
-	return c.budgetSpan == 0 || float64(len(c.extras)+1) <= c.budgetFree+c.budgetShare*float64(len(c.taken))
+	return c.retryBudgetSpan == 0 || float64(len(c.extras)+1) <= c.retryBudgetFree+c.retryBudgetShare*float64(len(c.taken))
 }
 
 // limitOf is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
 func (c *Scheduler) limitOf(l *attempt) time.Duration {
-	if c.mayCopy || c.lastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
+	if c.hedgeAllowed || c.lastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
 		return 0
 	}
 	return scale(max(l.work, scale(l.base, l.replica.slowdown)), patience*c.others())
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -18,12 +18,8 @@
 	endMargin  = 20 * time.Millisecond // answers leave this long before cut-off or agreed time: two sweeps
 	rounding   = 0.00005               // weight; half of what sums may fall short by
 
-	usualPace = 1500 * time.Millisecond // agreed time; where all are shorter, so are the times in this group
-
 	fewOpen = 64 // queries that cost a turn little
 
-	fewAlike   = 8.0  // co-ordinators; up to so many one sees enough of the work
-	unseenMore = 0.5  // times the expected finish, for each e-fold of more
 	sameShare  = 0.01 // of a cut-off; first tries differ by less on their way
 	sharesKept = 16   // queries; the last ones that tell what first tries come with
 )
@@ -36,14 +32,14 @@
 		return nil, err
 	}
 	c := &Scheduler{
-		host: host, seed: seed, terms: newTerms(&config), classes: newClasses(config.Classes),
+		host: host, seed: seed, parameters: newParameters(&config), classes: newClasses(config.Classes),
 		lanes: startLanes, typical: 1, wakeAt: math.MaxInt64, blank: 1, askWait: askFirst,
 		byID: map[RequestID]*query{}, byNum: map[QueryNumber]*query{},
 		subqueries: map[RequestID]*subquery{}, replicasByID: map[ReplicaID]*replicaState{},
 		holdersByCell: make([][]*replicaState, config.Cells), asked: make([]float64, config.Cells),
 	}
-	c.copies = maxCopies * c.thrift
-	for _, quota := range c.quota {
+	c.copies = maxCopies * c.hedgeScale
+	for _, quota := range c.tenantQuotas {
 		c.allowance = append(c.allowance, max(leastBurst, quota*shareBurst))
 	}
 	return c, nil
@@ -66,8 +62,8 @@
 	}
 	q.touched, c.open = true, append(c.open, q)
 	c.byID[q.id], c.byNum[q.number] = q, q
-	known := int(tenant) < len(c.quota)
-	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseen <= 1 || c.heard()); known && !q.overShare {
+	known := int(tenant) < len(c.tenantQuotas)
+	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseenLoadFactor <= 1 || c.heard()); known && !q.overShare {
 		c.allowance[tenant]--
 	}
 	q.overShare = q.overShare || q.past
@@ -157,7 +153,7 @@
 	p.query.touched = true
 	l.done, l.ran = true, how != Overloaded && how != Unreachable && how != NeverSent
 	r.unload(func(o *attempt) bool { return o == l })
-	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.tells {
+	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.gossipEnabled {
 	} else if times > toldLate && c.behind == 0 {
 		c.tallies[lateAttempts].add(now, r.cell, l.work, times)
 	} else if how != Cancelled { // else it may go on there
@@ -178,7 +174,7 @@
 		case how == Overloaded:
 			c.halve(r)
 			r.limitCeiling = max(1, min(r.limitCeiling, float64(len(r.outstanding))))
-			if c.unseen > 1 { // full of what others sent
+			if c.unseenLoadFactor > 1 { // full of what others sent
 				r.fullUntil = c.now + scale(fullWait, 0.5+c.chance())
 			}
 		case how == Unreachable:
@@ -256,7 +252,7 @@
 func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
 	c.follow()
-	c.taken, c.extras = after(c.taken, now-c.budgetSpan+1), after(c.extras, now-c.budgetSpan)
+	c.taken, c.extras = after(c.taken, now-c.retryBudgetSpan+1), after(c.extras, now-c.retryBudgetSpan)
 	all := len(c.open) <= fewOpen || now >= c.refilled+sweepEvery
 	if all {
 		c.refill()
@@ -293,7 +289,7 @@
 // refill lets go of what time takes away and looks after the replicas.
 func (c *Scheduler) refill() {
 	passed := (c.now - c.refilled).Seconds()
-	for t, q := range c.quota {
+	for t, q := range c.tenantQuotas {
 		c.allowance[t] = min(max(leastBurst, q*shareBurst), c.allowance[t]+q*passed)
 	}
 	for n := range c.classes {
@@ -385,7 +381,7 @@
 	c.hold(p, nil)
 	p.held, p.gone = false, p.gone || !p.in
 	for n, l := range p.attempts {
-		if !l.done && c.mayCancel {
+		if !l.done && c.cancelAllowed {
 			c.host.CancelAttempt(p.id, AttemptNumber(n))
 		}
 	}
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.reach != c.reach {
+	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.cellsPerShard != c.cellsPerShard {
 		return fmt.Errorf("the settings to watch tell of other tracks or shards")
 	}
 	c.watched = &watcher{under: under}
@@ -55,8 +55,8 @@
 		return
 	}
 	as := *c
-	as.terms = c.watched.under.terms
-	if as.tells {
+	as.parameters = c.watched.under.parameters
+	if as.gossipEnabled {
 		as.peersAt = c.now // as if the others told
 	}
 	ask(&as)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -14,12 +14,12 @@
 )
 
 func (c *Scheduler) coldFor(r *replicaState) bool {
-	return c.tipMultiple > 0 && r.startedAt != StartUnknown && c.now-r.startedAt < c.warmAfter+c.tipOver
+	return c.overloadMultiple > 0 && r.startedAt != StartUnknown && c.now-r.startedAt < c.warmUpTime+c.overloadTime
 }
 
 func (c *Scheduler) warmth(r *replicaState) float64 {
-	age := max(0, (c.now-r.startedAt).Seconds()/c.warmAfter.Seconds())
-	return min(1, c.startShare+(1-c.startShare)*age)
+	age := max(0, (c.now-r.startedAt).Seconds()/c.warmUpTime.Seconds())
+	return min(1, c.startCapacity+(1-c.startCapacity)*age)
 }
 
 // coldRoom keeps to this instance's share of a cold replica's budget: where that is less than a part, chance
@@ -30,12 +30,12 @@
 		return true
 	}
 	takes := c.coldTakes(r, p.work)
-	if burst := scale(c.tipOver, 1/coldSafety-1); takes <= burst {
+	if burst := scale(c.overloadTime, 1/coldSafety-1); takes <= burst {
 		return c.now >= r.slowStartUsedUntil+takes-burst
 	}
-	allowed, asked := coldFlow*c.tipMultiple*c.warmth(r)*c.flow/max(1, c.warm), 0.0
+	allowed, asked := coldFlow*c.overloadMultiple*c.warmth(r)*c.flow/max(1, c.warm), 0.0
 	allowed += (1 - c.blank) * flowFades / takes.Seconds() / coldMany
-	for back := range c.reach {
+	for back := range c.cellsPerShard {
 		asked += c.asked[(int(r.cell)-back+c.cells)%c.cells]
 	}
 	return c.draw(uint64(p.id), uint64(r.id))*asked < allowed
@@ -58,6 +58,6 @@
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
 func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
-	share := coldSafety * c.tipMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.balancers)
+	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.coordinators)
 	return scale(work, 1/share)
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -68,28 +68,9 @@
 	suspect                                        *replicaState // where
 }
 
-// terms are what the settings say and what follows from them alone; they never change in a life.
-type terms struct {
-	self, balancers, cells, reach, maxAttempts       int
-	mayCancel, mayCopy                               bool
-	ownZone                                          ZoneIndex
-	quickest, slowest                                time.Duration // shortest agreed time, longest cut-off
-	maxReturn, zonePenalty                           time.Duration // zonePenalty: what crossing zones costs
-	warmAfter, tipOver, budgetSpan                   time.Duration
-	tipMultiple, startShare, budgetFree, budgetShare float64
-	quota                                            []float64 // per tenant, for each second
-	asks                                             bool      // the list comes when asked for
-	askEvery                                         time.Duration
-	tells, sized                                     bool    // messages to the others are allowed; sizes are listed
-	thrift                                           float64 // share of the usual copies, less where waste is dear
-	tempo                                            float64 // times the times that are meant for long agreed ones
-	spreads                                          float64 // times one part's time, for each e-fold of parts, to the slowest
-	unseen                                           float64 // times the expected finish, for what others have waiting
-}
-
 // Scheduler makes the decisions of one co-ordinator.
 type Scheduler struct {
-	terms
+	parameters
 
 	host        Host
 	seed, draws uint64
--- a/scheduler/tables.go
+++ b/scheduler/tables.go
@@ -25,7 +25,7 @@
 // draw is from 0 to under 1, always the same for the same things.
 func (c *Scheduler) draw(what, of uint64) float64 {
 	h := fnv.New64a()
-	fmt.Fprintln(h, c.seed, c.self, what, of)
+	fmt.Fprintln(h, c.seed, c.selfIndex, what, of)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
