--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -29,7 +29,7 @@
 			"FINISHED\t88\t9\t900\t1\t0\t0\t-\nPROBE_DONE\t1400\t0\t900\t-\n" +
 			"FIRST\t88\t900\t0\t10\nFLUSH\n", "NEXT\t1\nNEXT\t2\n"},
 		"what others tell is read, or named": {start + "MARK\t1100000\t2\nINSTANCE\t4\nPEER_DATA\t2\taGkgNw==\nFLUSH\n",
-			"NEXT\t1\nON_BEHALF\t4\nEMIT\tco-ordinator 2: the message is none that co-ordinators of this kind send\nNEXT\t2\n"},
+			"NEXT\t1\nON_BEHALF\t4\nEMIT\tco-ordinator 2: gossip message: length: found 4, wanted more than 5 and at most 256\nNEXT\t2\n"},
 		"legs are told where messages go": {strings.Replace(start, "balancers=1", "balancers=40\tbounds.peers=true", 1) +
 			"MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nSUBMIT_TO\t11\t900\t0\nPOST\tall\tqAEDIAAB\nNOTIFY_ME\tlook\t10000\nNEXT\t2\n"},
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -55,9 +55,9 @@
 	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.agreed-q.arrived, 0.0
 	if q.class.fetch > 0 && q.step == 0 { // what follows takes as long as these do
 		steps = c.slowestOf(q.class.fetch)
-		left -= scale(q.class.unit, c.others()*steps)
+		left -= scale(q.class.unit, c.unseenLoad()*steps)
 	}
-	bound = scale(left, 1/(q.class.longer*c.others()))
+	bound = scale(left, 1/(q.class.longer*c.unseenLoad()))
 	if q.overShare {
 		bound = scale(bound, overShare)
 	}
@@ -66,7 +66,7 @@
 			at[p.replica], mean = true, mean+c.finish(p.replica, 0)
 		}
 	}
-	over = scale(mean, (steps+c.slowestOf(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
+	over = scale(mean, (steps+c.slowestOf(len(at)))/(c.unseenLoad()*float64(max(1, len(at))))) - bound
 	if !q.reaches(func(p *subquery) bool { return p.replica == nil || c.finish(p.replica, 0) <= bound }) {
 		for r := range at {
 			over = max(over, c.finish(r, 0)-bound)
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -89,7 +89,7 @@
 }
 
 func (c *Scheduler) finish(r *replicaState, more time.Duration) time.Duration {
-	d := scale(scale(r.outstandingWork+r.queuedWork+c.waits(r)+more, 1/c.lanes), c.takes(r))
+	d := scale(scale(r.outstandingWork+r.queuedWork+c.peerBacklog(r)+more, 1/c.lanes), c.takes(r))
 	if c.now < r.fullUntil {
 		d += c.longestDeadline
 	}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,64 +1,139 @@
 package scheduler
 
-// Messages between co-ordinators: what they tell of their attempts, and what is made of it.
-
 import (
 	"fmt"
 	"math"
 	"time"
 )
 
+// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
+// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
+// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
+// doubled or late: what they tell fades with time. gossip_message.go has their form.
+
 const (
-	peersQuiet = 1 * time.Second        // without a message, after which none is counted on
-	toldLate   = 2.0                    // times the expected time; from then on others are told how late
-	tellWait   = 100 * time.Millisecond // from an attempt's end until the others are told, as messages cost
+	// peerTimeout is the time without any message after which the others count as silent.
+	peerTimeout = 1 * time.Second
+
+	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
+	lateAttempt = 2.0
+
+	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that were
+	// sent are told at once, as others may be about to choose the same replica.
+	gossipDelay = 100 * time.Millisecond
 )
 
-// waits is the work that other co-ordinators have out at a replica, by what they told of attempts sent and ended,
-// less with time, as what is lost would stay. It stands in for the controller, which knows all work ahead.
-func (c *Scheduler) waits(r *replicaState) time.Duration {
-	return scale(r.peerWork, math.Exp(-float64(c.now-r.peerWorkAt)/float64(toldFresh)))
+// gossip is what a co-ordinator has to tell its peers, and when it last heard one.
+type gossip struct {
+	heardAt time.Duration // last message of a peer that could be read; 0: none yet
+	pending [attemptEvents]attemptTally
 }
 
-// GossipReceived takes what another co-ordinator says of its attempts. Late ones count for the pace as own replies do.
-func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
-	c.clock(now)
-	err := decodeAhead(message, c.cells, func(l attemptsAt) {
-		for _, r := range c.holders(ShardNumber(l.cell)) {
-			if r.cell != l.cell {
-				continue
-			}
-			work := time.Duration(l.attempts) * l.work
-			if l.kind == endedAttempts {
-				c.lanes = min(mostLanes, c.lanes*math.Pow(l.lanes/c.lanes, lanesStep))
-			}
-			if l.kind != sentAttempts {
-				work = -work
-				if off := math.Log(max(1, l.late) / r.slowdown); l.kind == lateAttempts || off < 0 {
-					r.slowdown *= math.Exp(paceStep * float64(l.attempts) * max(-maxSurprise, min(maxSurprise, off)))
-				}
+// heard tells whether the peers tell what they send.
+func (g *gossip) heard(now time.Duration) bool {
+	return g.heardAt > 0 && now < g.heardAt+peerTimeout
+}
+
+// attemptSent notes an attempt that is now in flight.
+func (g *gossip) attemptSent(now time.Duration, cell CellNumber, work time.Duration) {
+	g.pending[attemptsSent].add(now, cell, work, 1)
+}
+
+// queryAdmitted notes a tenant's query whose first attempt was just noted.
+func (g *gossip) queryAdmitted(tenant TenantIndex) {
+	sent := &g.pending[attemptsSent]
+	sent.tenants = append(sent.tenants, tenant)
+}
+
+// attemptEnded notes the end of an attempt that took so many times the expected time. A late one is told as late unless
+// this co-ordinator was late itself in reading the answer. A cancelled attempt is told only if it was late, as the
+// replica may go on with it.
+func (g *gossip) attemptEnded(now time.Duration, ended *attempt, lateness float64, readLate, cancelled bool) {
+	cell := ended.replica.cell
+	switch {
+	case lateness > lateAttempt && !readLate:
+		g.pending[attemptsLate].add(now, cell, ended.work, lateness)
+	case !cancelled:
+		g.pending[attemptsEnded].add(now, cell, ended.work, 1)
+	}
+}
+
+// broadcast sends what is due and asks to be woken for the rest.
+func (c *Scheduler) broadcast() {
+	for event := range attemptEvents {
+		tally := &c.gossip.pending[event]
+		due := tally.since + gossipDelay
+		switch {
+		case event == attemptsSent || c.now >= due:
+			for _, message := range tally.take(event, c.cells, c.lanes) {
+				c.host.Broadcast(message)
 			}
-			r.peerWork, r.peerWorkAt = max(0, min(scale(c.shortestObjective, c.lanes), c.waits(r)+work)), now
+		case len(tally.cells) > 0:
+			c.wake(due)
 		}
-	}, func(tenant TenantIndex) {
+	}
+}
+
+// GossipReceived takes a message of another co-ordinator. One that cannot be read changes nothing; the error wraps a
+// *GossipError.
+func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
+	c.clock(now)
+	decoded, err := decodeGossip(message, c.cells)
+	if err != nil {
+		return fmt.Errorf("co-ordinator %d: %w", from, err)
+	}
+	for _, tenant := range decoded.tenants {
 		if int(tenant) < len(c.tenantQuotas) {
 			c.allowance[tenant] = max(0, c.allowance[tenant]-1)
 		}
-	})
-	if err != nil {
-		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
-	c.peersAt = now
+	for _, told := range decoded.cells {
+		for _, replica := range c.holders(ShardNumber(told.cell)) {
+			if replica.cell == told.cell {
+				c.takePeerAttempts(replica, decoded, told.attempts)
+			}
+		}
+	}
+	c.gossip.heardAt = now
 	return nil
 }
 
-// others is how many times the expected finish what others have waiting may make of it, unless they tell.
-func (c *Scheduler) others() float64 {
-	if c.heard() {
+// takePeerAttempts applies what a peer tells of attempts at a replica.
+func (c *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
+	work := time.Duration(attempts) * message.work
+	if message.event == attemptsEnded {
+		c.lanes = min(mostLanes, c.lanes*math.Pow(message.parallelism/c.lanes, lanesStep))
+	}
+	if message.event != attemptsSent {
+		work = -work
+		c.takePeerLatency(replica, message, attempts)
+	}
+	most := scale(c.shortestObjective, c.lanes)
+	replica.peerWork = max(0, min(most, c.peerBacklog(replica)+work))
+	replica.peerWorkAt = c.now
+}
+
+// takePeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
+func (c *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
+	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
+	if message.event != attemptsLate && surprise >= 0 {
+		return
+	}
+	bounded := max(-maxSurprise, min(maxSurprise, surprise))
+	replica.slowdown *= math.Exp(paceStep * float64(attempts) * bounded)
+}
+
+// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the message
+// of an attempt's end may be lost.
+func (c *Scheduler) peerBacklog(replica *replicaState) time.Duration {
+	age := c.now - replica.peerWorkAt
+	return scale(replica.peerWork, math.Exp(-float64(age)/float64(toldFresh)))
+}
+
+// unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
+func (c *Scheduler) unseenLoad() float64 {
+	if c.gossip.heard(c.now) {
 		return 1
 	}
 	return c.unseenLoadFactor
 }
-
-// heard tells whether the others tell what they send.
-func (c *Scheduler) heard() bool { return c.peersAt > 0 && c.now < c.peersAt+peersQuiet }
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -2,177 +2,291 @@
 
 import (
 	"encoding/binary"
-	"errors"
+	"fmt"
 	"math"
 	"time"
 )
 
-// What co-ordinators tell each other of their attempts, gathered and as bytes. Nothing here chooses anything.
+// Messages between co-ordinators tell what became of attempts, so that each knows what the others have in flight. A
+// message is one datagram of at most 256 bytes, in version 2 of its form:
+//
+//	byte 0    0xa8: the kind of message and its version
+//	byte 1    lowest bit: how the cells follow, 0 a list, 1 a map; above it: what became of the attempts
+//	byte 2-3  mean expected work of an attempt, big endian, in units of 100 µs, at most 0xffff
+//	byte 4    sent:  how many tenants follow, at most 16
+//	          ended: the subqueries that the sender takes a replica to work on side by side, in sixteenths, at least 16
+//	          late:  how many times longer than expected the attempts took, in eighths, more than 8
+//	tenants   sent: a byte for each query admitted, its tenant; otherwise nothing
+//	list      for each attempt the cell of its replica, as an unsigned varint
+//	map       for each cell two bits with the number of its attempts, the first cell in the lowest bits of a byte
+//
+// The cells are a map where that is shorter and fits. What does not fit in one message goes in a further one.
 
 // PeerIndex is a co-ordinator's number among all.
 type PeerIndex int
 
-// legsTold is what a message tells of its attempts.
-type attemptsTold int
+// attemptEvent is what became of the attempts that a message tells of.
+type attemptEvent int
 
 const (
-	sentAttempts   attemptsTold = iota // just sent, and for whom
-	endedAttempts                      // at an end, in about the time expected or with nothing to tell of it
-	lateAttempts                       // at an end, or called off, so many times later than expected
-	kindsOfAttempt = 3
+	attemptsSent  attemptEvent = iota // just sent; tells for whom as well
+	attemptsEnded                     // ended in about the expected time, or with nothing to tell of it
+	attemptsLate                      // ended or cancelled, much later than expected
+	attemptEvents                     // how many there are
 )
 
 const (
-	aheadMark    = 0xa8                   // the first byte: so told, version 2
-	aheadHead    = 5                      // the mark, what is told and how the cells follow, the mean work of an attempt, one byte more
-	aheadUnit    = 100 * time.Microsecond // of that work
-	aheadMap     = 1                      // two bits for each cell, its attempts, three at the most; else a cell for each attempt
-	kindShift    = 1                      // above that bit: which attempts
-	lateUnit     = 8                      // eighths: how many times later, in the byte that else counts tenants
-	lanesUnit    = 16                     // sixteenths: how many parts side by side the sender counts on, there with ended ones
-	mostMessage  = 256                    // bytes
-	mostOfMap    = 3
-	mostTenants  = 16                                          // in one message, each for a query let in
-	mostOfCells  = (mostMessage - aheadHead - mostTenants) / 3 // attempts that a list holds, as a cell takes three bytes at the most
-	cellsOfAByte = 4
-	mostGathered = 4096 // attempts; a turn that sends or ends more tells of so many
+	gossipMagic  = 0xa8
+	gossipHeader = 5   // bytes
+	maxGossip    = 256 // bytes of a message
+
+	gossipCellMap    = 1 // bit of byte 1
+	gossipEventShift = 1 // of byte 1
+
+	gossipWorkUnit        = 100 * time.Microsecond
+	gossipParallelismUnit = 16 // of one subquery
+	gossipLatenessUnit    = 8  // of the expected time
+
+	cellsPerByte    = 4                                           // of a map
+	bitsPerCell     = 2                                           // of a map
+	maxMapped       = 1<<bitsPerCell - 1                          // attempts of a cell in a map
+	maxTenants      = 16                                          // in a message
+	maxListed       = (maxGossip - gossipHeader - maxTenants) / 3 // cells in a list, as each takes three bytes at the most
+	maxAttemptTally = 4096                                        // attempts gathered; further ones are not told of
 )
 
-var errAhead = errors.New("the message is none that co-ordinators of this kind send")
+// GossipError says why a message of another co-ordinator cannot be read.
+type GossipError struct {
+	Field  string // the part of the message at fault
+	Found  int
+	Wanted string
+}
+
+func (e *GossipError) Error() string {
+	return fmt.Sprintf("gossip message: %s: found %d, wanted %s", e.Field, e.Found, e.Wanted)
+}
+
+// gossipMessage is one that has been read.
+type gossipMessage struct {
+	event       attemptEvent
+	work        time.Duration // mean of an attempt
+	tenants     []TenantIndex // attemptsSent: one for each query admitted
+	parallelism float64       // attemptsEnded: subqueries side by side at a replica, as the sender estimates; at least 1
+	lateness    float64       // attemptsLate: times the expected time that the attempts took; above 1
+	cells       []cellAttempts
+}
+
+// cellAttempts is the number of attempts at the replicas of one cell, above 0.
+type cellAttempts struct {
+	cell     CellNumber
+	attempts int
+}
+
+// mapSize is the length of a map of cells in bytes.
+func mapSize(cells int) int { return (cells + cellsPerByte - 1) / cellsPerByte }
 
-// tally gathers attempts of one kind until they are told.
-type tally struct {
-	cells   []CellNumber
-	tenants []TenantIndex // of queries let in
-	work    time.Duration // of all attempts
-	late    float64       // sum of the logarithms of how many times later they were
-	since   time.Duration // the first was gathered
+// decodeGossip reads a message whole or not at all. The error is a *GossipError.
+func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
+	if len(message) <= gossipHeader || len(message) > maxGossip {
+		return nil, &GossipError{"length", len(message), fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)}
+	}
+	if message[0] != gossipMagic {
+		return nil, &GossipError{"first byte", int(message[0]), fmt.Sprint(gossipMagic)}
+	}
+	decoded := &gossipMessage{
+		event: attemptEvent(message[1] >> gossipEventShift),
+		work:  time.Duration(binary.BigEndian.Uint16(message[2:])) * gossipWorkUnit,
+	}
+	body, err := decoded.readDetail(message[4], message[gossipHeader:])
+	if err != nil {
+		return nil, err
+	}
+	if message[1]&gossipCellMap > 0 {
+		err = decoded.readMap(body, cells)
+	} else {
+		err = decoded.readList(body, cells)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return decoded, nil
 }
 
-func (t *tally) add(now time.Duration, cell CellNumber, work time.Duration, times float64) {
+// readDetail reads what byte 4 says of the event, and the tenants behind it. It returns the bytes that tell of cells.
+func (m *gossipMessage) readDetail(detail byte, body []byte) ([]byte, error) {
+	switch m.event {
+	case attemptsSent:
+		return m.readTenants(int(detail), body)
+	case attemptsEnded:
+		if detail < gossipParallelismUnit {
+			return nil, &GossipError{"subqueries side by side", int(detail), "at least one, which is 16"}
+		}
+		m.parallelism = float64(detail) / gossipParallelismUnit
+	case attemptsLate:
+		if detail <= gossipLatenessUnit {
+			return nil, &GossipError{"lateness", int(detail), "more than the expected time, which is 8"}
+		}
+		m.lateness = float64(detail) / gossipLatenessUnit
+	default:
+		return nil, &GossipError{"event", int(m.event), "attempts sent, ended or late, which are 0, 1 and 2"}
+	}
+	return body, nil
+}
+
+func (m *gossipMessage) readTenants(count int, body []byte) ([]byte, error) {
+	if count > maxTenants || count >= len(body) {
+		return nil, &GossipError{"tenants", count, fmt.Sprintf("at most %d, and cells behind them", maxTenants)}
+	}
+	for _, tenant := range body[:count] {
+		m.tenants = append(m.tenants, TenantIndex(tenant))
+	}
+	return body[count:], nil
+}
+
+func (m *gossipMessage) readMap(body []byte, cells int) error {
+	if len(body) != mapSize(cells) {
+		return &GossipError{"length of the map", len(body), fmt.Sprint(mapSize(cells))}
+	}
+	for cell := range cells {
+		shift := bitsPerCell * (cell % cellsPerByte)
+		attempts := int(body[cell/cellsPerByte] >> shift & maxMapped)
+		if attempts > 0 {
+			m.cells = append(m.cells, cellAttempts{CellNumber(cell), attempts})
+		}
+	}
+	return nil
+}
+
+func (m *gossipMessage) readList(body []byte, cells int) error {
+	for len(body) > 0 {
+		cell, length := binary.Uvarint(body)
+		if length <= 0 {
+			return &GossipError{"cell, bytes left", len(body), "an unsigned varint"}
+		}
+		if cell >= uint64(cells) {
+			return &GossipError{"cell", int(min(cell, math.MaxInt)), fmt.Sprintf("less than %d", cells)}
+		}
+		m.cells = append(m.cells, cellAttempts{CellNumber(cell), 1})
+		body = body[length:]
+	}
+	return nil
+}
+
+// attemptTally gathers attempts of one event until the others are told.
+type attemptTally struct {
+	cells       []CellNumber  // one for each attempt
+	tenants     []TenantIndex // one for each query admitted
+	work        time.Duration // of all attempts
+	logLateness float64       // sum of the logarithms of their lateness
+	since       time.Duration // when the first was gathered
+}
+
+// add gathers an attempt that took so many times the expected time.
+func (t *attemptTally) add(now time.Duration, cell CellNumber, work time.Duration, lateness float64) {
 	if len(t.cells) == 0 {
 		t.since = now
 	}
-	if len(t.cells) < mostGathered {
-		t.cells, t.work, t.late = append(t.cells, cell), t.work+work, t.late+math.Log(times)
+	if len(t.cells) < maxAttemptTally {
+		t.cells = append(t.cells, cell)
+		t.work += work
+		t.logLateness += math.Log(lateness)
 	}
 }
 
-// take gives the messages that tell what was gathered, in as few bytes as it takes, and begins anew.
-func (t *tally) take(kind attemptsTold, cells int, lanes float64) (messages [][]byte) {
+// take encodes what was gathered, in as few bytes as it takes, and empties the tally.
+func (t *attemptTally) take(event attemptEvent, cells int, parallelism float64) (messages [][]byte) {
 	if len(t.cells) == 0 {
 		return nil
 	}
-	n, to, tenants := len(t.cells), t.cells, t.tenants
-	work, late := t.work/time.Duration(n), math.Exp(t.late/float64(n))
-	head := func(how byte) []byte {
-		some := tenants[:min(len(tenants), mostTenants)]
-		tenants = tenants[len(some):]
-		last := byte(len(some))
-		switch kind {
-		case endedAttempts:
-			last = byte(min(255, lanes*lanesUnit))
-		case lateAttempts:
-			last = byte(min(255, late*lateUnit))
-		}
-		h := []byte{aheadMark, byte(kind)<<kindShift | how}
-		h = append(binary.BigEndian.AppendUint16(h, uint16(min(0xffff, work/aheadUnit))), last)
-		for _, t := range some {
-			h = append(h, byte(t))
-		}
-		return h
-	}
-	size := aheadHead + mostTenants + (cells+cellsOfAByte-1)/cellsOfAByte
-	for len(to) > 0 {
-		some := to[:min(len(to), mostOfCells)]
-		if size > mostMessage || len(some) == len(to) && len(to) < size-aheadHead-mostTenants {
-			list := head(0)
-			for _, cell := range some {
-				list = binary.AppendUvarint(list, uint64(cell))
-			}
-			messages, to = append(messages, list), to[len(some):]
-			continue
-		}
-		full := head(aheadMap)
-		from := len(full)
-		full = append(full, make([]byte, (cells+cellsOfAByte-1)/cellsOfAByte)...)
-		var rest []CellNumber
-		for _, cell := range to {
-			at, shift := from+int(cell)/cellsOfAByte, 2*(int(cell)%cellsOfAByte)
-			if full[at]>>shift&mostOfMap == mostOfMap {
-				rest = append(rest, cell)
-				continue
-			}
-			full[at] += 1 << shift
-		}
-		messages, to = append(messages, full), rest
+	encoder := gossipEncoder{
+		event:       event,
+		mapSize:     mapSize(cells),
+		work:        t.work / time.Duration(len(t.cells)),
+		lateness:    math.Exp(t.logLateness / float64(len(t.cells))),
+		parallelism: parallelism,
+		tenants:     t.tenants,
+		left:        t.cells,
+	}
+	for len(encoder.left) > 0 {
+		messages = append(messages, encoder.next())
 	}
-	*t = tally{cells: t.cells[:0], tenants: t.tenants[:0]}
+	*t = attemptTally{cells: t.cells[:0], tenants: t.tenants[:0]}
 	return messages
 }
 
-// legsAt is what a message tells of one cell; late is 0 but for attempts that were late, lanes but for those that were not.
-type attemptsAt struct {
-	kind        attemptsTold
-	cell        CellNumber
-	attempts    int
-	work        time.Duration // the mean of those in the message
-	late, lanes float64
-}
-
-// decodeAhead gives what a message tells of each cell, and each tenant of a query let in; nothing of one that is not
-// sound.
-func decodeAhead(message []byte, cells int, told func(attemptsAt), in func(TenantIndex)) error {
-	if len(message) <= aheadHead || len(message) > mostMessage || message[0] != aheadMark {
-		return errAhead
-	}
-	what := attemptsAt{kind: attemptsTold(message[1] >> kindShift), attempts: 1, work: time.Duration(binary.BigEndian.Uint16(message[2:])) * aheadUnit}
-	some := int(message[4])
-	switch what.kind {
-	case sentAttempts:
-	case endedAttempts:
-		if what.lanes = float64(some) / lanesUnit; what.lanes < 1 {
-			return errAhead
-		}
-		some = 0
-	case lateAttempts:
-		if what.late = float64(some) / lateUnit; what.late <= 1 {
-			return errAhead
-		}
-		some = 0
-	default:
-		return errAhead
+// gossipEncoder writes attempts into as many messages as they take.
+type gossipEncoder struct {
+	event       attemptEvent
+	mapSize     int           // bytes
+	work        time.Duration // mean of an attempt
+	lateness    float64       // mean of an attempt
+	parallelism float64
+	tenants     []TenantIndex // that no message has told yet
+	left        []CellNumber  // of attempts that no message has told yet
+}
+
+func (e *gossipEncoder) next() []byte {
+	if e.listIsBetter() {
+		return e.list()
 	}
-	if some > mostTenants || len(message) <= aheadHead+some {
-		return errAhead
+	return e.cellMap()
+}
+
+// listIsBetter tells whether the map does not fit, or is longer than a list that holds all that is left.
+func (e *gossipEncoder) listIsBetter() bool {
+	if gossipHeader+maxTenants+e.mapSize > maxGossip {
+		return true
 	}
-	tenants, body := message[aheadHead:aheadHead+some], message[aheadHead+some:]
-	var all []attemptsAt
-	if message[1]&aheadMap > 0 {
-		if len(body) != (cells+cellsOfAByte-1)/cellsOfAByte {
-			return errAhead
-		}
-		for cell := range cells {
-			what.cell, what.attempts = CellNumber(cell), int(body[cell/cellsOfAByte]>>(2*(cell%cellsOfAByte))&mostOfMap)
-			if what.attempts > 0 {
-				all = append(all, what)
-			}
-		}
-	} else {
-		for len(body) > 0 {
-			cell, n := binary.Uvarint(body)
-			if n <= 0 || cell >= uint64(cells) {
-				return errAhead
-			}
-			what.cell = CellNumber(cell)
-			all, body = append(all, what), body[n:]
+	return len(e.left) <= maxListed && len(e.left) < e.mapSize
+}
+
+func (e *gossipEncoder) list() []byte {
+	message := e.header(0)
+	listed := e.left[:min(len(e.left), maxListed)]
+	for _, cell := range listed {
+		message = binary.AppendUvarint(message, uint64(cell))
+	}
+	e.left = e.left[len(listed):]
+	return message
+}
+
+// cellMap leaves the attempts for a further message that are more than a cell's bits can count.
+func (e *gossipEncoder) cellMap() []byte {
+	message := e.header(gossipCellMap)
+	cells := make([]byte, e.mapSize)
+	var left []CellNumber
+	for _, cell := range e.left {
+		at, shift := int(cell)/cellsPerByte, bitsPerCell*(int(cell)%cellsPerByte)
+		if cells[at]>>shift&maxMapped == maxMapped {
+			left = append(left, cell)
+			continue
 		}
+		cells[at] += 1 << shift
 	}
-	for _, t := range tenants {
-		in(TenantIndex(t))
+	e.left = left
+	return append(message, cells...)
+}
+
+// header is a message up to its cells.
+func (e *gossipEncoder) header(form byte) []byte {
+	tenants := e.tenants[:min(len(e.tenants), maxTenants)]
+	e.tenants = e.tenants[len(tenants):]
+	message := []byte{gossipMagic, byte(e.event)<<gossipEventShift | form}
+	message = binary.BigEndian.AppendUint16(message, uint16(min(math.MaxUint16, e.work/gossipWorkUnit)))
+	message = append(message, e.detail(len(tenants)))
+	for _, tenant := range tenants {
+		message = append(message, byte(tenant))
 	}
-	for _, w := range all {
-		told(w)
+	return message
+}
+
+// detail is byte 4 of a message.
+func (e *gossipEncoder) detail(tenants int) byte {
+	switch e.event {
+	case attemptsEnded:
+		return byte(min(math.MaxUint8, e.parallelism*gossipParallelismUnit))
+	case attemptsLate:
+		return byte(min(math.MaxUint8, e.lateness*gossipLatenessUnit))
 	}
-	return nil
+	return byte(tenants)
 }
--- /dev/null
+++ b/scheduler/gossip_message_test.go
@@ -0,0 +1,207 @@
+package scheduler
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// gossipOf encodes attempts that each took so many times the expected time. The sender takes two subqueries to be worked
+// on side by side.
+func gossipOf(event attemptEvent, attempts []CellNumber, work time.Duration, lateness float64,
+	tenants []TenantIndex, cells int) [][]byte {
+	tally := attemptTally{tenants: tenants}
+	for _, cell := range attempts {
+		tally.add(0, cell, work, lateness)
+	}
+	return tally.take(event, cells, 2)
+}
+
+func TestGossipRoundTrip(t *testing.T) {
+	for _, cells := range []int{1, 3, 162, 900, 5000} {
+		for _, attempts := range []int{1, 7, 200, 1000} {
+			for event := range attemptEvents {
+				t.Run(fmt.Sprintf("%d cells, %d attempts, event %d", cells, attempts, event), func(t *testing.T) {
+					testGossipRoundTrip(t, event, cells, attempts)
+				})
+			}
+		}
+	}
+}
+
+func testGossipRoundTrip(t *testing.T, event attemptEvent, cells, attempts int) {
+	sent, received := make([]int, cells), make([]int, cells)
+	var attemptCells []CellNumber
+	for n := range attempts {
+		cell := n * n % cells
+		attemptCells = append(attemptCells, CellNumber(cell))
+		sent[cell]++
+	}
+	var tenants, receivedTenants []TenantIndex
+	if event == attemptsSent {
+		tenants = []TenantIndex{1, 2}
+	}
+	for _, message := range gossipOf(event, attemptCells, 123*ms, 4, tenants, cells) {
+		decoded, err := decodeGossip(message, cells)
+		if err != nil || len(message) > maxGossip {
+			t.Fatalf("%d bytes, %v", len(message), err)
+		}
+		if decoded.work != 123*ms || decoded.event != event {
+			t.Fatalf("%+v", decoded)
+		}
+		isLate := decoded.lateness > 3.8 && decoded.lateness < 4.1
+		if isLate != (event == attemptsLate) || (decoded.parallelism == 2) != (event == attemptsEnded) {
+			t.Errorf("lateness %.1f, parallelism %.1f", decoded.lateness, decoded.parallelism)
+		}
+		for _, told := range decoded.cells {
+			received[told.cell] += told.attempts
+		}
+		receivedTenants = append(receivedTenants, decoded.tenants...)
+	}
+	if !slices.Equal(received, sent) || !slices.Equal(receivedTenants, tenants) {
+		t.Errorf("received other attempts than were sent, or other tenants: %v", receivedTenants)
+	}
+}
+
+// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change within a
+// version.
+func TestGossipBytes(t *testing.T) {
+	attempts := []CellNumber{0, 2, 2, 2, 2}
+	for _, test := range []struct {
+		event   attemptEvent
+		tenants []TenantIndex
+		cells   int
+		want    string
+	}{
+		{attemptsSent, []TenantIndex{4, 1}, 3, "[a80104ce02040131 a80104ce0010]"},
+		{attemptsSent, []TenantIndex{4, 1}, 162, "[a80004ce0204010002020202]"},
+		{attemptsEnded, nil, 3, "[a80304ce2031 a80304ce2010]"},
+		{attemptsEnded, nil, 162, "[a80204ce200002020202]"},
+		{attemptsLate, nil, 3, "[a80504ce2031 a80504ce2010]"},
+		{attemptsLate, nil, 162, "[a80404ce200002020202]"},
+	} {
+		got := fmt.Sprintf("%x", gossipOf(test.event, attempts, 123*ms, 4, test.tenants, test.cells))
+		if got != test.want {
+			t.Errorf("event %d, %d cells: %s, want %s", test.event, test.cells, got, test.want)
+		}
+	}
+}
+
+// The same over many sizes, with values that the bytes cannot hold; by their digest, as there are many.
+func TestGossipBytesOfManySizes(t *testing.T) {
+	digest, messages := sha256.New(), 0
+	for _, cells := range []int{1, 3, 162, 900, 5000} {
+		for _, attempts := range []int{1, 7, 85, 200, 1000} {
+			for event := range attemptEvents {
+				for _, work := range []time.Duration{0, time.Hour} {
+					for _, value := range []float64{1, 3.3, 1000} {
+						for _, message := range manyAttempts(event, cells, attempts, work, value) {
+							messages++
+							fmt.Fprintf(digest, "%x\n", message)
+						}
+					}
+				}
+			}
+		}
+	}
+	const want = "13968 899f8210c6579bbecd32e942c5db33e709239e1aebb2492199697391f3572d00"
+	if got := fmt.Sprintf("%d %x", messages, digest.Sum(nil)); got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
+
+// manyAttempts encodes attempts, each fifth of a tenant's new query. The value is their lateness and the parallelism.
+func manyAttempts(event attemptEvent, cells, attempts int, work time.Duration, value float64) [][]byte {
+	tally := attemptTally{}
+	for n := range attempts {
+		tally.add(0, CellNumber(n*n%cells), work, value)
+		if event == attemptsSent && n%5 == 0 {
+			tally.tenants = append(tally.tenants, TenantIndex(n%256))
+		}
+	}
+	return tally.take(event, cells, value)
+}
+
+// What is no message of this version is refused by name, and nothing that it says is believed, not even in part.
+func TestMalformedGossipChangesNothing(t *testing.T) {
+	sound := gossipOf(attemptsSent, []CellNumber{0, 1}, 100*ms, 1, []TenantIndex{0}, 3)[0]
+	changed := func(at int, to byte) []byte {
+		message := slices.Clone(sound)
+		message[at] = to
+		return message
+	}
+	for name, test := range map[string]struct {
+		message []byte
+		field   string
+	}{
+		"empty":                         {[]byte{}, "length"},
+		"cut in its header":             {sound[:gossipHeader], "length"},
+		"cut behind its tenants":        {sound[:gossipHeader+1], "tenants"},
+		"of version 1":                  {changed(0, 0xa7), "first byte"},
+		"of an unknown event":           {changed(1, 7<<gossipEventShift), "event"},
+		"with more tenants than it has": {changed(4, maxTenants), "tenants"},
+		"with too many tenants":         {changed(4, maxTenants+1), "tenants"},
+		"about an unknown cell":         {[]byte{gossipMagic, 0, 0, 1, 0, 3}, "cell"},
+		"with half a cell":              {[]byte{gossipMagic, 0, 0, 1, 0, 0x80}, "cell, bytes left"},
+		"too long":                      {append(slices.Clone(sound), make([]byte, maxGossip)...), "length"},
+		"late by nothing": {
+			[]byte{gossipMagic, byte(attemptsLate) << gossipEventShift, 0, 1, gossipLatenessUnit, 0}, "lateness"},
+		"with no subquery at a time": {
+			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 0, 0}, "subqueries side by side"},
+		"with less than one subquery at a time": {
+			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 3, 0}, "subqueries side by side"},
+		"a map too short": {[]byte{gossipMagic, gossipCellMap, 0, 1, 0}, "length"},
+		"a map too long":  {[]byte{gossipMagic, gossipCellMap, 0, 1, 0, 0, 0}, "length of the map"},
+	} {
+		m := newModel(t, 32)
+		m.settings["bounds.peers"] = "true"
+		m.many(40, 0)
+		allowance := m.c.allowance[0]
+		var fault *GossipError
+		if err := m.c.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
+			t.Errorf("a message %s: %v, want a fault in %s", name, err, test.field)
+		}
+		for _, replica := range m.c.replicas {
+			if m.c.peerBacklog(replica) != 0 || replica.slowdown != 1 {
+				t.Errorf("a message %s is believed of replica %d", name, replica.id)
+			}
+		}
+		if m.c.gossip.heard(m.c.now) || m.c.allowance[0] != allowance {
+			t.Errorf("a message %s is believed", name)
+		}
+	}
+}
+
+// FuzzGossip: bytes from elsewhere are read or refused whole, and what peers have in flight stays within bounds.
+func FuzzGossip(f *testing.F) {
+	f.Add([]byte{})
+	f.Add(gossipOf(attemptsSent, []CellNumber{0, 1, 2}, time.Second, 1, []TenantIndex{0}, 3)[0])
+	f.Add(gossipOf(attemptsEnded, make([]CellNumber, 90), time.Hour, 1, nil, 3)[0])
+	f.Add(gossipOf(attemptsLate, []CellNumber{2}, time.Second, 9, nil, 3)[0])
+	f.Add([]byte{gossipMagic, 0, 0xff, 0xff, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f})
+	f.Add([]byte{gossipMagic, gossipCellMap, 0, 1, 16})
+	f.Add([]byte{gossipMagic, 7 << gossipEventShift, 0, 1, 16, 0})
+	f.Fuzz(func(t *testing.T, message []byte) {
+		m := newModel(t, 32)
+		m.settings["bounds.peers"] = "true"
+		m.many(40, 0)
+		before := m.c.gossip.heardAt
+		err := m.c.GossipReceived(m.now, 1, message)
+		if (err == nil) != (m.c.gossip.heardAt != before) {
+			t.Errorf("%v, and heard at %v", err, m.c.gossip.heardAt)
+		}
+		most := scale(m.c.shortestObjective, m.c.lanes)
+		for _, replica := range m.c.replicas {
+			backlog := m.c.peerBacklog(replica)
+			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
+				t.Errorf("%v in flight after %v", backlog, err)
+			}
+			if replica.slowdown < 0.9 || replica.slowdown > 32 {
+				t.Errorf("slowdown %.1f after %v", replica.slowdown, err)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/scheduler/gossip_test.go
@@ -0,0 +1,205 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// newGossipModel is a model of one of 40 co-ordinators that may tell each other of their attempts.
+func newGossipModel(t *testing.T, bits int) *model {
+	m := newModel(t, bits)
+	m.settings["bounds.peers"] = "true"
+	m.many(40, 0)
+	return m
+}
+
+// hear has the Scheduler take messages of a peer, all of which must be sound.
+func (m *model) hear(messages ...[]byte) {
+	for _, message := range messages {
+		if err := m.c.GossipReceived(m.now, 7, message); err != nil {
+			m.t.Fatal(err)
+		}
+	}
+}
+
+// Work that peers tell of delays a replica like own work, so a subquery goes where less is in flight. It fades with time.
+func TestWorkOfPeersCountsAsInFlight(t *testing.T) {
+	m := newGossipModel(t, 0)
+	m.only(102, 105)
+	busy := m.replicas[102]
+	var attempts []CellNumber
+	for range 8 {
+		attempts = append(attempts, CellNumber(busy.cell))
+	}
+	m.replicas[105].cell = busy.cell + 1 // both hold the shard of that cell
+	m.tell(false, false, 105)
+	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
+	backlog := m.c.peerBacklog(m.index(102))
+	m.shard = busy.cell
+	q := m.ask(0, 1, 3*time.Second)
+	m.turn()
+	if backlog < 700*ms || len(q.parts[0].attempts) != 1 || q.parts[0].attempts[0].to != 105 {
+		t.Errorf("%v in flight; the subquery went to %+v", backlog, q.parts[0].attempts)
+	}
+	if len(m.told) != 1 {
+		t.Errorf("%d messages tell of its attempt", len(m.told))
+	}
+	m.pass(6 * time.Second)
+	if m.turn(); m.c.peerBacklog(m.index(102)) > backlog/10 {
+		t.Error("work whose end nobody tells is in flight for good")
+	}
+}
+
+// Where messages are not allowed none goes, whatever is sent.
+func TestNothingIsBroadcastWhereGossipIsNotAllowed(t *testing.T) {
+	m := newModel(t, 0)
+	m.many(40, 0)
+	m.ask(0, 4, 3*time.Second)
+	if m.turn(); len(m.told) > 0 {
+		t.Errorf("%d messages", len(m.told))
+	}
+}
+
+// A quota for each co-ordinator rejected the queries of tenants that send most of theirs to one. Where co-ordinators tell
+// each other what they admit, the quota is that of all.
+func TestTenantQuotaIsThatOfAllCoordinatorsWithGossip(t *testing.T) {
+	m := newModel(t, 32)
+	m.settings["bounds.peers"], m.settings["orgs.0.quotaPerS"] = "true", "10"
+	m.many(40, 0)
+	admitted := func(queries int) {
+		m.hear(gossipOf(attemptsSent, []CellNumber{0}, ms, 1, make([]TenantIndex, queries), 3)...)
+	}
+	admitted(1)
+	if m.ask(0, 1, 3*time.Second); m.c.open[0].overShare {
+		t.Error("past its quota though the others admitted one")
+	}
+	admitted(16)
+	admitted(16)
+	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overShare {
+		t.Error("within its quota of 10 a second though the others just admitted 32")
+	}
+}
+
+// Work of peers was once taken to be done at a replica's usual speed, so at a slow replica much less was counted than was in
+// flight. Its end is told, and until then it counts.
+func TestEndedAttemptsOfPeersAreNoLongerInFlight(t *testing.T) {
+	m := newGossipModel(t, 0)
+	replica, cell := m.index(102), CellNumber(m.replicas[102].cell)
+	attempts := []CellNumber{cell, cell}
+	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
+	if got := m.c.peerBacklog(replica); got != 200*ms {
+		t.Errorf("%v in flight", got)
+	}
+	if m.pass(500 * ms); m.c.peerBacklog(replica) < 150*ms {
+		t.Errorf("%v in flight after half a second, though nobody tells of an end", m.c.peerBacklog(replica))
+	}
+	m.hear(gossipOf(attemptsEnded, attempts, 100*ms, 1, nil, 3)...)
+	if m.c.peerBacklog(replica) != 0 || replica.slowdown != 1 {
+		t.Errorf("%v in flight after both ended, slowdown %.2f", m.c.peerBacklog(replica), replica.slowdown)
+	}
+}
+
+// Each of many co-ordinators has an answer from a replica only now and then; that it is slow has to be known from the
+// attempts of all.
+func TestLateAttemptsOfPeersRaiseASlowdown(t *testing.T) {
+	m := newGossipModel(t, 0)
+	replica, cell := m.index(102), []CellNumber{CellNumber(m.replicas[102].cell)}
+	for range 8 {
+		m.hear(gossipOf(attemptsLate, cell, 100*ms, 6, nil, 3)...)
+	}
+	slow := replica.slowdown
+	for range 1000 {
+		m.hear(gossipOf(attemptsLate, cell, 100*ms, 1000, nil, 3)...)
+	}
+	most := replica.slowdown
+	for range 20 {
+		m.hear(gossipOf(attemptsEnded, cell, 100*ms, 1, nil, 3)...)
+	}
+	if slow < 3 || slow > 6 || most > 33 || replica.slowdown > 1.2 || replica.slowdown < 1 {
+		t.Errorf("slowdown %.2f after eight told six times late, %.2f at the most, %.2f after twenty in time",
+			slow, most, replica.slowdown)
+	}
+}
+
+// When each co-ordinator learned by itself how many subqueries a replica works on side by side, it began with one, took
+// replicas for slower than they were and rejected its first large queries. Peers tell what they learned.
+func TestParallelismIsLearnedFromPeers(t *testing.T) {
+	m := newGossipModel(t, 0)
+	tally := attemptTally{}
+	hundredEnded := func(parallelism float64) {
+		for range 100 {
+			tally.add(m.now, 0, 100*ms, 1)
+		}
+		m.hear(tally.take(attemptsEnded, 3, parallelism)...)
+	}
+	if hundredEnded(4); m.c.lanes < 3.5 || m.c.lanes > 4 {
+		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.lanes)
+	}
+	if hundredEnded(15); m.c.lanes > mostLanes {
+		t.Errorf("%.2f, more than the most", m.c.lanes)
+	}
+}
+
+// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is told only
+// if it was late.
+func TestEndsAreGatheredAndTold(t *testing.T) {
+	m := newGossipModel(t, 0)
+	said := func() (attempts [attemptEvents]int) {
+		for _, message := range m.told {
+			decoded, err := decodeGossip(message, 3)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, cell := range decoded.cells {
+				attempts[decoded.event] += cell.attempts
+			}
+		}
+		m.told = nil
+		return attempts
+	}
+	q := m.ask(0, 3, 3*time.Second)
+	m.turn()
+	if got := said(); got != [attemptEvents]int{attemptsSent: 3} {
+		t.Errorf("told %v of three attempts sent", got)
+	}
+	m.now += 60 * ms
+	m.end(q.parts[0], 0, Succeeded)
+	m.turn()
+	m.end(q.parts[1], 0, Cancelled)
+	m.turn()
+	if got := said(); got[attemptsEnded]+got[attemptsLate] != 0 {
+		t.Errorf("told %v at once", got)
+	}
+	m.pass(120 * ms)
+	if got := said(); got[attemptsEnded] != 1 || got[attemptsLate] != 0 {
+		t.Errorf("told %v of one attempt ended and one cancelled early", got)
+	}
+	m.now += 800 * ms
+	m.end(q.parts[2], 0, Succeeded)
+	m.turn()
+	m.pass(120 * ms)
+	if got := said(); got[attemptsLate] != 1 {
+		t.Errorf("told %v of a late attempt", got)
+	}
+}
+
+// While peers are silent, the work that they have in flight is not in an attempt's expected time. Without a longer time-out
+// many attempts timed out that only stood in a long queue, and went again into the same queue.
+func TestTimeOutsAreLongerWhilePeersAreSilent(t *testing.T) {
+	timeOut := func(coordinators int, heard bool) time.Duration {
+		m := newModel(t, 1)
+		m.settings["bounds.peers"] = "true"
+		m.many(coordinators, 0)
+		if heard {
+			m.hear(gossipOf(attemptsEnded, []CellNumber{0}, ms, 1, nil, 3)...)
+		}
+		q := m.ask(0, 1, 3*time.Second)
+		m.turn()
+		return m.c.limitOf(m.c.subqueries[q.parts[0].id].attempts[0])
+	}
+	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
+	if silent < few*18/10 || heard > few {
+		t.Errorf("time-outs of %v with 3 co-ordinators, %v with 60 that are silent, %v with 60 that tell",
+			few, silent, heard)
+	}
+}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -159,11 +159,11 @@
 func (c *Scheduler) send(p *subquery, r *replicaState) {
 	c.hold(p, nil)
 	p.held = false
-	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.lanes), c.takes(r)/r.slowdown)
+	base := scale(p.work+scale(r.outstandingWork+c.peerBacklog(r), 1/c.lanes), c.takes(r)/r.slowdown)
 	if c.gossipEnabled {
-		t := &c.tallies[sentAttempts]
-		if t.add(c.now, r.cell, p.work, 1); p.query.sent == 0 && len(c.tenantQuotas) > 0 {
-			t.tenants = append(t.tenants, p.query.tenant)
+		c.gossip.attemptSent(c.now, r.cell, p.work)
+		if p.query.sent == 0 && len(c.tenantQuotas) > 0 {
+			c.gossip.queryAdmitted(p.query.tenant)
 		}
 	}
 	l := &attempt{subquery: p, replica: r, sentAt: c.now, base: base, work: p.work}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -43,5 +43,5 @@
 	if c.hedgeAllowed || c.lastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
 		return 0
 	}
-	return scale(max(l.work, scale(l.base, l.replica.slowdown)), patience*c.others())
+	return scale(max(l.work, scale(l.base, l.replica.slowdown)), patience*c.unseenLoad())
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -63,7 +63,7 @@
 	q.touched, c.open = true, append(c.open, q)
 	c.byID[q.id], c.byNum[q.number] = q, q
 	known := int(tenant) < len(c.tenantQuotas)
-	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseenLoadFactor <= 1 || c.heard()); known && !q.overShare {
+	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseenLoadFactor <= 1 || c.gossip.heard(c.now)); known && !q.overShare {
 		c.allowance[tenant]--
 	}
 	q.overShare = q.overShare || q.past
@@ -153,11 +153,9 @@
 	p.query.touched = true
 	l.done, l.ran = true, how != Overloaded && how != Unreachable && how != NeverSent
 	r.unload(func(o *attempt) bool { return o == l })
-	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.gossipEnabled {
-	} else if times > toldLate && c.behind == 0 {
-		c.tallies[lateAttempts].add(now, r.cell, l.work, times)
-	} else if how != Cancelled { // else it may go on there
-		c.tallies[endedAttempts].add(now, r.cell, l.work, 1)
+	if c.gossipEnabled {
+		lateness := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter)
+		c.gossip.attemptEnded(now, l, lateness, c.behind != 0, how == Cancelled)
 	}
 	switch how {
 	case Succeeded:
@@ -271,16 +269,7 @@
 		q.touched = false
 	}
 	c.open = slices.DeleteFunc(c.open, func(q *query) bool { return q.ended })
-	for kind := range c.tallies {
-		t := &c.tallies[kind]
-		if kind == int(sentAttempts) || now >= t.since+tellWait {
-			for _, message := range t.take(attemptsTold(kind), c.cells, c.lanes) {
-				c.host.Broadcast(message)
-			}
-		} else if len(t.cells) > 0 {
-			c.wake(t.since + tellWait)
-		}
-	}
+	c.broadcast()
 	if len(c.open) > 0 {
 		c.wake(now + sweepEvery)
 	}
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -57,7 +57,7 @@
 	as := *c
 	as.parameters = c.watched.under.parameters
 	if as.gossipEnabled {
-		as.peersAt = c.now // as if the others told
+		as.gossip.heardAt = c.now // as if the others told
 	}
 	ask(&as)
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -79,16 +79,15 @@
 	allowance                              []float64 // per tenant: left of its quota
 	subscribed                             bool
 	askAt, askWait                         time.Duration
-	now, refilled, wakeAt, stalled, shedAt time.Duration         // shedAt: the last turning back
-	behind, reportAt                       time.Duration         // own core's lateness, as told; last load report
-	busy                                   float64               // learned from reports: share of the replicas' cores in use
-	watched                                *watcher              // counts what other settings would decide; nil: off
-	peersAt                                time.Duration         // last message from one
-	tallies                                [kindsOfAttempt]tally // attempts that the others are to be told of
-	typical                                float64               // the mean size of those in use
-	shares                                 []float64             // of their cut-offs that queries came with of late
-	flow, warm, blank                      float64               // answers of late from warm replicas, how many there are, share of that time before the start
-	asked                                  []float64             // parts of late, by cell
+	now, refilled, wakeAt, stalled, shedAt time.Duration // shedAt: the last turning back
+	behind, reportAt                       time.Duration // own core's lateness, as told; last load report
+	busy                                   float64       // learned from reports: share of the replicas' cores in use
+	watched                                *watcher      // counts what other settings would decide; nil: off
+	gossip                                 gossip        // exchange with the other co-ordinators
+	typical                                float64       // the mean size of those in use
+	shares                                 []float64     // of their cut-offs that queries came with of late
+	flow, warm, blank                      float64       // answers of late from warm replicas, how many there are, share of that time before the start
+	asked                                  []float64     // parts of late, by cell
 
 	open          []*query // in order of arrival
 	byID          map[RequestID]*query
