--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -35,17 +35,17 @@
 	p, _ := deployed(t, settings, a)
 	c := p.connect()
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.Saw("q1") })
+	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
 	c.Conn.Close()
 	until(t, "the part is given up", func() bool {
 		a.Mu.Lock()
 		defer a.Mu.Unlock()
-		return len(a.GivenUp) == 1 && a.GivenUp[0] == "q1.3"
+		return len(a.Abandoned) == 1 && a.Abandoned[0] == "q1.3"
 	})
 	until(t, "it is counted", func() bool { n := p.counters(); return n["left"] == 1 && n["open"] == 0 })
 	// What the replica says now is of no harm.
-	a.Reply(a.Seen()[0], "OK", "late")
-	a.Does(fulfil)
+	a.Reply(a.Received()[0], "OK", "late")
+	a.SetBehavior(fulfil)
 	d := p.connect()
 	d.send(query("look", "q2", 10, 3))
 	d.expect(map[int]string{3: value(a, 3)})
@@ -75,7 +75,7 @@
 			t.Errorf("%.60q was answered %d %q, want %d", text, r.status, r.body, want)
 		}
 	}
-	if n := p.counters(); n["bad"] != 12 || n["taken"] != 0 || len(a.Seen()) > 0 {
+	if n := p.counters(); n["bad"] != 12 || n["taken"] != 0 || len(a.Received()) > 0 {
 		t.Errorf("counters %v", n)
 	}
 	c := p.connect()
@@ -88,12 +88,12 @@
 	p, _ := deployed(t, settings, a)
 	c, d := p.connect(), p.connect()
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.Saw("q1") })
+	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
 	d.send(query("look", "q1", 30, 3))
 	if r := d.receive(); r.status != 409 {
 		t.Errorf("the second was answered %d", r.status)
 	}
-	fulfil(a, a.Seen()[0])
+	fulfil(a, a.Received()[0])
 	c.expect(map[int]string{3: value(a, 3)})
 }
 
@@ -102,14 +102,14 @@
 	p, _ := deployed(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":6`, 1), a)
 	c, d := p.connect(), p.connect()
 	c.send(query("look", "q1", 30, 1, 2, 3, 4, 5))
-	until(t, "its parts arrive", func() bool { return len(a.Seen()) == 5 })
+	until(t, "its parts arrive", func() bool { return len(a.Received()) == 5 })
 	d.send(query("look", "q2", 30, 6))
 	if r := d.receive(); r.status != 503 {
 		t.Errorf("answered %d", r.status)
 	}
-	fulfil(a, a.Seen()[0]) // a part that is in makes room
+	fulfil(a, a.Received()[0]) // a part that is in makes room
 	until(t, "it is in", func() bool { return p.counters()["legs_ok"] == 1 })
-	a.Does(fulfil)
+	a.SetBehavior(fulfil)
 	d.send(query("look", "q3", 30, 7, 8, 9))
 	if r := d.receive(); r.status != 200 {
 		t.Errorf("answered %d", r.status)
@@ -146,14 +146,14 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	a.Does(func(s *fake.Replica, c fake.Call) {
+	a.SetBehavior(func(s *fake.Replica, c fake.Call) {
 		if c.ID != "open.3" {
 			fulfil(s, c)
 		}
 	})
 	c := p.connect()
 	c.send(query("look", "open", 20, 3))
-	until(t, "the part is there", func() bool { return a.Saw("open.3") })
+	until(t, "the part is there", func() bool { return a.HasReceived("open.3") })
 	ended := make(chan string)
 	for name, does := range map[string]func(*client){
 		"silence":             func(*client) {},
@@ -180,7 +180,7 @@
 			t.Error(name)
 		}
 	}
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		if part.ID == "open.3" {
 			fulfil(a, part)
 		}
--- a/cmd/terntray/crossings_test.go
+++ b/cmd/terntray/crossings_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("answered %d, last %t", r.status, r.last)
 		}
 	}
-	if a.Saw("q0") {
+	if a.HasReceived("q0") {
 		t.Error("its part was sent without the reference")
 	}
 }
@@ -62,7 +62,7 @@
 		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch waits for 1 s
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
 		p := newProgram(t, env)
-		(<-old.Calls).Tell(listing(5, true, []*fake.Replica{a, b}))
+		(<-old.Calls).Respond(listing(5, true, []*fake.Replica{a, b}))
 		<-old.Calls // the watch, which gets no answer
 		silent := time.Now()
 		a.State = "draining"
@@ -82,14 +82,14 @@
 		if strings.Contains(call.Path, "from") {
 			t.Errorf("moved %t: %s asks for no whole list", moved, call.Path)
 		}
-		call.Tell(listing(7, true, []*fake.Replica{a, b}))
+		call.Respond(listing(7, true, []*fake.Replica{a, b}))
 		until(t, "the list is told", func() bool { return strings.Contains(p.logged(), "rev=7 ") })
 		c := p.connect()
 		for n := range 6 {
 			c.send(query("look", fmt.Sprint("q", n), 10, n))
 			c.expect(map[int]string{n: value(b, n)})
 		}
-		if len(a.Seen()) > 0 {
+		if len(a.Received()) > 0 {
 			t.Errorf("moved %t: parts were sent to a draining replica", moved)
 		}
 		a.State = "ready"
@@ -102,7 +102,7 @@
 	a, agent := newStandin(t, "s-a", 0, fulfil), newAgent(t)
 	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch waits for 1 s
 	newProgram(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
-	(<-agent.Calls).Tell(listing(5, true, []*fake.Replica{a}))
+	(<-agent.Calls).Respond(listing(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
 		t.Fatalf("%s is no watch that waits for 1 s", call.Path)
 	}
@@ -112,8 +112,8 @@
 	}
 }
 
-func newAgent(t *testing.T) *fake.Agent {
-	a, err := fake.NewAgent()
+func newAgent(t *testing.T) *fake.DiscoveryAgent {
+	a, err := fake.NewDiscoveryAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 	for _, n := range cuts {
 		for _, s := range []*fake.Replica{a, b} {
 			s.Mu.Lock()
-			s.Cut = func() int { return n }
+			s.CutAfter = func() int { return n }
 			s.Mu.Unlock()
-			s.CutAll(n%2 == 0)
+			s.CloseConnections(n%2 == 0)
 		}
 		id := fmt.Sprintf("q%02d", n)
 		c := p.connect()
@@ -144,7 +144,7 @@
 		r := c.receive()
 		ran := 0
 		for _, s := range []*fake.Replica{a, b} {
-			for _, part := range s.Seen() {
+			for _, part := range s.Received() {
 				if part.ID == id+".3" {
 					ran++
 				}
@@ -186,7 +186,7 @@
 // An answer whose rest was lost on its way and comes a little later is as good as any; single-use parts depend on it.
 func TestAnswerInPiecesIsTaken(t *testing.T) {
 	a := newStandin(t, "s-a", 0, nil)
-	a.Does(func(s *fake.Replica, c fake.Call) {
+	a.SetBehavior(func(s *fake.Replica, c fake.Call) {
 		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", c.ID, value(s, c.Shard)))
 		io.WriteString(c.Conn, text[:len(text)/2])
 		time.Sleep(220 * time.Millisecond) // as long as machines wait before they send again
@@ -205,7 +205,7 @@
 	c := p.connect()
 	c.send(query("claim", "q1", 10, 3))
 	c.expect(map[int]string{3: value(a, 3)})
-	a.Does(func(s *fake.Replica, c fake.Call) {
+	a.SetBehavior(func(s *fake.Replica, c fake.Call) {
 		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", c.ID, value(s, c.Shard)))
 		io.WriteString(c.Conn, text[:len(text)/2])
 		time.Sleep(20 * time.Millisecond)
@@ -248,7 +248,7 @@
 	p, _ := deployed(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), a)
 	c := p.connect()
 	c.send(query("claim", "q1", 10, 3))
-	if r := c.receive(); r.status != 501 || r.last || a.Saw("q1") {
+	if r := c.receive(); r.status != 501 || r.last || a.HasReceived("q1") {
 		t.Errorf("answered %d, last %t", r.status, r.last)
 	}
 	c.send(query("look", "q2", 10, 3))
--- a/cmd/terntray/deadline_test.go
+++ b/cmd/terntray/deadline_test.go
@@ -70,9 +70,9 @@
 		time.Sleep(500 * time.Millisecond)
 		accept()
 		go a.Accept(l)
-		until(t, "the call arrives", func() bool { return a.Saw("q1") })
+		until(t, "the call arrives", func() bool { return a.HasReceived("q1") })
 		left := deadline - time.Since(sent)
-		told := time.Duration(a.Seen()[0].Wait) * time.Millisecond
+		told := time.Duration(a.Received()[0].TimeLeftMS) * time.Millisecond
 		if told > left+slack {
 			t.Errorf("%s: told %v with %v left", model, told, left)
 		}
--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -29,14 +29,14 @@
 }
 
 // installed starts the program with an installation file.
-func installed(t *testing.T, settings, file string, sockets int, replicas ...*fake.Replica) (*program, *fake.Roster) {
+func installed(t *testing.T, settings, file string, sockets int, replicas ...*fake.Replica) (*program, *fake.Discovery) {
 	r := newRoster(t, "127.0.0.1:0", replicas...)
 	name := filepath.Join(t.TempDir(), "installation.json")
 	if err := os.WriteFile(name, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := start(t, configure(t, r.Listener.Addr().String(), sockets, settings, replicas...), "-installation", name)
-	until(t, "a watch stands", func() bool { return r.Watched() > 0 })
+	until(t, "a watch stands", func() bool { return r.Watches() > 0 })
 	return p, r
 }
 
@@ -54,7 +54,7 @@
 // not go again, replayable ones do.
 func TestBoxThatEndsAbruptly(t *testing.T) {
 	for name, ends := range map[string]func(*fake.Replica){
-		"no notice": func(s *fake.Replica) { s.CutAll(true) },
+		"no notice": func(s *fake.Replica) { s.CloseConnections(true) },
 		"goaway":    func(s *fake.Replica) { s.GoAway(true, true) },
 	} {
 		a := newBox(t, "s-a", 0, silent)
@@ -62,15 +62,15 @@
 		claim, look := p.connect(), p.connect()
 		claim.send(query("claim", "q1", 5, 3))
 		look.send(query("look", "q2", 5, 4))
-		until(t, "both are out", func() bool { return a.Saw("q1") && a.Saw("q2") })
-		a.Does(fulfil)
+		until(t, "both are out", func() bool { return a.HasReceived("q1") && a.HasReceived("q2") })
+		a.SetBehavior(fulfil)
 		ends(a)
 		look.expect(map[int]string{4: value(a, 4)})
 		if got := claim.receive(); got.status != http.StatusInternalServerError {
 			t.Errorf("%s: single-use answered %d", name, got.status)
 		}
 		n := 0
-		for _, c := range a.Seen() {
+		for _, c := range a.Received() {
 			if strings.HasPrefix(c.ID, "q1.") {
 				n++
 			}
@@ -86,7 +86,7 @@
 	var first atomic.Bool
 	a := newBox(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
 		if first.CompareAndSwap(false, true) {
-			fake.Refuse(s, c)
+			fake.Reject(s, c)
 			return
 		}
 		fulfil(s, c)
@@ -96,13 +96,13 @@
 	c.send(query("claim", "q1", 5, 3))
 	c.expect(map[int]string{3: value(a, 3)})
 	a.Mu.Lock()
-	a.Waits = func() time.Duration { return time.Hour }
+	a.QueueTime = func() time.Duration { return time.Hour }
 	a.Mu.Unlock()
 	c.send(query("claim", "q2", 5, 5))
-	until(t, "it waits in the box", func() bool { return a.Most() > 0 && p.counters()["legs"] == 3 })
+	until(t, "it waits in the box", func() bool { return a.MaxStreams() > 0 && p.counters()["legs"] == 3 })
 	time.Sleep(20 * time.Millisecond)
 	a.Mu.Lock()
-	a.Waits = nil
+	a.QueueTime = nil
 	a.Mu.Unlock()
 	a.GoAway(true, false)
 	c.expect(map[int]string{5: value(a, 5)})
@@ -125,25 +125,25 @@
 // lost, and no more than the limit were begun after it.
 func TestLimitLoweredInMidBurst(t *testing.T) {
 	a := newBox(t, "s-a", 0, fulfil)
-	a.Limit(100)
+	a.SetStreamLimit(100)
 	p, _ := installed(t, wide, allHTTP2, 1024, a)
 	c := p.connect()
 	for n := range 40 { // the cap grows with each reply
 		c.send(hinted(fmt.Sprint("w", n), []int{n}))
 		c.receive()
 	}
-	a.Does(silent)
+	a.SetBehavior(silent)
 	c.send(hinted("q1", shards(60)))
-	until(t, "many are out", func() bool { return len(a.Seen()) >= 40+25 })
-	a.Limit(3)
-	a.Does(fake.After(time.Millisecond, fulfil))
-	for _, part := range a.Seen()[40:] {
+	until(t, "many are out", func() bool { return len(a.Received()) >= 40+25 })
+	a.SetStreamLimit(3)
+	a.SetBehavior(fake.After(time.Millisecond, fulfil))
+	for _, part := range a.Received()[40:] {
 		fulfil(a, part)
 	}
 	time.Sleep(50 * time.Millisecond)
-	a.Limit(0)
+	a.SetStreamLimit(0)
 	time.Sleep(100 * time.Millisecond)
-	a.Limit(100)
+	a.SetStreamLimit(100)
 	if got := c.receive(); got.status != http.StatusOK || len(got.Matches) != 60 {
 		t.Errorf("answer %d with %d parts", got.status, len(got.Matches))
 	}
@@ -155,19 +155,19 @@
 // Parts that wait for the box's limit when discovery tells of its drain never leave.
 func TestDrainToldWhileTheLimitHoldsPartsBack(t *testing.T) {
 	a := newBox(t, "s-a", 0, silent)
-	a.Limit(2)
+	a.SetStreamLimit(2)
 	p, r := installed(t, wide, allHTTP2, 1024, a)
 	c := p.connect()
 	c.send(query("look", "q1", 2, shards(8)...))
-	until(t, "two are out", func() bool { return len(a.Seen()) == 2 })
-	r.Change(a, "draining")
+	until(t, "two are out", func() bool { return len(a.Received()) == 2 })
+	r.SetState(a, "draining")
 	until(t, "the drain is told", func() bool { return p.counters()["legs_turned_away"] > 0 })
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		fulfil(a, part)
 	}
 	c.receive()
-	if got := len(a.Seen()); got != 2 || a.Most() > 2 {
-		t.Errorf("%d parts came, %d at a time", got, a.Most())
+	if got := len(a.Received()); got != 2 || a.MaxStreams() > 2 {
+		t.Errorf("%d parts came, %d at a time", got, a.MaxStreams())
 	}
 }
 
@@ -179,21 +179,21 @@
 	large, small := p.connect(), p.connect()
 	large.send(query("look", "q0", 20, 0))
 	large.expect(map[int]string{0: value(a, 0)})
-	a.Stall(true)
+	a.WithholdCredit(true)
 	text := strings.Repeat("x", 60<<10)
 	body := fmt.Sprintf(`{"segments":[{"segment":1,"boost":0.5},{"segment":2,"boost":0.5}],"text":%q}`, text)
 	large.send(fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	until(t, "the large ones are begun", func() bool { return a.Most() >= 2 || len(a.Seen()) >= 2 })
+	until(t, "the large ones are begun", func() bool { return a.MaxStreams() >= 2 || len(a.Received()) >= 2 })
 	began := time.Now()
 	small.send(query("look", "q2", 20, 5))
 	time.Sleep(50 * time.Millisecond)
-	a.Stall(false)
-	a.Open(20 << 10) // less than what the large ones still want
+	a.WithholdCredit(false)
+	a.GrantCredit(20 << 10) // less than what the large ones still want
 	small.expect(map[int]string{5: value(a, 5)})
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("the small part took %v", took)
 	}
-	a.Open(1 << 20)
+	a.GrantCredit(1 << 20)
 	if got := large.receive(); got.status != http.StatusOK {
 		t.Errorf("the large ones: %d", got.status)
 	}
@@ -207,13 +207,13 @@
 	p, _ := installed(t, quick, allHTTP2, 1024, a)
 	c := p.connect()
 	c.send(query("look", "q1", 20, 3))
-	until(t, "it is out", func() bool { return a.Saw("q1") })
+	until(t, "it is out", func() bool { return a.HasReceived("q1") })
 	time.Sleep(300 * time.Millisecond)
 	if n := p.counters(); n["silent"]+n["dropped"] > 0 {
 		t.Errorf("a slow box passes for a silent connection: %v", n)
 	}
-	a.Does(fulfil)
-	a.Deaf(true)
+	a.SetBehavior(fulfil)
+	a.IgnorePings(true)
 	began := time.Now()
 	c.expect(map[int]string{3: value(a, 3)})
 	if took := time.Since(began); took > time.Second || p.counters()["silent"] != 1 {
@@ -230,8 +230,8 @@
 		r.Mu.Lock()
 		a.Model, a.BootMS = model, time.Now().UnixMilli()
 		r.Mu.Unlock()
-		a.CutAll(true)
-		r.Change(a, "ready")
+		a.CloseConnections(true)
+		r.SetState(a, "ready")
 		until(t, "the list is followed", func() bool { return strings.Count(p.logged(), "event=list ") > n })
 		time.Sleep(20 * time.Millisecond)
 		c.send(query("claim", fmt.Sprint("q", n), 10, 3))
--- a/cmd/terntray/leaving_test.go
+++ b/cmd/terntray/leaving_test.go
@@ -41,9 +41,9 @@
 // nothingReaches checks that of what clients left nothing came, while what another asks for does.
 func nothingReaches(t *testing.T, what string, a *fake.Replica, lives string) {
 	t.Helper()
-	until(t, what+": the other one's part comes", func() bool { return a.Saw(lives) })
+	until(t, what+": the other one's part comes", func() bool { return a.HasReceived(lives) })
 	time.Sleep(20 * time.Millisecond) // for what would come beside it
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		if strings.HasPrefix(part.ID, "left") || strings.HasPrefix(part.ID, "more") {
 			t.Errorf("%s: %s was sent on", what, part.ID)
 		}
@@ -99,7 +99,7 @@
 		for n := range 8 { // as many as the replica is sent at first
 			p.connect().send(query("look", fmt.Sprint("first", n), 20, n))
 		}
-		until(t, "the first parts are out", func() bool { return len(a.Seen()) == 8 })
+		until(t, "the first parts are out", func() bool { return len(a.Received()) == 8 })
 		c, d := p.connect(), p.connect()
 		c.send(query("look", "left", 20, 9))
 		until(t, "it is taken in", func() bool { return p.counters()["taken"] == 9 })
@@ -107,7 +107,7 @@
 		until(t, way+": its end is noticed", func() bool { return p.counters()["left"] == 1 })
 		d.send(query("look", "lives", 20, 10))
 		until(t, "the other is taken in", func() bool { return p.counters()["taken"] >= 10 })
-		for _, part := range a.Seen() {
+		for _, part := range a.Received() {
 			fulfil(a, part)
 		}
 		nothingReaches(t, way, a, "lives")
@@ -150,7 +150,7 @@
 			}
 			what := fmt.Sprintf("%s, read on %v later", way, later)
 			a := newStandin(t, "s-a", 0, fake.After(3*time.Millisecond, fulfil)) // no jitter of this machine stands out
-			if err := a.Narrow(); err != nil {
+			if err := a.ShrinkBuffers(); err != nil {
 				t.Fatal(err)
 			}
 			wide := strings.Replace(settings, `"multiplex":4`, `"multiplex":100`, 1)
@@ -162,7 +162,7 @@
 				first.expect(map[int]string{20: value(a, 20)})
 			}
 			c, d := p.connect(), p.connect()
-			goOn := a.ReadsNothing()
+			goOn := a.PauseReading()
 			before := p.counters()
 			first.send(queryOf(strings.Repeat("x", 60_000), "look", "large", 20, large...))
 			until(t, what+": its parts are out", func() bool { return p.counters()["legs"]-before["legs"] == len(large) })
--- a/cmd/terntray/list_test.go
+++ b/cmd/terntray/list_test.go
@@ -14,18 +14,18 @@
 func TestDrainToldByAChangeIsKept(t *testing.T) {
 	a, b := newStandin(t, "s-a", 0, fulfil), newStandin(t, "s-b", 0, fulfil)
 	p, r := deployed(t, settings, a, b)
-	r.Change(a, "draining")
+	r.SetState(a, "draining")
 	until(t, "the change is told", func() bool { return strings.Contains(p.logged(), "rev=6 ") })
 	c := p.connect()
 	for n := range 6 {
 		c.send(query("look", fmt.Sprint("q", n), 10, n))
 		c.expect(map[int]string{n: value(b, n)})
 	}
-	if len(a.Seen()) > 0 {
+	if len(a.Received()) > 0 {
 		t.Error("parts were sent to a draining replica")
 	}
-	r.Change(b, "gone")
-	r.Change(a, "ready")
+	r.SetState(b, "gone")
+	r.SetState(a, "ready")
 	until(t, "the next change is told", func() bool { return strings.Contains(p.logged(), "rev=8 ") })
 	c.send(query("look", "r", 10, 1))
 	c.expect(map[int]string{1: value(a, 1)})
@@ -38,14 +38,14 @@
 	c.send(query("look", "q1", 10, 1))
 	c.expect(map[int]string{1: value(a, 1)})
 	r.Mu.Lock()
-	r.All = []*fake.Replica{moved}
+	r.Replicas = []*fake.Replica{moved}
 	r.Mu.Unlock()
-	r.Change(moved, "ready")
+	r.SetState(moved, "ready")
 	until(t, "the change is told", func() bool { return strings.Contains(p.logged(), "rev=6 ") })
 	c.send(query("look", "q2", 10, 2))
 	c.expect(map[int]string{2: value(moved, 2)})
-	if len(a.Seen()) != 1 || len(moved.Seen()) != 1 {
-		t.Errorf("%d parts at the old address, %d at the new one", len(a.Seen()), len(moved.Seen()))
+	if len(a.Received()) != 1 || len(moved.Received()) != 1 {
+		t.Errorf("%d parts at the old address, %d at the new one", len(a.Received()), len(moved.Received()))
 	}
 }
 
@@ -60,9 +60,9 @@
 		until(t, "the failure is noticed", func() bool { return p.counters()["list_failures"] > 0 })
 		again := newRoster(t, at, b)
 		again.Mu.Lock()
-		again.Rev = 2
+		again.Revision = 2
 		again.Mu.Unlock()
-		until(t, "a watch stands again", func() bool { return again.Watched() > 0 })
+		until(t, "a watch stands again", func() bool { return again.Watches() > 0 })
 		c := p.connect()
 		c.send(query("look", "q1", 10, 3))
 		c.expect(map[int]string{3: value(b, 3)})
@@ -75,11 +75,11 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		a, b := newStandin(t, "s-a", 0, fulfil), newStandin(t, "s-b", 0, fulfil)
 		old, next := newRoster(t, "127.0.0.1:0", a), newRoster(t, "127.0.0.1:0", b)
-		next.Rev = 2
+		next.Revision = 2
 		set := strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1)
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a)
 		p := start(t, append(env, "ROUTER_DISCOVERY="+old.Listener.Addr().String()))
-		until(t, "a watch stands", func() bool { return old.Watched() > 0 })
+		until(t, "a watch stands", func() bool { return old.Watches() > 0 })
 		c := p.connect()
 		c.send(query("look", "q1", 10, 3))
 		c.expect(map[int]string{3: value(a, 3)})
@@ -92,7 +92,7 @@
 		c.expect(map[int]string{3: value(a, 3)})
 		moved := strings.Replace(string(sound), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)
 		os.WriteFile(file, []byte(moved), 0o600)
-		until(t, "the watch has moved", func() bool { return next.Watched() > 0 })
+		until(t, "the watch has moved", func() bool { return next.Watches() > 0 })
 		old.Server.Close()
 		for n := range 3 { // with the same address no watch begins anew
 			p.cmd.Process.Signal(syscall.SIGHUP)
@@ -100,8 +100,8 @@
 		}
 		c.send(query("look", "q3", 10, 3))
 		c.expect(map[int]string{3: value(b, 3)})
-		if n := p.counters(); n["list_failures"] > 0 || next.Watched() != 1 {
-			t.Errorf("counters %v, %d watches", n, next.Watched())
+		if n := p.counters(); n["list_failures"] > 0 || next.Watches() != 1 {
+			t.Errorf("counters %v, %d watches", n, next.Watches())
 		}
 	}
 }
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -21,8 +21,8 @@
 	c := p.connect()
 	c.send(query("look", "q1", 10, 3, 9))
 	c.expect(map[int]string{3: value(a, 3), 9: value(a, 9)})
-	for _, part := range a.Seen() {
-		if part.Text != "of q1" || part.Wait < 1 || part.Wait > 10000 || part.ID != fmt.Sprint("q1.", part.Shard) {
+	for _, part := range a.Received() {
+		if part.Text != "of q1" || part.TimeLeftMS < 1 || part.TimeLeftMS > 10000 || part.ID != fmt.Sprint("q1.", part.Shard) {
 			t.Errorf("the replica was sent %+v", part)
 		}
 	}
@@ -71,14 +71,14 @@
 		t.Error("the connection was ended with its first answer")
 	}
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.Saw("q1") })
+	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := idle.in.ReadByte(); err == nil {
 		t.Error("an idle connection stays open")
 	}
 	d := p.connect()
 	d.send(query("look", "q2", 30, 4))
-	until(t, "its part arrives", func() bool { return a.Saw("q2") })
+	until(t, "its part arrives", func() bool { return a.HasReceived("q2") })
 	until(t, "no further connection is taken", func() bool {
 		conn, err := net.Dial("tcp", p.addr)
 		if err == nil {
@@ -86,7 +86,7 @@
 		}
 		return err != nil
 	})
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		fulfil(a, part)
 	}
 	for _, k := range []*client{c, d} {
@@ -106,7 +106,7 @@
 	for _, reads := range []bool{true, false} {
 		a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) { s.Reply(c, "OK", strings.Repeat("v", 60_000)) })
 		p, _ := deployed(t, settings, a)
-		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.Narrowed(raw) }}
+		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.ShrinkBuffers(raw) }}
 		conn, err := narrow.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/terntray/questions_test.go
+++ b/cmd/terntray/questions_test.go
@@ -26,18 +26,18 @@
 }
 
 // boxesWithData starts boxes of the given moods: for summaries, then for answers, each by replica.
-func boxesWithData(t *testing.T, data *fake.Blocks, mood func(s *fake.Replica, c fake.Call, summary bool) fake.Mood) (a, b *fake.Replica) {
-	act := data.Answer(mood, func(bool, int) time.Duration { return 2 * time.Millisecond })
+func boxesWithData(t *testing.T, data *fake.Shards, mood func(s *fake.Replica, c fake.Call, summary bool) fake.SummaryFault) (a, b *fake.Replica) {
+	act := data.Behavior(mood, func(bool, int) time.Duration { return 2 * time.Millisecond })
 	return newStandin(t, "s-a", 0, act), newStandin(t, "s-b", 0, act)
 }
 
-func honest(*fake.Replica, fake.Call, bool) fake.Mood { return fake.Honest }
+func honest(*fake.Replica, fake.Call, bool) fake.SummaryFault { return fake.NoFault }
 
 // whole checks that an answer is the one that all blocks would have given.
-func (c *client) whole(data *fake.Blocks, best int, shards ...int) {
+func (c *client) whole(data *fake.Shards, best int, shards ...int) {
 	c.t.Helper()
 	a := c.receive()
-	if want := data.Truth(shards, 0, &best); a.status != http.StatusOK || strings.TrimSpace(a.body) != want {
+	if want := data.ExpectedResponse(shards, 0, &best); a.status != http.StatusOK || strings.TrimSpace(a.body) != want {
 		c.t.Errorf("answer %d %s, want %s", a.status, a.body, want)
 	}
 }
@@ -45,14 +45,14 @@
 // Blocks that are silent in the first phase and answer in the second, that differ, lie or die: the answer is whole and
 // right, or there is none.
 func TestQuestionsWhateverSummariesAre(t *testing.T) {
-	for name, mood := range map[string]fake.Mood{"honest": fake.Honest, "silent": fake.NoSummary, "malformed": fake.Malformed,
-		"loose": fake.Loose, "stale": fake.Stale, "dying behind its summary": fake.Dying, "late": fake.Late} {
-		data := fake.NewBlocks(3, 24, 6, 0.4)
-		a, b := boxesWithData(t, data, func(s *fake.Replica, c fake.Call, summary bool) fake.Mood {
+	for name, mood := range map[string]fake.SummaryFault{"honest": fake.NoFault, "silent": fake.NoSummary, "malformed": fake.MalformedSummary,
+		"loose": fake.LooseBounds, "stale": fake.StaleVersion, "dying behind its summary": fake.ResetAfterSummary, "late": fake.LateSummary} {
+		data := fake.NewShards(3, 24, 6, 0.4)
+		a, b := boxesWithData(t, data, func(s *fake.Replica, c fake.Call, summary bool) fake.SummaryFault {
 			if summary && c.Shard%3 == 0 {
 				return mood
 			}
-			return fake.Honest
+			return fake.NoFault
 		})
 		p, _ := installed(t, wide, phasesOn, 1024, a, b)
 		for n := range 3 {
@@ -68,16 +68,16 @@
 
 // A box whose answer is above its own bound is found out: the question is refused, and its summaries are not used again.
 func TestFalseSummariesSpoilTheQuestionAndTheBox(t *testing.T) {
-	data := fake.NewBlocks(3, 24, 6, 1)
+	data := fake.NewShards(3, 24, 6, 1)
 	lying := 0
 	for len(data.Records[lying]) == 0 {
 		lying++
 	}
-	a, b := boxesWithData(t, data, func(_ *fake.Replica, c fake.Call, summary bool) fake.Mood {
+	a, b := boxesWithData(t, data, func(_ *fake.Replica, c fake.Call, summary bool) fake.SummaryFault {
 		if summary && c.Shard == lying {
-			return fake.Liar
+			return fake.FalseBounds
 		}
-		return fake.Honest
+		return fake.NoFault
 	})
 	p, _ := installed(t, wide, phasesOn, 1024, a, b)
 	refused := 0
@@ -89,7 +89,7 @@
 			refused++
 		case http.StatusOK:
 			best := 200
-			if want := data.Truth([]int{0, 1, 2, 3, 4}, 0, &best); strings.TrimSpace(got.body) != want {
+			if want := data.ExpectedResponse([]int{0, 1, 2, 3, 4}, 0, &best); strings.TrimSpace(got.body) != want {
 				t.Errorf("%s, want %s", got.body, want)
 			}
 		default:
@@ -103,7 +103,7 @@
 
 // Nothing wanted, nothing that matches, more wanted than matches: whole answers, empty where they are.
 func TestQuestionsAtTheEdges(t *testing.T) {
-	data := fake.NewBlocks(3, 24, 6, 0) // nothing of score 0 or more anywhere
+	data := fake.NewShards(3, 24, 6, 0) // nothing of score 0 or more anywhere
 	a, b := boxesWithData(t, data, honest)
 	p, _ := installed(t, wide, phasesOn, 1024, a, b)
 	c := p.connect()
@@ -111,8 +111,8 @@
 		c.send(question(fmt.Sprint("q", n), 20, best, 0, 1, 2, 3, 4, 5))
 		c.whole(data, best, 0, 1, 2, 3, 4, 5)
 	}
-	if data.Asks[1] != 0 {
-		t.Errorf("%d blocks were asked although none can matter", data.Asks[1])
+	if data.Calls[1] != 0 {
+		t.Errorf("%d blocks were asked although none can matter", data.Calls[1])
 	}
 	for _, bad := range []string{`-1`, `"x"`, `20000`, `1.5`} {
 		c := p.connect()
@@ -130,17 +130,17 @@
 	c := p.connect()
 	c.send(question("q1", 10, 3, 5))
 	c.expect(map[int]string{5: value(a, 5)})
-	if got := a.Seen(); len(got) != 1 || got[0].Text != "score>=0" {
+	if got := a.Received(); len(got) != 1 || got[0].Text != "score>=0" {
 		t.Errorf("%+v", got)
 	}
 }
 
 // A first phase that takes nearly all of the time: the second is not begun, and the refusal comes at once.
 func TestSecondPhaseIsNotBegunTooLate(t *testing.T) {
-	data := fake.NewBlocks(3, 24, 6, 1)
-	slow := fake.Honest
-	act := data.Answer(honest, func(summary bool, _ int) time.Duration {
-		if !summary || slow == fake.Honest {
+	data := fake.NewShards(3, 24, 6, 1)
+	slow := fake.NoFault
+	act := data.Behavior(honest, func(summary bool, _ int) time.Duration {
+		if !summary || slow == fake.NoFault {
 			return 150 * time.Millisecond
 		}
 		return time.Hour // no summary
@@ -165,8 +165,8 @@
 // A client that leaves in the gap, and a co-ordinator that is told to drain, reload and end between the phases: what is open
 // is answered whole, nothing goes on for who has left.
 func TestBetweenThePhases(t *testing.T) {
-	data := fake.NewBlocks(3, 24, 6, 1)
-	act := data.Answer(honest, func(summary bool, _ int) time.Duration {
+	data := fake.NewShards(3, 24, 6, 1)
+	act := data.Behavior(honest, func(summary bool, _ int) time.Duration {
 		if summary {
 			return 300 * time.Millisecond
 		}
@@ -177,17 +177,17 @@
 	stays, leaves := p.connect(), p.connect()
 	stays.send(question("q1", 20, 3, 0, 1, 2, 3, 4))
 	leaves.send(question("q2", 20, 3, 0, 1, 2, 3, 4))
-	until(t, "summaries are asked", func() bool { return a.Saw("q1.") || b.Saw("q1.") })
-	until(t, "both are", func() bool { return a.Saw("q2.") || b.Saw("q2.") })
+	until(t, "summaries are asked", func() bool { return a.HasReceived("q1.") || b.HasReceived("q1.") })
+	until(t, "both are", func() bool { return a.HasReceived("q2.") || b.HasReceived("q2.") })
 	leaves.Conn.Close()
-	r.Change(a, "draining")
+	r.SetState(a, "draining")
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(20 * time.Millisecond)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	stays.whole(data, 3, 0, 1, 2, 3, 4)
 	p.ends(t)
 	for _, s := range []*fake.Replica{a, b} {
-		for _, call := range s.Seen() {
+		for _, call := range s.Received() {
 			var asked struct{ Ask string }
 			line, _, _ := strings.Cut(call.Text, "\n")
 			json.Unmarshal([]byte(line), &asked)
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -23,7 +23,7 @@
 	if r := c.receive(); r.status < 500 || r.status == 503 {
 		t.Errorf("a single-use retrieval that may have run was answered %d", r.status)
 	}
-	if n := len(a.Seen()) + len(b.Seen()); n != 1 {
+	if n := len(a.Received()) + len(b.Received()); n != 1 {
 		t.Errorf("its part was sent %d times", n)
 	}
 	if n := p.counters(); n["legs_reset"] != 1 || n["scrapped"] != 1 || n["dropped"] != 1 {
@@ -55,7 +55,7 @@
 	until(t, "the replica is told that parts are given up", func() bool {
 		a.Mu.Lock()
 		defer a.Mu.Unlock()
-		return len(a.GivenUp) > 0
+		return len(a.Abandoned) > 0
 	})
 }
 
@@ -90,7 +90,7 @@
 		if name == "a refusal" { // the log is written behind the answer
 			until(t, "the replica's words are in the log", func() bool { return strings.Contains(p.logged(), "what is this") })
 		}
-		a.Does(fulfil)
+		a.SetBehavior(fulfil)
 		c.send(query("claim", "q2", 10, 3))
 		c.expect(map[int]string{3: value(a, 3)})
 	}
@@ -128,17 +128,17 @@
 	p, _ := deployed(t, settings, a)
 	c, d := p.connect(), p.connect()
 	c.send(query("claim", "q1", 10, 3, 4))
-	until(t, "they are sent", func() bool { return len(a.Seen()) == 2 })
+	until(t, "they are sent", func() bool { return len(a.Received()) == 2 })
 	d.send(query("look", "q2", 10, 5, 6))
-	until(t, "the others are sent", func() bool { return len(a.Seen()) == 4 })
+	until(t, "the others are sent", func() bool { return len(a.Received()) == 4 })
 	on := map[net.Conn][]string{}
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		on[part.Conn] = append(on[part.Conn], part.ID)
 	}
 	if len(on) != 3 {
 		t.Errorf("parts by connection: %v", on)
 	}
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		if part.ID == "q2.5" {
 			io.WriteString(part.Conn, "noise")
 		} else if strings.HasPrefix(part.ID, "q1") {
@@ -154,9 +154,9 @@
 	p, _ := deployed(t, settings, a)
 	c := p.connect()
 	c.send(query("look", "q1", 30, 0, 1, 2, 3, 4, 5, 6))
-	until(t, "all parts arrive", func() bool { return len(a.Seen()) == 7 })
+	until(t, "all parts arrive", func() bool { return len(a.Received()) == 7 })
 	on := map[net.Conn]int{}
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		on[part.Conn]++
 	}
 	if len(on) != 2 {
@@ -167,7 +167,7 @@
 			t.Errorf("%d parts on %v", n, conn.RemoteAddr())
 		}
 	}
-	for _, part := range a.Seen() {
+	for _, part := range a.Received() {
 		fulfil(a, part)
 	}
 	c.receive()
@@ -200,12 +200,12 @@
 	p, r := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), a)
 	c := p.connect()
 	c.send(query("look", "q1", 20, 3))
-	until(t, "the part arrives", func() bool { return a.Saw("q1") })
-	a.Does(fulfil)
+	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
+	a.SetBehavior(fulfil)
 	r.Mu.Lock()
 	a.BootMS = time.Now().Add(time.Second).UnixMilli()
 	r.Mu.Unlock()
-	r.Change(a, "ready")
+	r.SetState(a, "ready")
 	c.expect(map[int]string{3: value(a, 3)})
 	if n := p.counters(); n["legs_reset"] != 1 || n["opened"] != 2 {
 		t.Errorf("counters %v", n)
@@ -222,10 +222,10 @@
 	if r := c.receive(); r.status != 500 {
 		t.Errorf("answered %d", r.status)
 	}
-	a.Does(fulfil)
+	a.SetBehavior(fulfil)
 	c.send(query("look", "q2", 10, 3))
 	c.expect(map[int]string{3: value(a, 3)})
-	calls := a.Seen()
+	calls := a.Received()
 	if len(calls) != 2 || calls[0].Conn == calls[1].Conn {
 		t.Errorf("%d parts came, the second on the silent connection", len(calls))
 	}
--- a/cmd/terntray/standins_test.go
+++ b/cmd/terntray/standins_test.go
@@ -45,20 +45,20 @@
 }
 
 // The scripted peers, ended with their test.
-var fulfil, silent, reset, listing = fake.Fulfil, fake.Silent, fake.Reset, fake.Listing
+var fulfil, silent, reset, listing = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
 
 func newStandin(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
 	s, err := fake.NewReplica(uid, cell, act)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Odd = t.Errorf
+	s.OnMalformed = t.Errorf
 	t.Cleanup(func() { s.Listener.Close() })
 	return s
 }
 
-func newRoster(t *testing.T, at string, replicas ...*fake.Replica) *fake.Roster {
-	r, err := fake.NewRoster(at, replicas...)
+func newRoster(t *testing.T, at string, replicas ...*fake.Replica) *fake.Discovery {
+	r, err := fake.NewDiscovery(at, replicas...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,10 +153,10 @@
 }
 
 // deployed starts the program among replicas and discovery.
-func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*program, *fake.Roster) {
+func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*program, *fake.Discovery) {
 	r := newRoster(t, "127.0.0.1:0", replicas...)
 	p := start(t, configure(t, r.Listener.Addr().String(), 1024, settings, replicas...))
-	until(t, "a watch stands", func() bool { return r.Watched() > 0 })
+	until(t, "a watch stands", func() bool { return r.Watches() > 0 })
 	return p, r
 }
 
--- a/coordinator/crossings_list_test.go
+++ b/coordinator/crossings_list_test.go
@@ -16,7 +16,7 @@
 // The next call of discovery goes out while what the last one told waits for its turn. Guards against: a full inbox that
 // lets a watch lapse.
 func TestWatchGoesOnWhileItsListWaitsForItsTurn(t *testing.T) {
-	a, err := fake.NewAgent()
+	a, err := fake.NewDiscoveryAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 		c.list.calls(ctx, a.Listener.Addr().String(), func(*wire.EndpointList) { <-waits })
 		close(ended)
 	}()
-	(<-a.Calls).Tell(`{"rev":5,"all":true,"targets":[]}`)
+	(<-a.Calls).Respond(`{"rev":5,"all":true,"targets":[]}`)
 	select {
 	case next := <-a.Calls:
 		if !strings.Contains(next.Path, "from=5") {
@@ -45,7 +45,7 @@
 // An agent that swallows a call, as while discovery is down, is asked again before what it tells at its return is late.
 // Guards against: a drain that counts as told while a call hangs. 0.6 s is some more than an agent is waited for.
 func TestCallThatHangsIsMadeAgainSoon(t *testing.T) {
-	a, err := fake.NewAgent()
+	a, err := fake.NewDiscoveryAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		}()
 		call := <-a.Calls
 		if wait > 0 {
-			call.Tell(`{"rev":5,"all":true,"targets":[]}`)
+			call.Respond(`{"rev":5,"all":true,"targets":[]}`)
 			<-a.Calls
 		}
 		began := time.Now()
@@ -72,7 +72,7 @@
 // A list that states no length ends with its connection; one that is reset on the way has no end, whatever of it came.
 func TestListWithoutALengthEndsWithItsConnectionAlone(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		a, err := fake.NewAgent()
+		a, err := fake.NewDiscoveryAgent()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 // A new process serves nobody by its old list as long as a newer one may be had at once.
 func TestReadyOnlyOnceTheListIsKnownAnew(t *testing.T) {
 	for _, told := range []bool{true, false} {
-		a, err := fake.NewAgent()
+		a, err := fake.NewDiscoveryAgent()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 			t.Error("it is ready with the list of its last life")
 		}
 		if told {
-			call.Tell(`{"rev":5,"all":true,"targets":[{"uid":"s-a","endpoint":"127.0.0.1:1","az":"west","pod_group":0,"state":"draining"}]}`)
+			call.Respond(`{"rev":5,"all":true,"targets":[{"uid":"s-a","endpoint":"127.0.0.1:1","az":"west","pod_group":0,"state":"draining"}]}`)
 		} else { // discovery is down: the old one is all there is
 			call.Conn.Close()
 		}
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -7,25 +7,25 @@
 	"net/http"
 )
 
-// Agent stands in for discovery where a test chooses the instant of each answer, and whether there is one.
-type Agent struct {
+// DiscoveryAgent stands in for discovery where a test chooses the instant of each answer, and whether there is one.
+type DiscoveryAgent struct {
 	Listener net.Listener
-	Calls    chan AgentCall // as they come, up to a hundred; the rest stay without an answer
+	Calls    chan DiscoveryCall // as they come, up to a hundred; the rest stay without an answer
 }
 
-// AgentCall is one call that waits for its answer.
-type AgentCall struct {
+// DiscoveryCall is one call that waits for its answer.
+type DiscoveryCall struct {
 	Path string // with its query
 	Conn net.Conn
 }
 
-// NewAgent starts one on a port of its own.
-func NewAgent() (*Agent, error) {
+// NewDiscoveryAgent starts one on a port of its own.
+func NewDiscoveryAgent() (*DiscoveryAgent, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{l, make(chan AgentCall, 100)}
+	a := &DiscoveryAgent{l, make(chan DiscoveryCall, 100)}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -38,7 +38,7 @@
 	return a, nil
 }
 
-func (a *Agent) serve(conn net.Conn) {
+func (a *DiscoveryAgent) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -47,13 +47,13 @@
 			return
 		}
 		select {
-		case a.Calls <- AgentCall{r.URL.RequestURI(), conn}:
+		case a.Calls <- DiscoveryCall{r.URL.RequestURI(), conn}:
 		default:
 		}
 	}
 }
 
-// Tell answers a call with a list, as Listing writes it.
-func (c AgentCall) Tell(list string) {
+// Respond answers a call with a list, as Listing writes it.
+func (c DiscoveryCall) Respond(list string) {
 	fmt.Fprintf(c.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
--- a/internal/fake/blocks.go
+++ b/internal/fake/blocks.go
@@ -16,21 +16,21 @@
 	Score float64 `json:"score"`
 }
 
-// Blocks are the data of a fleet: scored records by block, and each block's version. A question's text is "score>=X".
-type Blocks struct {
+// Shards are the data of a fleet: scored records by block, and each block's version. A question's text is "score>=X".
+type Shards struct {
 	mu      sync.Mutex
 	Records [][]Record
 	version []int
-	// Work is what boxes did so far, in records looked at; a summary looks at none but costs one.
-	Work int
-	Asks [2]int // calls: for summaries, for answers
+	// RecordsRead is what boxes did so far, in records looked at; a summary looks at none but costs one.
+	RecordsRead int
+	Calls       [2]int // calls: for summaries, for answers
 }
 
-// NewBlocks draws some blocks of up to so many records, with scores in steps so that ties are common. Selectivity is the
+// NewShards draws some blocks of up to so many records, with scores in steps so that ties are common. Selectivity is the
 // share of blocks that hold anything of score 0 or more; the rest hold only what is below.
-func NewBlocks(seed uint64, blocks, most int, selectivity float64) *Blocks {
+func NewShards(seed uint64, blocks, most int, selectivity float64) *Shards {
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	b := &Blocks{version: make([]int, blocks)}
+	b := &Shards{version: make([]int, blocks)}
 	for n := range blocks {
 		var all []Record
 		high := rnd.Float64() < selectivity
@@ -46,21 +46,21 @@
 	return b
 }
 
-// Moves gives a block a new version of the same data.
-func (b *Blocks) Moves(block int) {
+// AdvanceVersion gives a block a new version of the same data.
+func (b *Shards) AdvanceVersion(block int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.version[block]++
 }
 
-type askedFor struct {
+type twoPhaseCall struct {
 	Ask     string `json:"ask"`
 	Best    *int   `json:"best"`
 	Version string `json:"version"`
 }
 
 // matching is what of a block a question wants, in order.
-func (b *Blocks) matching(block int, least float64) (all []Record) {
+func (b *Shards) matching(block int, least float64) (all []Record) {
 	for _, r := range b.Records[block] {
 		if r.Score >= least {
 			all = append(all, r)
@@ -78,8 +78,8 @@
 	return all
 }
 
-// Truth is the whole answer as a client gets it: worked out from all blocks, with no phases and no boxes.
-func (b *Blocks) Truth(blocks []int, least float64, best *int) string {
+// ExpectedResponse is the whole answer as a client gets it: worked out from all blocks, with no phases and no boxes.
+func (b *Shards) ExpectedResponse(blocks []int, least float64, best *int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type hit struct {
@@ -112,31 +112,31 @@
 	return string(body)
 }
 
-// Mood is how a box is about summaries.
-type Mood int
+// SummaryFault is how a box is about summaries.
+type SummaryFault int
 
 // The moods.
 const (
-	Honest    Mood = iota
-	Loose          // bounds that say little
-	NoSummary      // silent
-	Late           // slow
-	Malformed
-	Stale // of the version before
-	Liar  // bounds that are too low
-	Dying // its connection ends behind the summary
+	NoFault     SummaryFault = iota
+	LooseBounds              // bounds that say little
+	NoSummary                // silent
+	LateSummary              // slow
+	MalformedSummary
+	StaleVersion      // of the version before
+	FalseBounds       // bounds that are too low
+	ResetAfterSummary // its connection ends behind the summary
 	NoAnswer
-	Moods
+	SummaryFaults
 )
 
-// Answer makes what a box does with the parts of questions; mood is asked for each call, takes for how long it works.
-func (b *Blocks) Answer(mood func(*Replica, Call, bool) Mood, takes func(summary bool, records int) time.Duration) func(*Replica, Call) {
+// Behavior makes what a box does with the parts of questions; mood is asked for each call, takes for how long it works.
+func (b *Shards) Behavior(mood func(*Replica, Call, bool) SummaryFault, takes func(summary bool, records int) time.Duration) func(*Replica, Call) {
 	return func(s *Replica, c Call) {
 		line, text, _ := strings.Cut(c.Text, "\n")
-		var ask askedFor
+		var ask twoPhaseCall
 		var least float64
 		if json.Unmarshal([]byte(line), &ask) != nil {
-			s.Odd("replica %s: a call that is no question: %q", s.UID, c.Text)
+			s.OnMalformed("replica %s: a call that is no question: %q", s.UID, c.Text)
 			return
 		}
 		fmt.Sscanf(text, "score>=%g", &least)
@@ -146,11 +146,11 @@
 		all := b.matching(c.Shard, least)
 		version := b.version[c.Shard]
 		if summary {
-			b.Work++
-			b.Asks[0]++
+			b.RecordsRead++
+			b.Calls[0]++
 		} else {
-			b.Work += 1 + len(b.Records[c.Shard])
-			b.Asks[1]++
+			b.RecordsRead += 1 + len(b.Records[c.Shard])
+			b.Calls[1]++
 		}
 		b.mu.Unlock()
 		value := ""
@@ -169,35 +169,35 @@
 		time.AfterFunc(takes(summary, len(b.Records[c.Shard])), func() {
 			switch {
 			case summary && m == NoSummary || !summary && m == NoAnswer:
-			case summary && m == Late:
+			case summary && m == LateSummary:
 				time.AfterFunc(400*time.Millisecond, func() { s.Reply(c, "OK", value) })
 			default:
 				s.Reply(c, "OK", value)
 			}
-			if m == Dying {
-				Reset(s, c)
+			if m == ResetAfterSummary {
+				ResetConnection(s, c)
 			}
 		})
 	}
 }
 
 // summaryOf is a block's summary, as a box of a mood words it.
-func summaryOf(all []Record, version int, m Mood) string {
+func summaryOf(all []Record, version int, m SummaryFault) string {
 	out := map[string]any{"version": fmt.Sprint("v", version), "count": len(all)}
 	if len(all) > 0 {
 		out["upper"], out["lower"] = all[0].Score, all[len(all)-1].Score
 	}
 	switch m {
-	case Loose:
+	case LooseBounds:
 		delete(out, "lower")
 		out["upper"] = 1000
-	case Stale:
+	case StaleVersion:
 		out["version"] = fmt.Sprint("v", version-1)
-	case Liar:
+	case FalseBounds:
 		if len(all) > 0 {
 			out["upper"], out["lower"] = -100, -100
 		}
-	case Malformed:
+	case MalformedSummary:
 		return []string{"{", `{"version":"v1"}`, `{"version":"","count":1}`, `{"version":"v","count":-3}`,
 			`{"version":"v","count":1,"upper":1,"lower":2}`, `{"version":"v","count":1,"upper":1e999}`, "[]"}[len(all)%7]
 	}
--- a/internal/fake/chaos.go
+++ b/internal/fake/chaos.go
@@ -10,87 +10,87 @@
 	"time"
 )
 
-// Ran is a ledger of which parts were run, kept apart from all that a co-ordinator counts.
-type Ran struct {
-	mu    sync.Mutex
-	Came  map[string]int            // by a part's id: how often it reached a box whole, run or not
-	Parts map[string]int            // by a part's id: how often it was run, anywhere
-	At    map[string]map[string]int // by replica and part
+// ExecutionLedger is a ledger of which parts were run, kept apart from all that a co-ordinator counts.
+type ExecutionLedger struct {
+	mu           sync.Mutex
+	Received     map[string]int            // by a part's id: how often it reached a box whole, run or not
+	Executions   map[string]int            // by a part's id: how often it was run, anywhere
+	ExecutionsAt map[string]map[string]int // by replica and part
 }
 
-// NewRan makes an empty one.
-func NewRan() *Ran {
-	return &Ran{Came: map[string]int{}, Parts: map[string]int{}, At: map[string]map[string]int{}}
+// NewExecutionLedger makes an empty one.
+func NewExecutionLedger() *ExecutionLedger {
+	return &ExecutionLedger{Received: map[string]int{}, Executions: map[string]int{}, ExecutionsAt: map[string]map[string]int{}}
 }
 
-// Arrives notes that a part has reached a box.
-func (g *Ran) Arrives(part string) {
+// NoteReceived notes that a part has reached a box.
+func (g *ExecutionLedger) NoteReceived(part string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Came[part]++
+	g.Received[part]++
 }
 
-// Adds notes that a part is run.
-func (g *Ran) Adds(uid, part string) {
+// NoteExecuted notes that a part is run.
+func (g *ExecutionLedger) NoteExecuted(uid, part string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.At[uid] == nil {
-		g.At[uid] = map[string]int{}
+	if g.ExecutionsAt[uid] == nil {
+		g.ExecutionsAt[uid] = map[string]int{}
 	}
-	g.Parts[part]++
-	g.At[uid][part]++
+	g.Executions[part]++
+	g.ExecutionsAt[uid][part]++
 }
 
-// Chance is a source of chance that goroutines share.
-type Chance struct {
+// Random is a source of chance that goroutines share.
+type Random struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// NewChance draws from a seed.
-func NewChance(seed uint64) *Chance { return &Chance{rnd: rand.New(rand.NewPCG(seed, 11))} }
+// NewRandom draws from a seed.
+func NewRandom(seed uint64) *Random { return &Random{rnd: rand.New(rand.NewPCG(seed, 11))} }
 
-// N draws a number from 0 up to n, without n.
-func (c *Chance) N(n int) int {
+// IntN draws a number from 0 up to n, without n.
+func (c *Random) IntN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rnd.IntN(n)
 }
 
-// Moody is what a box does that runs most parts well and, for some of a thousand, does anything else that the protocols
+// Unreliable is what a box does that runs most parts well and, for some of a thousand, does anything else that the protocols
 // allow or forbid. Each part that is begun goes into the ledger first.
-func Moody(g *Ran, chance *Chance, bad int) func(*Replica, Call) {
+func Unreliable(g *ExecutionLedger, chance *Random, bad int) func(*Replica, Call) {
 	return func(s *Replica, c Call) {
-		g.Arrives(c.ID)
-		mood := chance.N(1000)
-		if mood < bad && chance.N(2) == 0 {
-			Refuse(s, c) // it never ran
+		g.NoteReceived(c.ID)
+		mood := chance.IntN(1000)
+		if mood < bad && chance.IntN(2) == 0 {
+			Reject(s, c) // it never ran
 			return
 		}
-		g.Adds(s.UID, c.ID)
-		time.AfterFunc(time.Duration(1+chance.N(8))*time.Millisecond, func() {
+		g.NoteExecuted(s.UID, c.ID)
+		time.AfterFunc(time.Duration(1+chance.IntN(8))*time.Millisecond, func() {
 			if mood >= bad {
-				Fulfil(s, c)
+				Succeed(s, c)
 				return
 			}
-			[]func(*Replica, Call){Err, Cancel, Silent, Reset, Garbage, Fulfil}[chance.N(6)](s, c)
+			[]func(*Replica, Call){Fail, CancelStream, Silent, ResetConnection, Garbage, Succeed}[chance.IntN(6)](s, c)
 		})
 	}
 }
 
-// Trouble has boxes misbehave at random moments until it is told to stop: connections are cut at random points or end, all
+// InjectConnectionFaults has boxes misbehave at random moments until it is told to stop: connections are cut at random points or end, all
 // at once or one that is being read; GOAWAY comes in two steps, in one, or with an abrupt end; limits fall in mid-burst,
 // to nothing even, and rise; windows stall; pings have no answer.
-func Trouble(boxes []*Replica, chance *Chance, stop <-chan struct{}) {
+func InjectConnectionFaults(boxes []*Replica, chance *Random, stop <-chan struct{}) {
 	for _, b := range boxes {
 		b.Mu.Lock()
-		b.Cut = func() int { // one connection in three is cut within some calls
-			if chance.N(3) > 0 {
+		b.CutAfter = func() int { // one connection in three is cut within some calls
+			if chance.IntN(3) > 0 {
 				return -1
 			}
-			return 30 + chance.N(20_000)
+			return 30 + chance.IntN(20_000)
 		}
-		b.Waits = func() time.Duration { return time.Duration(chance.N(3)) * time.Millisecond }
+		b.QueueTime = func() time.Duration { return time.Duration(chance.IntN(3)) * time.Millisecond }
 		b.Mu.Unlock()
 	}
 	for {
@@ -98,21 +98,21 @@
 		case <-stop:
 			for _, b := range boxes {
 				b.Mu.Lock()
-				b.Cut, b.Waits = nil, nil
+				b.CutAfter, b.QueueTime = nil, nil
 				b.Mu.Unlock()
-				b.Limit(100)
-				b.Stall(false)
-				b.Deaf(false)
+				b.SetStreamLimit(100)
+				b.WithholdCredit(false)
+				b.IgnorePings(false)
 			}
 			return
-		case <-time.After(time.Duration(10+chance.N(60)) * time.Millisecond):
+		case <-time.After(time.Duration(10+chance.IntN(60)) * time.Millisecond):
 		}
-		b := boxes[chance.N(len(boxes))]
-		switch chance.N(9) {
+		b := boxes[chance.IntN(len(boxes))]
+		switch chance.IntN(9) {
 		case 0:
-			b.CutAll(true)
+			b.CloseConnections(true)
 		case 1:
-			b.CutAll(false)
+			b.CloseConnections(false)
 		case 2:
 			b.GoAway(true, false)
 		case 3:
@@ -120,31 +120,31 @@
 		case 4:
 			b.GoAway(true, true)
 		case 5:
-			b.Limit([]int{0, 1, 3, 100}[chance.N(4)])
-			time.AfterFunc(60*time.Millisecond, func() { b.Limit(100) })
+			b.SetStreamLimit([]int{0, 1, 3, 100}[chance.IntN(4)])
+			time.AfterFunc(60*time.Millisecond, func() { b.SetStreamLimit(100) })
 		case 6:
-			b.Stall(true)
-			time.AfterFunc(80*time.Millisecond, func() { b.Stall(false) })
+			b.WithholdCredit(true)
+			time.AfterFunc(80*time.Millisecond, func() { b.WithholdCredit(false) })
 		case 7:
-			b.Deaf(true)
-			time.AfterFunc(80*time.Millisecond, func() { b.Deaf(false) })
+			b.IgnorePings(true)
+			time.AfterFunc(80*time.Millisecond, func() { b.IgnorePings(false) })
 		}
 	}
 }
 
-// InstallationOf writes an installation file that has replicas of model h2 speak HTTP/2, and returns its name.
-func InstallationOf(folder string) (string, error) {
+// WriteHTTP2Config writes an installation file that has replicas of model h2 speak HTTP/2, and returns its name.
+func WriteHTTP2Config(folder string) (string, error) {
 	file := filepath.Join(folder, "installation.json")
 	return file, os.WriteFile(file, []byte(`{"replicas":[{"model":"h2","dialect":"http2"}]}`), 0o600)
 }
 
-// Told are the attempts that a co-ordinator has logged under -trace: by replica and part, how many, and how many of those it
+// Trace are the attempts that a co-ordinator has logged under -trace: by replica and part, how many, and how many of those it
 // holds for never run.
-type Told struct{ Attempts, Never map[string]map[string]int }
+type Trace struct{ Attempts, NeverRan map[string]map[string]int }
 
 // ReadTrace reads a program's log.
-func ReadTrace(log string) Told {
-	t := Told{map[string]map[string]int{}, map[string]map[string]int{}}
+func ReadTrace(log string) Trace {
+	t := Trace{map[string]map[string]int{}, map[string]map[string]int{}}
 	add := func(m map[string]map[string]int, uid, part string) {
 		if m[uid] == nil {
 			m[uid] = map[string]int{}
@@ -161,17 +161,17 @@
 		uid, how := strings.TrimPrefix(words[1], "replica="), strings.TrimPrefix(words[2], "outcome=")
 		add(t.Attempts, uid, part)
 		if how == "turned_away" || how == "unreachable" || how == "moot" {
-			add(t.Never, uid, part)
+			add(t.NeverRan, uid, part)
 		}
 	}
 	return t
 }
 
-// FalseNever counts attempts that were held for never run although a ledger shows that they were.
-func (t Told) FalseNever(g *Ran) (n int, words []string) {
-	for uid, parts := range g.At {
+// FalseNeverRan counts attempts that were held for never run although a ledger shows that they were.
+func (t Trace) FalseNeverRan(g *ExecutionLedger) (n int, words []string) {
+	for uid, parts := range g.ExecutionsAt {
 		for part, ran := range parts {
-			if may := t.Attempts[uid][part] - t.Never[uid][part]; ran > may {
+			if may := t.Attempts[uid][part] - t.NeverRan[uid][part]; ran > may {
 				n++
 				words = append(words, fmt.Sprintf("%s ran %s %d times, %d legs may have", uid, part, ran, may))
 			}
--- a/internal/fake/http2.go
+++ b/internal/fake/http2.go
@@ -81,7 +81,7 @@
 		case *http2.HeadersFrame:
 			fields, err := heads.DecodeFull(f.HeaderBlockFragment())
 			if err != nil || !f.HeadersEnded() {
-				s.Odd("replica %s: a head of stream %d that cannot be read: %v", s.UID, f.StreamID, err)
+				s.OnMalformed("replica %s: a head of stream %d that cannot be read: %v", s.UID, f.StreamID, err)
 				return
 			}
 			h.began(f.StreamID, fields)
@@ -97,8 +97,8 @@
 			h.mu.Unlock()
 			if c != nil {
 				s.Mu.Lock()
-				if !s.Quiet {
-					s.GivenUp = append(s.GivenUp, c.ID)
+				if !s.NoLedger {
+					s.Abandoned = append(s.Abandoned, c.ID)
 				}
 				s.Mu.Unlock()
 			}
@@ -125,10 +125,10 @@
 		case "part-shard":
 			c.Shard, _ = strconv.Atoi(f.Value)
 		case "part-wait-ms":
-			c.Wait, _ = strconv.Atoi(f.Value)
+			c.TimeLeftMS, _ = strconv.Atoi(f.Value)
 		case ":path":
 			if f.Value != "/part" {
-				h.s.Odd("replica %s: path %q", h.s.UID, f.Value)
+				h.s.OnMalformed("replica %s: path %q", h.s.UID, f.Value)
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	s := h.s
 	s.Mu.Lock()
-	waits := s.Waits
+	waits := s.QueueTime
 	s.Mu.Unlock()
 	if waits == nil {
 		h.run(id, c)
@@ -257,8 +257,8 @@
 	}
 }
 
-// Limit has the box take so many streams on each connection from now on, below 0 any number.
-func (s *Replica) Limit(n int) {
+// SetStreamLimit has the box take so many streams on each connection from now on, below 0 any number.
+func (s *Replica) SetStreamLimit(n int) {
 	s.Mu.Lock()
 	s.limit = n
 	s.Mu.Unlock()
@@ -279,12 +279,12 @@
 	})
 }
 
-// Deaf has it leave pings without an answer, and Stall has it give back no credit, from now on.
-func (s *Replica) Deaf(is bool)  { s.deaf.Store(is) }
-func (s *Replica) Stall(is bool) { s.stalls.Store(is) }
+// IgnorePings has it leave pings without an answer, and Stall has it give back no credit, from now on.
+func (s *Replica) IgnorePings(is bool)    { s.deaf.Store(is) }
+func (s *Replica) WithholdCredit(is bool) { s.stalls.Store(is) }
 
-// Open gives so much credit on each connection, and on each stream that stands.
-func (s *Replica) Open(bytes int) {
+// GrantCredit gives so much credit on each connection, and on each stream that stands.
+func (s *Replica) GrantCredit(bytes int) {
 	s.each(func(h *http2Conn) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -295,15 +295,15 @@
 	})
 }
 
-// Most is the largest number of streams that were open on a connection at a time.
-func (s *Replica) Most() int {
+// MaxStreams is the largest number of streams that were open on a connection at a time.
+func (s *Replica) MaxStreams() int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return s.most
 }
 
-// Refuse ends a part's stream: it never ran, as the protocol's own word says.
-func Refuse(s *Replica, c Call) {
+// Reject ends a part's stream: it never ran, as the protocol's own word says.
+func Reject(s *Replica, c Call) {
 	if c.h2 == nil {
 		s.Reply(c, "REJECTED", "")
 		return
@@ -311,8 +311,8 @@
 	c.h2.refuse(c.stream, http2.ErrCodeRefusedStream)
 }
 
-// Cancel ends a part's stream with no word on whether it ran.
-func Cancel(s *Replica, c Call) {
+// CancelStream ends a part's stream with no word on whether it ran.
+func CancelStream(s *Replica, c Call) {
 	if c.h2 == nil {
 		s.Reply(c, "ERROR", "")
 		return
--- a/internal/fake/load.go
+++ b/internal/fake/load.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// Answered is what became of one query, as its client saw it. Status 0: no answer came.
-type Answered struct {
+// LoadResult is what became of one query, as its client saw it. Status 0: no answer came.
+type LoadResult struct {
 	Due    time.Duration // when it was to be sent, since the load's start
 	Took   time.Duration // from then to its answer
 	Status int
 }
 
-// InTime tells whether it was fulfilled within an agreed time.
-func (a Answered) InTime(agreed time.Duration) bool {
+// WithinObjective tells whether it was fulfilled within an agreed time.
+func (a LoadResult) WithinObjective(agreed time.Duration) bool {
 	return a.Status == http.StatusOK && a.Took <= agreed
 }
 
 // Load asks one track on an open-loop schedule: evenly spaced, never slowed by answers.
 type Load struct {
-	Addr, Track string
+	Addr, Class string
 	Name        string        // begins each id; loads of one co-ordinator have names of their own
 	Rate        float64       // queries per second
-	Parts       int           // of each, of the shards from a random one on
+	Subqueries  int           // of each, of the shards from a random one on
 	Shards      int           // there are
-	CutOff      time.Duration // told with each
+	Deadline    time.Duration // told with each
 	Seed        uint64
-	MostConns   int // connections; who finds none free waits, which counts as the query's time
+	MaxConns    int // connections; who finds none free waits, which counts as the query's time
 
-	Extra atomic.Int64 // connections on which something stood behind an answer: it had two
-	Text  int          // bytes of each query's; 0: one
+	ExtraResponses atomic.Int64 // connections on which something stood behind an answer: it had two
+	TextBytes      int          // bytes of each query's; 0: one
 
 	idle chan *clientConn
 	left chan struct{} // places for further connections
@@ -48,12 +48,12 @@
 	in *bufio.Reader
 }
 
-// For runs the load for a while and returns all answers in order of sending, once they are in; clients wait for two
+// Run runs the load for a while and returns all answers in order of sending, once they are in; clients wait for two
 // seconds beyond the cut-off at the most.
-func (l *Load) For(while time.Duration) []Answered {
+func (l *Load) Run(while time.Duration) []LoadResult {
 	rnd := rand.New(rand.NewPCG(l.Seed, 1))
-	l.idle, l.left = make(chan *clientConn, l.MostConns), make(chan struct{}, l.MostConns)
-	all := make([]Answered, int(while.Seconds()*l.Rate))
+	l.idle, l.left = make(chan *clientConn, l.MaxConns), make(chan struct{}, l.MaxConns)
+	all := make([]LoadResult, int(while.Seconds()*l.Rate))
 	var open sync.WaitGroup
 	start := time.Now()
 	for n := range all {
@@ -62,7 +62,7 @@
 		if wait := due - time.Since(start); wait > 0 {
 			time.Sleep(wait)
 		}
-		first := rnd.IntN(l.Shards - l.Parts + 1)
+		first := rnd.IntN(l.Shards - l.Subqueries + 1)
 		open.Go(func() {
 			all[n].Status = l.ask(n, first, start.Add(due))
 			all[n].Took = time.Since(start) - due
@@ -82,21 +82,21 @@
 
 func (l *Load) ask(n, first int, due time.Time) int {
 	var segments strings.Builder
-	for i := range l.Parts {
+	for i := range l.Subqueries {
 		if i > 0 {
 			segments.WriteByte(',')
 		}
-		fmt.Fprintf(&segments, `{"segment":%d,"boost":%.6f}`, first+i, 1/float64(l.Parts))
+		fmt.Fprintf(&segments, `{"segment":%d,"boost":%.6f}`, first+i, 1/float64(l.Subqueries))
 	}
-	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, segments.String(), strings.Repeat("t", max(1, l.Text)))
+	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, segments.String(), strings.Repeat("t", max(1, l.TextBytes)))
 	request := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		l.Track, l.Name, n, l.CutOff.Seconds(), len(body), body)
+		l.Class, l.Name, n, l.Deadline.Seconds(), len(body), body)
 	for { // rested connections may have been closed, any number of them
-		c, rested := l.connection(due.Add(l.CutOff + time.Second))
+		c, rested := l.connection(due.Add(l.Deadline + time.Second))
 		if c == nil {
 			return 0
 		}
-		c.SetDeadline(due.Add(l.CutOff + 2*time.Second))
+		c.SetDeadline(due.Add(l.Deadline + 2*time.Second))
 		_, err := io.WriteString(c, request)
 		var r *http.Response
 		if err == nil {
@@ -111,7 +111,7 @@
 		}
 		_, err = io.Copy(io.Discard, r.Body)
 		if c.in.Buffered() > 0 {
-			l.Extra.Add(1)
+			l.ExtraResponses.Add(1)
 		}
 		if err != nil || r.Close {
 			l.end(c)
--- a/internal/fake/program.go
+++ b/internal/fake/program.go
@@ -62,8 +62,8 @@
 
 // StartProgram starts a built program among replicas and discovery, on one core, and waits until it serves; settings
 // are the deployment's as JSON, args further ones of serve.
-func StartProgram(path, settings string, r *Roster, args ...string) (*Program, error) {
-	return Start(Options{Path: path, Settings: settings, Discovery: r.Listener.Addr().String(), Known: Listing(1, true, r.All), Args: args})
+func StartProgram(path, settings string, r *Discovery, args ...string) (*Program, error) {
+	return Start(Options{Path: path, Settings: settings, Discovery: r.Listener.Addr().String(), Known: EndpointList(1, true, r.Replicas), Args: args})
 }
 
 // Start starts a program and waits until it serves.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.Serves(); err != nil {
+	if err := p.WaitServing(); err != nil {
 		p.Stop()
 		return nil, err
 	}
@@ -115,8 +115,8 @@
 	return os.WriteFile(p.configFile(), []byte(text), 0o600)
 }
 
-// Serves waits until the program serves.
-func (p *Program) Serves() error {
+// WaitServing waits until the program serves.
+func (p *Program) WaitServing() error {
 	for end := time.Now().Add(servesWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if _, after, ok := strings.Cut(p.Log(), "listen="); ok && strings.Contains(after, " ") {
 			p.Addr, _, _ = strings.Cut(after, " ")
@@ -179,8 +179,8 @@
 	return all
 }
 
-// Used is the time of a core that it has used so far, in steps of the machine's clock tick (10 ms, proc(5)).
-func (p *Program) Used() time.Duration {
+// CPUUsed is the time of a core that it has used so far, in steps of the machine's clock tick (10 ms, proc(5)).
+func (p *Program) CPUUsed() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -201,8 +201,8 @@
 	return len(all)
 }
 
-// CPU is the time of a core that it has used; to be asked once it has ended.
-func (p *Program) CPU() time.Duration {
+// CPUTotal is the time of a core that it has used; to be asked once it has ended.
+func (p *Program) CPUTotal() time.Duration {
 	<-p.done
 	return p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 }
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -23,11 +23,11 @@
 
 // Call is one part as it reached a replica.
 type Call struct {
-	ID    string
-	Shard int
-	Wait  int // milliseconds
-	Text  string
-	Conn  net.Conn
+	ID         string
+	Shard      int
+	TimeLeftMS int // milliseconds
+	Text       string
+	Conn       net.Conn
 
 	h2     *http2Conn // nil: it came in a frame
 	stream uint32
@@ -35,25 +35,25 @@
 
 // Replica is one. Its Act says what it does with each part; it runs on the connection's goroutine.
 type Replica struct {
-	UID      string
-	Cell     int
-	State    string
-	BootMS   int64
-	Listener net.Listener
-	Odd      func(format string, args ...any) // told of frames that cannot be used
-
-	Mu      sync.Mutex // guards what follows
-	Act     func(*Replica, Call)
-	Calls   []Call // the ledger; empty where Quiet
-	GivenUp []string
-	Conns   []net.Conn
-	Quiet   bool                 // keep no ledger of calls: for many
-	Cut     func() int           // bytes that a new connection brings in before it is cut off; below 0 for ever. nil: none is
-	Waits   func() time.Duration // a call in HTTP/2 waits so long in the box before it runs; nil: it runs at once
-	Model   string
-	http2   []*http2Conn
-	limit   int // streams on a connection; below 0: any number
-	most    int // that were open on one
+	UID         string
+	Cell        int
+	State       string
+	BootMS      int64
+	Listener    net.Listener
+	OnMalformed func(format string, args ...any) // told of frames that cannot be used
+
+	Mu        sync.Mutex // guards what follows
+	Behavior  func(*Replica, Call)
+	Calls     []Call // the ledger; empty where Quiet
+	Abandoned []string
+	Conns     []net.Conn
+	NoLedger  bool                 // keep no ledger of calls: for many
+	CutAfter  func() int           // bytes that a new connection brings in before it is cut off; below 0 for ever. nil: none is
+	QueueTime func() time.Duration // a call in HTTP/2 waits so long in the box before it runs; nil: it runs at once
+	Model     string
+	http2     []*http2Conn
+	limit     int // streams on a connection; below 0: any number
+	most      int // that were open on one
 
 	reading      sync.RWMutex // held while it reads nothing
 	in           atomic.Int64 // bytes that came
@@ -65,22 +65,22 @@
 	writing   sync.Mutex
 }
 
-// Fulfil answers with a value that tells the replica and the part.
-func Fulfil(s *Replica, c Call) { s.Reply(c, "OK", "v<"+s.UID+"."+strconv.Itoa(c.Shard)+">") }
+// Succeed answers with a value that tells the replica and the part.
+func Succeed(s *Replica, c Call) { s.Reply(c, "OK", "v<"+s.UID+"."+strconv.Itoa(c.Shard)+">") }
 
 // Silent answers nothing.
 func Silent(*Replica, Call) {}
 
-// Reset breaks the connection.
-func Reset(_ *Replica, c Call) {
+// ResetConnection breaks the connection.
+func ResetConnection(_ *Replica, c Call) {
 	if conn, ok := c.Conn.(*net.TCPConn); ok {
 		conn.SetLinger(0)
 	}
 	c.Conn.Close()
 }
 
-// Err answers that the part failed.
-func Err(s *Replica, c Call) { s.Reply(c, "ERROR", "") }
+// Fail answers that the part failed.
+func Fail(s *Replica, c Call) { s.Reply(c, "ERROR", "") }
 
 // After has it done after a time whatever else comes, as with any number of cores.
 func After(d time.Duration, do func(*Replica, Call)) func(*Replica, Call) {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Replica{UID: uid, Cell: cell, State: "ready", Model: "m", limit: -1, Listener: l, Act: act, Odd: func(string, ...any) {}}
+	s := &Replica{UID: uid, Cell: cell, State: "ready", Model: "m", limit: -1, Listener: l, Behavior: act, OnMalformed: func(string, ...any) {}}
 	go s.Accept(l)
 	return s, nil
 }
@@ -146,7 +146,7 @@
 func (s *Replica) serve(conn net.Conn) {
 	defer conn.Close()
 	s.Mu.Lock()
-	cut := s.Cut
+	cut := s.CutAfter
 	s.Mu.Unlock()
 	if cut != nil {
 		conn = &cutConn{Conn: conn, left: cut()}
@@ -176,8 +176,8 @@
 		}
 		if frame[0] == 'A' {
 			s.Mu.Lock()
-			if !s.Quiet {
-				s.GivenUp = append(s.GivenUp, string(frame[1:]))
+			if !s.NoLedger {
+				s.Abandoned = append(s.Abandoned, string(frame[1:]))
 			}
 			s.Mu.Unlock()
 			continue
@@ -186,15 +186,15 @@
 		line, text, _ := bytes.Cut(frame[1:], []byte("\n"))
 		words := strings.Fields(string(line))
 		if len(words) != 4 || frame[0] != 'R' || words[3] != strconv.Itoa(len(text)) {
-			s.Odd("replica %s cannot use frame %q", s.UID, frame)
+			s.OnMalformed("replica %s cannot use frame %q", s.UID, frame)
 			return
 		}
 		var errs [2]error
 		c.ID = words[0]
 		c.Shard, errs[0] = strconv.Atoi(words[1])
-		c.Wait, errs[1] = strconv.Atoi(strings.TrimPrefix(words[2], "d="))
+		c.TimeLeftMS, errs[1] = strconv.Atoi(strings.TrimPrefix(words[2], "d="))
 		if errs != [2]error{} {
-			s.Odd("replica %s cannot use frame %q: %v", s.UID, frame, errs)
+			s.OnMalformed("replica %s cannot use frame %q: %v", s.UID, frame, errs)
 			return
 		}
 		c.Text = string(text)
@@ -205,31 +205,31 @@
 // takes runs a part.
 func (s *Replica) takes(c Call) {
 	s.Mu.Lock()
-	if !s.Quiet {
+	if !s.NoLedger {
 		s.Calls = append(s.Calls, c)
 	}
-	act := s.Act
+	act := s.Behavior
 	s.Mu.Unlock()
 	act(s, c)
 }
 
-// Does changes what it does with parts from now on.
-func (s *Replica) Does(act func(*Replica, Call)) {
+// SetBehavior changes what it does with parts from now on.
+func (s *Replica) SetBehavior(act func(*Replica, Call)) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.Act = act
+	s.Behavior = act
 }
 
-// Seen tells the ledger of calls.
-func (s *Replica) Seen() []Call {
+// Received tells the ledger of calls.
+func (s *Replica) Received() []Call {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return slices.Clone(s.Calls)
 }
 
-// Saw tells whether a part of a query came.
-func (s *Replica) Saw(id string) bool {
-	return slices.ContainsFunc(s.Seen(), func(c Call) bool { return strings.HasPrefix(c.ID, id) })
+// HasReceived tells whether a part of a query came.
+func (s *Replica) HasReceived(id string) bool {
+	return slices.ContainsFunc(s.Received(), func(c Call) bool { return strings.HasPrefix(c.ID, id) })
 }
 
 // cutConn is a connection that is reset once so many bytes came in, wherever that is.
@@ -252,8 +252,8 @@
 	return n, err
 }
 
-// CutAll ends all connections that stand, with a reset or without.
-func (s *Replica) CutAll(reset bool) {
+// CloseConnections ends all connections that stand, with a reset or without.
+func (s *Replica) CloseConnections(reset bool) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	for _, conn := range s.Conns {
@@ -284,25 +284,25 @@
 	defer s.reading.RUnlock()
 }
 
-// ReadsNothing has it read no more, but for what its reads that wait already take, until goOn is called. What its
+// PauseReading has it read no more, but for what its reads that wait already take, until goOn is called. What its
 // connections hold meanwhile is little: they are to be made after Narrow.
-func (s *Replica) ReadsNothing() (goOn func()) {
+func (s *Replica) PauseReading() (goOn func()) {
 	s.reading.Lock()
 	return s.reading.Unlock
 }
 
-// Narrow has the machines hold few bytes for connections that are made from now on.
-func (s *Replica) Narrow() error {
+// ShrinkBuffers has the machines hold few bytes for connections that are made from now on.
+func (s *Replica) ShrinkBuffers() error {
 	raw, err := s.Listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
 	}
-	return Narrowed(raw)
+	return ShrinkBuffers(raw)
 }
 
-// Narrowed has the machines hold few bytes on a socket that is to be connected: a small window, and small segments, by which
+// ShrinkBuffers has the machines hold few bytes on a socket that is to be connected: a small window, and small segments, by which
 // the other end's buffer is measured.
-func Narrowed(raw syscall.RawConn) error {
+func ShrinkBuffers(raw syscall.RawConn) error {
 	var window, segment error
 	err := raw.Control(func(fd uintptr) {
 		window = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
--- a/internal/fake/roster.go
+++ b/internal/fake/roster.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// Roster stands in for discovery.
-type Roster struct {
+// Discovery stands in for discovery.
+type Discovery struct {
 	Listener net.Listener
 	Server   *http.Server
 
-	Mu      sync.Mutex // guards what follows
-	Rev     int
-	All     []*Replica
-	news    chan struct{}
-	watches int
+	Mu       sync.Mutex // guards what follows
+	Revision int
+	Replicas []*Replica
+	news     chan struct{}
+	watches  int
 }
 
-// NewRoster starts one at an address; Server.Close ends it.
-func NewRoster(at string, replicas ...*Replica) (*Roster, error) {
+// NewDiscovery starts one at an address; Server.Close ends it.
+func NewDiscovery(at string, replicas ...*Replica) (*Discovery, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{Rev: 5, All: replicas, news: make(chan struct{}), Listener: l}
+	r := &Discovery{Revision: 5, Replicas: replicas, news: make(chan struct{}), Listener: l}
 	r.Server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.Server.Serve(l)
 	return r, nil
 }
 
-func (r *Roster) serve(w http.ResponseWriter, ask *http.Request) {
+func (r *Discovery) serve(w http.ResponseWriter, ask *http.Request) {
 	r.Mu.Lock()
-	news, rev := r.news, r.Rev
+	news, rev := r.news, r.Revision
 	r.Mu.Unlock()
 	from, err := strconv.Atoi(ask.URL.Query().Get("from"))
 	if err == nil && from >= rev {
@@ -55,16 +55,16 @@
 	r.Mu.Lock()
 	defer r.Mu.Unlock()
 	var told []*Replica
-	for _, s := range r.All {
+	for _, s := range r.Replicas {
 		if err != nil || s.changedAt > from {
 			told = append(told, s)
 		}
 	}
-	io.WriteString(w, Listing(r.Rev, err != nil, told))
+	io.WriteString(w, EndpointList(r.Revision, err != nil, told))
 }
 
-// Listing writes a list as discovery tells it.
-func Listing(rev int, all bool, replicas []*Replica) string {
+// EndpointList writes a list as discovery tells it.
+func EndpointList(rev int, all bool, replicas []*Replica) string {
 	var targets []string
 	for _, s := range replicas {
 		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"pod_group":%d,`+
@@ -73,18 +73,18 @@
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(targets, ","))
 }
 
-// Change tells all who watch of a replica's new state.
-func (r *Roster) Change(s *Replica, state string) {
+// SetState tells all who watch of a replica's new state.
+func (r *Discovery) SetState(s *Replica, state string) {
 	r.Mu.Lock()
 	defer r.Mu.Unlock()
-	r.Rev++
-	s.State, s.changedAt = state, r.Rev
+	r.Revision++
+	s.State, s.changedAt = state, r.Revision
 	close(r.news)
 	r.news = make(chan struct{})
 }
 
-// Watched tells how many watches were held so far.
-func (r *Roster) Watched() int {
+// Watches tells how many watches were held so far.
+func (r *Discovery) Watches() int {
 	r.Mu.Lock()
 	defer r.Mu.Unlock()
 	return r.watches
--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -31,8 +31,8 @@
 	if late := time.Since(sent) - deadline; late > 200*time.Millisecond {
 		t.Errorf("answered %v after its deadline", late)
 	}
-	for _, call := range replica.Seen() {
-		if told := time.Duration(call.Wait) * time.Millisecond; told > deadline-900*time.Millisecond+150*time.Millisecond {
+	for _, call := range replica.Received() {
+		if told := time.Duration(call.TimeLeftMS) * time.Millisecond; told > deadline-900*time.Millisecond+150*time.Millisecond {
 			t.Errorf("the replica was told %v", told)
 		}
 	}
@@ -46,14 +46,14 @@
 // is off by an hour since this process' start makes no cold replica warm.
 func TestReplicaThatRestartsIsColdWhateverTheWallClockSays(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
-		p, _, replica, roster := startedStepped(t, slow, fake.Fulfil, step, 2*time.Hour)
+		p, _, replica, roster := startedStepped(t, slow, fake.Succeed, step, 2*time.Hour)
 		if strings.Contains(p.Log(), "is cold") {
 			t.Errorf("clock off by %v: a replica that has been up for hours is cold", step)
 		}
 		roster.Mu.Lock()
 		replica.BootMS = time.Now().UnixMilli()
 		roster.Mu.Unlock()
-		roster.Change(replica, "ready")
+		roster.SetState(replica, "ready")
 		for end := time.Now().Add(5 * time.Second); !strings.Contains(p.Log(), "is cold"); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Errorf("clock off by %v: a replica that has just restarted passes for warm", step)
@@ -66,7 +66,7 @@
 // A start that lies in the future by the own clock says that the clock is off; it holds the replica back no longer than a
 // start of just now would.
 func TestStartInTheFutureIsNoLongerColdThanOneOfNow(t *testing.T) {
-	p, _, _, _ := startedStepped(t, slow, fake.Fulfil, -time.Hour, 30*time.Minute)
+	p, _, _, _ := startedStepped(t, slow, fake.Succeed, -time.Hour, 30*time.Minute)
 	time.Sleep(2500 * time.Millisecond)
 	for n := range 20 {
 		if status := asked(t, p.Addr, fmt.Sprint("q", n)); status != http.StatusOK {
@@ -83,7 +83,7 @@
 	return p, page, replica
 }
 
-func startedStepped(t *testing.T, settings string, act func(*fake.Replica, fake.Call), step, up time.Duration) (*fake.Program, *faultbuild.Page, *fake.Replica, *fake.Roster) {
+func startedStepped(t *testing.T, settings string, act func(*fake.Replica, fake.Call), step, up time.Duration) (*fake.Program, *faultbuild.Page, *fake.Replica, *fake.Discovery) {
 	t.Helper()
 	module, err := filepath.Abs("../..")
 	if err != nil {
@@ -107,13 +107,13 @@
 	if up > 0 {
 		replica.BootMS = time.Now().Add(-up).UnixMilli()
 	}
-	roster, err := fake.NewRoster("127.0.0.1:0", replica)
+	roster, err := fake.NewDiscovery("127.0.0.1:0", replica)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { roster.Server.Close() })
 	p, err := fake.Start(fake.Options{Path: built, Settings: settings, Discovery: roster.Listener.Addr().String(),
-		Known: fake.Listing(1, true, roster.All), Env: []string{page.Variable()}})
+		Known: fake.EndpointList(1, true, roster.Replicas), Env: []string{page.Variable()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbuild/wallclock_test.go
+++ b/internal/faultbuild/wallclock_test.go
@@ -24,7 +24,7 @@
 // started starts the program with faults and one replica that answers everything.
 func started(t *testing.T) (*fake.Program, *faultbuild.Page) {
 	t.Helper()
-	p, page, _ := startedWith(t, settings, fake.Fulfil, 0, 0)
+	p, page, _ := startedWith(t, settings, fake.Succeed, 0, 0)
 	return p, page
 }
 
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	l := &life{program: p, began: c.soak.now()}
-	if err := p.Serves(); err != nil {
+	if err := p.WaitServing(); err != nil {
 		p.Stop()
 		return fmt.Errorf("%s: %w", c.name, err)
 	}
--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -60,7 +60,7 @@
 			places <- struct{}{}
 			all.Go(func() {
 				defer func() { <-places }()
-				var got [2][]fake.Answered
+				var got [2][]fake.LoadResult
 				for d, model := range []string{"frames", "h2"} {
 					answers, err := day(*program, seed, model, bad)
 					mu.Lock()
@@ -75,12 +75,12 @@
 					a, b := got[0][i], got[1][i]
 					switch {
 					case bad:
-						for d, x := range []fake.Answered{a, b} {
+						for d, x := range []fake.LoadResult{a, b} {
 							if faulty[d][0]++; x.Status == 200 {
 								faulty[d][1]++
 							}
 						}
-					case a.Status == b.Status && a.InTime(agreed) == b.InTime(agreed):
+					case a.Status == b.Status && a.WithinObjective(agreed) == b.WithinObjective(agreed):
 						same++
 					default:
 						differ++
@@ -104,15 +104,15 @@
 }
 
 // day plays one with boxes of one model; bad, with faults that both dialects know.
-func day(program string, seed uint64, model string, bad bool) (answers []fake.Answered, err error) {
-	chance := fake.NewChance(seed)
-	ran := fake.NewRan()
+func day(program string, seed uint64, model string, bad bool) (answers []fake.LoadResult, err error) {
+	chance := fake.NewRandom(seed)
+	ran := fake.NewExecutionLedger()
 	folder, err := os.MkdirTemp("", "terntray")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := fake.InstallationOf(folder)
+	installation, err := fake.WriteHTTP2Config(folder)
 	if err != nil {
 		return nil, err
 	}
@@ -122,15 +122,15 @@
 	}
 	var all []*fake.Replica
 	for n := range boxes {
-		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Moody(ran, chance, worse))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Unreliable(ran, chance, worse))
 		if err != nil {
 			return nil, err
 		}
 		defer b.Close()
-		b.Quiet, b.Model = true, model
+		b.NoLedger, b.Model = true, model
 		all = append(all, b)
 	}
-	roster, err := fake.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewDiscovery("127.0.0.1:0", all...)
 	if err != nil {
 		return nil, err
 	}
@@ -143,15 +143,15 @@
 	stop := make(chan struct{})
 	var peers sync.WaitGroup
 	if bad {
-		peers.Go(func() { cuts(all, fake.NewChance(seed+1), stop) })
+		peers.Go(func() { cuts(all, fake.NewRandom(seed+1), stop) })
 	}
 	var loads sync.WaitGroup
-	var got [2][]fake.Answered
+	var got [2][]fake.LoadResult
 	for n, track := range []string{"look", "rider-claim"} {
 		loads.Go(func() {
-			l := fake.Load{Addr: p.Addr, Track: track, Name: track, Rate: 100, Parts: 3, Shards: 24, CutOff: time.Second,
-				Seed: seed, MostConns: 500}
-			got[n] = l.For(1500 * time.Millisecond)
+			l := fake.Load{Addr: p.Addr, Class: track, Name: track, Rate: 100, Subqueries: 3, Shards: 24, Deadline: time.Second,
+				Seed: seed, MaxConns: 500}
+			got[n] = l.Run(1500 * time.Millisecond)
 		})
 	}
 	loads.Wait()
@@ -161,13 +161,13 @@
 }
 
 // cuts cuts a box's connections off every now and then.
-func cuts(boxes []*fake.Replica, chance *fake.Chance, stop <-chan struct{}) {
+func cuts(boxes []*fake.Replica, chance *fake.Random, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(100+chance.N(100)) * time.Millisecond):
-			boxes[chance.N(len(boxes))].CutAll(chance.N(2) == 0)
+		case <-time.After(time.Duration(100+chance.IntN(100)) * time.Millisecond):
+			boxes[chance.IntN(len(boxes))].CloseConnections(chance.IntN(2) == 0)
 		}
 	}
 }
--- a/proofs/dialects/measure.go
+++ b/proofs/dialects/measure.go
@@ -35,21 +35,21 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := fake.InstallationOf(folder)
+	installation, err := fake.WriteHTTP2Config(folder)
 	if err != nil {
 		return err
 	}
 	var all []*fake.Replica
 	for n := range boxes {
-		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.After(5*time.Millisecond, fake.Fulfil))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.After(5*time.Millisecond, fake.Succeed))
 		if err != nil {
 			return err
 		}
 		defer b.Close()
-		b.Quiet, b.Model = true, model
+		b.NoLedger, b.Model = true, model
 		all = append(all, b)
 	}
-	roster, err := fake.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewDiscovery("127.0.0.1:0", all...)
 	if err != nil {
 		return err
 	}
@@ -62,15 +62,15 @@
 	if err != nil {
 		return err
 	}
-	idle := p.Used()
-	l := fake.Load{Addr: p.Addr, Track: "look", Name: "m", Rate: rate / parts, Parts: parts, Shards: 24, CutOff: time.Second,
-		Seed: 3, MostConns: 1000, Text: 100}
-	done := make(chan []fake.Answered)
-	go func() { done <- l.For(lasts) }()
+	idle := p.CPUUsed()
+	l := fake.Load{Addr: p.Addr, Class: "look", Name: "m", Rate: rate / parts, Subqueries: parts, Shards: 24, Deadline: time.Second,
+		Seed: 3, MaxConns: 1000, TextBytes: 100}
+	done := make(chan []fake.LoadResult)
+	go func() { done <- l.Run(lasts) }()
 	time.Sleep(lasts / 2)
 	descriptors := p.Descriptors()
 	answers := <-done
-	used, attempts := p.Used()-idle, p.Counters()["legs"]
+	used, attempts := p.CPUUsed()-idle, p.Counters()["legs"]
 	if os.Getenv("SHOW") != "" {
 		fmt.Println(p.Get("/counters"))
 		fmt.Println(p.Get("/beliefs"))
@@ -86,7 +86,7 @@
 	var took []time.Duration
 	inTime := 0
 	for _, a := range answers {
-		if took = append(took, a.Took); a.InTime(agreed) {
+		if took = append(took, a.Took); a.WithinObjective(agreed) {
 			inTime++
 		}
 	}
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -84,31 +84,31 @@
 
 // day plays one: a program among boxes that misbehave under steady load of all tracks.
 func day(program string, seed uint64, lasts time.Duration, keep bool) (v verdict, err error) {
-	chance := fake.NewChance(seed)
-	ran := fake.NewRan()
+	chance := fake.NewRandom(seed)
+	ran := fake.NewExecutionLedger()
 	folder, err := os.MkdirTemp("", "terntray")
 	if err != nil {
 		return v, err
 	}
 	defer os.RemoveAll(folder)
-	installation, err := fake.InstallationOf(folder)
+	installation, err := fake.WriteHTTP2Config(folder)
 	if err != nil {
 		return v, err
 	}
 	var all []*fake.Replica
 	for n := range boxes {
-		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Moody(ran, chance, 20))
+		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Unreliable(ran, chance, 20))
 		if err != nil {
 			return v, err
 		}
 		defer b.Close()
-		b.Quiet = true
+		b.NoLedger = true
 		if b.Model = "frames"; (uint64(n)+seed)%3 > 0 {
 			b.Model = "h2"
 		}
 		all = append(all, b)
 	}
-	roster, err := fake.NewRoster("127.0.0.1:0", all...)
+	roster, err := fake.NewDiscovery("127.0.0.1:0", all...)
 	if err != nil {
 		return v, err
 	}
@@ -119,14 +119,14 @@
 	}
 	stop := make(chan struct{})
 	var peers sync.WaitGroup
-	peers.Go(func() { fake.Trouble(all, chance, stop) })
+	peers.Go(func() { fake.InjectConnectionFaults(all, chance, stop) })
 	var mu sync.Mutex
 	var loads sync.WaitGroup
 	for n, track := range []string{"look", "rider-claim", "token"} {
 		loads.Go(func() {
-			l := fake.Load{Addr: p.Addr, Track: track, Name: track, Rate: 90, Parts: 1 + (n+int(seed))%5, Shards: 24,
-				CutOff: time.Second, Seed: seed, MostConns: 500, Text: 1 + 3000*(int(seed)%4)}
-			answers := l.For(lasts)
+			l := fake.Load{Addr: p.Addr, Class: track, Name: track, Rate: 90, Subqueries: 1 + (n+int(seed))%5, Shards: 24,
+				Deadline: time.Second, Seed: seed, MaxConns: 500, TextBytes: 1 + 3000*(int(seed)%4)}
+			answers := l.Run(lasts)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, a := range answers {
@@ -139,7 +139,7 @@
 					v.words = append(v.words, fmt.Sprintf("a retrieval of %s at %v had no answer", track, a.Due))
 				}
 			}
-			v.double += int(l.Extra.Load())
+			v.double += int(l.ExtraResponses.Load())
 		})
 	}
 	loads.Wait()
@@ -156,15 +156,15 @@
 	}
 	told := fake.ReadTrace(log)
 	var words []string
-	v.falseNever, words = told.FalseNever(ran)
+	v.falseNever, words = told.FalseNeverRan(ran)
 	v.words = append(v.words, words...)
-	for part, n := range ran.Came {
+	for part, n := range ran.Received {
 		if n > maxAttempts {
 			v.over++
 			v.words = append(v.words, fmt.Sprintf("%s was sent %d times", part, n))
 		}
 	}
-	for part, n := range ran.Parts {
+	for part, n := range ran.Executions {
 		v.ran += n
 		if n > 1 && strings.HasPrefix(part, "rider-claim") {
 			v.twice++
--- a/proofs/phases/main.go
+++ b/proofs/phases/main.go
@@ -100,10 +100,10 @@
 // fleet is a program among boxes with data.
 type fleet struct {
 	*fake.Program
-	data   *fake.Blocks
+	data   *fake.Shards
 	boxes  []*fake.Replica
-	roster *fake.Roster
-	mood   func() fake.Mood
+	roster *fake.Discovery
+	mood   func() fake.SummaryFault
 	takes  func(summary bool, records int) time.Duration
 
 	mu      sync.Mutex
@@ -112,21 +112,21 @@
 }
 
 func newFleet(program string, seed uint64, blocks, records int, selectivity float64, maxAttempts int) (*fleet, error) {
-	f := &fleet{data: fake.NewBlocks(seed, blocks, records, selectivity), seen: map[string]int{},
-		mood: func() fake.Mood { return fake.Honest },
+	f := &fleet{data: fake.NewShards(seed, blocks, records, selectivity), seen: map[string]int{},
+		mood: func() fake.SummaryFault { return fake.NoFault },
 		takes: func(summary bool, records int) time.Duration {
 			if summary {
 				return time.Millisecond
 			}
 			return 15 * time.Millisecond
 		}}
-	act := f.data.Answer(func(s *fake.Replica, c fake.Call, summary bool) fake.Mood {
+	act := f.data.Behavior(func(s *fake.Replica, c fake.Call, summary bool) fake.SummaryFault {
 		m := f.mood()
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if part := strings.TrimSuffix(c.ID, "s"); !summary {
 			f.seen[part] |= 2
-		} else if m != fake.NoSummary && m != fake.Malformed {
+		} else if m != fake.NoSummary && m != fake.MalformedSummary {
 			f.seen[part] |= 1
 		}
 		return m
@@ -145,13 +145,13 @@
 		if err != nil {
 			return nil, err
 		}
-		b.Quiet = true
+		b.NoLedger = true
 		if (uint64(n)+seed)%2 == 0 {
 			b.Model = "h2"
 		}
 		f.boxes = append(f.boxes, b)
 	}
-	if f.roster, err = fake.NewRoster("127.0.0.1:0", f.boxes...); err != nil {
+	if f.roster, err = fake.NewDiscovery("127.0.0.1:0", f.boxes...); err != nil {
 		return nil, err
 	}
 	f.Program, err = fake.StartProgram(program, fmt.Sprintf(settings, maxAttempts), f.roster, "-installation", file)
@@ -172,14 +172,14 @@
 
 // play asks questions while boxes have all moods, and compares each answer with the truth.
 func (f *fleet) play(seed uint64, questions int) (t tally, words []string) {
-	chance := fake.NewChance(seed)
-	f.mood = func() fake.Mood {
-		if chance.N(100) < 94 {
-			return fake.Honest
+	chance := fake.NewRandom(seed)
+	f.mood = func() fake.SummaryFault {
+		if chance.IntN(100) < 94 {
+			return fake.NoFault
 		}
 		for {
-			m := fake.Mood(chance.N(int(fake.Moods)))
-			if m != fake.Liar { // told apart below: what they make wrong nobody can tell
+			m := fake.SummaryFault(chance.IntN(int(fake.SummaryFaults)))
+			if m != fake.FalseBounds { // told apart below: what they make wrong nobody can tell
 				return m
 			}
 		}
@@ -201,7 +201,7 @@
 			best = &k
 		}
 		if rnd.IntN(8) == 0 {
-			f.data.Moves(rnd.IntN(24))
+			f.data.AdvanceVersion(rnd.IntN(24))
 		}
 		time.Sleep(time.Until(start.Add(time.Duration(float64(n) / rate * float64(time.Second)))))
 		lanes <- struct{}{}
@@ -213,7 +213,7 @@
 				of = append(of, from+i)
 			}
 			status, body, err := ask(f.Addr, conns, id, of, least, best)
-			want := f.data.Truth(of, least, best)
+			want := f.data.ExpectedResponse(of, least, best)
 			mu.Lock()
 			defer mu.Unlock()
 			t.questions++
--- a/proofs/phases/measure.go
+++ b/proofs/phases/measure.go
@@ -58,7 +58,7 @@
 		in, asked := f.load(rate, blocks, 3*time.Second)
 		counts := f.Counters()
 		f.end()
-		work[n] = float64(f.data.Work) / float64(asked)
+		work[n] = float64(f.data.RecordsRead) / float64(asked)
 		attempts[n] = float64(counts["legs"]) / float64(asked)
 		inTime[n] = float64(in) / float64(asked)
 		if n == 1 {
--- a/proofs/ways-back/days.go
+++ b/proofs/ways-back/days.go
@@ -26,7 +26,7 @@
 type deployment struct {
 	*fake.Program
 	replicas []*fake.Replica
-	roster   *fake.Roster
+	roster   *fake.Discovery
 }
 
 func deploy(program string, replicas int, act func(*fake.Replica, fake.Call)) (*deployment, error) {
@@ -36,14 +36,14 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Quiet = true
+		r.NoLedger = true
 		d.replicas = append(d.replicas, r)
 	}
 	for n, r := range d.replicas {
 		r.Cell = n % replicas
 	}
 	var err error
-	if d.roster, err = fake.NewRoster("127.0.0.1:0", d.replicas...); err != nil {
+	if d.roster, err = fake.NewDiscovery("127.0.0.1:0", d.replicas...); err != nil {
 		return nil, err
 	}
 	d.Program, err = fake.StartProgram(program, fmt.Sprintf(settings, replicas), d.roster)
@@ -52,7 +52,7 @@
 
 func (d *deployment) does(act func(*fake.Replica, fake.Call)) {
 	for _, r := range d.replicas {
-		r.Does(act)
+		r.SetBehavior(act)
 	}
 }
 
@@ -64,24 +64,24 @@
 	}
 }
 
-func (d *deployment) load(name string, rate float64, parts int, while time.Duration) []fake.Answered {
-	l := fake.Load{Addr: d.Addr, Track: "look", Name: name, Rate: rate, Parts: parts, Shards: shards, CutOff: cutOff,
-		Seed: 7, MostConns: 2000}
-	return l.For(while)
+func (d *deployment) load(name string, rate float64, parts int, while time.Duration) []fake.LoadResult {
+	l := fake.Load{Addr: d.Addr, Class: "look", Name: name, Rate: rate, Subqueries: parts, Shards: shards, Deadline: cutOff,
+		Seed: 7, MaxConns: 2000}
+	return l.Run(while)
 }
 
 // share of answers that came whole in the agreed time.
-func share(all []fake.Answered) float64 {
+func share(all []fake.LoadResult) float64 {
 	n := 0
 	for _, a := range all {
-		if a.InTime(agreed) {
+		if a.WithinObjective(agreed) {
 			n++
 		}
 	}
 	return float64(n) / float64(max(1, len(all)))
 }
 
-func quick(s *fake.Replica, c fake.Call) { fake.Fulfil(s, c) }
+func quick(s *fake.Replica, c fake.Call) { fake.Succeed(s, c) }
 
 // trouble plays a day: all replicas sound, then in trouble for a while, then sound again. It returns when 99% were
 // fulfilled again, in seconds after that, or -1.
@@ -99,7 +99,7 @@
 	late, seen := 0, 0
 	for n := len(all) - 1; n >= 0 && all[n].Due > before+lasts; n-- {
 		seen++
-		if !all[n].InTime(agreed) {
+		if !all[n].WithinObjective(agreed) {
 			late++
 		}
 		if float64(late) > 0.01*float64(seen)+1 {
@@ -138,7 +138,7 @@
 		return 0, 0, 0, err
 	}
 	defer d.end()
-	var early, steady []fake.Answered
+	var early, steady []fake.LoadResult
 	for _, a := range d.load("o", rate, 3, lasts) {
 		switch {
 		case a.Due >= settled:
@@ -161,7 +161,7 @@
 		return
 	}
 	defer d.end()
-	done := make(chan []fake.Answered)
+	done := make(chan []fake.LoadResult)
 	go func() { done <- d.load("o", rate, 3, 3*time.Second) }()
 	before := d.Counters()["fulfilled"]
 	for {
--- a/proofs/ways-back/main.go
+++ b/proofs/ways-back/main.go
@@ -97,8 +97,8 @@
 		name string
 		bad  func(*fake.Replica, fake.Call)
 	}{
-		{"slow", fake.After(2500*time.Millisecond, quick)}, {"silent", fake.Silent}, {"erring", fake.Err},
-		{"closing", fake.Reset},
+		{"slow", fake.After(2500*time.Millisecond, quick)}, {"silent", fake.Silent}, {"erring", fake.Fail},
+		{"closing", fake.ResetConnection},
 	} {
 		all.Go(func() {
 			back, err := trouble(program, day.bad, 8*time.Second)
