--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -5,7 +5,7 @@
 	"eventloop/loop.go": {"	event()\n	for len(l.received)", "	if l.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	event()\n	if l.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(l.received)"},
 }
 
-// deliberate are changes of the program that break a rule, each to be caught by the oracle as that rule.
+// deliberate are changes of the program that break a rule. each to be caught by the oracle as that rule.
 var deliberate = []struct {
 	name, rule string
 	patches    map[string][2]string // by file: what stands there once, and what replaces it
@@ -27,7 +27,7 @@
 		"coordinator/permit.go": {"	if k.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
-		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
+		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == wire.Draining {\n		t.State = wire.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first < 0 || t.effect == replayable ||", "(true ||"},
