--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Simhost runs decision modules behind the simulator's wire on standard input and output.
+// Simhost runs schedulers behind the simulator's wire, on standard input and output.
 package main
 
 import (
--- /dev/null
+++ b/internal/simwire/names.go
@@ -0,0 +1,78 @@
+package simwire
+
+import "terntray/scheduler"
+
+// The simulator has names of its own theme for its messages and values. They stand here, beside the terms that the rest of
+// the program uses; names of fields stand in the decoders, where errors need them.
+
+// Messages from the simulator.
+const (
+	batchBegins      = "MARK"
+	batchEnds        = "FLUSH"
+	instanceSelected = "INSTANCE" // the messages that follow are for this co-ordinator
+	pageBegins       = "REGISTER" // a numbered list of endpoints, in so many pageEntry
+	pageEntry        = "ITEM"
+
+	// To the selected instance.
+	instanceStarts   = "PROVISION"
+	instanceStops    = "EXIT"
+	endpointsChanged = "REGISTRY"
+	arrival          = "DEMAND" // of a query or a subquery
+	firstReply       = "FIRST"
+	attemptEnded     = "FINISHED"
+	clientLeft       = "LAPSED"
+	wakeup           = "WAKE"
+	probeEnded       = "PROBE_DONE"
+	gossipReceived   = "PEER_DATA"
+)
+
+// Messages to the simulator.
+const (
+	batchAnswered   = "NEXT"
+	instanceAnswers = "ON_BEHALF" // the messages that follow are of this co-ordinator
+	instanceFailed  = "EXCEPTION"
+	logLine         = "EMIT"
+	startAttempt    = "SUBMIT_TO"
+	cancelAttempt   = "UNDO_SEND"
+	completeQuery   = "ASSEMBLE"
+	rejectQuery     = "PUSH_BACK"
+	failQuery       = "DROP_REQUEST"
+	scheduleWakeup  = "NOTIFY_ME"
+	pollEndpoints   = "LISTEN"
+	broadcast       = "POST"
+)
+
+// Values in fields.
+const (
+	absentValue      = "-"
+	boolFalse        = "0"
+	boolTrue         = "1"
+	toEveryPeer      = "all"
+	settingSeparator = "=" // between a setting's path and its value
+	loadSeparator    = ":" // between name and value in a load report
+)
+
+// Forms of endpointsChanged.
+const (
+	formUnavailable = "unavailable" // the list could not be had
+	formUpdate      = "update"      // endpoints that are not in it stay as they were
+	formReplace     = "replace"     // the whole list
+	formRestored    = "restored"    // the whole list, as an earlier life of the instance had it
+)
+
+var outcomes = map[int64]scheduler.Outcome{
+	0:  scheduler.Succeeded,
+	1:  scheduler.Cancelled,
+	4:  scheduler.TimedOut,
+	8:  scheduler.Overloaded,
+	9:  scheduler.NeverSent,
+	10: scheduler.ConnectionReset,
+	13: scheduler.Failed,
+	14: scheduler.Unreachable,
+}
+
+var endpointStates = map[string]scheduler.EndpointState{
+	"active":  scheduler.Ready,
+	"leaving": scheduler.Draining,
+	"left":    scheduler.Removed,
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,44 +8,44 @@
 const provision = "PROVISION\t7\tbalancers=1\tlanes.count=1\tlanes.0.aim=1000000\tlanes.0.deadline=3000000\t" +
 	"lanes.0.effect=pure\tfamilyInfo.cells=1\tfamilyInfo.span=1\tdiscovery=automatic\tbounds.maxAttempts=3\tbounds.secondCopies=true\n"
 
-const list = "REGISTER\t0\t1\nITEM\t900\t1\tactive\t-\t0\t0\t0\nREGISTRY\t0\trestored\t1\n"
+const endpoints = "REGISTER\t0\t1\nITEM\t900\t1\tactive\t-\t0\t0\t0\nREGISTRY\t0\trestored\t1\n"
 
-const start = "MARK\t1000000\t1\nINSTANCE\t4\n" + provision + list + "FLUSH\n"
+const start = "MARK\t1000000\t1\nINSTANCE\t4\n" + provision + endpoints + "FLUSH\n"
 
-// query is a query of one part.
+// query is a query of one subquery.
 const query = "DEMAND\t10\t0\t-\tk\t2000000\t-\t5\t-1\t1\t0\t0\nDEMAND\t11\t0\t-\tk\t2000000\t-\t5\t0\t1\t0\t0\n"
 
 func TestReplies(t *testing.T) {
-	for name, c := range map[string]struct{ in, want string }{
+	for name, test := range map[string]struct{ in, want string }{
 		"no input":    {"", ""},
 		"empty batch": {"MARK\t5\t1\nFLUSH\n", "NEXT\t1\n"},
-		"a part is sent": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n",
+		"a subquery is sent": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nSUBMIT_TO\t11\t900\t0\nNOTIFY_ME\tlook\t10000\nNEXT\t2\n"},
-		"its answer ends the retrieval": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n" +
+		"its answer ends the query": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n" +
 			"MARK\t1200000\t3\nINSTANCE\t4\nFINISHED\t11\t0\t900\t1\t0\t100000\tactive:3,new_key:0.5\nFLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nSUBMIT_TO\t11\t900\t0\nNOTIFY_ME\tlook\t10000\nNEXT\t2\n" +
 				"ON_BEHALF\t4\nASSEMBLE\t10\t1\nNEXT\t3\n"},
-		"what is not held is skipped": {start + "MARK\t1100000\t2\nINSTANCE\t4\nLAPSED\t77\nWAKE\told\n" +
+		"what is not known is skipped": {start + "MARK\t1100000\t2\nINSTANCE\t4\nLAPSED\t77\nWAKE\told\n" +
 			"FINISHED\t88\t9\t900\t1\t0\t0\t-\nPROBE_DONE\t1400\t0\t900\t-\n" +
 			"FIRST\t88\t900\t0\t10\nFLUSH\n", "NEXT\t1\nNEXT\t2\n"},
-		"what others tell is read, or named": {start + "MARK\t1100000\t2\nINSTANCE\t4\nPEER_DATA\t2\taGkgNw==\nFLUSH\n",
+		"gossip that cannot be read is named": {start + "MARK\t1100000\t2\nINSTANCE\t4\nPEER_DATA\t2\taGkgNw==\nFLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nEMIT\tco-ordinator 2: gossip message: length: found 4, wanted more than 5 and at most 256\nNEXT\t2\n"},
-		"legs are told where messages go": {strings.Replace(start, "balancers=1", "balancers=40\tbounds.peers=true", 1) +
+		"attempts are told where gossip is allowed": {strings.Replace(start, "balancers=1", "balancers=40\tbounds.peers=true", 1) +
 			"MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nSUBMIT_TO\t11\t900\t0\nPOST\tall\tqAEDIAAB\nNOTIFY_ME\tlook\t10000\nNEXT\t2\n"},
-		"stop and start in one batch": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "EXIT\n" + provision + list +
+		"stop and start in one batch": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "EXIT\n" + provision + endpoints +
 			"FLUSH\n", "NEXT\t1\nNEXT\t2\n"},
-		"list number reused in a batch": {"MARK\t1000000\t1\nINSTANCE\t4\n" + provision + list +
+		"number of a list used again in a batch": {"MARK\t1000000\t1\nINSTANCE\t4\n" + provision + endpoints +
 			"REGISTER\t0\t1\nITEM\t901\t1\tactive\t-\t0\t0\t0\nREGISTRY\t0\treplace\t2\n" + query + "FLUSH\n",
 			"ON_BEHALF\t4\nSUBMIT_TO\t11\t901\t0\nNOTIFY_ME\tlook\t10000\nNEXT\t1\n"},
 		"missing setting": {"MARK\t1\t1\nINSTANCE\t4\nPROVISION\t7\tbalancers=1\nFLUSH\n",
 			"ON_BEHALF\t4\nEXCEPTION\tsetting familyInfo.cells: found nothing, wanted a number of at least 1\nNEXT\t1\n"},
-		"a panic is a fault": {start + "MARK\t1100000\t2\nINSTANCE\t4\nDEMAND\t10\t6\t-\tk\t2000000\t-\t5\t-1\t1\t0\t0\nFLUSH\n",
+		"a panic is reported": {start + "MARK\t1100000\t2\nINSTANCE\t4\nDEMAND\t10\t6\t-\tk\t2000000\t-\t5\t-1\t1\t0\t0\nFLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nEXCEPTION\truntime error: index out of range [6] with length 1\nNEXT\t2\n"},
 	} {
 		var out strings.Builder
-		if err := Serve(strings.NewReader(c.in), &out); err != nil || out.String() != c.want {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, out.String(), c.want)
+		if err := Serve(strings.NewReader(test.in), &out); err != nil || out.String() != test.want {
+			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, out.String(), test.want)
 		}
 	}
 }
