--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -63,11 +63,11 @@
 	case w.kind == replicaproto.HTTP2 && waits:
 		w.t.Errorf("leg %d goes before one that waits for longer", l.ID)
 	}
-	if most, told := w.room[c]; told && w.kind == replicaproto.HTTP2 && open > 0 && len(w.p.conns[c].out) > most {
-		w.t.Errorf("%d legs on a connection that takes %d", len(w.p.conns[c].out), most)
+	if most, told := w.room[c]; told && w.kind == replicaproto.HTTP2 && open > 0 && len(w.p.conns[c].outstanding) > most {
+		w.t.Errorf("%d legs on a connection that takes %d", len(w.p.conns[c].outstanding), most)
 	}
 	if w.kind == replicaproto.Frames {
-		for _, o := range w.p.conns[c].out {
+		for _, o := range w.p.conns[c].outstanding {
 			if o != l && o.Call.SubqueryID == l.Call.SubqueryID {
 				w.t.Errorf("two legs of %s on one connection", l.Call.SubqueryID)
 			}
@@ -125,7 +125,7 @@
 	var on []*Attempt
 	if c > 0 {
 		for _, l := range w.all {
-			if l.conn != nil && l.conn.id == c && !l.over {
+			if l.conn != nil && l.conn.id == c && !l.finished {
 				on = append(on, l)
 			}
 		}
@@ -215,8 +215,8 @@
 			w.t.Errorf("leg %d of %d, stage %d, ended %v", l.ID, len(w.all), l.Call.Stage, w.ended[l.ID])
 		}
 	}
-	if len(w.p.conns)+len(w.p.order)+len(w.p.dying) > 0 {
-		w.t.Errorf("%d connections, %d dying are left", len(w.p.conns), len(w.p.dying))
+	if len(w.p.conns)+len(w.p.byAge)+len(w.p.pendingResets) > 0 {
+		w.t.Errorf("%d connections, %d dying are left", len(w.p.conns), len(w.p.pendingResets))
 	}
 }
 
--- a/connpool/pool_test.go
+++ b/connpool/pool_test.go
@@ -25,7 +25,7 @@
 	gave     []AttemptID // the far side was told that they are given up
 	pings    map[ConnID]int
 	wakes    map[ConnID][]time.Duration
-	notes    []Note
+	notes    []EventKind
 	attempts AttemptID
 	answers  bool // pings
 }
@@ -62,8 +62,8 @@
 func (f *farm) AttemptEnded(l AttemptID, how scheduler.Outcome, _ time.Duration) {
 	f.ended[l] = append(f.ended[l], how)
 }
-func (f *farm) Record(_ ConnID, _ scheduler.ReplicaID, n Note, _ int, _ error) {
-	f.notes = append(f.notes, n)
+func (f *farm) Record(e Event) {
+	f.notes = append(f.notes, e.Kind)
 }
 
 func (f *farm) listed(d replicaproto.Protocol) scheduler.ReplicaID {
@@ -182,8 +182,8 @@
 		t.Fatal("it goes elsewhere")
 	}
 	f.p.WriteStalled(f.now, one)
-	if f.p.idle > 5*time.Second || f.p.stale <= f.now {
-		t.Errorf("connections may rest for %v", f.p.idle)
+	if f.p.idleTimeout > 5*time.Second || f.p.distrustIdleUntil <= f.now {
+		t.Errorf("connections may rest for %v", f.p.idleTimeout)
 	}
 	if b.conn == nil || b.conn.id == one {
 		t.Error("what was not begun stays")
@@ -291,14 +291,14 @@
 		{time.Second, time.Millisecond, false, time.Second},         // never under four connects
 	} {
 		l, c := f.send(fmt.Sprint("q.", n), false)
-		l.conn.up, l.conn.rested = true, step.rested
+		l.conn.state, l.conn.cameUp, l.conn.idleBefore = established, true, step.rested
 		f.written(l)
 		if step.heard {
-			l.conn.heardAt = f.now + 1
+			l.conn.lastReplyAt = f.now + 1
 		}
 		f.now += step.took
-		if f.p.ConnEnded(f.now, c, net.ErrClosed, f.now); f.p.idle != step.want {
-			t.Errorf("%+v: %v", step, f.p.idle)
+		if f.p.ConnEnded(f.now, c, net.ErrClosed, f.now); f.p.idleTimeout != step.want {
+			t.Errorf("%+v: %v", step, f.p.idleTimeout)
 		}
 	}
 }
@@ -310,19 +310,19 @@
 	first, dead := f.send("q.0", false)
 	f.p.ConnUp(f.now, dead)
 	f.written(first)
-	for n := range mostPassed {
-		if first.conn.doubted {
+	for n := range maxOvertaken {
+		if first.conn.suspect {
 			t.Fatalf("in doubt after %d", n)
 		}
 		f.now += time.Second
 		l, c := f.send(fmt.Sprint("q.", n+1), false)
-		if !l.conn.up {
+		if !l.conn.cameUp {
 			f.p.ConnUp(f.now, c)
 		}
 		f.written(l)
 		f.p.ReplyReceived(f.now, c, 0, l.Call.SubqueryID, f.now)
 	}
-	if !first.conn.doubted {
+	if !first.conn.suspect {
 		t.Error("it is not in doubt")
 	}
 }
@@ -332,12 +332,12 @@
 	f := newFarm(t, Limits{MaxAttemptsPerConn: 100, MaxConns: 3})
 	f.listed(replicaproto.Frames)
 	on := map[ConnID]int{}
-	for n := range 5 * fewAttempts {
+	for n := range 5 * attemptsBeforeNewConn {
 		_, c := f.send(fmt.Sprint("q.", n), false)
 		on[c]++
 	}
 	for c, n := range on {
-		if len(on) != 3 || n < fewAttempts || n > 3*fewAttempts {
+		if len(on) != 3 || n < attemptsBeforeNewConn || n > 3*attemptsBeforeNewConn {
 			t.Errorf("%d connections, %d legs on %d", len(on), n, c)
 		}
 	}
@@ -358,22 +358,22 @@
 	f.p.ReplyReceived(f.now, two, 0, "q.2", f.now)
 	f.now += time.Second
 	again, c := f.send("q.3", true)
-	if !again.conn.up {
+	if !again.conn.cameUp {
 		t.Error("a rested connection is not used though none has broken")
 	}
 	f.written(again)
 	f.p.ConnEnded(f.now, c, net.ErrClosed, f.now)
-	f.later(2 * deathShows)
+	f.later(2 * resetGrace)
 	f.expect(again, scheduler.MalformedReply)
 	fresh, three := f.send("q.4", true)
-	if fresh.conn.up {
+	if fresh.conn.cameUp {
 		t.Error("a single-use leg goes on a rested connection")
 	}
 	f.p.ConnUp(f.now, three)
 	f.written(fresh)
 	f.dead[one], f.dead[two] = true, true // its process is dying
 	f.p.ConnEnded(f.now, three, net.ErrClosed, f.now)
-	f.later(2 * deathShows)
+	f.later(2 * resetGrace)
 	f.expect(fresh, scheduler.ConnectionReset)
 }
 
@@ -397,13 +397,13 @@
 		f.p.Abandon(f.now, l)
 		f.p.Forget(f.now, l)
 	}
-	if f.p.ghosts(c) != 2 || len(f.gave) != 2 {
-		t.Errorf("%d places are held, %v were told", f.p.ghosts(c), f.gave)
+	if c.abandonedRunning(f.p.now) != 2 || len(f.gave) != 2 {
+		t.Errorf("%d places are held, %v were told", c.abandonedRunning(f.p.now), f.gave)
 	}
-	if _, late := f.p.ReplyReceived(f.now, c.id, 0, "q.0", f.now); !late || f.p.ghosts(c) != 1 {
-		t.Errorf("%d places are held after a late reply", f.p.ghosts(c))
+	if _, late := f.p.ReplyReceived(f.now, c.id, 0, "q.0", f.now); !late || c.abandonedRunning(f.p.now) != 1 {
+		t.Errorf("%d places are held after a late reply", c.abandonedRunning(f.p.now))
 	}
-	if f.p.now += time.Second; f.p.ghosts(c) != 0 {
+	if f.p.now += time.Second; c.abandonedRunning(f.p.now) != 0 {
 		t.Error("places are held for ever")
 	}
 }
@@ -521,15 +521,15 @@
 		f.p.Abandon(f.now, l)
 		f.p.Forget(f.now, l)
 	}
-	if told := len(f.gave); told < int(resetBurst) || told > int(resetBurst)+1 || len(attempts[99].conn.out) != 100-told {
-		t.Errorf("%d told, %d places held", told, len(attempts[99].conn.out))
+	if told := len(f.gave); told < int(cancelBurst) || told > int(cancelBurst)+1 || len(attempts[99].conn.outstanding) != 100-told {
+		t.Errorf("%d told, %d places held", told, len(attempts[99].conn.outstanding))
 	}
 	f.later(time.Second)
 	if told := len(f.gave); told < 85 || told > 92 {
 		t.Errorf("%d told after a second", told)
 	}
 	f.later(time.Second)
-	if len(f.gave) != 100 || len(f.p.conns[c].out) != 0 {
+	if len(f.gave) != 100 || len(f.p.conns[c].outstanding) != 0 {
 		t.Errorf("%d told in the end", len(f.gave))
 	}
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -230,9 +230,9 @@
 func (f *fleet) ReplicaForgotten(id scheduler.ReplicaID) { delete(f.all, id) }
 
 // Record counts and logs what happened to a connection.
-func (f *fleet) Record(id connpool.ConnID, to scheduler.ReplicaID, what connpool.Note, out int, cause error) {
+func (f *fleet) Record(event connpool.Event) {
 	c := f.c
-	switch what {
+	switch event.Kind {
 	case connpool.ConnectFailed:
 		c.counts.Refused++
 	case connpool.Dropped:
@@ -246,10 +246,11 @@
 	case connpool.StreamLimit:
 		c.counts.LimitReached++
 	}
-	if errors.As(cause, new(*tlsFailure)) {
+	if errors.As(event.Cause, new(*tlsFailure)) {
 		c.counts.TLSFailed++
 	}
-	c.seldom("event=%s replica=%s addr=%s out=%d cause=%q", what, f.uid(to), f.links[id].addr, out, cause)
+	c.seldom("event=%s replica=%s addr=%s outstanding=%d cause=%q", event.Kind, f.uid(event.Replica), f.links[event.Conn].addr,
+		event.Outstanding, event.Cause)
 }
 
 // linkUp notes that calls may go on a connection.
