--- a/coordinator/secure.go
+++ b/coordinator/secure.go
@@ -52,8 +52,8 @@
 	if len(c.fleet.installation.TLS) == 0 {
 		return
 	}
-	fresh, err := c.fleet.installation.LoadAll()
-	c.post(func() {
+	fresh, err := c.fleet.installation.LoadTLS()
+	c.loop.Post(func() {
 		if err != nil {
 			c.log.Printf("event=tls_reload_failed cause=%q words=%q", err, "what could not be read stays as it was")
 		}
@@ -68,13 +68,13 @@
 // watchCertificates says, now and then, which of the certificates that TLS needs is about to run out.
 func (c *Coordinator) watchCertificates() {
 	if len(c.fleet.secure) > 0 {
-		c.post(c.watchOn)
+		c.loop.Post(c.watchOn)
 	}
 }
 
 func (c *Coordinator) watchOn() {
 	c.lookAtCertificates()
-	c.after(lookAtCerts, "", c.watchOn)
+	c.loop.After(lookAtCerts, "", c.watchOn)
 }
 
 func (c *Coordinator) lookAtCertificates() {
@@ -82,11 +82,11 @@
 	for _, name := range slices.Sorted(maps.Keys(c.fleet.secure)) {
 		if l := c.fleet.secure[name]; runsOut(l, time.Now()) {
 			c.counts.RunningOut++
-			c.log.Printf("event=certificate_runs_out tls=%s at=%s", name, l.RunsOut.Format(time.RFC3339))
+			c.log.Printf("event=certificate_runs_out tls=%s at=%s", name, l.NotAfter.Format(time.RFC3339))
 		}
 	}
 }
 
 func runsOut(l *config.ClientTLS, now time.Time) bool {
-	return !l.RunsOut.IsZero() && l.RunsOut.Sub(now) < runsOutSoon
+	return !l.NotAfter.IsZero() && l.NotAfter.Sub(now) < runsOutSoon
 }
