--- a/connpool/conn.go
+++ b/connpool/conn.go
@@ -10,7 +10,8 @@
 // maxRecentIDs is how many subquery ids a connection remembers after their attempts.
 const maxRecentIDs = 128
 
-// connectionState is where a connection is in its life. The states follow one another; connecting may go straight to closing.
+// connectionState is where a connection is in its life. The states follow one another; connecting may go straight to
+// closing.
 type connectionState int
 
 const (
@@ -19,7 +20,7 @@
 	closing                            // Host.Close was called, or it has ended
 )
 
-// connection is one connection. A new one is made by Pool.open; it ends in Pool.ConnEnded.
+// connection is one connection to a replica. It is made by Pool.open, and ends in Pool.ConnEnded.
 type connection struct {
 	id       ConnID
 	replica  *replicaState
@@ -27,9 +28,9 @@
 	protocol replicaproto.Protocol
 	traits   replicaproto.Traits // of the protocol
 
-	state         connectionState
-	cameUp        bool          // it has been established at some time
-	establishedAt time.Duration // when
+	state          connectionState
+	wasEstablished bool          // it has been established at some time
+	establishedAt  time.Duration // when
 
 	// Each of these keeps new attempts away; the connection is closed once the last attempt on it is over.
 	suspect   bool // nothing came for an abandoned attempt, later attempts were answered elsewhere, or a write stalled
@@ -44,15 +45,13 @@
 	idleSince  time.Duration // while it is established and carries nothing
 	idleBefore time.Duration // how long it was idle before the first of the outstanding attempts
 
-	lastReplyAt    time.Duration
-	overtaken      int           // replies on other connections to later attempts than the first here, since that reply
-	lastByteAt     time.Duration // anything came
-	pingPending    bool          // a ping was sent and nothing has come since
-	pingSentAt     time.Duration
-	pendingCancels []*Attempt // abandoned, and the replica is not told yet; they hold their places
-	cancelTokens   float64    // cancellations that may be sent now, as of cancelTokensAt
-	cancelTokensAt time.Duration
-	wakeupAt       time.Duration // when Wakeup will be called; never: it will not
+	lastReplyAt time.Duration
+	overtaken   int           // replies on other connections to later attempts than the first here, since that reply
+	lastByteAt  time.Duration // anything came
+	pingPending bool          // a ping was sent and nothing has come since
+	pingSentAt  time.Duration
+	cancels     cancelQueue
+	wakeupAt    time.Duration // when Wakeup will be called; never: it will not
 }
 
 // recentID is a subquery whose attempt has left its connection.
@@ -62,62 +61,62 @@
 }
 
 // atReplicasAddress tells whether the connection leads to where the replica is now, in the protocol it speaks now.
-func (c *connection) atReplicasAddress() bool {
-	return c.addr == c.replica.addr && c.protocol == c.replica.protocol
+func (conn *connection) atReplicasAddress() bool {
+	return conn.addr == conn.replica.addr && conn.protocol == conn.replica.protocol
 }
 
 // takesNew tells whether new attempts may be put here at all.
-func (c *connection) takesNew() bool {
-	return c.state != closing && !c.suspect && !c.goingAway && c.atReplicasAddress()
+func (conn *connection) takesNew() bool {
+	return conn.state != closing && !conn.suspect && !conn.goingAway && conn.atReplicasAddress()
 }
 
 // knows tells whether an attempt at a subquery is outstanding here, or was of late.
-func (c *connection) knows(subquery string) bool {
-	return c.outstandingFor(subquery) != nil || c.recentlySent(subquery) != nil
+func (conn *connection) knows(subquery string) bool {
+	return conn.outstandingFor(subquery) != nil || conn.recentlySent(subquery) != nil
 }
 
 // find finds an outstanding attempt by what a reply names: its id or, where that is 0, its subquery.
-func (c *connection) find(id AttemptID, subquery string) *Attempt {
+func (conn *connection) find(id AttemptID, subquery string) *Attempt {
 	if id == 0 {
-		return c.outstandingFor(subquery)
+		return conn.outstandingFor(subquery)
 	}
-	at := slices.IndexFunc(c.outstanding, func(attempt *Attempt) bool { return attempt.ID == id })
+	at := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.ID == id })
 	if at < 0 {
 		return nil
 	}
-	return c.outstanding[at]
+	return conn.outstanding[at]
 }
 
-func (c *connection) outstandingFor(subquery string) *Attempt {
-	at := slices.IndexFunc(c.outstanding, func(attempt *Attempt) bool { return attempt.Call.SubqueryID == subquery })
+func (conn *connection) outstandingFor(subquery string) *Attempt {
+	at := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.Call.SubqueryID == subquery })
 	if at < 0 {
 		return nil
 	}
-	return c.outstanding[at]
+	return conn.outstanding[at]
 }
 
-func (c *connection) recentlySent(subquery string) *recentID {
-	at := slices.IndexFunc(c.recent, func(recent recentID) bool { return recent.subquery == subquery })
+func (conn *connection) recentlySent(subquery string) *recentID {
+	at := slices.IndexFunc(conn.recent, func(recent recentID) bool { return recent.subquery == subquery })
 	if at < 0 {
 		return nil
 	}
-	return &c.recent[at]
+	return &conn.recent[at]
 }
 
 // remember keeps the id of a subquery whose attempt leaves the connection.
-func (c *connection) remember(subquery string, busyUntil time.Duration) {
-	if len(c.recent) == maxRecentIDs {
-		c.recent = slices.Delete(c.recent, 0, 1)
+func (conn *connection) remember(subquery string, busyUntil time.Duration) {
+	if len(conn.recent) == maxRecentIDs {
+		conn.recent = slices.Delete(conn.recent, 0, 1)
 	}
-	c.recent = append(c.recent, recentID{subquery, busyUntil})
+	conn.recent = append(conn.recent, recentID{subquery, busyUntil})
 }
 
 // abandonedRunning is how many abandoned attempts the replica may still work on. They count as places taken: where
 // calls are worked on in order, a new attempt would wait unread behind them. A replica that hangs costs additional
 // connections by that.
-func (c *connection) abandonedRunning(now time.Duration) int {
+func (conn *connection) abandonedRunning(now time.Duration) int {
 	running := 0
-	for _, recent := range c.recent {
+	for _, recent := range conn.recent {
 		if recent.busyUntil > now {
 			running++
 		}
@@ -126,7 +125,7 @@
 }
 
 // noteBytes notes that something came.
-func (c *connection) noteBytes(at time.Duration) {
-	c.lastByteAt = max(c.lastByteAt, at)
-	c.pingPending = false
+func (conn *connection) noteBytes(at time.Duration) {
+	conn.lastByteAt = max(conn.lastByteAt, at)
+	conn.pingPending = false
 }
--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -8,8 +8,9 @@
 	"terntray/scheduler"
 )
 
-// What may be sent again, and on what evidence. An attempt can have run only if its last byte was handed to the operating
-// system (replicaproto.Written); of a call that is not whole a replica runs nothing. So, when a connection ends:
+// What may be sent again, and on what evidence. An attempt can have run only if its last byte was handed to the
+// operating system (replicaproto.Written); of a call that is not whole a replica runs nothing. So, when a connection
+// ends:
 //
 //	written whole   connection came up   then
 //	no              yes                  another connection carries the attempt, once (noRetransmit); else as below
@@ -39,54 +40,55 @@
 	at      time.Duration // when it ended
 }
 
-// ConnEnded tells that a connection has ended: at which time, and why. Its attempts end, or go on another connection, as
-// the head of this file says.
-func (p *Pool) ConnEnded(now time.Duration, id ConnID, cause error, at time.Duration) {
-	p.now = now
-	ended := p.conns[id]
+// ConnEnded tells that a connection has ended: at which time, and why. Its attempts end, or go on another connection,
+// as the head of this file says.
+func (pool *Pool) ConnEnded(now time.Duration, id ConnID, cause error, at time.Duration) {
+	pool.now = now
+	ended := pool.conns[id]
 	if ended == nil {
 		return
 	}
-	p.remove(ended)
-	p.recordEnd(ended, cause)
+	pool.remove(ended)
+	pool.recordEnd(ended, cause)
 	if len(ended.outstanding) > 0 && ended.state != closing && !ended.goingAway {
-		p.learnIdleTimeout(ended)
+		pool.learnIdleTimeout(ended)
 	}
 	neverRan := scheduler.Unreachable
 	if errors.Is(cause, ErrShortage) {
 		neverRan = scheduler.NeverSent
 	}
 	ended.state = closing
-	maybeRan, unwritten := p.sortByEvidence(ended, neverRan, at)
-	p.retransmit(ended, unwritten, neverRan, at)
+	maybeRan, unwritten := pool.sortByEvidence(ended, neverRan, at)
+	pool.retransmit(ended, unwritten, neverRan, at)
 	switch {
 	case ended.failed:
-		p.finishAll(maybeRan, scheduler.MalformedReply, at)
-	case p.replicaLives(ended.replica):
-		p.pendingResets[id] = &pendingReset{ended.replica, maybeRan, at}
-		p.host.ScheduleWakeup(id, resetGrace)
+		pool.finishAll(maybeRan, scheduler.MalformedReply, at)
+	case pool.replicaIsAlive(ended.replica):
+		pool.pendingResets[id] = &pendingReset{ended.replica, maybeRan, at}
+		pool.host.ScheduleWakeup(id, resetGrace)
 	default:
-		p.finishAll(maybeRan, scheduler.ConnectionReset, at)
+		pool.finishAll(maybeRan, scheduler.ConnectionReset, at)
 	}
-	p.forgetRemoved(ended.replica)
+	pool.forgetRemoved(ended.replica)
 }
 
 // sortByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not go on
 // another connection, and returns those that may have run and those that another connection can carry.
-func (p *Pool) sortByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (maybeRan, unwritten []*Attempt) {
+func (pool *Pool) sortByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (
+	maybeRan, unwritten []*Attempt) {
 	outstanding := ended.outstanding
-	ended.outstanding, ended.pendingCancels = nil, nil
+	ended.outstanding, ended.cancels.pending = nil, nil
 	for _, attempt := range outstanding {
 		switch {
 		case attempt.finished:
-		case p.host.Stage(ended.id, attempt) == written:
+		case pool.host.Stage(ended.id, attempt) == written:
 			maybeRan = append(maybeRan, attempt)
-		case ended.cameUp && mayRetransmit(attempt, ended.replica):
+		case ended.wasEstablished && mayRetransmit(attempt, ended.replica):
 			attempt.noRetransmit, attempt.conn = true, nil
 			resetCall(attempt.Call)
 			unwritten = append(unwritten, attempt)
 		default:
-			p.finish(attempt, neverRan, at)
+			pool.finish(attempt, neverRan, at)
 		}
 	}
 	return maybeRan, unwritten
@@ -100,135 +102,138 @@
 // retransmit has attempts go on other connections than the one they were on, or wait for a place. Those that can do
 // neither end with an outcome that says that they never ran. If the last connection to a replica ended, whatever waits
 // ends so as well, as nothing is there to carry it.
-func (p *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
+func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
 		for _, attempt := range attempts {
-			if !p.place(attempt, replica) {
-				p.finish(attempt, neverRan, at)
+			if !pool.place(attempt, replica) {
+				pool.finish(attempt, neverRan, at)
 			}
 		}
 		return
 	}
-	p.requeue(replica, attempts)
-	if from.cameUp {
-		p.fill(replica)
+	pool.requeue(replica, attempts)
+	if from.wasEstablished {
+		pool.fill(replica)
 	}
 	if len(replica.conns) == 0 {
 		waiting := replica.waiting
 		replica.waiting = nil
-		p.finishAll(waiting, neverRan, at)
+		pool.finishAll(waiting, neverRan, at)
 	}
 }
 
 // requeueUnbegun has what was not begun on a connection, beyond a number of attempts, wait for a place again. Where the
 // connection is lost for them (it takes nothing new), they go on another only once.
-func (p *Pool) requeueUnbegun(conn *connection, beyond int, connLost bool) {
+func (pool *Pool) requeueUnbegun(conn *connection, beyond int, connLost bool) {
 	var requeued []*Attempt
-	for n := len(conn.outstanding) - 1; n >= 0 && len(conn.outstanding) > beyond; n-- {
-		attempt := conn.outstanding[n]
-		if attempt.finished || !p.host.Withdraw(conn.id, attempt) {
+	for _, attempt := range slices.Backward(slices.Clone(conn.outstanding)) {
+		if len(conn.outstanding) <= beyond {
+			break
+		}
+		if attempt.finished || !pool.host.Withdraw(conn.id, attempt) {
 			continue
 		}
-		conn.outstanding = slices.Delete(conn.outstanding, n, n+1)
+		conn.outstanding = without(conn.outstanding, attempt)
 		attempt.conn = nil
 		if connLost && attempt.noRetransmit {
-			p.finish(attempt, scheduler.Overloaded, p.now)
+			pool.finish(attempt, scheduler.Overloaded, pool.now)
 			continue
 		}
 		attempt.noRetransmit = attempt.noRetransmit || connLost
 		requeued = append(requeued, attempt)
 	}
-	p.requeue(conn.replica, requeued)
+	pool.requeue(conn.replica, requeued)
 }
 
 // WriteStalled tells that the operating system did not take in time what was to be written on a connection. Nothing new
 // goes there, and what was not begun goes on another connection at once: it would wait behind bytes that nobody takes.
 // If nothing can have run there, the connection is closed, which proves that nothing did.
-func (p *Pool) WriteStalled(now time.Duration, id ConnID) {
-	p.now = now
-	stalled := p.conns[id]
+func (pool *Pool) WriteStalled(now time.Duration, id ConnID) {
+	pool.now = now
+	stalled := pool.conns[id]
 	if stalled == nil || stalled.state == closing {
 		return
 	}
 	stalled.suspect = true
 	if len(stalled.outstanding) > 0 && !stalled.goingAway { // as where it ends by itself
-		p.learnIdleTimeout(stalled)
+		pool.learnIdleTimeout(stalled)
 	}
 	var unbegun []*Attempt
 	for _, attempt := range slices.Clone(stalled.outstanding) {
 		canMove := !attempt.finished && mayRetransmit(attempt, stalled.replica)
-		if canMove && p.host.Withdraw(id, attempt) {
+		if canMove && pool.host.Withdraw(id, attempt) {
 			stalled.outstanding = without(stalled.outstanding, attempt)
 			attempt.noRetransmit, attempt.conn = true, nil
 			unbegun = append(unbegun, attempt)
 		}
 	}
-	if !slices.ContainsFunc(stalled.outstanding, p.WrittenWhole) {
-		p.close(stalled)
+	if !slices.ContainsFunc(stalled.outstanding, pool.WrittenWhole) {
+		pool.close(stalled)
 	}
-	p.retransmit(stalled, unbegun, scheduler.Unreachable, now)
+	pool.retransmit(stalled, unbegun, scheduler.Unreachable, now)
 }
 
-// WriteRefused tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere else.
-func (p *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
-	p.now = now
-	p.finish(attempt, scheduler.NeverSent, now)
-	p.release(attempt, false)
+// WriteRefused tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere
+// else.
+func (pool *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
+	pool.now = now
+	pool.finish(attempt, scheduler.NeverSent, now)
+	pool.release(attempt, false)
 }
 
 // NoRetransmit tells that no other connection may carry an attempt if its own ends before it is written. Otherwise an
 // attempt that cannot be withdrawn any more could go out after its query's answer, or for a client that has left.
-func (p *Pool) NoRetransmit(attempt *Attempt) { attempt.noRetransmit = true }
+func (pool *Pool) NoRetransmit(attempt *Attempt) { attempt.noRetransmit = true }
 
 // remove takes a connection that has ended out of the pool.
-func (p *Pool) remove(ended *connection) {
+func (pool *Pool) remove(ended *connection) {
 	isEnded := func(conn *connection) bool { return conn == ended }
-	delete(p.conns, ended.id)
-	p.byAge = slices.DeleteFunc(p.byAge, isEnded)
+	delete(pool.conns, ended.id)
+	pool.byAge = slices.DeleteFunc(pool.byAge, isEnded)
 	ended.replica.conns = slices.DeleteFunc(ended.replica.conns, isEnded)
 }
 
 // recordEnd notes the end of a connection, unless it was expected and nothing is lost by it.
-func (p *Pool) recordEnd(ended *connection, cause error) {
+func (pool *Pool) recordEnd(ended *connection, cause error) {
 	unexpected := len(ended.outstanding) > 0 || ended.state != closing
 	switch {
-	case !ended.cameUp:
-		p.record(ended, ConnectFailed, cause)
+	case !ended.wasEstablished:
+		pool.record(ended, ConnectFailed, cause)
 	case ended.failed: // recorded when it failed
 	case unexpected && !ended.goingAway:
-		p.record(ended, Dropped, cause)
+		pool.record(ended, Dropped, cause)
 	}
 }
 
-// replicaLives tells whether a connection to a replica is still up. If so, the end of another one is no evidence that
-// the replica died. A process that dies breaks its connections one after the other; so the question is asked again after
-// resetGrace.
-func (p *Pool) replicaLives(replica *replicaState) bool {
+// replicaIsAlive tells whether a connection to a replica is still up. If so, the end of another one is no evidence that
+// the replica died. A process that dies breaks its connections one after the other; so the question is asked again
+// after resetGrace.
+func (pool *Pool) replicaIsAlive(replica *replicaState) bool {
 	return slices.ContainsFunc(replica.conns, func(conn *connection) bool {
-		return conn.state == established && p.host.PeerOpen(conn.id)
+		return conn.state == established && pool.host.PeerOpen(conn.id)
 	})
 }
 
 // resolveReset ends the attempts that may have run on a connection that ended resetGrace ago.
-func (p *Pool) resolveReset(id ConnID, reset *pendingReset) {
-	delete(p.pendingResets, id)
+func (pool *Pool) resolveReset(id ConnID, reset *pendingReset) {
+	delete(pool.pendingResets, id)
 	outcome := scheduler.ConnectionReset
-	if p.replicaLives(reset.replica) {
+	if pool.replicaIsAlive(reset.replica) {
 		outcome = scheduler.MalformedReply
 	}
-	p.finishAll(reset.maybe, outcome, reset.at)
+	pool.finishAll(reset.maybe, outcome, reset.at)
 }
 
 // learnIdleTimeout shortens the idle timeout if a connection broke at its first use after being idle: the far side, or
 // something between, drops idle connections sooner than the settings say, and attempts that may not run twice would be
 // lost by it. A replica that crashed looks the same, so the timeout never falls below minIdleTimeout.
-func (p *Pool) learnIdleTimeout(broken *connection) {
+func (pool *Pool) learnIdleTimeout(broken *connection) {
 	first := broken.outstanding[0]
-	brokeAtOnce := broken.lastReplyAt < first.SentAt && p.now-first.SentAt < p.limits.ConnectTimeout
+	brokeAtOnce := broken.lastReplyAt < first.SentAt && pool.now-first.SentAt < pool.limits.ConnectTimeout
 	if brokeAtOnce && broken.idleBefore > 0 {
-		shorter := max(broken.idleBefore/2, minIdleTimeout*p.limits.ConnectTimeout)
-		p.idleTimeout = min(p.idleTimeout, shorter)
-		p.distrustIdleUntil = p.now + distrustIdleFor
+		shorter := max(broken.idleBefore/2, minIdleTimeout*pool.limits.ConnectTimeout)
+		pool.idleTimeout = min(pool.idleTimeout, shorter)
+		pool.distrustIdleUntil = pool.now + distrustIdleFor
 	}
 }
--- /dev/null
+++ b/connpool/fakehost_test.go
@@ -0,0 +1,191 @@
+package connpool
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
+)
+
+// testReplica is the replica that all attempts of these tests are for.
+const testReplica scheduler.ReplicaID = 1
+
+// fakeHost is a Host whose connections do what a test says, and which keeps a ledger of what the pool asks for.
+type fakeHost struct {
+	t    *testing.T
+	pool *Pool
+	now  time.Duration
+
+	opened     []ConnID // in order
+	protocols  map[ConnID]replicaproto.Protocol
+	closed     map[ConnID]bool // by the pool
+	peerClosed map[ConnID]bool // by the replica
+	written    map[ConnID][]*Attempt
+	abandoned  []AttemptID // of which the replica was told
+	outcomes   map[AttemptID][]scheduler.Outcome
+	pings      map[ConnID]int
+	wakeups    map[ConnID][]time.Duration // that are still due
+	events     []EventKind
+
+	lastID       AttemptID
+	answersPings bool
+}
+
+func newFakeHost(t *testing.T, limits Limits) *fakeHost {
+	host := &fakeHost{
+		t:          t,
+		protocols:  map[ConnID]replicaproto.Protocol{},
+		closed:     map[ConnID]bool{},
+		peerClosed: map[ConnID]bool{},
+		written:    map[ConnID][]*Attempt{},
+		outcomes:   map[AttemptID][]scheduler.Outcome{},
+		pings:      map[ConnID]int{},
+		wakeups:    map[ConnID][]time.Duration{},
+	}
+	if limits.ConnectTimeout == 0 {
+		limits.ConnectTimeout = 250 * time.Millisecond
+	}
+	host.pool = New(host, limits)
+	return host
+}
+
+// newFakeHostFor is a fakeHost whose replica is listed with a protocol.
+func newFakeHostFor(t *testing.T, protocol replicaproto.Protocol, limits Limits) *fakeHost {
+	host := newFakeHost(t, limits)
+	host.list("a:1", protocol, false)
+	return host
+}
+
+func (host *fakeHost) Open(conn ConnID, _ scheduler.ReplicaID, _ string, protocol replicaproto.Protocol) {
+	host.opened = append(host.opened, conn)
+	host.protocols[conn] = protocol
+}
+
+func (host *fakeHost) Close(conn ConnID) { host.closed[conn] = true }
+
+func (host *fakeHost) Write(conn ConnID, attempt *Attempt) {
+	host.written[conn] = append(host.written[conn], attempt)
+}
+
+func (host *fakeHost) Withdraw(_ ConnID, attempt *Attempt) bool {
+	return attempt.Call.Stage == replicaproto.Waiting
+}
+
+func (host *fakeHost) Abandon(_ ConnID, attempt *Attempt) {
+	host.abandoned = append(host.abandoned, attempt.ID)
+}
+
+func (host *fakeHost) Stage(_ ConnID, attempt *Attempt) replicaproto.Stage { return attempt.Call.Stage }
+
+func (host *fakeHost) PeerOpen(conn ConnID) bool { return !host.peerClosed[conn] }
+
+func (host *fakeHost) Ping(conn ConnID) {
+	host.pings[conn]++
+	if host.answersPings {
+		host.pool.BytesReceived(host.now, conn, host.now)
+	}
+}
+
+func (host *fakeHost) ScheduleWakeup(conn ConnID, after time.Duration) {
+	host.wakeups[conn] = append(host.wakeups[conn], host.now+after)
+}
+
+func (host *fakeHost) AttemptEnded(attempt AttemptID, outcome scheduler.Outcome, _ time.Duration) {
+	host.outcomes[attempt] = append(host.outcomes[attempt], outcome)
+}
+
+func (host *fakeHost) ReplicaForgotten(scheduler.ReplicaID) {}
+
+func (host *fakeHost) Record(event Event) { host.events = append(host.events, event.Kind) }
+
+// list has the endpoint list name the replica.
+func (host *fakeHost) list(addr string, protocol replicaproto.Protocol, draining bool) {
+	host.pool.ReplicaListed(host.now, testReplica, addr, protocol, draining)
+}
+
+func (host *fakeHost) newAttempt(subquery string) *Attempt {
+	host.lastID++
+	call := &replicaproto.Call{Attempt: uint64(host.lastID), SubqueryID: subquery, Deadline: host.now + time.Second}
+	return &Attempt{ID: host.lastID, SentAt: host.now, Call: call}
+}
+
+// send sends an attempt and returns it with the connection that carries it, 0 for none.
+func (host *fakeHost) send(subquery string, nonIdempotent bool) (*Attempt, ConnID) {
+	attempt := host.newAttempt(subquery)
+	attempt.NonIdempotent = nonIdempotent
+	if !host.pool.Send(host.now, attempt, testReplica) {
+		host.outcomes[attempt.ID] = append(host.outcomes[attempt.ID], scheduler.Unreachable)
+	}
+	return attempt, connOf(attempt)
+}
+
+// up has a connection come up.
+func (host *fakeHost) up(conn ConnID) { host.pool.ConnUp(host.now, conn) }
+
+// reply has a reply come. It names the attempt where the protocol is multiplexed, and else the attempt's subquery.
+func (host *fakeHost) reply(conn ConnID, attempt *Attempt) (ended *Attempt, late bool) {
+	if replicaproto.TraitsOf(host.protocols[conn]).Multiplexed {
+		return host.pool.ReplyReceived(host.now, conn, attempt.ID, "", host.now)
+	}
+	return host.pool.ReplyReceived(host.now, conn, 0, attempt.Call.SubqueryID, host.now)
+}
+
+// breaks has a connection end unasked.
+func (host *fakeHost) breaks(conn ConnID, cause error) {
+	host.pool.ConnEnded(host.now, conn, cause, host.now)
+}
+
+// connOf is the connection that carries an attempt, 0 for none.
+func connOf(attempt *Attempt) ConnID {
+	if attempt.conn == nil {
+		return 0
+	}
+	return attempt.conn.id
+}
+
+// writtenWhole has attempts be written whole.
+func writtenWhole(attempts ...*Attempt) {
+	for _, attempt := range attempts {
+		attempt.Call.Stage = replicaproto.Written
+	}
+}
+
+// advance lets a time pass, with the wakeups that fall into it.
+func (host *fakeHost) advance(span time.Duration) {
+	end := host.now + span
+	for {
+		conn, due := host.nextWakeup(end)
+		if conn == 0 {
+			host.now = end
+			return
+		}
+		at := slices.Index(host.wakeups[conn], due)
+		host.wakeups[conn] = slices.Delete(slices.Clone(host.wakeups[conn]), at, at+1)
+		host.now = max(host.now, due)
+		host.pool.Wakeup(host.now, conn)
+	}
+}
+
+// nextWakeup is the earliest wakeup that is due until end, and its connection; 0 for none.
+func (host *fakeHost) nextWakeup(end time.Duration) (next ConnID, due time.Duration) {
+	due = end
+	for _, conn := range host.opened {
+		for _, wakeup := range host.wakeups[conn] {
+			if wakeup <= due && (next == 0 || wakeup < due) {
+				next, due = conn, wakeup
+			}
+		}
+	}
+	return next, due
+}
+
+// expect checks with which outcomes an attempt has been reported as ended so far.
+func (host *fakeHost) expect(attempt *Attempt, want ...scheduler.Outcome) {
+	host.t.Helper()
+	if got := host.outcomes[attempt.ID]; fmt.Sprint(got) != fmt.Sprint(want) {
+		host.t.Errorf("attempt at %s ended %v, want %v", attempt.Call.SubqueryID, got, want)
+	}
+}
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -8,8 +8,8 @@
 const (
 	// maxOvertaken is how many replies on other connections, to later attempts, make a silent connection suspect.
 	maxOvertaken = 8
-	// pingAfter is the share of Limits.ConnectTimeout after which a connection with outstanding attempts on which nothing
-	// comes is pinged. The answer has the rest of that time.
+	// pingAfter is the share of Limits.ConnectTimeout after which a connection with outstanding attempts on which
+	// nothing comes is pinged. The answer has the rest of that time.
 	pingAfter = 0.5
 	// lateWakeup is how late a wakeup must be to show that this process stood still.
 	lateWakeup = 30 * time.Millisecond
@@ -21,9 +21,9 @@
 // before that attempt was sent become suspect after maxOvertaken such replies: the replica lives, and yet nothing comes
 // there. Where the protocol has pings, those tell. Attempts of very different cost can look the same, and cost a new
 // connection then.
-func (p *Pool) noteReply(conn *connection, replied *Attempt, at time.Duration) {
+func (pool *Pool) noteReply(conn *connection, replied *Attempt, at time.Duration) {
 	conn.lastReplyAt, conn.overtaken = at, 0
-	conn.cancelTokens += cancelRegainReply
+	conn.cancels.tokens += cancelRegainReply
 	for _, other := range conn.replica.conns {
 		if other == conn || !other.silentSince(replied.SentAt) {
 			continue
@@ -35,102 +35,106 @@
 	}
 }
 
-// silentSince tells whether an attempt that was sent before a time is outstanding here, and no reply has come since.
-func (c *connection) silentSince(sentAt time.Duration) bool {
-	return !c.traits.Pings && len(c.outstanding) > 0 && c.outstanding[0].SentAt < sentAt && c.lastReplyAt < sentAt
+// silentSince tells whether an attempt that was sent before a time is outstanding here, and no reply has come since. Of
+// connections with pings it is not asked.
+func (conn *connection) silentSince(sentAt time.Duration) bool {
+	if conn.traits.Pings || len(conn.outstanding) == 0 {
+		return false
+	}
+	return conn.outstanding[0].SentAt < sentAt && conn.lastReplyAt < sentAt
 }
 
 // scheduleWakeup has Wakeup called when something will be due on a connection, unless it is called earlier anyway.
-func (p *Pool) scheduleWakeup(conn *connection) {
+func (pool *Pool) scheduleWakeup(conn *connection) {
 	if conn.state == closing {
 		return
 	}
-	due := p.nextDue(conn)
+	due := pool.nextDue(conn)
 	if due < conn.wakeupAt {
 		conn.wakeupAt = due
-		p.host.ScheduleWakeup(conn.id, max(0, due-p.now))
+		pool.host.ScheduleWakeup(conn.id, max(0, due-pool.now))
 	}
 }
 
 // nextDue is the earliest time at which Wakeup has something to do for a connection.
-func (p *Pool) nextDue(conn *connection) time.Duration {
+func (pool *Pool) nextDue(conn *connection) time.Duration {
 	due := never
 	isUp := conn.state == established
-	if isUp && len(conn.outstanding) == 0 && p.idleTimeout <= maxIdleTimeout {
-		due = conn.idleSince + p.idleTimeout
+	if isUp && len(conn.outstanding) == 0 && pool.idleTimeout <= maxIdleTimeout {
+		due = conn.idleSince + pool.idleTimeout
 	}
 	if isUp && len(conn.outstanding) > 0 && conn.traits.Pings {
-		due = min(due, p.pingDue(conn))
+		due = min(due, pool.pingDue(conn))
 	}
-	if len(conn.pendingCancels) > 0 {
-		due = min(due, p.nextCancelDue(conn))
+	if len(conn.cancels.pending) > 0 {
+		due = min(due, conn.cancels.nextDue(pool.now))
 	}
 	if isUp && len(conn.replica.waiting) > 0 && conn.maxAttempts == 0 {
-		due = min(due, conn.replica.waitingSince+p.limits.ConnectTimeout)
+		due = min(due, conn.replica.waitingSince+pool.limits.ConnectTimeout)
 	}
 	return due
 }
 
 // Wakeup tells that a time has passed that Host.ScheduleWakeup was given for a connection.
-func (p *Pool) Wakeup(now time.Duration, id ConnID) {
-	p.now = now
-	if reset := p.pendingResets[id]; reset != nil {
-		p.resolveReset(id, reset)
+func (pool *Pool) Wakeup(now time.Duration, id ConnID) {
+	pool.now = now
+	if reset := pool.pendingResets[id]; reset != nil {
+		pool.resolveReset(id, reset)
 		return
 	}
-	conn := p.conns[id]
+	conn := pool.conns[id]
 	if conn == nil || conn.state == closing || now < conn.wakeupAt {
 		return
 	}
 	stoodStill := now-conn.wakeupAt > lateWakeup
 	conn.wakeupAt = never
-	if p.idleTooLong(conn) {
-		p.close(conn)
+	if pool.idleTooLong(conn) {
+		pool.close(conn)
 		return
 	}
 	if conn.traits.Pings && conn.state == established && len(conn.outstanding) > 0 {
-		p.checkAlive(conn, stoodStill)
+		pool.checkAlive(conn, stoodStill)
 	}
-	if len(conn.pendingCancels) > 0 && conn.state != closing {
-		p.sendPendingCancels(conn)
+	if len(conn.cancels.pending) > 0 && conn.state != closing {
+		pool.sendPendingCancels(conn)
 	}
-	p.rejectIfNothingIsTaken(conn.replica)
-	p.scheduleWakeup(conn)
+	pool.rejectIfReplicaTakesNothing(conn.replica)
+	pool.scheduleWakeup(conn)
 }
 
-// checkAlive pings a silent connection, and closes it if a ping had no answer in time: its machine has vanished, or reads
-// nothing. Where this process itself stood still the answer may lie unread, so the wait starts again.
-func (p *Pool) checkAlive(conn *connection, stoodStill bool) {
+// checkAlive pings a silent connection, and closes it if a ping had no answer in time: its machine has vanished, or
+// reads nothing. Where this process itself stood still the answer may lie unread, so the wait starts again.
+func (pool *Pool) checkAlive(conn *connection, stoodStill bool) {
 	switch {
 	case stoodStill:
-		conn.noteBytes(p.now)
-	case p.now < p.pingDue(conn):
+		conn.noteBytes(pool.now)
+	case pool.now < pool.pingDue(conn):
 	case conn.pingPending:
-		p.fail(conn, PingTimeout, errPingTimeout)
+		pool.fail(conn, PingTimeout, errPingTimeout)
 	default:
 		conn.pingPending = true
-		conn.pingSentAt = p.now
-		p.host.Ping(conn.id)
+		conn.pingSentAt = pool.now
+		pool.host.Ping(conn.id)
 	}
 }
 
 // pingDue is when a connection with outstanding attempts is to be pinged or, after a ping, when it counts as dead.
-func (p *Pool) pingDue(conn *connection) time.Duration {
-	timeout := float64(p.limits.ConnectTimeout)
+func (pool *Pool) pingDue(conn *connection) time.Duration {
+	timeout := float64(pool.limits.ConnectTimeout)
 	if conn.pingPending {
 		return conn.pingSentAt + time.Duration((1-pingAfter)*timeout)
 	}
 	return max(conn.lastByteAt, conn.outstanding[0].SentAt) + time.Duration(pingAfter*timeout)
 }
 
-// rejectIfNothingIsTaken ends what waits for a replica that takes no attempts at all for as long as opening a
+// rejectIfReplicaTakesNothing ends what waits for a replica that takes no attempts at all for as long as opening a
 // connection may take: it never left.
-func (p *Pool) rejectIfNothingIsTaken(replica *replicaState) {
-	if len(replica.waiting) == 0 || p.now < replica.waitingSince+p.limits.ConnectTimeout {
+func (pool *Pool) rejectIfReplicaTakesNothing(replica *replicaState) {
+	if len(replica.waiting) == 0 || pool.now < replica.waitingSince+pool.limits.ConnectTimeout {
 		return
 	}
-	replica.waitingSince = p.now
+	replica.waitingSince = pool.now
 	if replica.takesNothing() {
-		p.rejectWaiting(replica)
+		pool.rejectWaiting(replica)
 	}
 }
--- a/connpool/host.go
+++ b/connpool/host.go
@@ -94,19 +94,19 @@
 	MaxSharedConns     int           // connections to a replica, where its protocol is multiplexed; 0: one
 }
 
-func (l Limits) withDefaults() Limits {
-	l.MaxAttemptsPerConn = max(1, l.MaxAttemptsPerConn)
-	l.MaxConns = max(2, l.MaxConns)
-	l.MaxSharedConns = max(1, l.MaxSharedConns)
-	if l.MaxStreamsPerConn <= 0 {
-		l.MaxStreamsPerConn = l.MaxAttemptsPerConn
+func (limits Limits) withDefaults() Limits {
+	limits.MaxAttemptsPerConn = max(1, limits.MaxAttemptsPerConn)
+	limits.MaxConns = max(2, limits.MaxConns)
+	limits.MaxSharedConns = max(1, limits.MaxSharedConns)
+	if limits.MaxStreamsPerConn <= 0 {
+		limits.MaxStreamsPerConn = limits.MaxAttemptsPerConn
 	}
-	return l
+	return limits
 }
 
-func (l Limits) idleTimeout() time.Duration {
-	if l.IdleTimeout <= 0 {
+func (limits Limits) idleTimeout() time.Duration {
+	if limits.IdleTimeout <= 0 {
 		return never
 	}
-	return l.IdleTimeout
+	return limits.IdleTimeout
 }
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -11,74 +11,75 @@
 // (evidence.go). What the replica states meanwhile, StreamLimitChanged and GoingAway, is here as well.
 
 // open opens a connection to a replica.
-func (p *Pool) open(to *replicaState) *connection {
-	p.lastID++
+func (pool *Pool) open(to *replicaState) *connection {
+	pool.lastID++
 	opened := &connection{
-		id: p.lastID, replica: to, addr: to.addr, protocol: to.protocol, traits: to.traits(),
-		maxAttempts:    p.limits.MaxAttemptsPerConn,
-		cancelTokens:   cancelBurst,
-		cancelTokensAt: p.now,
-		lastByteAt:     p.now,
-		wakeupAt:       never,
+		id: pool.lastID, replica: to, addr: to.addr, protocol: to.protocol, traits: to.traits(),
+		maxAttempts: pool.limits.MaxAttemptsPerConn,
+		cancels:     cancelQueue{tokens: cancelBurst, tokensAt: pool.now},
+		lastByteAt:  pool.now,
+		wakeupAt:    never,
 	}
 	if opened.traits.Multiplexed {
-		opened.maxAttempts = p.limits.MaxStreamsPerConn
+		opened.maxAttempts = pool.limits.MaxStreamsPerConn
 	}
 	to.conns = append(to.conns, opened)
-	p.byAge = append(p.byAge, opened)
-	p.conns[opened.id] = opened
-	p.host.Open(opened.id, to.id, to.addr, to.protocol)
+	pool.byAge = append(pool.byAge, opened)
+	pool.conns[opened.id] = opened
+	pool.host.Open(opened.id, to.id, to.addr, to.protocol)
 	return opened
 }
 
 // ConnUp tells that a connection has come up: attempts on it are written from now on.
-func (p *Pool) ConnUp(now time.Duration, id ConnID) {
-	p.now = now
-	conn := p.conns[id]
+func (pool *Pool) ConnUp(now time.Duration, id ConnID) {
+	pool.now = now
+	conn := pool.conns[id]
 	if conn == nil {
 		return
 	}
 	if conn.state == connecting {
 		conn.state = established
 	}
-	conn.cameUp = true
-	conn.establishedAt, conn.idleSince, conn.lastByteAt = now, now, now
-	p.becomeIdle(conn)
-	p.scheduleWakeup(conn)
+	conn.wasEstablished = true
+	conn.establishedAt = now
+	conn.idleSince = now
+	conn.lastByteAt = now
+	pool.becomeIdle(conn)
+	pool.scheduleWakeup(conn)
 }
 
 // becomeIdle closes a connection that carries nothing any more if it is not to be used again, and else has it wait.
-func (p *Pool) becomeIdle(conn *connection) {
+func (pool *Pool) becomeIdle(conn *connection) {
 	if len(conn.outstanding) > 0 || conn.state == closing {
 		return
 	}
-	closeAfterUse := conn.exclusive && p.now < p.distrustIdleUntil
-	conn.idleSince, conn.exclusive = p.now, false
+	closeAfterUse := conn.exclusive && pool.now < pool.distrustIdleUntil
+	conn.idleSince, conn.exclusive = pool.now, false
 	if closeAfterUse || conn.replica.removed || !conn.takesNew() {
-		p.close(conn)
+		pool.close(conn)
 		return
 	}
-	p.scheduleWakeup(conn)
+	pool.scheduleWakeup(conn)
 }
 
 // idleTooLong tells whether a connection has been idle for so long that the far side may have dropped it.
-func (p *Pool) idleTooLong(conn *connection) bool {
-	return conn.state == established && len(conn.outstanding) == 0 && p.now-conn.idleSince >= p.idleTimeout
+func (pool *Pool) idleTooLong(conn *connection) bool {
+	return conn.state == established && len(conn.outstanding) == 0 && pool.now-conn.idleSince >= pool.idleTimeout
 }
 
 // close closes a connection; ConnEnded follows.
-func (p *Pool) close(conn *connection) {
+func (pool *Pool) close(conn *connection) {
 	if conn.state != closing {
 		conn.state = closing
-		p.host.Close(conn.id)
+		pool.host.Close(conn.id)
 	}
 }
 
 // closeLongestIdle closes the connection that has been idle for longest, to make room for another; it tells whether
 // there was one.
-func (p *Pool) closeLongestIdle() bool {
+func (pool *Pool) closeLongestIdle() bool {
 	var longest *connection
-	for _, conn := range p.byAge {
+	for _, conn := range pool.byAge {
 		isIdle := conn.state == established && len(conn.outstanding) == 0
 		if isIdle && (longest == nil || conn.idleSince < longest.idleSince) {
 			longest = conn
@@ -87,50 +88,50 @@
 	if longest == nil {
 		return false
 	}
-	p.close(longest)
+	pool.close(longest)
 	return true
 }
 
 // StreamLimitChanged tells how many attempts the replica takes at a time on a connection. Those that are begun go on;
 // of the others, those beyond the limit wait for a place again. Otherwise the replica would refuse them.
-func (p *Pool) StreamLimitChanged(now time.Duration, id ConnID, limit int) {
-	p.now = now
-	conn := p.conns[id]
+func (pool *Pool) StreamLimitChanged(now time.Duration, id ConnID, limit int) {
+	pool.now = now
+	conn := pool.conns[id]
 	if conn == nil {
 		return
 	}
 	isLower := limit < conn.maxAttempts
-	conn.maxAttempts = min(limit, p.limits.MaxStreamsPerConn)
+	conn.maxAttempts = min(limit, pool.limits.MaxStreamsPerConn)
 	if isLower {
-		p.requeueUnbegun(conn, conn.maxAttempts, false)
+		pool.requeueUnbegun(conn, conn.maxAttempts, false)
 	}
-	p.fill(conn.replica)
-	p.scheduleWakeup(conn)
+	pool.fill(conn.replica)
+	pool.scheduleWakeup(conn)
 }
 
 // GoingAway tells that the replica takes nothing new on a connection. What was not begun goes on another, once; this
 // one is closed when its last attempt is over.
-func (p *Pool) GoingAway(now time.Duration, id ConnID, detail string) {
-	p.now = now
-	conn := p.conns[id]
+func (pool *Pool) GoingAway(now time.Duration, id ConnID, detail string) {
+	pool.now = now
+	conn := pool.conns[id]
 	if conn == nil || conn.goingAway {
 		return
 	}
 	conn.goingAway = true
-	p.record(conn, GoingAway, errors.New(detail))
-	p.requeueUnbegun(conn, 0, true)
+	pool.record(conn, GoingAway, errors.New(detail))
+	pool.requeueUnbegun(conn, 0, true)
 	if !conn.replica.takesNew() {
-		p.rejectWaiting(conn.replica)
+		pool.rejectWaiting(conn.replica)
 	}
-	p.fill(conn.replica)
+	pool.fill(conn.replica)
 	if len(conn.outstanding) == 0 {
-		p.close(conn)
+		pool.close(conn)
 	}
 }
 
 // record notes an event of a connection.
-func (p *Pool) record(conn *connection, kind EventKind, cause error) {
-	p.host.Record(Event{
+func (pool *Pool) record(conn *connection, kind EventKind, cause error) {
+	pool.host.Record(Event{
 		Conn: conn.id, Replica: conn.replica.id, Kind: kind, Outstanding: len(conn.outstanding), Cause: cause,
 	})
 }
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -10,225 +10,320 @@
 	"terntray/scheduler"
 )
 
-// world plays what may happen in any order against a pool, and judges by what connections and attempts saw alone.
-type world struct {
-	*farm
-	chance *rand.Rand
-	limits Limits
-	kind   replicaproto.Protocol
-	drains bool
-	left   bool
-	all    []*Attempt
-	took   map[AttemptID]bool // by Send
-	given  map[AttemptID]bool // up, or withdrawn by who sent it
-	word   map[AttemptID]bool // the far side said that it never ran
-	puts   map[AttemptID]int  // on connections
-	room   map[ConnID]int     // as told; absent: not told
-	up     map[ConnID]bool
-	gone   map[ConnID]bool // ended
-}
-
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 7)), took: map[AttemptID]bool{}, given: map[AttemptID]bool{},
-		word: map[AttemptID]bool{}, puts: map[AttemptID]int{}, room: map[ConnID]int{}, up: map[ConnID]bool{}, gone: map[ConnID]bool{}}
-	w.kind = []replicaproto.Protocol{replicaproto.Frames, replicaproto.HTTP2}[w.chance.IntN(2)]
-	w.limits = Limits{ConnectTimeout: 250 * time.Millisecond, IdleTimeout: time.Duration(w.chance.IntN(3)) * time.Second,
-		MaxAttemptsPerConn: 1 + w.chance.IntN(8), MaxConns: 2 + w.chance.IntN(6), MaxStreamsPerConn: 1 + w.chance.IntN(20), MaxSharedConns: 1 + w.chance.IntN(2)}
-	w.farm = newFarm(t, w.limits)
-	w.p.host = w
-	w.p.ReplicaListed(0, 1, "a:1", w.kind, false)
-	return w
+// model plays what may happen, in any order, against a pool. It judges by what connections and attempts saw alone.
+type model struct {
+	*fakeHost
+	random   *rand.Rand
+	limits   Limits
+	protocol replicaproto.Protocol
+
+	draining bool
+	removed  bool
+
+	attempts    []*Attempt         // all, by id
+	accepted    map[AttemptID]bool // by Send
+	givenUp     map[AttemptID]bool // abandoned by their sender
+	saidUnrun   map[AttemptID]bool // the replica said that they never ran
+	writes      map[AttemptID]int  // how often each was put on a connection
+	streamLimit map[ConnID]int     // as the replica stated it; absent: it has not
+	established map[ConnID]bool    // connections that came up
+	ended       map[ConnID]bool    // connections that were given back
+	subqueries  []string           // that attempts are made at
+}
+
+func newModel(t *testing.T, seed uint64) *model {
+	random := rand.New(rand.NewPCG(seed, 7))
+	m := &model{
+		random:      random,
+		accepted:    map[AttemptID]bool{},
+		givenUp:     map[AttemptID]bool{},
+		saidUnrun:   map[AttemptID]bool{},
+		writes:      map[AttemptID]int{},
+		streamLimit: map[ConnID]int{},
+		established: map[ConnID]bool{},
+		ended:       map[ConnID]bool{},
+		subqueries:  []string{"q.1", "q.2", "q.3", "q.4", "q.5", "q.6"},
+	}
+	m.protocol = protocols[random.IntN(len(protocols))]
+	m.limits = Limits{
+		ConnectTimeout:     250 * time.Millisecond,
+		IdleTimeout:        time.Duration(random.IntN(3)) * time.Second,
+		MaxAttemptsPerConn: 1 + random.IntN(8),
+		MaxConns:           2 + random.IntN(6),
+		MaxStreamsPerConn:  1 + random.IntN(20),
+		MaxSharedConns:     1 + random.IntN(2),
+	}
+	m.fakeHost = newFakeHost(t, m.limits)
+	m.pool.host = m
+	m.list("a:1", m.protocol, false)
+	return m
 }
 
 // Write judges what is put on a connection.
-func (w *world) Write(c ConnID, l *Attempt) {
-	w.farm.Write(c, l)
-	w.puts[l.ID]++
-	open, waits := 0, false
-	for _, o := range w.all {
-		if o.conn != nil && o.conn.id == c {
-			open++
+func (m *model) Write(conn ConnID, attempt *Attempt) {
+	m.fakeHost.Write(conn, attempt)
+	m.writes[attempt.ID]++
+	multiplexed := m.protocol == replicaproto.HTTP2
+	switch {
+	case m.draining || m.removed:
+		m.t.Errorf("attempt %d is put on a connection to a replica that takes nothing new", attempt.ID)
+	case m.ended[conn] || m.closed[conn]:
+		m.t.Errorf("attempt %d is put on a connection that has ended", attempt.ID)
+	case m.writes[attempt.ID] > 2 && !multiplexed:
+		m.t.Errorf("attempt %d is put on a connection for the third time", attempt.ID)
+	case multiplexed && m.earlierWaits(attempt):
+		m.t.Errorf("attempt %d goes before one that waits for longer", attempt.ID)
+	}
+	outstanding := m.pool.conns[conn].outstanding
+	limit, stated := m.streamLimit[conn]
+	if stated && multiplexed && m.carriesAny(conn) && len(outstanding) > limit {
+		m.t.Errorf("%d attempts on a connection that takes %d", len(outstanding), limit)
+	}
+	if multiplexed {
+		return
+	}
+	for _, other := range outstanding {
+		if other != attempt && other.Call.SubqueryID == attempt.Call.SubqueryID {
+			m.t.Errorf("two attempts at %s on one connection", attempt.Call.SubqueryID)
 		}
-		if o.ID < l.ID && w.took[o.ID] && !w.given[o.ID] && len(w.ended[o.ID]) == 0 && o.conn == nil {
-			waits = true
+	}
+}
+
+// earlierWaits tells whether an attempt that was sent before one still waits for a connection.
+func (m *model) earlierWaits(attempt *Attempt) bool {
+	for _, other := range m.attempts {
+		isWaiting := m.isAwaited(other) && other.conn == nil
+		if other.ID < attempt.ID && isWaiting {
+			return true
 		}
 	}
-	switch {
-	case w.drains || w.left:
-		w.t.Errorf("leg %d is put on a connection to a replica that wants nothing new", l.ID)
-	case w.gone[c] || w.shut[c]:
-		w.t.Errorf("leg %d is put on a connection that has ended", l.ID)
-	case w.puts[l.ID] > 2 && w.kind == replicaproto.Frames:
-		w.t.Errorf("leg %d is put on a connection for the third time", l.ID)
-	case w.kind == replicaproto.HTTP2 && waits:
-		w.t.Errorf("leg %d goes before one that waits for longer", l.ID)
-	}
-	if most, told := w.room[c]; told && w.kind == replicaproto.HTTP2 && open > 0 && len(w.p.conns[c].outstanding) > most {
-		w.t.Errorf("%d legs on a connection that takes %d", len(w.p.conns[c].outstanding), most)
-	}
-	if w.kind == replicaproto.Frames {
-		for _, o := range w.p.conns[c].outstanding {
-			if o != l && o.Call.SubqueryID == l.Call.SubqueryID {
-				w.t.Errorf("two legs of %s on one connection", l.Call.SubqueryID)
-			}
+	return false
+}
+
+// isAwaited tells whether an attempt's end is still to be reported.
+func (m *model) isAwaited(attempt *Attempt) bool {
+	return m.accepted[attempt.ID] && !m.givenUp[attempt.ID] && len(m.outcomes[attempt.ID]) == 0
+}
+
+// carriesAny tells whether any attempt is on a connection.
+func (m *model) carriesAny(conn ConnID) bool {
+	for _, attempt := range m.attempts {
+		if connOf(attempt) == conn {
+			return true
 		}
 	}
+	return false
 }
 
-func (w *world) Abandon(c ConnID, l *Attempt) {
-	if l.Call.Stage == replicaproto.Waiting {
-		w.t.Errorf("the far side is told of leg %d, of which it never heard", l.ID)
+// Abandon judges what the replica is told.
+func (m *model) Abandon(_ ConnID, attempt *Attempt) {
+	if attempt.Call.Stage == replicaproto.Waiting {
+		m.t.Errorf("the replica is told of attempt %d, of which it never heard", attempt.ID)
 	}
 }
 
-func (w *world) Open(c ConnID, to scheduler.ReplicaID, addr string, d replicaproto.Protocol) {
-	w.farm.Open(c, to, addr, d)
-	stand := 0
-	for _, o := range w.stands() {
-		if !w.shut[o] { // what is closed to make room is given back in no time
-			stand++
+// Open judges how many connections there are. Those that are closed to make room are given back a moment later.
+func (m *model) Open(conn ConnID, to scheduler.ReplicaID, addr string, protocol replicaproto.Protocol) {
+	m.fakeHost.Open(conn, to, addr, protocol)
+	open := 0
+	for _, other := range m.notEnded() {
+		if !m.closed[other] {
+			open++
 		}
 	}
-	if stand > w.limits.MaxConns {
-		w.t.Errorf("%d connections of %d", stand, w.limits.MaxConns)
+	if open > m.limits.MaxConns {
+		m.t.Errorf("%d connections of %d", open, m.limits.MaxConns)
 	}
 }
 
-// AttemptEnded judges what is told of an attempt.
-func (w *world) AttemptEnded(l AttemptID, how scheduler.Outcome, took time.Duration) {
-	w.farm.AttemptEnded(l, how, took)
-	attempt := w.all[l-1]
-	never := how == scheduler.Overloaded || how == scheduler.Unreachable
+// AttemptEnded judges what is reported of an attempt.
+func (m *model) AttemptEnded(id AttemptID, outcome scheduler.Outcome, took time.Duration) {
+	m.fakeHost.AttemptEnded(id, outcome, took)
+	attempt := m.attempts[id-1]
+	neverRan := outcome == scheduler.Overloaded || outcome == scheduler.Unreachable
 	switch {
-	case len(w.ended[l]) > 1 || w.given[l]:
-		w.t.Errorf("leg %d ended %v, given up %t", l, w.ended[l], w.given[l])
-	case never && attempt.Call.Stage == replicaproto.Written && !w.word[l]:
-		w.t.Errorf("leg %d was written whole and is told as never run", l)
+	case len(m.outcomes[id]) > 1 || m.givenUp[id]:
+		m.t.Errorf("attempt %d ended %v, given up %t", id, m.outcomes[id], m.givenUp[id])
+	case neverRan && attempt.Call.Stage == replicaproto.Written && !m.saidUnrun[id]:
+		m.t.Errorf("attempt %d was written whole and is reported as never run", id)
 	}
 }
 
-func (w *world) stands() (all []ConnID) {
-	for _, c := range w.open {
-		if !w.gone[c] {
-			all = append(all, c)
+// notEnded lists the connections that have not been given back, in order of opening.
+func (m *model) notEnded() []ConnID {
+	var conns []ConnID
+	for _, conn := range m.opened {
+		if !m.ended[conn] {
+			conns = append(conns, conn)
 		}
 	}
-	return all
+	return conns
 }
 
-// happens has one thing happen.
-func (w *world) happens() {
-	c := ConnID(0)
-	if all := w.stands(); len(all) > 0 {
-		c = all[w.chance.IntN(len(all))]
-	}
-	var on []*Attempt
-	if c > 0 {
-		for _, l := range w.all {
-			if l.conn != nil && l.conn.id == c && !l.finished {
-				on = append(on, l)
-			}
+// unfinishedOn lists the attempts on a connection whose end is not known.
+func (m *model) unfinishedOn(conn ConnID) []*Attempt {
+	var attempts []*Attempt
+	for _, attempt := range m.attempts {
+		if conn > 0 && connOf(attempt) == conn && !attempt.finished {
+			attempts = append(attempts, attempt)
 		}
 	}
-	n := w.chance.IntN(100)
+	return attempts
+}
+
+// step has one thing happen, to one connection where there is one. The numbers divide a hundred steps among the kinds
+// of events; a step whose kind does not apply is one of the next kind that does.
+func (m *model) step() {
+	conn := ConnID(0)
+	if conns := m.notEnded(); len(conns) > 0 {
+		conn = conns[m.random.IntN(len(conns))]
+	}
+	unfinished := m.unfinishedOn(conn)
+	isUp := m.established[conn]
+	isOpen := conn > 0 && !m.closed[conn]
+	multiplexed := m.protocol == replicaproto.HTTP2
+	n := m.random.IntN(100)
 	switch {
 	case n < 35:
-		l := w.attempt([]string{"q.1", "q.2", "q.3", "q.4", "q.5", "q.6"}[w.chance.IntN(6)])
-		l.NonIdempotent = w.chance.IntN(3) == 0
-		w.all = append(w.all, l)
-		w.took[l.ID] = true
-		if !w.p.Send(w.now, l, 1) {
-			w.took[l.ID] = false
-		}
-	case n < 45 && len(on) > 0 && w.up[c]:
-		l := on[w.chance.IntN(len(on))]
-		l.Call.Stage = max(l.Call.Stage, replicaproto.Stage(1+w.chance.IntN(2)))
-	case n < 60 && len(on) > 0 && w.up[c]:
-		l := on[w.chance.IntN(len(on))]
-		l.Call.Stage = replicaproto.Written
-		id, wire := l.ID, l.Call.SubqueryID
-		if w.kind == replicaproto.Frames {
-			id = 0
-		}
-		if got, _ := w.p.ReplyReceived(w.now, c, id, wire, w.now); got != nil {
-			w.AttemptEnded(got.ID, scheduler.Succeeded, 0)
-		}
-	case n < 66 && len(w.all) > 0:
-		l := w.all[w.chance.IntN(len(w.all))]
-		if w.took[l.ID] && !w.given[l.ID] && len(w.ended[l.ID]) == 0 {
-			w.given[l.ID] = true
-			w.p.Abandon(w.now, l)
-			if w.chance.IntN(2) == 0 {
-				w.p.Forget(w.now, l)
-			}
-		}
-	case n < 74 && c > 0 && !w.up[c] && !w.shut[c]:
-		w.up[c] = true
-		w.p.ConnUp(w.now, c)
-	case n < 78 && c > 0:
-		w.gone[c] = true
-		w.p.ConnEnded(w.now, c, errors.New("as if"), w.now)
-	case n < 82 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
-		w.room[c] = w.chance.IntN(5)
-		w.p.StreamLimitChanged(w.now, c, w.room[c])
-	case n < 84 && c > 0 && w.up[c] && w.kind == replicaproto.HTTP2 && !w.shut[c]:
-		w.p.GoingAway(w.now, c, "as if")
-	case n < 87 && len(on) > 0 && w.up[c] && w.kind == replicaproto.HTTP2:
-		l := on[w.chance.IntN(len(on))]
-		if l.Call.Stage != replicaproto.Waiting {
-			w.word[l.ID] = w.chance.IntN(2) == 0
-			w.p.AttemptSettled(w.now, c, l.ID, w.word[l.ID], w.now)
-		}
-	case n == 87:
-		w.drains, w.left = w.chance.IntN(2) == 0, false
-		w.p.ReplicaListed(w.now, 1, "a:1", w.kind, w.drains)
-	case n == 88:
-		w.left = true
-		w.p.ReplicaRemoved(w.now, 1)
-	case n == 89 && c > 0 && w.up[c]:
-		w.p.ReplicaRestarted(w.now, 1, w.now+time.Second)
-	case n < 95 && c > 0 && w.up[c]:
-		w.p.BytesReceived(w.now, c, w.now)
+		m.sendOne()
+	case n < 45 && isUp && len(unfinished) > 0:
+		m.writeOneFurther(unfinished)
+	case n < 60 && isUp && len(unfinished) > 0:
+		m.replyToOne(conn, unfinished)
+	case n < 66 && len(m.attempts) > 0:
+		m.giveUpOne()
+	case n < 74 && isOpen && !isUp:
+		m.established[conn] = true
+		m.up(conn)
+	case n < 78 && conn > 0:
+		m.ended[conn] = true
+		m.breaks(conn, errors.New("as if"))
+	case n < 82 && isOpen && isUp && multiplexed:
+		m.streamLimit[conn] = m.random.IntN(5)
+		m.pool.StreamLimitChanged(m.now, conn, m.streamLimit[conn])
+	case n < 84 && isOpen && isUp && multiplexed:
+		m.pool.GoingAway(m.now, conn, "as if")
+	case n < 87 && isUp && multiplexed && len(unfinished) > 0:
+		m.settleOne(conn, unfinished)
+	case n >= 87 && n < 89:
+		m.listOrRemove(n == 87)
+	case n == 89 && isUp:
+		m.pool.ReplicaRestarted(m.now, testReplica, m.now+time.Second)
+	case n < 95 && isUp:
+		m.pool.BytesReceived(m.now, conn, m.now)
 	case n >= 95:
-		w.later(time.Duration(w.chance.IntN(400)) * time.Millisecond)
+		m.advance(time.Duration(m.random.IntN(400)) * time.Millisecond)
+	}
+	m.endSomeClosed()
+}
+
+func (m *model) oneOf(attempts []*Attempt) *Attempt { return attempts[m.random.IntN(len(attempts))] }
+
+func (m *model) sendOne() {
+	attempt := m.newAttempt(m.subqueries[m.random.IntN(len(m.subqueries))])
+	attempt.NonIdempotent = m.random.IntN(3) == 0
+	m.attempts = append(m.attempts, attempt)
+	m.accepted[attempt.ID] = true // before Send, which may report its end
+	if !m.pool.Send(m.now, attempt, testReplica) {
+		m.accepted[attempt.ID] = false
+	}
+}
+
+func (m *model) writeOneFurther(unfinished []*Attempt) {
+	attempt := m.oneOf(unfinished)
+	stage := replicaproto.Begun + replicaproto.Stage(m.random.IntN(2))
+	attempt.Call.Stage = max(attempt.Call.Stage, stage)
+}
+
+func (m *model) replyToOne(conn ConnID, unfinished []*Attempt) {
+	attempt := m.oneOf(unfinished)
+	attempt.Call.Stage = replicaproto.Written
+	id := attempt.ID
+	if m.protocol == replicaproto.Frames {
+		id = 0
+	}
+	if ended, _ := m.pool.ReplyReceived(m.now, conn, id, attempt.Call.SubqueryID, m.now); ended != nil {
+		m.AttemptEnded(ended.ID, scheduler.Succeeded, 0)
 	}
-	for _, c := range w.stands() { // drivers give back what is closed
-		if w.shut[c] && w.chance.IntN(2) == 0 {
-			w.gone[c] = true
-			w.p.ConnEnded(w.now, c, errors.New("closed"), w.now)
+}
+
+// settleOne has the replica end an attempt without an answer.
+func (m *model) settleOne(conn ConnID, unfinished []*Attempt) {
+	attempt := m.oneOf(unfinished)
+	if attempt.Call.Stage != replicaproto.Waiting {
+		m.saidUnrun[attempt.ID] = m.random.IntN(2) == 0
+		m.pool.AttemptSettled(m.now, conn, attempt.ID, m.saidUnrun[attempt.ID], m.now)
+	}
+}
+
+// giveUpOne has the sender of an attempt stop waiting.
+func (m *model) giveUpOne() {
+	attempt := m.oneOf(m.attempts)
+	if !m.isAwaited(attempt) {
+		return
+	}
+	m.givenUp[attempt.ID] = true
+	m.pool.Abandon(m.now, attempt)
+	if m.random.IntN(2) == 0 {
+		m.pool.Forget(m.now, attempt)
+	}
+}
+
+// listOrRemove has the endpoint list name the replica, draining or not, or name it no more.
+func (m *model) listOrRemove(list bool) {
+	if !list {
+		m.removed = true
+		m.pool.ReplicaRemoved(m.now, testReplica)
+		return
+	}
+	m.draining = m.random.IntN(2) == 0
+	m.removed = false
+	m.list("a:1", m.protocol, m.draining)
+}
+
+// endSomeClosed gives back some of the connections that the pool has closed, as drivers do in their own time.
+func (m *model) endSomeClosed() {
+	for _, conn := range m.notEnded() {
+		if m.closed[conn] && m.random.IntN(2) == 0 {
+			m.ended[conn] = true
+			m.breaks(conn, errors.New("closed"))
 		}
 	}
 }
 
-// close has all connections end, and checks that nothing is left.
-func (w *world) close() {
-	for len(w.stands()) > 0 {
-		for _, c := range w.stands() {
-			w.gone[c] = true
-			w.p.ConnEnded(w.now, c, errors.New("the end"), w.now)
+// finishAll has all connections end, and checks that each attempt has ended once and nothing is left.
+func (m *model) finishAll() {
+	for len(m.notEnded()) > 0 {
+		for _, conn := range m.notEnded() {
+			m.ended[conn] = true
+			m.breaks(conn, errors.New("the end"))
 		}
-		w.later(time.Second)
+		m.advance(time.Second)
 	}
-	w.later(time.Second)
-	for _, l := range w.all {
-		if w.took[l.ID] && !w.given[l.ID] && len(w.ended[l.ID]) != 1 {
-			w.t.Errorf("leg %d of %d, stage %d, ended %v", l.ID, len(w.all), l.Call.Stage, w.ended[l.ID])
+	m.advance(time.Second)
+	for _, attempt := range m.attempts {
+		isOwed := m.accepted[attempt.ID] && !m.givenUp[attempt.ID]
+		if isOwed && len(m.outcomes[attempt.ID]) != 1 {
+			m.t.Errorf("attempt %d of %d, stage %d, ended %v",
+				attempt.ID, len(m.attempts), attempt.Call.Stage, m.outcomes[attempt.ID])
 		}
 	}
-	if len(w.p.conns)+len(w.p.byAge)+len(w.p.pendingResets) > 0 {
-		w.t.Errorf("%d connections, %d dying are left", len(w.p.conns), len(w.p.pendingResets))
+	if len(m.pool.conns)+len(m.pool.byAge)+len(m.pool.pendingResets) > 0 {
+		m.t.Errorf("%d connections, %d pending resets are left", len(m.pool.conns), len(m.pool.pendingResets))
 	}
 }
 
-func play(t *testing.T, seed uint64) {
-	w := newWorld(t, seed)
+// playHistory plays one history; the seed names it.
+func playHistory(t *testing.T, seed uint64) {
+	m := newModel(t, seed)
 	for range 300 {
-		w.happens()
+		m.step()
 		if t.Failed() {
-			t.Fatalf("seed %d, after %d legs: go test ./pool -run TestAnyHistory", seed, len(w.all))
+			t.Fatalf("seed %d, after %d attempts: go test ./connpool -run TestAnyHistory", seed, len(m.attempts))
 		}
 	}
-	if w.close(); t.Failed() {
+	m.finishAll()
+	if t.Failed() {
 		t.Fatalf("seed %d at the end", seed)
 	}
 }
@@ -236,12 +331,12 @@
 // Whatever happens in whatever order, what the package promises holds.
 func TestAnyHistory(t *testing.T) {
 	for seed := range uint64(2000) {
-		play(t, seed)
+		playHistory(t, seed)
 	}
 }
 
-// FuzzHistories hunts on.
+// FuzzHistories looks for histories in which it does not.
 func FuzzHistories(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(play)
+	f.Fuzz(playHistory)
 }
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -2,8 +2,8 @@
 // or closed, how many attempts share it, and what its end proves of each of them (evidence.go).
 //
 // A Pool is notified of what happens, by one method for each event, and acts through a Host. It does no I/O, has no
-// clock and no goroutine; times are spans since the process' start, and "now" is the time of the event loop's iteration.
-// It knows neither frames nor streams: of a protocol it sees the replicaproto.Traits alone.
+// clock and no goroutine; times are spans since the process' start, and "now" is the time of the event loop's
+// iteration. It knows neither frames nor streams: of a protocol it sees the replicaproto.Traits alone.
 //
 // What holds:
 //   - Each attempt that Send accepted ends once: by Host.AttemptEnded or as the result of ReplyReceived. After Withdraw
@@ -62,77 +62,77 @@
 }
 
 // Conns is how many connections have not ended, those that are being opened included.
-func (p *Pool) Conns() int { return len(p.conns) }
+func (pool *Pool) Conns() int { return len(pool.conns) }
 
 // Send accepts an attempt for a replica. It returns false where no connection carries the attempt and none can be
 // opened: then the attempt never ran, and nothing follows.
-func (p *Pool) Send(now time.Duration, attempt *Attempt, to scheduler.ReplicaID) bool {
-	p.now = now
-	replica := p.replicas[to]
-	return replica != nil && replica.addr != "" && replica.takesNew() && p.place(attempt, replica)
+func (pool *Pool) Send(now time.Duration, attempt *Attempt, to scheduler.ReplicaID) bool {
+	pool.now = now
+	replica := pool.replicas[to]
+	return replica != nil && replica.addr != "" && replica.takesNew() && pool.place(attempt, replica)
 }
 
 // place puts an attempt on a connection, or has it wait for a place where the replica states how many it takes.
-func (p *Pool) place(attempt *Attempt, replica *replicaState) bool {
+func (pool *Pool) place(attempt *Attempt, replica *replicaState) bool {
 	attempt.replica = replica
 	limitsStreams := replica.traits().LimitsStreams
 	if limitsStreams && len(replica.waiting) > 0 {
-		p.enqueue(attempt, replica)
+		pool.enqueue(attempt, replica)
 		return true
 	}
-	if conn := p.choose(replica, attempt); conn != nil {
-		p.put(attempt, conn)
+	if conn := pool.choose(replica, attempt); conn != nil {
+		pool.put(attempt, conn)
 		return true
 	}
 	if limitsStreams && replica.hasConnOfItsProtocol() {
-		p.enqueue(attempt, replica)
+		pool.enqueue(attempt, replica)
 		return true
 	}
 	return false
 }
 
 // put has an attempt written on a connection.
-func (p *Pool) put(attempt *Attempt, conn *connection) {
+func (pool *Pool) put(attempt *Attempt, conn *connection) {
 	if len(conn.outstanding) == 0 && conn.state == established {
-		conn.idleBefore = p.now - conn.idleSince
+		conn.idleBefore = pool.now - conn.idleSince
 	}
 	attempt.conn = conn
 	conn.outstanding = append(conn.outstanding, attempt)
 	if attempt.NonIdempotent && !conn.traits.Multiplexed {
 		conn.exclusive = true
 	}
-	p.host.Write(conn.id, attempt)
-	p.scheduleWakeup(conn)
+	pool.host.Write(conn.id, attempt)
+	pool.scheduleWakeup(conn)
 }
 
 // finish reports an attempt's end, unless it has ended or its sender no longer waits; at is when it ended.
-func (p *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, at time.Duration) {
+func (pool *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, at time.Duration) {
 	if !attempt.finished {
 		attempt.finished = true
-		p.host.AttemptEnded(attempt.ID, outcome, at-attempt.SentAt)
+		pool.host.AttemptEnded(attempt.ID, outcome, at-attempt.SentAt)
 	}
 }
 
 // finishAll reports the end of several attempts.
-func (p *Pool) finishAll(attempts []*Attempt, outcome scheduler.Outcome, at time.Duration) {
+func (pool *Pool) finishAll(attempts []*Attempt, outcome scheduler.Outcome, at time.Duration) {
 	for _, attempt := range attempts {
-		p.finish(attempt, outcome, at)
+		pool.finish(attempt, outcome, at)
 	}
 }
 
 // Forget tells that nothing is awaited any more of an attempt that is over, as its query has ended. One whose
 // cancellation is still to be sent holds its place until then.
-func (p *Pool) Forget(now time.Duration, attempt *Attempt) {
-	p.now = now
-	if attempt.conn == nil || !slices.Contains(attempt.conn.pendingCancels, attempt) {
-		p.release(attempt, false)
+func (pool *Pool) Forget(now time.Duration, attempt *Attempt) {
+	pool.now = now
+	if attempt.conn == nil || !slices.Contains(attempt.conn.cancels.pending, attempt) {
+		pool.release(attempt, false)
 	}
 }
 
 // release takes an attempt of which nothing more is awaited off its connection, or out of its replica's queue, and
 // gives its place to the next. Its subquery's id stays known there for a while: a reply that still comes for it is no
 // protocol error, and no other attempt with that id goes on this connection.
-func (p *Pool) release(attempt *Attempt, replied bool) {
+func (pool *Pool) release(attempt *Attempt, replied bool) {
 	conn := attempt.conn
 	if conn == nil {
 		if attempt.replica != nil {
@@ -144,18 +144,18 @@
 		return
 	}
 	busyUntil := time.Duration(0)
-	if !replied && !conn.traits.LimitsStreams && p.WrittenWhole(attempt) {
+	if !replied && !conn.traits.LimitsStreams && pool.WrittenWhole(attempt) {
 		busyUntil = attempt.Call.Deadline
 	}
 	conn.remember(attempt.Call.SubqueryID, busyUntil)
 	conn.outstanding = without(conn.outstanding, attempt)
-	p.becomeIdle(conn)
-	p.fill(conn.replica)
+	pool.becomeIdle(conn)
+	pool.fill(conn.replica)
 }
 
 // WrittenWhole tells whether an attempt was written whole, as far as that is known.
-func (p *Pool) WrittenWhole(attempt *Attempt) bool {
-	return attempt.conn != nil && p.host.Stage(attempt.conn.id, attempt) == written
+func (pool *Pool) WrittenWhole(attempt *Attempt) bool {
+	return attempt.conn != nil && pool.host.Stage(attempt.conn.id, attempt) == written
 }
 
 // without returns the attempts but one, in their order; the slice it is given is changed.
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -8,21 +8,21 @@
 )
 
 // BytesReceived tells that anything came on a connection, the answer to a ping included.
-func (p *Pool) BytesReceived(now time.Duration, id ConnID, at time.Duration) {
-	p.now = now
-	if conn := p.conns[id]; conn != nil {
+func (pool *Pool) BytesReceived(now time.Duration, id ConnID, at time.Duration) {
+	pool.now = now
+	if conn := pool.conns[id]; conn != nil {
 		conn.noteBytes(at)
-		p.scheduleWakeup(conn)
+		pool.scheduleWakeup(conn)
 	}
 }
 
 // ReplyReceived tells that a reply was read at a time. It names its attempt or, with 0, its subquery alone. The result
 // is the attempt that it ends; nil where none waits for it. Then the reply is late (its attempt was abandoned), or else
 // a protocol error that ends the connection.
-func (p *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string, at time.Duration) (
+func (pool *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string, at time.Duration) (
 	ended *Attempt, late bool) {
-	p.now = now
-	conn := p.conns[id]
+	pool.now = now
+	conn := pool.conns[id]
 	if conn == nil || conn.failed {
 		return nil, false
 	}
@@ -30,30 +30,35 @@
 	replied := conn.find(attempt, subquery)
 	if replied != nil && !replied.finished {
 		replied.finished = true
-		p.release(replied, true)
-		p.noteReply(conn, replied, at)
+		pool.release(replied, true)
+		pool.noteReply(conn, replied, at)
 		return replied, false
 	}
 	before := conn.recentlySent(subquery)
 	if replied == nil && before == nil {
-		p.fail(conn, Malformed, fmt.Errorf("a reply to %.60q, which is not outstanding on this connection", subquery))
+		pool.fail(conn, Malformed, unexpectedReply(subquery))
 		return nil, false
 	}
 	conn.lastReplyAt, conn.overtaken = at, 0
 	if replied != nil {
-		conn.pendingCancels = without(conn.pendingCancels, replied)
-		p.release(replied, true)
+		conn.cancels.pending = without(conn.cancels.pending, replied)
+		pool.release(replied, true)
 	} else {
 		before.busyUntil = 0
 	}
 	return nil, true
 }
 
+// unexpectedReply is the error of a reply to what is not outstanding.
+func unexpectedReply(subquery string) error {
+	return fmt.Errorf("a reply to %.60q, which is not outstanding on this connection", subquery)
+}
+
 // AttemptSettled tells that the replica ended an attempt without an answer, at a time, and whether it said that the
 // attempt never ran.
-func (p *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
-	p.now = now
-	conn := p.conns[id]
+func (pool *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
+	pool.now = now
+	conn := pool.conns[id]
 	if conn == nil {
 		return
 	}
@@ -62,29 +67,29 @@
 	if settled == nil {
 		return
 	}
-	conn.pendingCancels = without(conn.pendingCancels, settled)
+	conn.cancels.pending = without(conn.cancels.pending, settled)
 	outcome := scheduler.Failed
 	if neverRan {
 		outcome = scheduler.Overloaded
 	}
-	p.finish(settled, outcome, at)
-	p.release(settled, true)
+	pool.finish(settled, outcome, at)
+	pool.release(settled, true)
 }
 
 // MalformedReceived tells that what came on a connection cannot be used. Nothing that follows can be trusted, so the
 // connection is closed.
-func (p *Pool) MalformedReceived(now time.Duration, id ConnID, cause error) {
-	p.now = now
-	if conn := p.conns[id]; conn != nil {
-		p.fail(conn, Malformed, cause)
+func (pool *Pool) MalformedReceived(now time.Duration, id ConnID, cause error) {
+	pool.now = now
+	if conn := pool.conns[id]; conn != nil {
+		pool.fail(conn, Malformed, cause)
 	}
 }
 
 // fail closes a connection that is itself at fault.
-func (p *Pool) fail(conn *connection, kind EventKind, cause error) {
+func (pool *Pool) fail(conn *connection, kind EventKind, cause error) {
 	if conn.state != closing {
 		conn.failed = true
-		p.record(conn, kind, cause)
-		p.close(conn)
+		pool.record(conn, kind, cause)
+		pool.close(conn)
 	}
 }
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -2,12 +2,12 @@
 
 // Which connection carries an attempt:
 //
-//   - A connection that is up is preferred to one that is being opened, and among those the one with most attempts, up to
-//     attemptsBeforeNewConn of them; then a new one is opened while the replica has fewer than its share. Attempts on one
-//     connection share its fate, so that few should be there where descriptors allow more connections.
-//   - Where the protocol is not multiplexed a non-idempotent attempt goes alone, on the connection that has been idle for
-//     longest: a malformed reply to another attempt, or a replica that closes after a reply, would leave it unknown whether
-//     the attempt ran. While idle connections have lately proved to be broken, it goes on a new one. Each
+//   - A connection that is up is preferred to one that is being opened, and among those the one with most attempts, up
+//     to attemptsBeforeNewConn of them; then a new one is opened while the replica has fewer than its share. Attempts
+//     on one connection share its fate, so that few should be there where descriptors allow more connections.
+//   - Where the protocol is not multiplexed a non-idempotent attempt goes alone, on the connection that has been idle
+//     for longest: a malformed reply to another attempt, or a replica that closes after a reply, would leave it unknown
+//     whether the attempt ran. While idle connections have lately proved to be broken, it goes on a new one. Each
 //     replica may have a connection or two more by that.
 //   - Where the protocol is multiplexed, one connection carries all that its replica takes, and another is opened only
 //     beyond that, up to Limits.MaxSharedConns.
@@ -23,33 +23,33 @@
 }
 
 // choose picks a connection for an attempt, opening one if that is better; nil if there is none.
-func (p *Pool) choose(replica *replicaState, attempt *Attempt) *connection {
-	found := p.findCandidates(replica, attempt)
+func (pool *Pool) choose(replica *replicaState, attempt *Attempt) *connection {
+	found := pool.findCandidates(replica, attempt)
 	switch {
 	case found.preferred != nil:
 		return found.preferred
-	case replica.traits().Multiplexed && found.takeNew >= p.limits.MaxSharedConns:
+	case replica.traits().Multiplexed && found.takeNew >= pool.limits.MaxSharedConns:
 		if found.fallback == nil {
 			return nil
 		}
-		p.close(found.fallback) // it is idle and not trusted; a new one takes its place
-		return p.open(replica)
-	case p.mayOpen(replica, attempt, found.fallback == nil):
-		return p.open(replica)
+		pool.close(found.fallback) // it is idle and not trusted; a new one takes its place
+		return pool.open(replica)
+	case pool.mayOpen(replica, attempt, found.fallback == nil):
+		return pool.open(replica)
 	}
 	return found.fallback
 }
 
-func (p *Pool) findCandidates(replica *replicaState, attempt *Attempt) candidates {
+func (pool *Pool) findCandidates(replica *replicaState, attempt *Attempt) candidates {
 	var found candidates
 	for _, conn := range replica.conns {
 		if conn.takesNew() {
 			found.takeNew++
 		}
-		if !p.hasPlace(conn, attempt) {
+		if !pool.hasPlace(conn, attempt) {
 			continue
 		}
-		if p.shouldAvoid(conn, attempt) {
+		if pool.shouldAvoid(conn, attempt) {
 			if found.fallback == nil || lessLoaded(conn, found.fallback) {
 				found.fallback = conn
 			}
@@ -62,23 +62,23 @@
 
 // hasPlace tells whether an attempt can be put on a connection now. Where replies name subqueries, two attempts at one
 // subquery must not share a connection, or a reply to one could end the other.
-func (p *Pool) hasPlace(conn *connection, attempt *Attempt) bool {
-	if !conn.takesNew() || p.idleTooLong(conn) {
+func (pool *Pool) hasPlace(conn *connection, attempt *Attempt) bool {
+	if !conn.takesNew() || pool.idleTooLong(conn) {
 		return false
 	}
-	if len(conn.outstanding)+conn.abandonedRunning(p.now) >= conn.maxAttempts {
+	if len(conn.outstanding)+conn.abandonedRunning(pool.now) >= conn.maxAttempts {
 		return false
 	}
 	return conn.traits.Multiplexed || !conn.knows(attempt.Call.SubqueryID)
 }
 
 // shouldAvoid tells whether an attempt should rather go on another connection than one that has a place for it.
-func (p *Pool) shouldAvoid(conn *connection, attempt *Attempt) bool {
-	needsFresh := p.needsFreshConn(attempt)
+func (pool *Pool) shouldAvoid(conn *connection, attempt *Attempt) bool {
+	needsFresh := pool.needsFreshConn(attempt)
 	isUp := conn.state == established
 	isIdle := len(conn.outstanding) == 0
 	if conn.traits.Multiplexed {
-		return needsFresh && isUp && isIdle && p.now-conn.idleSince >= p.limits.ConnectTimeout
+		return needsFresh && isUp && isIdle && pool.now-conn.idleSince >= pool.limits.ConnectTimeout
 	}
 	switch {
 	case conn.exclusive, len(conn.outstanding) >= attemptsBeforeNewConn:
@@ -91,8 +91,8 @@
 
 // needsFreshConn tells whether an attempt should go on a new connection: it may not run twice, and connections have
 // lately broken at their first use after being idle.
-func (p *Pool) needsFreshConn(attempt *Attempt) bool {
-	return attempt.NonIdempotent && p.now < p.distrustIdleUntil
+func (pool *Pool) needsFreshConn(attempt *Attempt) bool {
+	return attempt.NonIdempotent && pool.now < pool.distrustIdleUntil
 }
 
 // lessLoaded tells whether a is better than b as a fallback: it is up, or carries less.
@@ -116,15 +116,15 @@
 
 // mayOpen tells whether a connection may be opened for an attempt, and closes an idle one elsewhere if that is needed.
 // Without a fallback it may exceed the replica's share of the connections.
-func (p *Pool) mayOpen(replica *replicaState, attempt *Attempt, noFallback bool) bool {
-	needsFresh := p.needsFreshConn(attempt)
-	if len(p.conns) < p.limits.MaxConns {
-		return needsFresh || noFallback || len(replica.conns) < p.sharePerReplica()
+func (pool *Pool) mayOpen(replica *replicaState, attempt *Attempt, noFallback bool) bool {
+	needsFresh := pool.needsFreshConn(attempt)
+	if len(pool.conns) < pool.limits.MaxConns {
+		return needsFresh || noFallback || len(replica.conns) < pool.sharePerReplica()
 	}
-	return (needsFresh || noFallback) && p.closeLongestIdle()
+	return (needsFresh || noFallback) && pool.closeLongestIdle()
 }
 
 // sharePerReplica is how many connections a replica may have while others could need them.
-func (p *Pool) sharePerReplica() int {
-	return max(2, p.limits.MaxConns/max(1, len(p.replicas)))
+func (pool *Pool) sharePerReplica() int {
+	return max(2, pool.limits.MaxConns/max(1, len(pool.replicas)))
 }
