--- /dev/null
+++ b/replicaconn/driver_test.go
@@ -0,0 +1,66 @@
+package replicaconn
+
+import (
+	"io"
+	"log"
+	"net"
+	"testing"
+	"time"
+
+	"terntray/config"
+	"terntray/connpool"
+	"terntray/eventloop"
+	"terntray/internal/replicaproto"
+	"terntray/scheduler"
+)
+
+// ignoringHandler is a Handler that is interested in nothing and has refused no call.
+type ignoringHandler struct{}
+
+func (ignoringHandler) AttemptEnded(connpool.AttemptID, scheduler.Outcome, time.Duration)    {}
+func (ignoringHandler) ReplyReceived(connpool.AttemptID, *replicaproto.Event, time.Duration) {}
+func (ignoringHandler) LateReply()                                                           {}
+func (ignoringHandler) ConnUp()                                                              {}
+func (ignoringHandler) ConnEvent(ConnEvent)                                                  {}
+func (ignoringHandler) CertificatesExpiring(int)                                             {}
+func (ignoringHandler) HasRefusedCalls() bool                                                { return false }
+func (ignoringHandler) NotifyRefusedCalls()                                                  {}
+
+// newTestDriver makes a driver whose loop does not run.
+func newTestDriver(t *testing.T, limits connpool.Limits) *Driver {
+	t.Helper()
+	replicas, err := config.Read("") // no file: the defaults
+	if err != nil {
+		t.Fatal(err)
+	}
+	driver, err := New(Config{Replicas: replicas, Limits: limits}, eventloop.New(), ignoringHandler{},
+		log.New(io.Discard, "", 0))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(driver.Stop)
+	return driver
+}
+
+// tcpPair is the two ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		dialed.Close()
+		accepted.Close()
+	})
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
+}
