--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -27,9 +27,9 @@
 	leastBurst = 2.0 // queries; the least of it
 )
 
-// judge books whether a query is fulfilled in time, as soon as that is known. The fewer of a track this
+// recordOutcome books whether a query is fulfilled in time, as soon as that is known. The fewer of a track this
 // co-ordinator sees, the more each counts, or it would notice a jam only once it is over.
-func (c *Scheduler) judge(q *query, kept bool) {
+func (c *Scheduler) recordOutcome(q *query, kept bool) {
 	if q.judged {
 		return
 	}
@@ -38,38 +38,38 @@
 		late = -lateShare
 	}
 	switch {
-	case !q.let:
+	case !q.admittedAsProbe:
 	case kept:
-		t.trickle, t.letGap = min(mostLet, 2*t.trickle), scale(letFirst, c.letTimes(q))
+		t.probeLimit, t.probeInterval = min(mostLet, 2*t.probeLimit), scale(letFirst, c.probeIntervalFactor(q))
 	default:
-		t.trickle, t.letAt, t.letGap = 1, c.now+t.letGap, min(scale(letMost, c.letTimes(q)), 2*t.letGap)
+		t.probeLimit, t.nextProbeAt, t.probeInterval = 1, c.now+t.probeInterval, min(scale(letMost, c.probeIntervalFactor(q)), 2*t.probeInterval)
 	}
-	if q.judged = true; c.now > q.arrived && (kept || !q.let) { // turned back on arrival, or let in in doubt
-		step := max(longerStep, min(longerMost, longerPace*(c.now-t.endedAt).Seconds()))
-		t.longer, t.endedAt = max(1, min(mostLonger, t.longer*math.Exp(step*late))), c.now
+	if q.judged = true; c.now > q.arrivedAt && (kept || !q.admittedAsProbe) { // turned back on arrival, or let in in doubt
+		step := max(longerStep, min(longerMost, longerPace*(c.now-t.lastJudgedAt).Seconds()))
+		t.latenessFactor, t.lastJudgedAt = max(1, min(mostLonger, t.latenessFactor*math.Exp(step*late))), c.now
 	}
 }
 
-// excess is by how much a query is expected to miss the bound that its agreed time sets.
-func (c *Scheduler) excess(q *query) (over, bound time.Duration) {
-	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.agreed-q.arrived, 0.0
-	if q.class.fetch > 0 && q.step == 0 { // what follows takes as long as these do
-		steps = c.slowestOf(q.class.fetch)
-		left -= scale(q.class.unit, c.others()*steps)
+// expectedExcess is by how much a query is expected to miss the bound that its agreed time sets.
+func (c *Scheduler) expectedExcess(q *query) (over, bound time.Duration) {
+	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.objectiveAt-q.arrivedAt, 0.0
+	if q.class.fetchSubqueries > 0 && q.phase == 0 { // what follows takes as long as these do
+		steps = c.slowestFactor(q.class.fetchSubqueries)
+		left -= scale(q.class.subqueryWork, c.others()*steps)
 	}
-	bound = scale(left, 1/(q.class.longer*c.others()))
-	if q.overShare {
+	bound = scale(left, 1/(q.class.latenessFactor*c.others()))
+	if q.overQuota {
 		bound = scale(bound, overShare)
 	}
 	for _, p := range q.subqueries { // those at one replica end together
 		if p.replica != nil && !at[p.replica] {
-			at[p.replica], mean = true, mean+c.finish(p.replica, 0)
+			at[p.replica], mean = true, mean+c.expectedFinish(p.replica, 0)
 		}
 	}
-	over = scale(mean, (steps+c.slowestOf(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
-	if !q.reaches(func(p *subquery) bool { return p.replica == nil || c.finish(p.replica, 0) <= bound }) {
+	over = scale(mean, (steps+c.slowestFactor(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
+	if !q.reachesMinimum(func(p *subquery) bool { return p.replica == nil || c.expectedFinish(p.replica, 0) <= bound }) {
 		for r := range at {
-			over = max(over, c.finish(r, 0)-bound)
+			over = max(over, c.expectedFinish(r, 0)-bound)
 		}
 	}
 	return over, bound
@@ -78,43 +78,43 @@
 // admit turns a new query back that cannot be expected to make its agreed time. Guards against: overload.
 // Could hurt: if the expected times are far too long.
 func (c *Scheduler) admit(q *query, mine []*subquery) {
-	over, bound := c.excess(q)
-	if over <= 0 || c.letIn(q, mine, bound) {
+	over, bound := c.expectedExcess(q)
+	if over <= 0 || c.admitAsProbe(q, mine, bound) {
 		return
 	}
-	if c.shedAt == 0 || c.now > c.shedAt+shedQuiet {
+	if c.lastRejectedAt == 0 || c.now > c.lastRejectedAt+shedQuiet {
 		c.host.Log("turning retrievals back: too much work is waiting")
 	}
-	c.shedAt = c.now
+	c.lastRejectedAt = c.now
 	c.host.Reject(q.id, min(over, c.maxReturn))
 	c.end(q, false)
 }
 
-// letTimes is how many times the times between those that are let in so: others let some in as well, and what
+// probeIntervalFactor is how many times the times between those that are let in so: others let some in as well, and what
 // each lets in weighs on all; large ones cost more.
-func (c *Scheduler) letTimes(q *query) float64 {
+func (c *Scheduler) probeIntervalFactor(q *query) float64 {
 	crowd := max(1, float64(c.balancers)/fewAlike)
 	return c.tempo * min(letRarest, crowd*math.Pow(max(1, float64(len(q.subqueries))/scoutsMany), 2))
 }
 
-// letIn lets a query in that would be turned back, if nothing is out that could show whether the replicas
+// admitAsProbe lets a query in that would be turned back, if nothing is out that could show whether the replicas
 // against it are so slow; twice as much may be out there after each in time; a late one begins anew after a
 // wait. Guards against: beliefs that keep all work away for good. Could hurt: by one in that wait.
-func (c *Scheduler) letIn(q *query, mine []*subquery, bound time.Duration) bool {
+func (c *Scheduler) admitAsProbe(q *query, mine []*subquery, bound time.Duration) bool {
 	t := q.class
-	if t.shedAt == 0 || c.now > t.shedAt+shedQuiet {
-		t.trickle, t.letGap, t.letAt = 1, scale(letFirst, c.letTimes(q)), c.now+scale(letFirst, c.letTimes(q))
+	if t.lastRejectedAt == 0 || c.now > t.lastRejectedAt+shedQuiet {
+		t.probeLimit, t.probeInterval, t.nextProbeAt = 1, scale(letFirst, c.probeIntervalFactor(q)), c.now+scale(letFirst, c.probeIntervalFactor(q))
 	}
-	t.shedAt = c.now
-	bound = scale(bound, t.longer)        // tightening fades by itself
-	waits := func(r *replicaState) bool { // no trial otherwise
+	t.lastRejectedAt = c.now
+	bound = scale(bound, t.latenessFactor) // tightening fades by itself
+	waits := func(r *replicaState) bool {  // no trial otherwise
 		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.tempo)
 	}
 	over := slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && c.finish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
+		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
 	})
-	q.let = over && c.now >= t.letAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.trickle && c.finish(p.replica, 0) > bound
+	q.admittedAsProbe = over && c.now >= t.nextProbeAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
+		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.probeLimit && c.expectedFinish(p.replica, 0) > bound
 	})
-	return q.let
+	return q.admittedAsProbe
 }
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -14,14 +14,16 @@
 	answersDeath = 2.0                   // answers that a query must have for each death under it
 )
 
-// doubtful tells whether a query may kill what works on it: at a second death it ends; after one it goes
+// suspectedDeadly tells whether a query may kill what works on it: at a second death it ends; after one it goes
 // on only where it has been. Guards against: deadly queries. Could hurt: those caught early in a crash.
-func (q *query) doubtful() bool { return q.deaths > 0 && q.in < answersDeath*q.deaths }
+func (q *query) suspectedDeadly() bool {
+	return q.suspectedCrashes > 0 && q.answered < answersDeath*q.suspectedCrashes
+}
 
-// scouting tells whether a large query's next part waits: until an answer is in one goes, then eight
+// canaryHoldsBack tells whether a large query's next part waits: until an answer is in one goes, then eight
 // times as many in each step. Guards against: deadly queries, where one of many co-ordinators sees too few
 // deaths to be warned. Could hurt: by some steps while replicas are busy.
-func (c *Scheduler) scouting(q *query) bool {
-	return q.in < 1+2*q.deaths && len(q.subqueries) > scoutsMany && c.unseen > 1 && q.sent > 0 &&
-		q.sent >= math.Pow(scoutGrow, math.Floor(float64(c.now-q.arrived)/float64(scoutStep)))
+func (c *Scheduler) canaryHoldsBack(q *query) bool {
+	return q.answered < 1+2*q.suspectedCrashes && len(q.subqueries) > scoutsMany && c.unseen > 1 && q.attemptsSent > 0 &&
+		q.attemptsSent >= math.Pow(scoutGrow, math.Floor(float64(c.now-q.arrivedAt)/float64(scoutStep)))
 }
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -16,7 +16,7 @@
 )
 
 func (c *Scheduler) halve(r *replicaState) {
-	if c.now-r.limitHalvedAt >= scale(c.classes[0].unit, r.slowdown) {
+	if c.now-r.limitHalvedAt >= scale(c.classes[0].subqueryWork, r.slowdown) {
 		r.limitHalvedAt, r.limit = c.now, max(1, r.limit/2)
 	}
 }
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -51,15 +51,15 @@
 	c.quickest, c.self = math.MaxInt64, int(c.number("selfIndex", false))
 	for n := range int(c.number("lanes.count", true)) {
 		path := fmt.Sprintf("lanes.%d.", n)
-		t := class{index: n, agreed: c.span(path+"aim", true), cutOff: c.span(path+"deadline", true),
-			window: c.span(path+"window", false), stretch: c.number(path+"aimStretch", false),
-			need: c.nth("familyInfo.classNeed", n, 1), fetch: int(c.nth("familyInfo.classFetch", n, 0)),
-			effect: settings[path+"effect"], hintUnit: 1, longer: 1}
-		t.floor = min(t.need, c.nth("familyInfo.leastShare", n, t.need))
+		t := class{index: n, objective: c.span(path+"aim", true), deadline: c.span(path+"deadline", true),
+			keyWindow: c.span(path+"window", false), objectivePerHint: c.number(path+"aimStretch", false),
+			completeWeight: c.nth("familyInfo.classNeed", n, 1), fetchSubqueries: int(c.nth("familyInfo.classFetch", n, 0)),
+			effect: settings[path+"effect"], workPerHint: 1, latenessFactor: 1}
+		t.minimumWeight = min(t.completeWeight, c.nth("familyInfo.leastShare", n, t.completeWeight))
 		if !slices.Contains([]string{replayable, referenced, singleUse}, t.effect) {
 			c.miss(path + "effect")
 		}
-		t.unit, c.quickest, c.slowest = scale(t.agreed, startUnit), min(c.quickest, t.agreed), max(c.slowest, t.cutOff)
+		t.subqueryWork, c.quickest, c.slowest = scale(t.objective, startUnit), min(c.quickest, t.objective), max(c.slowest, t.deadline)
 		c.classes = append(c.classes, t)
 	}
 	c.zonePenalty = scale(c.quickest, c.number("tariffs.crossZone", false))
@@ -71,7 +71,7 @@
 		c.spreads = spreads
 	}
 	c.thrift = 1 / (1 + math.Pow(wasteWeighs*c.number("tariffs.waste", false), 2))
-	c.copies = maxCopies * c.thrift
+	c.hedgeCredit = maxCopies * c.thrift
 	c.maxAttempts = cmp.Or(int(c.number("bounds.maxAttempts", false)), math.MaxInt)
 	c.mayCancel, c.mayCopy = settings["bounds.mayCancel"] == "true", settings["bounds.secondCopies"] == "true"
 	if settings["bounds.retryAfter"] == "true" {
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -20,7 +20,7 @@
 	c.clock(now)
 	clear(c.holdersByCell)
 	if old {
-		c.refilled = now
+		c.lastTickAt = now
 	} else {
 		c.subscribed, c.askWait = true, askFirst
 	}
@@ -72,6 +72,6 @@
 			c.askAt = c.now + min(askPatience, c.askEvery/2)
 			c.host.PollEndpoints()
 		}
-		c.wake(c.askAt)
+		c.wakeBy(c.askAt)
 	}
 }
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -37,31 +37,31 @@
 	c.countAnswered(r)
 	for _, o := range r.outstanding {
 		if o.sentAt < l.sentAt {
-			o.passed++
+			o.overtaken++
 		}
 	}
 	r.retryCredit = min(maxCredit, r.retryCredit+creditReply)
 	r.limitCeiling = min(maxCap, r.limitCeiling+ceilingReply)
-	c.copies = min(maxCopies*c.thrift, c.copies+copyReply*c.thrift*c.idle(r))
-	here, expected := c.stalled, scale(l.base, r.slowdown)
-	if c.behind > 0 { // the reply itself waited here for so long; what that explains says the replica is sound
-		here, expected = here+ownShare*max(c.behind, c.now-l.sentAt-took), min(expected, l.base)
+	c.hedgeCredit = min(maxCopies*c.thrift, c.hedgeCredit+copyReply*c.thrift*c.hedgeRoom(r))
+	here, expected := c.stalled, scale(l.expected, r.slowdown)
+	if c.readDelay > 0 { // the reply itself waited here for so long; what that explains says the replica is sound
+		here, expected = here+ownShare*max(c.readDelay, c.now-l.sentAt-took), min(expected, l.expected)
 	}
-	own := c.behind > 0 && took-here <= expected
+	own := c.readDelay > 0 && took-here <= expected
 	took = max(min(took, expected), took-here)
-	surprise := math.Log(float64(took+time.Millisecond) / float64(l.base+time.Millisecond))
+	surprise := math.Log(float64(took+time.Millisecond) / float64(l.expected+time.Millisecond))
 	off := max(-maxSurprise, min(maxSurprise, surprise-math.Log(r.slowdown)))
 	r.slowdown *= math.Exp(paceStep * off)
 	if !c.coldFor(r) {
-		queued := 1 - float64(l.work)/float64(l.base)
-		c.lanes = max(startLanes, min(mostLanes, c.lanes*math.Exp(-lanesStep*queued*off)))
+		queued := 1 - float64(l.work)/float64(l.expected)
+		c.parallelism = max(startLanes, min(mostLanes, c.parallelism*math.Exp(-lanesStep*queued*off)))
 	}
 	r.slowdown = math.Pow(r.slowdown, 1-pacePull)
-	if c.lanes >= 0.5*mostLanes { // more side by side than is counted on: the queue was less, not the work
+	if c.parallelism >= 0.5*mostLanes { // more side by side than is counted on: the queue was less, not the work
 		alone := math.Log(float64(took+time.Millisecond) / float64(l.work+time.Millisecond))
 		surprise = max(surprise, min(0, alone))
 	}
-	t.learn(surprise + math.Log(l.subquery.hintUnit/t.hintUnit))
+	t.learn(surprise + math.Log(l.subquery.workPerHint/t.workPerHint))
 	ratio := float64(took+jitter) / float64(l.work+jitter)
 	if own {
 		ratio = min(ratio, r.usualLatency)
@@ -71,7 +71,7 @@
 	r.usualLatency += usualFalls*min(0, rise) + usualRises*max(0, min(rise, r.usualLatency))
 	switch {
 	case r.forClass(t).ejected:
-		c.bringBack(r, t)
+		c.reinstate(r, t)
 	case r.recentLatency > climbed*max(1, r.usualLatency):
 		c.halve(r)
 	case r.recovering:
@@ -86,12 +86,12 @@
 // against: replies in crowds, each of which corrects the same old error again. Could hurt: by learning later.
 func (t *class) learn(surprise float64) {
 	grow := math.Exp(unitStep * max(-1, min(1, surprise)))
-	grow = max(float64(leastWork), min(float64(t.cutOff), float64(t.unit)*grow)) / float64(t.unit)
-	t.unit, t.hintUnit = scale(t.unit, grow), t.hintUnit*grow
+	grow = max(float64(leastWork), min(float64(t.deadline), float64(t.subqueryWork)*grow)) / float64(t.subqueryWork)
+	t.subqueryWork, t.workPerHint = scale(t.subqueryWork, grow), t.workPerHint*grow
 }
 
-func (c *Scheduler) finish(r *replicaState, more time.Duration) time.Duration {
-	d := scale(scale(r.outstandingWork+r.queuedWork+c.waits(r)+more, 1/c.lanes), c.takes(r))
+func (c *Scheduler) expectedFinish(r *replicaState, more time.Duration) time.Duration {
+	d := scale(scale(r.outstandingWork+r.queuedWork+c.waits(r)+more, 1/c.parallelism), c.timePerWork(r))
 	if c.now < r.fullUntil {
 		d += c.slowest
 	}
@@ -101,15 +101,15 @@
 	return d
 }
 
-// takes is how many times a part's work its replica takes for it.
-func (c *Scheduler) takes(r *replicaState) float64 {
+// timePerWork is how many times a part's work its replica timePerWork for it.
+func (c *Scheduler) timePerWork(r *replicaState) float64 {
 	if !c.sized {
 		return r.slowdown
 	}
-	return r.slowdown * c.typical / r.size
+	return r.slowdown * c.typicalSize / r.size
 }
 
-// slowestOf is how many times the time of one part the slowest of so many is expected to take.
-func (c *Scheduler) slowestOf(parts int) float64 {
+// slowestFactor is how many times the time of one part the slowest of so many is expected to take.
+func (c *Scheduler) slowestFactor(parts int) float64 {
 	return 1 + c.spreads*math.Log(float64(max(1, parts)))
 }
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -21,7 +21,7 @@
 	var all []ClassEstimate
 	for n := range c.classes {
 		t := &c.classes[n]
-		all = append(all, ClassEstimate{SubqueryWork: t.unit, WorkPerHint: t.hintUnit, LatenessFactor: t.longer, ProbeLimit: t.trickle})
+		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.latenessFactor, ProbeLimit: t.probeLimit})
 	}
 	return all
 }
@@ -29,7 +29,7 @@
 // DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
 func (c *Scheduler) DescribeReplicas() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.lanes, c.copies, len(c.extras), len(c.taken),
+	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.parallelism, c.hedgeCredit, len(c.extras), len(c.taken),
 		len(c.open))
 	for _, r := range c.replicas {
 		if r.state == Removed {
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -30,7 +30,7 @@
 			}
 			work := time.Duration(l.attempts) * l.work
 			if l.kind == endedAttempts {
-				c.lanes = min(mostLanes, c.lanes*math.Pow(l.lanes/c.lanes, lanesStep))
+				c.parallelism = min(mostLanes, c.parallelism*math.Pow(l.lanes/c.parallelism, lanesStep))
 			}
 			if l.kind != sentAttempts {
 				work = -work
@@ -38,7 +38,7 @@
 					r.slowdown *= math.Exp(paceStep * float64(l.attempts) * max(-maxSurprise, min(maxSurprise, off)))
 				}
 			}
-			r.peerWork, r.peerWorkAt = max(0, min(scale(c.quickest, c.lanes), c.waits(r)+work)), now
+			r.peerWork, r.peerWorkAt = max(0, min(scale(c.quickest, c.parallelism), c.waits(r)+work)), now
 		}
 	}, func(tenant TenantIndex) {
 		if int(tenant) < len(c.quota) {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -25,70 +25,70 @@
 	wasteWeighs = 22.0 // times the price of waste, squared and added to 1: what both are divided by
 )
 
-// idle is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
+// hedgeRoom is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
 // Guards against: copies that make a jam unseen by one of many. Could hurt: stragglers of a busy fleet wait.
-func (c *Scheduler) idle(r *replicaState) float64 {
-	busy := c.busy
+func (c *Scheduler) hedgeRoom(r *replicaState) float64 {
+	busy := c.meanUtilization
 	if r.utilizationAt > 0 && c.now-r.utilizationAt < toldFresh {
 		busy = r.utilization
 	}
 	return max(0, min(1, (busyMost-busy)/(busyMost-busyFrom)))
 }
 
-// late is how long an attempt may take before it is a straggler among its query's; while most others are out,
+// stragglerAfter is how long an attempt may take before it is a straggler among its query's; while most others are out,
 // any time. Guards against: copies of heavy queries, or in a jam. Could hurt: where most replicas hang.
-func (c *Scheduler) late(l *attempt, times float64) time.Duration {
+func (c *Scheduler) stragglerAfter(l *attempt, times float64) time.Duration {
 	q := l.subquery.query
 	many := float64(len(q.subqueries)) / fewParts
-	if q.in < mostIn*min(1, many)*float64(len(q.subqueries)-1) {
+	if q.answered < mostIn*min(1, many)*float64(len(q.subqueries)-1) {
 		return math.MaxInt64
 	}
 	pace := l.replica.slowdown
-	if times = max(leastTimes, times/max(1, many)); q.missing() <= float64(len(q.subqueries))/lastShare {
+	if times = max(leastTimes, times/max(1, many)); q.unanswered() <= float64(len(q.subqueries))/lastShare {
 		times, pace = lastTimes, min(1, pace)
 	}
-	return scale(l.base, times*pace*max(1, (1+q.ratio)/(1+q.in)))
+	return scale(l.expected, times*pace*max(1, (1+q.latenessSum)/(1+q.answered)))
 }
 
-// stuck tells whether an attempt can be given up for dead: later ones are answered there, or its track is set
+// hung tells whether an attempt can be given up for dead: later ones are answered there, or its track is set
 // aside. Guards against: connections that fall silent, lost parts. Could hurt: by copies of heavy parts.
-func (c *Scheduler) stuck(l *attempt) bool {
+func (c *Scheduler) hung(l *attempt) bool {
 	return l.replica.forClass(l.subquery.query.class).ejected ||
-		l.passed >= hungPassed && c.now-l.sentAt > scale(l.base+jitter, hungTimes*l.replica.slowdown)
+		l.overtaken >= hungPassed && c.now-l.sentAt > scale(l.expected+jitter, hungTimes*l.replica.slowdown)
 }
 
-// further sends a second copy of a part whose attempt takes much longer than expected, where there is credit.
-func (c *Scheduler) further(q *query) {
+// hedge sends a second copy of a part whose attempt takes much longer than expected, where there is credit.
+func (c *Scheduler) hedge(q *query) {
 	for _, p := range q.subqueries {
-		if l := p.lastOut(); l != nil && !q.ended && !q.doubtful() {
-			best := c.copyTo(q, p, l)
-			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.copyTo(q, p, l)) })
+		if l := p.lastInFlight(); l != nil && !q.ended && !q.suspectedDeadly() {
+			best := c.hedgeTarget(q, p, l)
+			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.hedgeTarget(q, p, l)) })
 			if best != nil {
-				c.copies = max(0, c.copies-1)
-				c.send(p, best)
+				c.hedgeCredit = max(0, c.hedgeCredit-1)
+				c.startAttempt(p, best)
 			}
 		}
 	}
 }
 
-// copyTo is where a copy beside a part's last attempt is to go now, or nil.
-func (c *Scheduler) copyTo(q *query, p *subquery, l *attempt) *replicaState {
+// hedgeTarget is where a copy beside a part's last attempt is to go now, or nil.
+func (c *Scheduler) hedgeTarget(q *query, p *subquery, l *attempt) *replicaState {
 	age, many := c.now-l.sentAt, float64(len(q.subqueries))/fewParts
-	if !c.mayCopy || p.in || p.gone || p.held || !c.mayRepeat(p) || !c.mayGoOn() ||
-		age < c.late(l, patience) && !c.stuck(l) {
+	if !c.mayCopy || p.answered || p.abandoned || p.queued || !c.mayRetry(p) || !c.withinRetryBudget() ||
+		age < c.stragglerAfter(l, patience) && !c.hung(l) {
 		return nil
 	}
 	best := c.choose(p, func(r *replicaState) time.Duration {
-		d := c.finish(r, p.work)
-		if p.tried(r, true) || r.retryCredit < 1 || float64(len(r.outstanding)) >= r.limit ||
-			c.erring(r, q.class, false) || d >= min(q.endAt-c.now, max(age, 2*l.base)) ||
-			(!c.stuck(l) || c.idle(r) == 0) && c.now+scale(d, copyRoom*max(1, many)) <= q.agreed {
+		d := c.expectedFinish(r, p.work)
+		if p.triedAt(r, true) || r.retryCredit < 1 || float64(len(r.outstanding)) >= r.limit ||
+			c.backsOff(r, q.class, false) || d >= min(q.deadlineAt-c.now, max(age, 2*l.expected)) ||
+			(!c.hung(l) || c.hedgeRoom(r) == 0) && c.now+scale(d, copyRoom*max(1, many)) <= q.objectiveAt {
 			return -1
 		}
 		return d
 	})
-	last := q.missing() <= max(lastParts, float64(len(q.subqueries))/lastShare)
-	if best == nil || last || c.copies*c.idle(best) >= 1 {
+	last := q.unanswered() <= max(lastParts, float64(len(q.subqueries))/lastShare)
+	if best == nil || last || c.hedgeCredit*c.hedgeRoom(best) >= 1 {
 		return best
 	}
 	return nil
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -134,12 +134,12 @@
 		}
 	}
 	message(1)
-	if m.ask(0, 1, 3*time.Second); m.c.open[0].overShare {
+	if m.ask(0, 1, 3*time.Second); m.c.open[0].overQuota {
 		t.Error("past its share though the others took one")
 	}
 	message(16)
 	message(16)
-	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overShare {
+	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overQuota {
 		t.Error("within its share of 10 a second though the others just took 32")
 	}
 }
@@ -175,7 +175,7 @@
 		m.turn()
 		m.ask(0, 1, 3*time.Second)
 		m.turn()
-		small, large := m.c.takes(m.index(m.order[0])), m.c.takes(m.index(m.order[1]))
+		small, large := m.c.timePerWork(m.index(m.order[0])), m.c.timePerWork(m.index(m.order[1]))
 		if got := small > 1.9*large; got != want {
 			t.Errorf("%s: a part takes %.2f and %.2f", kind, small, large)
 		}
@@ -192,12 +192,12 @@
 	}
 	m.ask(0, 1, 1200*ms)
 	q := m.c.open[len(m.c.open)-1]
-	if !q.past || !q.overShare {
+	if !q.objectivePassed || !q.overQuota {
 		t.Error("a further try 1.8 s after the first has its agreed time of 1 s still before it")
 	}
 	m.ask(0, 1, 2400*ms)
-	if q := m.c.open[len(m.c.open)-1]; q.past || q.agreed != m.now+time.Second {
-		t.Errorf("a first try has %v", q.agreed-m.now)
+	if q := m.c.open[len(m.c.open)-1]; q.objectivePassed || q.objectiveAt != m.now+time.Second {
+		t.Errorf("a first try has %v", q.objectiveAt-m.now)
 	}
 }
 
@@ -378,14 +378,14 @@
 		one.add(m.now, 0, 100*ms, 1)
 	}
 	m.hear(one.take(endedAttempts, 3, 4)...)
-	if m.c.lanes < 3.5 || m.c.lanes > 4 {
-		t.Errorf("%.2f counted on after a hundred legs told by one that counts on 4", m.c.lanes)
+	if m.c.parallelism < 3.5 || m.c.parallelism > 4 {
+		t.Errorf("%.2f counted on after a hundred legs told by one that counts on 4", m.c.parallelism)
 	}
 	for range 100 {
 		one.add(m.now, 0, 100*ms, 1)
 	}
-	if m.hear(one.take(endedAttempts, 3, 15)...); m.c.lanes > mostLanes {
-		t.Errorf("%.2f counted on, more than the most", m.c.lanes)
+	if m.hear(one.take(endedAttempts, 3, 15)...); m.c.parallelism > mostLanes {
+		t.Errorf("%.2f counted on, more than the most", m.c.parallelism)
 	}
 	if one.add(m.now, 0, ms, 1); decodeAhead([]byte{aheadMark, byte(endedAttempts) << kindShift, 0, 1, 3, 0}, 3, func(attemptsAt) {}, nil) == nil {
 		t.Error("less than one part at a time is believed")
@@ -445,7 +445,7 @@
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
-		return m.c.limitOf(m.c.subqueries[q.parts[0].id].attempts[0])
+		return m.c.attemptTimeout(m.c.subqueries[q.parts[0].id].attempts[0])
 	}
 	if few, silent, heard := limit(3, false), limit(60, false), limit(60, true); silent < few*18/10 || heard > few {
 		t.Errorf("time-outs of %v with 3 co-ordinators, %v with 60 that are silent, %v with 60 that tell", few, silent, heard)
@@ -511,7 +511,7 @@
 			t.Errorf("%v, and heard %v", err, m.c.peersAt)
 		}
 		for _, r := range m.c.replicas {
-			w, most := m.c.waits(r), scale(m.c.quickest, m.c.lanes)
+			w, most := m.c.waits(r), scale(m.c.quickest, m.c.parallelism)
 			if w < 0 || w > most || err != nil && w > 0 || r.slowdown < 0.9 || r.slowdown > 32 {
 				t.Errorf("%v ahead, pace %.1f after %v", w, r.slowdown, err)
 			}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -17,9 +17,9 @@
 	trialMost  = 4 * time.Second        // longest time between trials
 )
 
-// setAside takes a replica out of the ordinary path, or one track there; what is held for it is placed anew.
+// eject takes a replica out of the ordinary path, or one track there; what is held for it is placed anew.
 // Guards against: replicas that hang, are gone or err. Could hurt: when all holders seem dead; trials go on.
-func (c *Scheduler) setAside(r *replicaState, only *class, why string) {
+func (c *Scheduler) eject(r *replicaState, only *class, why string) {
 	if !r.ejectedForAny() {
 		r.nextProbeAt = c.now + r.probeInterval
 		c.host.Log(fmt.Sprintf("replica %d is set aside: it %s", r.id, why))
@@ -29,8 +29,8 @@
 	}
 }
 
-// bringBack takes a replica back, all of it by a trickle that doubles with each good answer.
-func (c *Scheduler) bringBack(r *replicaState, t *class) {
+// reinstate takes a replica back, all of it by a trickle that doubles with each good answer.
+func (c *Scheduler) reinstate(r *replicaState, t *class) {
 	if r.ejectedForAll() {
 		r.recovering, r.limit = true, 1
 		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
@@ -40,22 +40,22 @@
 	c.host.Log(fmt.Sprintf("replica %d answers again: a trickle goes to it", r.id))
 }
 
-// watch sets a replica aside that has attempts out and has long been silent, or a track that alone gets no
+// detectOutlier sets a replica aside that has attempts out and has long been silent, or a track that alone gets no
 // answers there, if it can be spared. Could hurt: heavy parts of a rare track, until an answer.
-func (c *Scheduler) watch(r *replicaState) {
+func (c *Scheduler) detectOutlier(r *replicaState) {
 	for n, l := range r.outstanding {
 		t, silent := l.subquery.query.class, c.now-max(l.sentAt, r.lastReplyAt)
 		switch {
 		case r.forClass(t).ejected:
-		case c.stuck(l) && r.forClass(t).lastReplyAt < l.sentAt && c.spare(r, t):
-			c.setAside(r, t, "answers other tracks only")
-		case n == 0 && silent > scale(hungAfter, c.tempo) && silent > c.late(l, hungTimes) && c.spare(r, t):
-			c.setAside(r, nil, "has gone silent")
+		case c.hung(l) && r.forClass(t).lastReplyAt < l.sentAt && c.canSpare(r, t):
+			c.eject(r, t, "answers other tracks only")
+		case n == 0 && silent > scale(hungAfter, c.tempo) && silent > c.stragglerAfter(l, hungTimes) && c.canSpare(r, t):
+			c.eject(r, nil, "has gone silent")
 		}
 	}
 }
 
-func (c *Scheduler) spare(r *replicaState, t *class) bool {
+func (c *Scheduler) canSpare(r *replicaState, t *class) bool {
 	for back := range c.reach {
 		others := c.holders(ShardNumber(int(r.cell) - back + c.cells))
 		if !slices.ContainsFunc(others, func(o *replicaState) bool { return o != r && c.sendable(o, t, nil) }) {
@@ -69,13 +69,13 @@
 	return r.state == Ready && !r.forClass(t).ejected && c.coldRoom(r, p)
 }
 
-// trial sends a copy of a part to a holder that is set aside, if one is due there; where no copy may go, or
+// probe sends a copy of a part to a holder that is set aside, if one is due there; where no copy may go, or
 // none has for a while, the part itself.
-func (c *Scheduler) trial(p *subquery) bool {
+func (c *Scheduler) probe(p *subquery) bool {
 	copied := len(p.attempts) > 0
-	mayCopy := p.query.class.effect == replayable && c.mayCopy && !c.lastAttempt(p)
-	tooOld := c.now-p.query.arrived > (p.query.endAt-p.query.arrived)/2 // its answer would tell too late
-	if (copied || p.again) && !c.mayGoOn() || p.running() && !mayCopy || p.query.doubtful() || tooOld {
+	mayCopy := p.query.class.effect == replayable && c.mayCopy && !c.onLastAttempt(p)
+	tooOld := c.now-p.query.arrivedAt > (p.query.deadlineAt-p.query.arrivedAt)/2 // its answer would tell too late
+	if (copied || p.isRetry) && !c.withinRetryBudget() || p.inFlight() && !mayCopy || p.query.suspectedDeadly() || tooOld {
 		return false
 	}
 	for _, r := range c.holders(p.shard) {
@@ -83,12 +83,12 @@
 		if !copied && p.replica != nil && c.mayCopy {
 			due += scale(trialMost, c.tempo)
 		}
-		if r.forClass(p.query.class).ejected && !p.tried(r, true) && c.now >= due && c.coldRoom(r, p) {
+		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.coldRoom(r, p) {
 			r.nextProbeAt = c.now + r.probeInterval
 			if r.probeInterval = min(scale(trialMost, c.tempo), 2*r.probeInterval); p.replica == nil {
 				r.probeInterval = scale(trialFirst, c.tempo) // no other holder is in use
 			}
-			c.send(p, r)
+			c.startAttempt(p, r)
 			return true
 		}
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -27,28 +27,28 @@
 
 func (c *Scheduler) fastest(p *subquery) *replicaState {
 	return c.choose(p, func(r *replicaState) time.Duration {
-		if p.tried(r, false) != p.query.doubtful() {
-			return p.query.class.cutOff // only where no other holder is left
+		if p.triedAt(r, false) != p.query.suspectedDeadly() {
+			return p.query.class.deadline // only where no other holder is left
 		}
-		return scale(p.work, c.takes(r))
+		return scale(p.work, c.timePerWork(r))
 	})
 }
 
 // place gives each part that has none a holder: the fastest, then what spread finds, or nobody.
 func (c *Scheduler) place(q *query) {
-	if q.waiting() {
+	if q.awaitsSubqueries() {
 		return
 	}
 	var mine []*subquery
 	for _, p := range q.subqueries {
-		stays := p.held && p.replica != nil && c.sendable(p.replica, q.class, p)
-		if p.in || p.gone || stays || !p.held && len(p.attempts) > 0 {
+		stays := p.queued && p.replica != nil && c.sendable(p.replica, q.class, p)
+		if p.answered || p.abandoned || stays || !p.queued && len(p.attempts) > 0 {
 			continue
 		}
-		c.hold(p, c.fastest(p))
+		c.queue(p, c.fastest(p))
 		mine = append(mine, p)
 	}
-	c.spread(mine)
+	c.rebalance(mine)
 	if !q.admitted {
 		q.admitted = true
 		slices.SortStableFunc(q.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
@@ -57,16 +57,16 @@
 	}
 }
 
-// spread moves parts off the replica with the largest expected finish, each to where it is done first, while
+// rebalance moves parts off the replica with the largest expected finish, each to where it is done first, while
 // that lowers it, then the next.
-func (c *Scheduler) spread(mine []*subquery) {
+func (c *Scheduler) rebalance(mine []*subquery) {
 	settled := map[*replicaState]bool{nil: true}
 	for moves := movesPart * len(mine); moves > 0; moves-- {
 		var worst *replicaState
 		most := time.Duration(-1)
 		for _, p := range mine {
-			if !settled[p.replica] && c.finish(p.replica, 0) > most {
-				worst, most = p.replica, c.finish(p.replica, 0)
+			if !settled[p.replica] && c.expectedFinish(p.replica, 0) > most {
+				worst, most = p.replica, c.expectedFinish(p.replica, 0)
 			}
 		}
 		if worst == nil {
@@ -76,22 +76,22 @@
 		var to *replicaState
 		least, soonest := most-time.Millisecond, time.Duration(0)
 		for _, p := range mine {
-			if p.replica != worst || p.query.doubtful() || last != nil && p.alike(last, c.cells) {
+			if p.replica != worst || p.query.suspectedDeadly() || last != nil && p.interchangeable(last, c.cells) {
 				continue
 			}
 			last = p
-			left := c.finish(worst, -p.work)
+			left := c.expectedFinish(worst, -p.work)
 			for _, r := range c.holders(p.shard) {
-				there := c.finish(r, p.work)
+				there := c.expectedFinish(r, p.work)
 				d := max(left, there)
 				if r != worst && (d < least || d == least && moved != nil && there < soonest) &&
-					c.sendable(r, p.query.class, p) && !p.tried(r, false) {
+					c.sendable(r, p.query.class, p) && !p.triedAt(r, false) {
 					moved, to, least, soonest = p, r, d, there
 				}
 			}
 		}
 		if settled[worst] = moved == nil; moved != nil {
-			c.hold(moved, to)
+			c.queue(moved, to)
 		}
 	}
 }
@@ -107,76 +107,76 @@
 		}
 	}
 	for _, q := range c.open {
-		if q.waiting() {
+		if q.awaitsSubqueries() {
 			continue
 		}
 		if free == 0 && !all {
 			return
 		}
 		for _, p := range q.subqueries {
-			if !all && (!p.held || p.replica == nil || blocked[p.replica.index]) {
+			if !all && (!p.queued || p.replica == nil || blocked[p.replica.index]) {
 				continue
 			}
-			if q.ended || !p.held || c.scouting(q) || q.doubtful() && len(p.attempts) == 0 {
+			if q.ended || !p.queued || c.canaryHoldsBack(q) || q.suspectedDeadly() && len(p.attempts) == 0 {
 				continue
 			}
 			r := p.replica
 			switch first := len(p.attempts) == 0; {
-			case c.tooLate(q, p, ahead) || (!first || p.again) && !c.mayRepeat(p):
-				c.drop(p)
-				c.short(q)
-			case (first || r == nil) && c.trial(p) || r == nil:
+			case c.tooLate(q, p, ahead) || (!first || p.isRetry) && !c.mayRetry(p):
+				c.abandon(p)
+				c.failIfHopeless(q)
+			case (first || r == nil) && c.probe(p) || r == nil:
 			case blocked[r.index] || c.full(r) || !c.coldRoom(r, p) ||
-				(p.again || !first) && !c.mayGoOn() ||
-				!first && (r.retryCredit < 1 && len(r.outstanding) > 0 || c.erring(r, q.class, c.lastAttempt(p))):
+				(p.isRetry || !first) && !c.withinRetryBudget() ||
+				!first && (r.retryCredit < 1 && len(r.outstanding) > 0 || c.backsOff(r, q.class, c.onLastAttempt(p))):
 				if first && !blocked[r.index] {
 					blocked[r.index] = true
 					free--
 				}
 				ahead[r.index] += p.work
 			default:
-				c.send(p, r)
-				c.trial(p)
+				c.startAttempt(p, r)
+				c.probe(p)
 			}
 		}
 	}
 }
 
 func (c *Scheduler) tooLate(q *query, p *subquery, ahead []time.Duration) bool {
-	left := q.endAt - c.now
-	if q.let {
-		return c.now >= q.agreed // what is expected is in doubt
+	left := q.deadlineAt - c.now
+	if q.admittedAsProbe {
+		return c.now >= q.objectiveAt // what is expected is in doubt
 	}
 	if p.replica == nil {
 		return p.work > left
 	}
-	if float64(len(p.replica.outstanding)) >= p.replica.limit && q.step == 0 {
-		left = min(left, q.agreed-c.now)
+	if float64(len(p.replica.outstanding)) >= p.replica.limit && q.phase == 0 {
+		left = min(left, q.objectiveAt-c.now)
 	}
-	return scale(p.work+scale(p.replica.outstandingWork+ahead[p.replica.index], 1/c.lanes), c.takes(p.replica)) > left
+	return scale(p.work+scale(p.replica.outstandingWork+ahead[p.replica.index], 1/c.parallelism), c.timePerWork(p.replica)) > left
 }
 
-func (c *Scheduler) send(p *subquery, r *replicaState) {
-	c.hold(p, nil)
-	p.held = false
-	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.lanes), c.takes(r)/r.slowdown)
+func (c *Scheduler) startAttempt(p *subquery, r *replicaState) {
+	c.queue(p, nil)
+	p.queued = false
+	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.parallelism), c.timePerWork(r)/r.slowdown)
 	if c.tells {
 		t := &c.tallies[sentAttempts]
-		if t.add(c.now, r.cell, p.work, 1); p.query.sent == 0 && len(c.quota) > 0 {
+		if t.add(c.now, r.cell, p.work, 1); p.query.attemptsSent == 0 && len(c.quota) > 0 {
 			t.tenants = append(t.tenants, p.query.tenant)
 		}
 	}
-	l := &attempt{subquery: p, replica: r, sentAt: c.now, base: base, work: p.work}
+	l := &attempt{subquery: p, replica: r, sentAt: c.now, expected: base, work: p.work}
 	p.attempts, r.outstanding = append(p.attempts, l), append(r.outstanding, l)
-	p.query.sent++
+	p.query.attemptsSent++
 	r.outstandingWork += p.work
-	if len(p.attempts) > 1 || p.again {
+	if len(p.attempts) > 1 || p.isRetry {
 		c.extras = append(c.extras, c.now)
 	}
 	if len(p.attempts) > 1 {
 		r.retryCredit--
 	}
 	c.countSent(r, p.work)
-	c.host.StartAttempt(p.id, r.id, c.limitOf(l))
-	c.look(func(as *Scheduler) { c.watched.attempt(c.limitOf(l), as.limitOf(l)) })
+	c.host.StartAttempt(p.id, r.id, c.attemptTimeout(l))
+	c.look(func(as *Scheduler) { c.watched.attempt(c.attemptTimeout(l), as.attemptTimeout(l)) })
 }
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -11,7 +11,7 @@
 // Work taken for far too long turns all back; nothing would ever correct it but what is let in against it.
 func TestBeliefOfLongWorkGivesWayToATrickle(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.classes[0].unit, m.c.classes[0].hintUnit = 5*time.Second, 60
+	m.c.classes[0].subqueryWork, m.c.classes[0].workPerHint = 5*time.Second, 60
 	served := 0
 	for range 200 {
 		q := m.ask(0, 2, 3*time.Second)
@@ -29,7 +29,7 @@
 // In a jam that is real the trickle stays at one at a time, and the waits between grow.
 func TestTrickleIsThinWhileTheJamIsReal(t *testing.T) {
 	m := newModel(t, 0)
-	m.c.classes[0].unit, m.c.classes[0].hintUnit = 5*time.Second, 60
+	m.c.classes[0].subqueryWork, m.c.classes[0].workPerHint = 5*time.Second, 60
 	let := 0
 	for range 200 {
 		q := m.ask(0, 1, 3*time.Second)
@@ -47,7 +47,7 @@
 // Many replies to attempts of one belief move it to what they show, not beyond.
 func TestCrowdOfRepliesLearnsWhatItShows(t *testing.T) {
 	m := newModel(t, 0)
-	start := m.c.classes[0].unit
+	start := m.c.classes[0].subqueryWork
 	for range 60 {
 		m.ask(0, 4, 3*time.Second)
 	}
@@ -55,14 +55,14 @@
 	for range 60 {
 		m.answer(start / 4)
 	}
-	if got := m.c.classes[0].unit; got < start/16 || got > start {
+	if got := m.c.classes[0].subqueryWork; got < start/16 || got > start {
 		t.Errorf("work of %v after replies in %v, from %v", got, start/4, start)
 	}
 	for range 4000 {
 		m.c.classes[0].learn(-1)
 	}
-	if u := m.c.classes[0].unit; u < leastWork || math.IsNaN(m.c.classes[0].hintUnit) {
-		t.Errorf("work of %v, hint %v after endless surprises", u, m.c.classes[0].hintUnit)
+	if u := m.c.classes[0].subqueryWork; u < leastWork || math.IsNaN(m.c.classes[0].workPerHint) {
+		t.Errorf("work of %v, hint %v after endless surprises", u, m.c.classes[0].workPerHint)
 	}
 }
 
@@ -94,7 +94,7 @@
 func TestTrialGoesWithAYoungRetrieval(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.c.setAside(m.index(102), nil, "test")
+	m.c.eject(m.index(102), nil, "test")
 	old := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.index(102).nextProbeAt = m.now + 2*time.Second // due when the first has a third of its time left
@@ -151,7 +151,7 @@
 	m := newModel(t, 0)
 	m.only(102)
 	r := m.index(102)
-	m.c.classes[0].unit, m.c.classes[0].hintUnit = ms, 0.0125
+	m.c.classes[0].subqueryWork, m.c.classes[0].workPerHint = ms, 0.0125
 	for range 3 * fewOpen {
 		m.ask(0, 1, 3*time.Second)
 	}
@@ -234,8 +234,8 @@
 	}
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
-	if attempts := q.parts[0].attempts; len(attempts) != 1 || attempts[0].wait < m.c.classes[0].unit {
-		t.Errorf("%d legs, the first has %v for work of %v", len(attempts), attempts[0].wait, m.c.classes[0].unit)
+	if attempts := q.parts[0].attempts; len(attempts) != 1 || attempts[0].wait < m.c.classes[0].subqueryWork {
+		t.Errorf("%d legs, the first has %v for work of %v", len(attempts), attempts[0].wait, m.c.classes[0].subqueryWork)
 	}
 }
 
@@ -243,11 +243,11 @@
 func TestTurningBackLetsTrialsGo(t *testing.T) {
 	m := newModel(t, 0)
 	for _, id := range m.holdersOf(0)[1:] {
-		m.c.setAside(m.index(id), nil, "test")
+		m.c.eject(m.index(id), nil, "test")
 	}
 	trials := 0
 	for range 100 {
-		m.shard, m.c.classes[0].longer, m.c.classes[0].unit = 0, mostLonger, 300*ms // tightened, but sound work
+		m.shard, m.c.classes[0].latenessFactor, m.c.classes[0].subqueryWork = 0, mostLonger, 300*ms // tightened, but sound work
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
 		for _, p := range q.parts {
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -85,7 +85,7 @@
 		gone := off(other)
 		if gone {
 			r.outstandingWork -= other.work
-			other.passed = max(other.passed, hungPassed)
+			other.overtaken = max(other.overtaken, hungPassed)
 		}
 		return gone
 	})
@@ -97,7 +97,7 @@
 func (c *Scheduler) newReplica() *replicaState {
 	for _, replica := range c.replicas {
 		unused := replica.state == Removed && len(replica.outstanding) == 0 && c.now-replica.lastListedAt > trialMost
-		if unused && (len(c.open) == 0 || c.open[0].arrived > replica.lastListedAt) {
+		if unused && (len(c.open) == 0 || c.open[0].arrivedAt > replica.lastListedAt) {
 			delete(c.replicasByID, replica.id)
 			return replica
 		}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -17,31 +17,33 @@
 	staleTook = 6 * time.Millisecond // a connection that drops within it was of no use from the first
 )
 
-// mayRepeat tells whether the rules let a further attempt of a part be sent now.
-func (c *Scheduler) mayRepeat(p *subquery) bool {
-	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.ran || !l.done })
+// mayRetry tells whether the rules let a further attempt of a part be sent now.
+func (c *Scheduler) mayRetry(p *subquery) bool {
+	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.mayHaveRun || !l.ended })
 	t := p.query.class
-	return len(p.attempts)+p.spent < c.maxAttempts && (first < 0 || t.effect == replayable ||
-		t.effect == referenced && c.now < p.attempts[first].sentAt+t.window)
+	return len(p.attempts)+p.attemptsUsed < c.maxAttempts && (first < 0 || t.effect == replayable ||
+		t.effect == referenced && c.now < p.attempts[first].sentAt+t.keyWindow)
 }
 
-// erring tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
+// backsOff tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
 // attempt of a part, ever. Guards against: all attempts gone at once where holders err.
-func (c *Scheduler) erring(r *replicaState, t *class, last bool) bool {
+func (c *Scheduler) backsOff(r *replicaState, t *class, last bool) bool {
 	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.tempo))
 }
 
-func (c *Scheduler) lastAttempt(p *subquery) bool { return len(p.attempts)+p.spent >= c.maxAttempts-1 }
+func (c *Scheduler) onLastAttempt(p *subquery) bool {
+	return len(p.attempts)+p.attemptsUsed >= c.maxAttempts-1
+}
 
-// mayGoOn tells whether the attempt budget holds a further attempt.
-func (c *Scheduler) mayGoOn() bool {
+// withinRetryBudget tells whether the attempt budget holds a further attempt.
+func (c *Scheduler) withinRetryBudget() bool {
 	return c.budgetSpan == 0 || float64(len(c.extras)+1) <= c.budgetFree+c.budgetShare*float64(len(c.taken))
 }
 
-// limitOf is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
-func (c *Scheduler) limitOf(l *attempt) time.Duration {
-	if c.mayCopy || c.lastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
+// attemptTimeout is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
+func (c *Scheduler) attemptTimeout(l *attempt) time.Duration {
+	if c.mayCopy || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
 		return 0
 	}
-	return scale(max(l.work, scale(l.base, l.replica.slowdown)), patience*c.others())
+	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.others())
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -31,8 +31,8 @@
 // New starts a co-ordinator. It fails if a setting that it cannot do without is missing or unreadable.
 func New(host Host, seed uint64, settings map[string]string) (*Scheduler, error) {
 	c := &Scheduler{
-		host: host, seed: seed, settings: settings, lanes: startLanes, typical: 1, wakeAt: math.MaxInt64,
-		byID: map[RequestID]*query{}, byNum: map[QueryNumber]*query{},
+		host: host, seed: seed, settings: settings, parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64,
+		queriesByID: map[RequestID]*query{}, queriesByNumber: map[QueryNumber]*query{},
 		subqueries: map[RequestID]*subquery{}, replicasByID: map[ReplicaID]*replicaState{},
 	}
 	c.read()
@@ -46,36 +46,36 @@
 	c.clock(now)
 	left, hint, tenant := arrival.TimeLeft, arrival.WorkHint, arrival.Tenant
 	t := &c.classes[arrival.Class]
-	q := &query{id: arrival.ID, number: arrival.Number, class: t, tenant: tenant, arrived: now, due: arrival.Subqueries}
-	q.endAt = now + left
-	q.agreed = now + min(t.agreed+scale(hint, t.stretch), t.cutOff, left)
-	if gone := t.cutOff - left; c.laterTry(float64(left) / float64(t.cutOff)) {
-		if q.agreed = min(q.agreed, now+t.agreed+scale(hint, t.stretch)-gone); q.agreed <= now {
-			q.agreed, q.judged, q.past = q.endAt, true, true
+	q := &query{id: arrival.ID, number: arrival.Number, class: t, tenant: tenant, arrivedAt: now, expectedSubqueries: arrival.Subqueries}
+	q.deadlineAt = now + left
+	q.objectiveAt = now + min(t.objective+scale(hint, t.objectivePerHint), t.deadline, left)
+	if gone := t.deadline - left; c.isClientRetry(float64(left) / float64(t.deadline)) {
+		if q.objectiveAt = min(q.objectiveAt, now+t.objective+scale(hint, t.objectivePerHint)-gone); q.objectiveAt <= now {
+			q.objectiveAt, q.judged, q.objectivePassed = q.deadlineAt, true, true
 		}
 	}
 	q.touched, c.open = true, append(c.open, q)
-	c.byID[q.id], c.byNum[q.number] = q, q
+	c.queriesByID[q.id], c.queriesByNumber[q.number] = q, q
 	known := int(tenant) < len(c.quota)
-	if q.overShare = known && c.allowance[tenant] < 1 && (c.unseen <= 1 || c.heard()); known && !q.overShare {
+	if q.overQuota = known && c.allowance[tenant] < 1 && (c.unseen <= 1 || c.heard()); known && !q.overQuota {
 		c.allowance[tenant]--
 	}
-	q.overShare = q.overShare || q.past
+	q.overQuota = q.overQuota || q.objectivePassed
 	c.taken = append(c.taken, now)
 }
 
-// laterTry tells whether a query with this share of its cut-off left must be a client's further try: most
+// isClientRetry tells whether a query with this share of its cut-off left must be a client's further try: most
 // of late came with more, it alone with this; what is missing has passed. Guards against: work for agreed
 // times that are over. Could hurt: clients whose first tries each have a time of their own.
-func (c *Scheduler) laterTry(share float64) bool {
+func (c *Scheduler) isClientRetry(share float64) bool {
 	usual, more := false, false
-	for n, s := range c.shares {
+	for n, s := range c.deadlineShares {
 		usual = usual || math.Abs(s-share) < sameShare
 		same := func(o float64) bool { return math.Abs(s-o) < sameShare }
-		more = more || s > share && slices.ContainsFunc(c.shares[:n], same)
+		more = more || s > share && slices.ContainsFunc(c.deadlineShares[:n], same)
 	}
-	if c.shares = append(c.shares, share); len(c.shares) > sharesKept {
-		c.shares = c.shares[1:]
+	if c.deadlineShares = append(c.deadlineShares, share); len(c.deadlineShares) > sharesKept {
+		c.deadlineShares = c.deadlineShares[1:]
 	}
 	return more && !usual
 }
@@ -85,17 +85,17 @@
 	c.clock(now)
 	id, number, shard := arrival.ID, arrival.Query, arrival.Shard
 	weight, hint := arrival.Weight, arrival.WorkHint
-	q := c.byNum[number]
-	if q == nil || !q.goesOn || q.step == 0 { // what a later step asks again is not asked for anew
+	q := c.queriesByNumber[number]
+	if q == nil || !q.callerEndsPhases || q.phase == 0 { // what a later step asks again is not asked for anew
 		c.taken = append(c.taken, now)
 	}
 	if q == nil {
 		return
 	}
-	work := cmp.Or(scale(max(0, hint), q.class.hintUnit), q.class.unit)
-	p := &subquery{id: id, query: q, shard: shard, weight: weight, work: work, hintUnit: q.class.hintUnit}
-	if p.spent, p.again = q.spent[shard], q.spent[shard] > 0; q.reserves && q.step == 0 {
-		p.spent = 1
+	work := cmp.Or(scale(max(0, hint), q.class.workPerHint), q.class.subqueryWork)
+	p := &subquery{id: id, query: q, shard: shard, weight: weight, work: work, workPerHint: q.class.workPerHint}
+	if p.attemptsUsed, p.isRetry = q.attemptsUsed[shard], q.attemptsUsed[shard] > 0; q.reservesAttempt && q.phase == 0 {
+		p.attemptsUsed = 1
 	}
 	q.subqueries, c.subqueries[id] = append(q.subqueries, p), p
 	c.asked[int(shard)%c.cells]++
@@ -104,35 +104,35 @@
 // UsePhases tells that a query's steps are whole or nothing and end by NextStep alone; if reserves, the
 // first leaves each part an attempt for the next.
 func (c *Scheduler) UsePhases(id RequestID, reserves bool) {
-	if q := c.byID[id]; q != nil {
-		q.goesOn, q.reserves = true, reserves
+	if q := c.queriesByID[id]; q != nil {
+		q.callerEndsPhases, q.reservesAttempt = true, reserves
 	}
 }
 
 // StartNextPhase ends a query's present step and tells how many parts the next has; with none it is fulfilled.
 func (c *Scheduler) StartNextPhase(now time.Duration, id RequestID, parts int) {
 	c.clock(now)
-	switch q := c.byID[id]; {
+	switch q := c.queriesByID[id]; {
 	case q == nil:
 	case parts == 0:
-		c.end(q, now <= q.agreed)
+		c.end(q, now <= q.objectiveAt)
 	default:
 		c.advance(q, parts)
 	}
 }
 
 func (c *Scheduler) advance(q *query, parts int) {
-	if q.spent == nil {
-		q.spent = map[ShardNumber]int{}
+	if q.attemptsUsed == nil {
+		q.attemptsUsed = map[ShardNumber]int{}
 	}
 	for _, p := range q.subqueries {
-		c.drop(p)
-		if q.goesOn {
-			q.spent[p.shard] += len(p.attempts)
+		c.abandon(p)
+		if q.callerEndsPhases {
+			q.attemptsUsed[p.shard] += len(p.attempts)
 		}
 	}
-	q.step, q.due, q.subqueries, q.touched = q.step+1, parts, nil, true
-	q.got, q.in, q.ratio, q.sent, q.deaths = 0, 0, 0, 0, 0
+	q.phase, q.expectedSubqueries, q.subqueries, q.touched = q.phase+1, parts, nil, true
+	q.answeredWeight, q.answered, q.latenessSum, q.attemptsSent, q.suspectedCrashes = 0, 0, 0, 0, 0
 }
 
 // AttemptEnds takes the outcome of an attempt. One that is not known, or that has ended before, changes nothing.
@@ -140,28 +140,28 @@
 	c.clock(now)
 	id, n, how, took := result.Subquery, result.Attempt, result.Outcome, result.Took
 	p := c.subqueries[id]
-	if p == nil || int(n) >= len(p.attempts) || n < 0 || p.attempts[n].done {
+	if p == nil || int(n) >= len(p.attempts) || n < 0 || p.attempts[n].ended {
 		return
 	}
 	l, r, t := p.attempts[n], p.attempts[n].replica, p.query.class
 	p.query.touched = true
-	l.done, l.ran = true, how != Overloaded && how != Unreachable && how != NeverSent
+	l.ended, l.mayHaveRun = true, how != Overloaded && how != Unreachable && how != NeverSent
 	r.unload(func(o *attempt) bool { return o == l })
-	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.base+jitter); !c.tells {
-	} else if times > toldLate && c.behind == 0 {
+	if times := float64(now-l.sentAt-c.stalled+jitter) / float64(l.expected+jitter); !c.tells {
+	} else if times > toldLate && c.readDelay == 0 {
 		c.tallies[lateAttempts].add(now, r.cell, l.work, times)
 	} else if how != Cancelled { // else it may go on there
 		c.tallies[endedAttempts].add(now, r.cell, l.work, 1)
 	}
 	switch how {
 	case Succeeded:
-		if c.answered(r, t, l, took); r == p.query.suspect && l.sentAt > p.query.diedAt {
-			p.query.deaths = 0 // it lives: the connection alone was lost
+		if c.answered(r, t, l, took); r == p.query.suspectedReplica && l.sentAt > p.query.suspectedCrashAt {
+			p.query.suspectedCrashes = 0 // it lives: the connection alone was lost
 		}
-		if !p.in && !p.gone && !p.query.ended {
-			p.in, p.query.got, p.query.in = true, p.query.got+p.weight, p.query.in+1
-			p.query.ratio += float64(took) / float64(scale(l.base, r.slowdown)+1)
-			c.drop(p)
+		if !p.answered && !p.abandoned && !p.query.ended {
+			p.answered, p.query.answeredWeight, p.query.answered = true, p.query.answeredWeight+p.weight, p.query.answered+1
+			p.query.latenessSum += float64(took) / float64(scale(l.expected, r.slowdown)+1)
+			c.abandon(p)
 		}
 	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
 		switch {
@@ -172,33 +172,33 @@
 				r.fullUntil = c.now + scale(fullWait, 0.5+c.chance())
 			}
 		case how == Unreachable:
-			c.setAside(r, nil, "cannot be reached")
-		case how == ConnectionReset && took >= staleTook && (p.query.diedAt != c.now || p.query.suspect != r): // quicker: it idled
-			p.query.deaths, p.query.diedAt, p.query.suspect = p.query.deaths+1, c.now, r
+			c.eject(r, nil, "cannot be reached")
+		case how == ConnectionReset && took >= staleTook && (p.query.suspectedCrashAt != c.now || p.query.suspectedReplica != r): // quicker: it idled
+			p.query.suspectedCrashes, p.query.suspectedCrashAt, p.query.suspectedReplica = p.query.suspectedCrashes+1, c.now, r
 		}
 		if r.lastErrorAt != c.now {
 			r.forClass(t).consecutiveErrors++
 		}
 		if r.lastErrorAt = c.now; r.forClass(t).consecutiveErrors >= errorLimit {
-			c.setAside(r, t, "brings errors only")
+			c.eject(r, t, "brings errors only")
 		}
 	}
 	switch {
-	case p.running() || p.held:
-	case p.in || p.gone:
+	case p.inFlight() || p.queued:
+	case p.answered || p.abandoned:
 		delete(c.subqueries, id)
-	case c.mayRepeat(p):
-		c.hold(p, nil)
+	case c.mayRetry(p):
+		c.queue(p, nil)
 	default:
-		c.drop(p)
-		c.short(p.query)
+		c.abandon(p)
+		c.failIfHopeless(p.query)
 	}
 }
 
 // LoadReported tells the share of its cores that a replica has in use, as it says itself.
 func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, busy float64) {
 	c.clock(now)
-	c.busy, c.reportAt = c.busy+busyStep*(busy-c.busy), now
+	c.meanUtilization, c.lastLoadReportAt = c.meanUtilization+busyStep*(busy-c.meanUtilization), now
 	if r, known := c.replicasByID[id]; known {
 		r.utilization, r.utilizationAt = busy, now
 	}
@@ -207,15 +207,15 @@
 // ClientDisconnects tells that nobody waits for a query any more; that it was not fulfilled then says nothing.
 func (c *Scheduler) ClientDisconnects(now time.Duration, id RequestID) {
 	c.clock(now)
-	if q := c.byID[id]; q != nil {
+	if q := c.queriesByID[id]; q != nil {
 		q.judged = true
 		c.end(q, false)
 	}
 }
 
 func (c *Scheduler) Wakeup(now time.Duration, name string) {
-	if c.clock(now); now >= c.wakeAt {
-		c.wakeAt = math.MaxInt64
+	if c.clock(now); now >= c.wakeupAt {
+		c.wakeupAt = math.MaxInt64
 	}
 }
 
@@ -223,21 +223,21 @@
 // against: taking that for slow replicas. Could hurt: by learning less of them while its core is short.
 func (c *Scheduler) ReadDelayed(now, unread time.Duration) {
 	c.clock(now)
-	c.behind = unread
+	c.readDelay = unread
 }
 
 // clock takes the time, and by how much this co-ordinator stood still: a look that it asked for is late.
 // Guards against: taking that for slow replicas. Should also cover: a starved machine.
 func (c *Scheduler) clock(now time.Duration) {
 	if now > c.now {
-		c.now, c.stalled = now, max(0, now-c.wakeAt-sweepEvery)
+		c.now, c.stalled = now, max(0, now-c.wakeupAt-sweepEvery)
 	}
 }
 
-func (c *Scheduler) wake(at time.Duration) {
-	if at < c.wakeAt {
-		c.wakeAt = max(at, c.now+time.Millisecond)
-		c.host.ScheduleWakeup("look", c.wakeAt-c.now)
+func (c *Scheduler) wakeBy(at time.Duration) {
+	if at < c.wakeupAt {
+		c.wakeupAt = max(at, c.now+time.Millisecond)
+		c.host.ScheduleWakeup("look", c.wakeupAt-c.now)
 	}
 }
 
@@ -247,9 +247,9 @@
 	c.clock(now)
 	c.follow()
 	c.taken, c.extras = after(c.taken, now-c.budgetSpan+1), after(c.extras, now-c.budgetSpan)
-	all := len(c.open) <= fewOpen || now >= c.refilled+sweepEvery
+	all := len(c.open) <= fewOpen || now >= c.lastTickAt+sweepEvery
 	if all {
-		c.refill()
+		c.tick()
 	}
 	for _, q := range c.open {
 		if all || q.touched {
@@ -260,7 +260,7 @@
 	c.release(all)
 	for _, q := range c.open {
 		if all || q.touched {
-			c.further(q)
+			c.hedge(q)
 		}
 		q.touched = false
 	}
@@ -268,32 +268,32 @@
 	for kind := range c.tallies {
 		t := &c.tallies[kind]
 		if kind == int(sentAttempts) || now >= t.since+tellWait {
-			for _, message := range t.take(attemptsTold(kind), c.cells, c.lanes) {
+			for _, message := range t.take(attemptsTold(kind), c.cells, c.parallelism) {
 				c.host.Broadcast(message)
 			}
 		} else if len(t.cells) > 0 {
-			c.wake(t.since + tellWait)
+			c.wakeBy(t.since + tellWait)
 		}
 	}
 	if len(c.open) > 0 {
-		c.wake(now + sweepEvery)
+		c.wakeBy(now + sweepEvery)
 	}
 }
 
-// refill lets go of what time takes away and looks after the replicas.
-func (c *Scheduler) refill() {
-	passed := (c.now - c.refilled).Seconds()
+// tick lets go of what time takes away and looks after the replicas.
+func (c *Scheduler) tick() {
+	passed := (c.now - c.lastTickAt).Seconds()
 	for t, q := range c.quota {
 		c.allowance[t] = min(max(leastBurst, q*shareBurst), c.allowance[t]+q*passed)
 	}
 	for n := range c.classes {
-		c.classes[n].longer = 1 + (c.classes[n].longer-1)*math.Exp(-passed/longerFades)
+		c.classes[n].latenessFactor = 1 + (c.classes[n].latenessFactor-1)*math.Exp(-passed/longerFades)
 	}
 	fade := math.Exp(-passed / flowFades)
 	c.flow, c.warm, c.blank = c.flow*fade, 0, c.blank*fade
 	size, active := 0.0, 0.0
-	if c.now > c.reportAt+shedQuiet {
-		c.busy = 0 // nobody tells it any more
+	if c.now > c.lastLoadReportAt+shedQuiet {
+		c.meanUtilization = 0 // nobody tells it any more
 	}
 	for n := range c.asked {
 		c.asked[n] *= fade
@@ -304,8 +304,8 @@
 				c.warm++
 			}
 		}
-		c.watch(r)
-		r.unload(func(l *attempt) bool { return l.passed > 0 && c.stuck(l) }) // lost, it would hold a place
+		c.detectOutlier(r)
+		r.unload(func(l *attempt) bool { return l.overtaken > 0 && c.hung(l) }) // lost, it would hold a place
 		if r.state != Removed {
 			r.lastListedAt = c.now
 		}
@@ -313,27 +313,27 @@
 			r.slowdown = math.Pow(r.slowdown, math.Exp(-passed/paceFades))
 		}
 	}
-	c.refilled = c.now
+	c.lastTickAt = c.now
 	if active > 0 {
-		c.typical = size / active
+		c.typicalSize = size / active
 	}
 }
 
 func (c *Scheduler) settle(q *query) {
-	if q.waiting() {
-		if !q.ended && c.now >= q.endAt-endMargin { // what it waits for never came
+	if q.awaitsSubqueries() {
+		if !q.ended && c.now >= q.deadlineAt-endMargin { // what it waits for never came
 			c.giveUp(q)
 		}
 		return
 	}
-	if c.now > q.agreed {
-		c.judge(q, false)
+	if c.now > q.objectiveAt {
+		c.recordOutcome(q, false)
 	}
-	need, _ := q.bounds()
+	need, _ := q.requiredWeights()
 	switch {
-	case q.got >= need:
-		c.answer(q, q.step == 0 || q.firstWhole)
-	case c.now >= q.endAt-endMargin || q.doubtful() && (q.deaths > 1 || !c.sendable(q.suspect, q.class, nil)):
+	case q.answeredWeight >= need:
+		c.answer(q, q.phase == 0 || q.firstPhaseComplete)
+	case c.now >= q.deadlineAt-endMargin || q.suspectedDeadly() && (q.suspectedCrashes > 1 || !c.sendable(q.suspectedReplica, q.class, nil)):
 		c.giveUp(q)
 	}
 }
@@ -341,18 +341,18 @@
 func (c *Scheduler) answer(q *query, whole bool) {
 	c.host.Complete(q.id, whole)
 	switch {
-	case q.goesOn:
-		q.due = math.MaxInt // NextStep comes in the next turn
-	case q.class.fetch == 0 || q.step > 0:
-		c.end(q, c.now <= q.agreed)
+	case q.callerEndsPhases:
+		q.expectedSubqueries = math.MaxInt // NextStep comes in the next turn
+	case q.class.fetchSubqueries == 0 || q.phase > 0:
+		c.end(q, c.now <= q.objectiveAt)
 	default:
-		q.firstWhole = whole
-		c.advance(q, q.class.fetch)
+		q.firstPhaseComplete = whole
+		c.advance(q, q.class.fetchSubqueries)
 	}
 }
 
 func (c *Scheduler) giveUp(q *query) {
-	if _, floor := q.bounds(); q.got >= floor && (q.class.fetch == 0 || q.step > 0) {
+	if _, floor := q.requiredWeights(); q.answeredWeight >= floor && (q.class.fetchSubqueries == 0 || q.phase > 0) {
 		c.host.Complete(q.id, false)
 	} else {
 		c.host.Fail(q.id)
@@ -362,30 +362,30 @@
 
 func (c *Scheduler) end(q *query, kept bool) {
 	q.ended = true
-	c.judge(q, kept)
+	c.recordOutcome(q, kept)
 	for _, p := range q.subqueries {
-		c.drop(p)
+		c.abandon(p)
 	}
-	delete(c.byID, q.id)
-	delete(c.byNum, q.number)
+	delete(c.queriesByID, q.id)
+	delete(c.queriesByNumber, q.number)
 }
 
-// drop abandons a part, or what is still out of one that is in: nothing more is sent for it.
-func (c *Scheduler) drop(p *subquery) {
-	c.hold(p, nil)
-	p.held, p.gone = false, p.gone || !p.in
+// abandon abandons a part, or what is still out of one that is in: nothing more is sent for it.
+func (c *Scheduler) abandon(p *subquery) {
+	c.queue(p, nil)
+	p.queued, p.abandoned = false, p.abandoned || !p.answered
 	for n, l := range p.attempts {
-		if !l.done && c.mayCancel {
+		if !l.ended && c.mayCancel {
 			c.host.CancelAttempt(p.id, AttemptNumber(n))
 		}
 	}
-	if !p.running() {
+	if !p.inFlight() {
 		delete(c.subqueries, p.id)
 	}
 }
 
-func (c *Scheduler) short(q *query) {
-	if !q.ended && !(q.reserves && q.step == 0) && !q.reaches(func(p *subquery) bool { return p.in || !p.gone }) {
+func (c *Scheduler) failIfHopeless(q *query) {
+	if !q.ended && !(q.reservesAttempt && q.phase == 0) && !q.reachesMinimum(func(p *subquery) bool { return p.answered || !p.abandoned }) {
 		c.giveUp(q)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -188,8 +188,8 @@
 		m.c.ClientDisconnects(m.now, q.id)
 		m.turn()
 	}
-	if m.turnedBack > 0 || m.c.classes[0].longer > 1 {
-		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.classes[0].longer)
+	if m.turnedBack > 0 || m.c.classes[0].latenessFactor > 1 {
+		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.classes[0].latenessFactor)
 	}
 }
 
@@ -359,14 +359,14 @@
 func TestOnlyMissingPartIsCopiedWithoutEarning(t *testing.T) {
 	for missing, want := range map[int]int{1: 2, 2: 1} {
 		m := newModel(t, 0)
-		m.c.copies = 0
+		m.c.hedgeCredit = 0
 		q := m.ask(0, 8, 3*time.Second)
 		m.turn()
 		m.pass(50 * ms)
 		for _, p := range q.parts[missing:] {
 			m.end(p, 0, Succeeded)
 		}
-		m.c.copies = 0
+		m.c.hedgeCredit = 0
 		m.turn()
 		if m.pass(800 * ms); len(q.parts[0].attempts) != want {
 			t.Errorf("%d legs with %d parts missing, want %d", len(q.parts[0].attempts), missing, want)
@@ -381,8 +381,8 @@
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.pass(1100 * ms)
-	if m.c.classes[0].longer < 1.5 || q.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.classes[0].longer, q.ended)
+	if m.c.classes[0].latenessFactor < 1.5 || q.ended {
+		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.classes[0].latenessFactor, q.ended)
 	}
 }
 
@@ -463,7 +463,7 @@
 	}
 	over := 0
 	for _, q := range m.c.open {
-		if q.overShare {
+		if q.overQuota {
 			over++
 		}
 	}
@@ -471,7 +471,7 @@
 		t.Errorf("%d of 12 at once past a share of 2 a second", over)
 	}
 	m.many(40, 0) // whose share would be under one query
-	if m.ask(0, 1, 3*time.Second); m.c.open[0].overShare {
+	if m.ask(0, 1, 3*time.Second); m.c.open[0].overQuota {
 		t.Error("the first retrieval of a tenant counts as past its share")
 	}
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -74,8 +74,8 @@
 	switch {
 	case to != nil && other == nil:
 		w.counts.WouldNotHedge++
-	case to == nil && other != nil && !l.told:
-		l.told = true
+	case to == nil && other != nil && !l.shadowCounted:
+		l.shadowCounted = true
 		w.counts.WouldHedge++
 	}
 }
@@ -85,10 +85,10 @@
 	t := *q
 	t.class = &w.under.classes[q.class.index]
 	learned := *q.class
-	learned.agreed, learned.cutOff, learned.fetch = t.class.agreed, t.class.cutOff, t.class.fetch
-	t.class, t.agreed = &learned, q.agreed+learned.agreed-q.class.agreed
-	now, _ := c.excess(q)
-	then, _ := as.excess(&t)
+	learned.objective, learned.deadline, learned.fetchSubqueries = t.class.objective, t.class.deadline, t.class.fetchSubqueries
+	t.class, t.objectiveAt = &learned, q.objectiveAt+learned.objective-q.class.objective
+	now, _ := c.expectedExcess(q)
+	then, _ := as.expectedExcess(&t)
 	w.counts.Queries++
 	w.counts.Subqueries += len(mine)
 	if now <= 0 && then > 0 {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -58,6 +58,6 @@
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
 func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
-	share := coldSafety * c.tipMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.balancers)
+	share := coldSafety * c.tipMultiple * c.warmth(r) * min(c.parallelism, coldLanes) / float64(c.balancers)
 	return scale(work, 1/share)
 }
--- a/scheduler/tables.go
+++ b/scheduler/tables.go
@@ -29,21 +29,21 @@
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-func (p *subquery) running() bool {
-	return slices.ContainsFunc(p.attempts, func(l *attempt) bool { return !l.done })
+func (p *subquery) inFlight() bool {
+	return slices.ContainsFunc(p.attempts, func(l *attempt) bool { return !l.ended })
 }
 
-func (c *Scheduler) hold(p *subquery, r *replicaState) {
-	if p.held && p.replica != nil {
+func (c *Scheduler) queue(p *subquery, r *replicaState) {
+	if p.queued && p.replica != nil {
 		p.replica.queuedWork -= p.work
 	}
-	p.replica, p.held = r, true
+	p.replica, p.queued = r, true
 	if r != nil {
 		r.queuedWork += p.work
 	}
 }
 
-// tried tells whether a part had an attempt at a replica, or one that may have run.
-func (p *subquery) tried(r *replicaState, ran bool) bool {
-	return slices.ContainsFunc(p.attempts, func(l *attempt) bool { return l.replica == r && (!ran || l.ran || !l.done) })
+// triedAt tells whether a part had an attempt at a replica, or one that may have run.
+func (p *subquery) triedAt(r *replicaState, ran bool) bool {
+	return slices.ContainsFunc(p.attempts, func(l *attempt) bool { return l.replica == r && (!ran || l.mayHaveRun || !l.ended) })
 }
