--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -24,6 +24,6 @@
 // times as many in each step. Guards against: deadly queries, where one of many co-ordinators sees too few
 // deaths to be warned. Could hurt: by some steps while replicas are busy.
 func (c *Scheduler) canaryHoldsBack(q *query) bool {
-	return q.answered < 1+2*q.suspectedCrashes && len(q.subqueries) > scoutsMany && c.unseen > 1 && q.attemptsSent > 0 &&
+	return q.answered < 1+2*q.suspectedCrashes && len(q.subqueries) > scoutsMany && c.unseenLoadFactor > 1 && q.attemptsSent > 0 &&
 		q.attemptsSent >= math.Pow(scoutGrow, math.Floor(float64(c.now-q.arrivedAt)/float64(scoutStep)))
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -33,10 +33,10 @@
 func (c *Scheduler) reinstate(r *replicaState, t *class) {
 	if r.ejectedForAll() {
 		r.recovering, r.limit = true, 1
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.tempo))
+		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
 	}
 	r.forClass(t).ejected = false
-	r.probeInterval, r.recentLatency = scale(trialFirst, c.tempo), min(r.recentLatency, r.usualLatency)
+	r.probeInterval, r.recentLatency = scale(trialFirst, c.timeScale), min(r.recentLatency, r.usualLatency)
 	c.host.Log(fmt.Sprintf("replica %d answers again: a trickle goes to it", r.id))
 }
 
@@ -49,14 +49,14 @@
 		case r.forClass(t).ejected:
 		case c.hung(l) && r.forClass(t).lastReplyAt < l.sentAt && c.canSpare(r, t):
 			c.eject(r, t, "answers other tracks only")
-		case n == 0 && silent > scale(hungAfter, c.tempo) && silent > c.stragglerAfter(l, hungTimes) && c.canSpare(r, t):
+		case n == 0 && silent > scale(hungAfter, c.timeScale) && silent > c.stragglerAfter(l, hungTimes) && c.canSpare(r, t):
 			c.eject(r, nil, "has gone silent")
 		}
 	}
 }
 
 func (c *Scheduler) canSpare(r *replicaState, t *class) bool {
-	for back := range c.reach {
+	for back := range c.cellsPerShard {
 		others := c.holders(ShardNumber(int(r.cell) - back + c.cells))
 		if !slices.ContainsFunc(others, func(o *replicaState) bool { return o != r && c.sendable(o, t, nil) }) {
 			return false
@@ -73,20 +73,20 @@
 // none has for a while, the part itself.
 func (c *Scheduler) probe(p *subquery) bool {
 	copied := len(p.attempts) > 0
-	mayCopy := p.query.class.effect == replayable && c.mayCopy && !c.onLastAttempt(p)
+	mayCopy := p.query.class.effect == replayable && c.hedgeAllowed && !c.onLastAttempt(p)
 	tooOld := c.now-p.query.arrivedAt > (p.query.deadlineAt-p.query.arrivedAt)/2 // its answer would tell too late
 	if (copied || p.isRetry) && !c.withinRetryBudget() || p.inFlight() && !mayCopy || p.query.suspectedDeadly() || tooOld {
 		return false
 	}
 	for _, r := range c.holders(p.shard) {
 		due := r.nextProbeAt
-		if !copied && p.replica != nil && c.mayCopy {
-			due += scale(trialMost, c.tempo)
+		if !copied && p.replica != nil && c.hedgeAllowed {
+			due += scale(trialMost, c.timeScale)
 		}
 		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.coldRoom(r, p) {
 			r.nextProbeAt = c.now + r.probeInterval
-			if r.probeInterval = min(scale(trialMost, c.tempo), 2*r.probeInterval); p.replica == nil {
-				r.probeInterval = scale(trialFirst, c.tempo) // no other holder is in use
+			if r.probeInterval = min(scale(trialMost, c.timeScale), 2*r.probeInterval); p.replica == nil {
+				r.probeInterval = scale(trialFirst, c.timeScale) // no other holder is in use
 			}
 			c.startAttempt(p, r)
 			return true
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -28,7 +28,7 @@
 // backsOff tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
 // attempt of a part, ever. Guards against: all attempts gone at once where holders err.
 func (c *Scheduler) backsOff(r *replicaState, t *class, last bool) bool {
-	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.tempo))
+	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.timeScale))
 }
 
 func (c *Scheduler) onLastAttempt(p *subquery) bool {
@@ -37,12 +37,12 @@
 
 // withinRetryBudget tells whether the attempt budget holds a further attempt.
 func (c *Scheduler) withinRetryBudget() bool {
-	return c.budgetSpan == 0 || float64(len(c.extras)+1) <= c.budgetFree+c.budgetShare*float64(len(c.taken))
+	return c.retryBudgetSpan == 0 || float64(len(c.extras)+1) <= c.retryBudgetFree+c.retryBudgetShare*float64(len(c.taken))
 }
 
 // attemptTimeout is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
 func (c *Scheduler) attemptTimeout(l *attempt) time.Duration {
-	if c.mayCopy || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
+	if c.hedgeAllowed || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
 		return 0
 	}
 	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.others())
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -26,14 +26,14 @@
 	counts ShadowCounts
 }
 
-// EnableShadow counts from now on what other settings would have decided. It fails if a setting cannot be read, or if they
-// tell of other tracks or other shards, as then nothing could be compared.
-func (c *Scheduler) EnableShadow(settings map[string]string) error {
-	under, err := New(c.host, c.seed, settings)
+// EnableShadow counts from now on what other settings would have decided. It fails if they are
+// not valid, or tell of other classes or other shards, as then nothing could be compared.
+func (c *Scheduler) EnableShadow(config Config) error {
+	under, err := New(c.host, c.seed, config)
 	if err != nil {
 		return err
 	}
-	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.reach != c.reach {
+	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.cellsPerShard != c.cellsPerShard {
 		return fmt.Errorf("the settings to watch tell of other tracks or shards")
 	}
 	c.watched = &watcher{under: under}
@@ -55,8 +55,8 @@
 		return
 	}
 	as := *c
-	as.terms = c.watched.under.terms
-	if as.tells {
+	as.parameters = c.watched.under.parameters
+	if as.gossipEnabled {
 		as.peersAt = c.now // as if the others told
 	}
 	ask(&as)
