--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -65,11 +65,11 @@
 		due := tally.since + gossipDelay
 		switch {
 		case event == attemptsSent || c.now >= due:
-			for _, message := range tally.take(event, c.cells, c.lanes) {
+			for _, message := range tally.take(event, c.cells, c.parallelism) {
 				c.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
-			c.wake(due)
+			c.wakeBy(due)
 		}
 	}
 }
@@ -102,13 +102,13 @@
 func (c *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
-		c.lanes = min(mostLanes, c.lanes*math.Pow(message.parallelism/c.lanes, lanesStep))
+		c.parallelism = min(mostLanes, c.parallelism*math.Pow(message.parallelism/c.parallelism, lanesStep))
 	}
 	if message.event != attemptsSent {
 		work = -work
 		c.takePeerLatency(replica, message, attempts)
 	}
-	most := scale(c.shortestObjective, c.lanes)
+	most := scale(c.shortestObjective, c.parallelism)
 	replica.peerWork = max(0, min(most, c.peerBacklog(replica)+work))
 	replica.peerWorkAt = c.now
 }
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -193,7 +193,7 @@
 		if (err == nil) != (m.c.gossip.heardAt != before) {
 			t.Errorf("%v, and heard at %v", err, m.c.gossip.heardAt)
 		}
-		most := scale(m.c.shortestObjective, m.c.lanes)
+		most := scale(m.c.shortestObjective, m.c.parallelism)
 		for _, replica := range m.c.replicas {
 			backlog := m.c.peerBacklog(replica)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -70,12 +70,12 @@
 		m.hear(gossipOf(attemptsSent, []CellNumber{0}, ms, 1, make([]TenantIndex, queries), 3)...)
 	}
 	admitted(1)
-	if m.ask(0, 1, 3*time.Second); m.c.open[0].overShare {
+	if m.ask(0, 1, 3*time.Second); m.c.open[0].overQuota {
 		t.Error("past its quota though the others admitted one")
 	}
 	admitted(16)
 	admitted(16)
-	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overShare {
+	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overQuota {
 		t.Error("within its quota of 10 a second though the others just admitted 32")
 	}
 }
@@ -132,11 +132,11 @@
 		}
 		m.hear(tally.take(attemptsEnded, 3, parallelism)...)
 	}
-	if hundredEnded(4); m.c.lanes < 3.5 || m.c.lanes > 4 {
-		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.lanes)
+	if hundredEnded(4); m.c.parallelism < 3.5 || m.c.parallelism > 4 {
+		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.parallelism)
 	}
-	if hundredEnded(15); m.c.lanes > mostLanes {
-		t.Errorf("%.2f, more than the most", m.c.lanes)
+	if hundredEnded(15); m.c.parallelism > mostLanes {
+		t.Errorf("%.2f, more than the most", m.c.parallelism)
 	}
 }
 
@@ -195,7 +195,7 @@
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
-		return m.c.limitOf(m.c.subqueries[q.parts[0].id].attempts[0])
+		return m.c.attemptTimeout(m.c.subqueries[q.parts[0].id].attempts[0])
 	}
 	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
 	if silent < few*18/10 || heard > few {
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -105,7 +105,7 @@
 		m.turn()
 		m.ask(0, 1, 3*time.Second)
 		m.turn()
-		small, large := m.c.takes(m.index(m.order[0])), m.c.takes(m.index(m.order[1]))
+		small, large := m.c.timePerWork(m.index(m.order[0])), m.c.timePerWork(m.index(m.order[1]))
 		if got := small > 1.9*large; got != want {
 			t.Errorf("%s: a part takes %.2f and %.2f", kind, small, large)
 		}
@@ -122,11 +122,11 @@
 	}
 	m.ask(0, 1, 1200*ms)
 	q := m.c.open[len(m.c.open)-1]
-	if !q.past || !q.overShare {
+	if !q.objectivePassed || !q.overQuota {
 		t.Error("a further try 1.8 s after the first has its agreed time of 1 s still before it")
 	}
 	m.ask(0, 1, 2400*ms)
-	if q := m.c.open[len(m.c.open)-1]; q.past || q.agreed != m.now+time.Second {
-		t.Errorf("a first try has %v", q.agreed-m.now)
+	if q := m.c.open[len(m.c.open)-1]; q.objectivePassed || q.objectiveAt != m.now+time.Second {
+		t.Errorf("a first try has %v", q.objectiveAt-m.now)
 	}
 }
