--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -12,70 +12,74 @@
 
 const ms = time.Millisecond
 
-// data is a block's, as a box holds it: the hits of the question, in any order.
-type data []Hit
+// shardData is what a shard holds: the hits of the query, in any order.
+type shardData []Hit
 
-// best answers a question from a block's data, the slow and plain way.
-func (d data) best(f Options) []Hit {
-	all := slices.Clone(d)
-	slices.SortFunc(all, Before)
-	if f.Ranked {
-		all = all[:min(len(all), f.Limit)]
+// best answers a query from a shard's data, the slow and plain way.
+func (data shardData) best(options Options) []Hit {
+	hits := slices.Clone(data)
+	slices.SortFunc(hits, Before)
+	if options.Ranked {
+		hits = hits[:min(len(hits), options.Limit)]
 	}
-	return all
+	return hits
 }
 
-// truth is what asking every block would give.
-func truth(f Options, blocks []data) []Hit {
-	var all data
-	for _, d := range blocks {
-		all = append(all, d...)
+// onePhaseAnswer is what fetching from every shard would give.
+func onePhaseAnswer(options Options, shards []shardData) []Hit {
+	var all shardData
+	for _, data := range shards {
+		all = append(all, data...)
 	}
-	return all.best(f)
+	return all.best(options)
 }
 
-func (d data) summary(v Version) Summary {
-	s := Summary{Version: v, Count: len(d), Upper: math.Inf(-1), Lower: math.Inf(1)}
-	for _, h := range d {
-		s.Upper, s.Lower = max(s.Upper, h.Score), min(s.Lower, h.Score)
+func (data shardData) summary(version Version) Summary {
+	summary := Summary{Version: version, Count: len(data), Upper: math.Inf(-1), Lower: math.Inf(1)}
+	for _, hit := range data {
+		summary.Upper = max(summary.Upper, hit.Score)
+		summary.Lower = min(summary.Lower, hit.Score)
 	}
-	return s
+	return summary
 }
 
 func equal(a, b []Hit) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// sure is a track that asks in two phases whenever it may.
-func sure() *Class {
-	t := NewClass(time.Second)
-	t.share, t.cost, t.first, t.second = 0, 0, took{0.01, 0}, took{0.01, 0}
-	return t
+// alwaysTwoPhases is a class that executes a query in two phases whenever it may.
+func alwaysTwoPhases() *Class {
+	class := NewClass(time.Second)
+	class.fetchedShare = 0
+	class.summaryCost = 0
+	class.canMatch = phaseTime{mean: 0.01}
+	class.fetch = phaseTime{mean: 0.01}
+	return class
 }
 
-// Every subset of summaries that arrive, in every order, over small fleets: the answer is the one of one phase, and what
-// was not summarized is asked.
-func TestEverySubsetInEveryOrder(t *testing.T) {
+// Any subset of the summaries arrives, in any order, in small fleets. The answer is that of one phase, and a shard
+// without a summary is fetched from.
+func TestAnySubsetOfSummariesGivesTheOnePhaseAnswer(t *testing.T) {
 	kinds := [][]float64{{}, {1}, {2}, {1, 2}, {2, 2}}
 	orders := [][]int{{0, 1, 2, 3}, {3, 2, 1, 0}, {1, 3, 0, 2}, {2, 0, 3, 1}}
 	runs := 0
 	for mix := range 5 * 5 * 5 {
-		var blocks []data
+		var shards []shardData
 		for n, kind := range []int{mix % 5, mix / 5 % 5, mix / 25, 1} {
-			var d data
+			var d shardData
 			for i, score := range kinds[kind] {
 				d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score})
 			}
-			blocks = append(blocks, d)
+			shards = append(shards, d)
 		}
 		for best := range 5 {
 			for subset := range 16 {
 				for _, order := range orders {
-					f := Options{Ranked: true, Limit: best}
-					r, err := sure().Begin(0, f, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
+					options := Options{Ranked: true, Limit: best}
+					query, err := alwaysTwoPhases().Begin(0, options, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
 					if err != nil {
 						t.Fatal(err)
 					}
 					runs++
-					finish(t, r, f, blocks, subset, order)
+					finish(t, query, options, shards, subset, order)
 				}
 			}
 		}
@@ -85,17 +89,17 @@
 	}
 }
 
-// finish plays a run to its end: summaries of a subset arrive, the others never do.
-func finish(t *testing.T, r *Query, f Options, blocks []data, subset int, order []int) {
+// finish plays a query to its end: summaries of a subset arrive, the others never do.
+func finish(t *testing.T, query *Query, options Options, shards []shardData, subset int, order []int) {
 	t.Helper()
 	now := time.Duration(0)
 	wereAsked := 0
 	for range 40 {
-		switch s := r.Next(now); s.Action {
+		switch s := query.Next(now); s.Action {
 		case CanMatch:
 			for _, n := range order {
 				if subset>>n&1 == 1 {
-					r.Summarized(now, Shard(n), Replica(n), blocks[n].summary("v1"))
+					query.Summarized(now, Shard(n), Replica(n), shards[n].summary("v1"))
 				}
 			}
 		case Wait:
@@ -103,16 +107,16 @@
 		case Fetch:
 			for _, id := range s.Shards {
 				wereAsked |= 1 << id
-				if err := r.Answered(now, id, Replica(id), Answer{"v1", blocks[id].best(f)}); err != nil {
+				if err := query.Answered(now, id, Replica(id), Answer{"v1", shards[id].best(options)}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		case Done:
-			if got, want := r.Hits(), truth(f, blocks); !equal(got, want) {
-				t.Fatalf("best %d of %v, summaries %b: %v, want %v", f.Limit, blocks, subset, got, want)
+			if got, want := query.Hits(), onePhaseAnswer(options, shards); !equal(got, want) {
+				t.Fatalf("best %d of %v, summaries %b: %v, want %v", options.Limit, shards, subset, got, want)
 			}
-			if f.Limit > 0 && wereAsked|subset != 15 {
-				t.Fatalf("blocks %b neither summarized nor asked", 15&^(wereAsked|subset))
+			if options.Limit > 0 && wereAsked|subset != 15 {
+				t.Fatalf("shards %b neither summarized nor asked", 15&^(wereAsked|subset))
 			}
 			return
 		case Reject:
@@ -122,24 +126,24 @@
 	t.Fatal("it does not end")
 }
 
-// Whatever arrives, in whatever order, with data that moves, summaries that are missing, malformed, loose or false, and
-// holders that differ: an answer is that of all blocks, each in a state that it had during the question; or there is none.
+// Summaries are missing, malformed, with loose bounds or false, arrive in any order, and data change meanwhile. An
+// answer is that of all shards, each in a state that it had during the query, or there is none.
 func TestAnyFleet(t *testing.T) { rapid.Check(t, anyFleet) }
 
 // FuzzAnyFleet hunts on.
 func FuzzAnyFleet(f *testing.F) { f.Fuzz(rapid.MakeFuzz(anyFleet)) }
 
 func anyFleet(t *rapid.T) {
-	f := Options{Ranked: rapid.Bool().Draw(t, "ranked"), SharedVersions: rapid.Bool().Draw(t, "shared")}
-	if f.Ranked {
-		f.Limit = rapid.IntRange(0, 6).Draw(t, "best")
+	options := Options{Ranked: rapid.Bool().Draw(t, "ranked"), SharedVersions: rapid.Bool().Draw(t, "shared")}
+	if options.Ranked {
+		options.Limit = rapid.IntRange(0, 6).Draw(t, "best")
 	}
-	count := rapid.IntRange(1, 9).Draw(t, "blocks")
+	count := rapid.IntRange(1, 9).Draw(t, "shards")
 	version := make([]int, count)
-	states := make([][]data, count) // by version
+	states := make([][]shardData, count) // by version
 	score := rapid.SampledFrom([]float64{-2, -1, math.Copysign(0, -1), 0, 0.5, 1, 1, 2, math.MaxFloat64, -math.MaxFloat64})
 	fill := func(n int) {
-		var d data
+		var d shardData
 		for i := range rapid.IntRange(0, 4).Draw(t, "hits") {
 			d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score.Draw(t, "score")})
 		}
@@ -150,8 +154,8 @@
 		fill(n)
 		ids = append(ids, Shard(n))
 	}
-	track := sure()
-	r, err := track.Begin(0, f, ids, time.Second, 2*time.Second, rapid.IntRange(1, 3).Draw(t, "allowance"))
+	class := alwaysTwoPhases()
+	query, err := class.Begin(0, options, ids, time.Second, 2*time.Second, rapid.IntRange(1, 3).Draw(t, "allowance"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,12 +177,12 @@
 				fill(int(id))
 			}
 			v := version[id]
-			if err := r.Answered(now, id, 1, Answer{Version(fmt.Sprint("v", v)), states[id][v].best(f)}); err != nil {
+			if err := query.Answered(now, id, 1, Answer{Version(fmt.Sprint("v", v)), states[id][v].best(options)}); err != nil {
 				t.Fatal(err)
 			}
 			was[id] = v
 		}
-		switch s := r.Next(now); s.Action {
+		switch s := query.Next(now); s.Action {
 		case CanMatch:
 			for _, id := range rapid.Permutation(ids).Draw(t, "order") {
 				v := version[id]
@@ -188,21 +192,21 @@
 				case 1: // malformed
 					bad := []Summary{{Count: 1}, {Version: "v", Count: -1}, {Version: "v", Count: 1, Upper: math.NaN()},
 						{Version: "v", Count: 1, Upper: 1, Lower: 2}, {Version: "v", Count: 2, Upper: math.Inf(-1), Lower: math.Inf(-1)}}
-					if r.Summarized(now, id, 1, bad[rapid.IntRange(0, len(bad)-1).Draw(t, "bad")]) {
+					if query.Summarized(now, id, 1, bad[rapid.IntRange(0, len(bad)-1).Draw(t, "bad")]) {
 						t.Fatal("a summary that contradicts itself is taken")
 					}
 				case 2: // loose
 					good.Upper, good.Lower = math.Inf(1), math.Inf(-1)
-					r.Summarized(now, id, 1, good)
+					query.Summarized(now, id, 1, good)
 					proved[id] = v
 				case 3: // false, too low
 					if good.Count > 0 {
 						good.Upper, good.Lower, lied = -3, -4, true
 					}
-					r.Summarized(now, id, 1, good)
+					query.Summarized(now, id, 1, good)
 					proved[id] = v
 				default:
-					r.Summarized(now, id, 1, good)
+					query.Summarized(now, id, 1, good)
 					proved[id] = v
 				}
 				if rapid.IntRange(0, 4).Draw(t, "data moves") == 0 {
@@ -217,7 +221,7 @@
 		case Fetch:
 			for _, id := range s.Shards {
 				if asked[id] {
-					t.Fatalf("block %d is asked twice", id)
+					t.Fatalf("shard %d is asked twice", id)
 				}
 				asked[id] = true
 			}
@@ -225,25 +229,25 @@
 		case Reject:
 			return
 		case Done:
-			if f.Ranked && f.Limit == 0 {
-				if len(r.Hits()) > 0 {
+			if options.Ranked && options.Limit == 0 {
+				if len(query.Hits()) > 0 {
 					t.Fatal("hits where none are wanted")
 				}
 				return
 			}
-			var held []data
+			var held []shardData
 			for n := range count {
 				switch {
 				case asked[n]:
 					held = append(held, states[n][was[n]])
 				case proved[n] < 0:
-					t.Fatalf("block %d was left out without a summary", n)
+					t.Fatalf("shard %d was left out without a summary", n)
 				default:
 					held = append(held, states[n][proved[n]])
 				}
 			}
-			if want := truth(f, held); !lied && !equal(r.Hits(), want) {
-				t.Fatalf("%v, want %v", r.Hits(), want)
+			if want := onePhaseAnswer(options, held); !lied && !equal(query.Hits(), want) {
+				t.Fatalf("%v, want %v", query.Hits(), want)
 			}
 			return
 		}
@@ -251,45 +255,47 @@
 	t.Fatal("it does not end")
 }
 
-// Ties at the last place, between what was asked and what was not, are never left out.
-func TestTiesAreAsked(t *testing.T) {
-	r, _ := sure().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
-	r.Next(0)
+// A shard's upper bound equals the score of the last wanted hit. The tie is decided by shard and id, so the shard
+// is not pruned.
+func TestTiesAreFetched(t *testing.T) {
+	query, _ := alwaysTwoPhases().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
+	query.Next(0)
 	for n, upper := range []float64{5, 5, 4, math.Copysign(0, -1)} {
-		r.Summarized(0, Shard(n), Replica(n), Summary{"v", 1, upper, upper})
+		query.Summarized(0, Shard(n), Replica(n), Summary{"v", 1, upper, upper})
 	}
-	if s := r.Next(0); s.Action != Fetch || fmt.Sprint(s.Shards) != "[0 1]" {
+	if s := query.Next(0); s.Action != Fetch || fmt.Sprint(s.Shards) != "[0 1]" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A first phase that has used up the time: the second is not begun, and the refusal comes at once.
-func TestFirstPhaseThatTakesAllTheTime(t *testing.T) {
-	track := sure()
-	track.second = took{0.3, 0.01}
-	r, _ := track.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
-	r.Next(0)
-	if s := r.Next(900 * ms); s.Action != Fetch { // too late for the agreed time; the cut-off can be kept
+// The can-match phase takes so long that the fetch phase can meet the deadline alone, or not even that. In the
+// second case the query is rejected at once and nothing is fetched.
+func TestCanMatchPhaseThatTakesAllTheTime(t *testing.T) {
+	class := alwaysTwoPhases()
+	class.fetch = phaseTime{0.3, 0.01}
+	query, _ := class.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
+	query.Next(0)
+	if s := query.Next(900 * ms); s.Action != Fetch { // too late for the agreed time; the cut-off can be kept
 		t.Errorf("%+v", s)
 	}
-	r, _ = track.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
-	r.Next(0)
-	if s := r.Next(1800 * ms); s.Action != Reject || r.asks != 0 {
-		t.Errorf("%+v after %d asks", s, r.asks)
+	query, _ = class.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
+	query.Next(0)
+	if s := query.Next(1800 * ms); s.Action != Reject || query.fetched != 0 {
+		t.Errorf("%+v after %d asks", s, query.fetched)
 	}
 }
 
-// Two holders of a block at different versions: it is asked, until they agree.
-func TestHoldersThatDiffer(t *testing.T) {
-	track := sure()
+// Two replicas of a shard have different versions of it. Their summaries prove nothing until they agree.
+func TestReplicasWithDifferentVersionsProveNothing(t *testing.T) {
+	class := alwaysTwoPhases()
 	ask := func(now time.Duration, from Replica, v Version) Step {
-		r, _ := track.Begin(now, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, now+time.Second, now+2*time.Second, 2)
-		r.Next(now)
+		query, _ := class.Begin(now, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, now+time.Second, now+2*time.Second, 2)
+		query.Next(now)
 		for n := range 3 {
-			r.Summarized(now, Shard(n), 7, Summary{"v", 1, 9, 9})
+			query.Summarized(now, Shard(n), 7, Summary{"v", 1, 9, 9})
 		}
-		r.Summarized(now, 3, from, Summary{v, 0, 0, 0})
-		return r.Next(now)
+		query.Summarized(now, 3, from, Summary{v, 0, 0, 0})
+		return query.Next(now)
 	}
 	for n, step := range []struct {
 		from  Replica
@@ -302,26 +308,28 @@
 	}
 }
 
-// An answer above its own bound spoils that holder's summaries, and the question.
-func TestLiarsAreFound(t *testing.T) {
-	track := sure()
-	r, _ := track.Begin(0, Options{Ranked: true, Limit: 2}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
-	r.Next(0)
+// A replica gives a summary whose upper bound its shard's hits exceed. The query is rejected, and that replica's
+// summaries are distrusted for a while.
+func TestFalseSummaryRejectsTheQuery(t *testing.T) {
+	class := alwaysTwoPhases()
+	query, _ := class.Begin(0, Options{Ranked: true, Limit: 2}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
+	query.Next(0)
 	for n := range 4 {
-		r.Summarized(0, Shard(n), Replica(n), Summary{"v", 2, 5, 1})
+		query.Summarized(0, Shard(n), Replica(n), Summary{"v", 2, 5, 1})
 	}
-	r.Next(0)
-	if err := r.Answered(0, 2, 2, Answer{"v", []Hit{{2, "a", 7}, {2, "b", 1}}}); err != nil {
+	query.Next(0)
+	if err := query.Answered(0, 2, 2, Answer{"v", []Hit{{2, "a", 7}, {2, "b", 1}}}); err != nil {
 		t.Fatal(err)
 	}
-	if s := r.Next(0); s.Action != Reject || !track.isSpoilt(0, 2) || track.isSpoilt(0, 1) || track.isSpoilt(spoiltFor, 2) {
+	if s := query.Next(0); s.Action != Reject || !class.distrusts(0, 2) || class.distrusts(0, 1) || class.distrusts(distrustTime, 2) {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Under a jam, and where all blocks are left, the choice falls on one phase; it finds its way back.
+// Pruning leaves all shards, or a jam makes phases slow. Queries are executed in one phase then, and in two again
+// afterwards.
 func TestTwoPhasesOnlyWhereTheyPay(t *testing.T) {
-	track, now := NewClass(time.Second), time.Duration(0)
+	class, now := NewClass(time.Second), time.Duration(0)
 	play := func(left float64, takes time.Duration) (two int) {
 		for range 200 {
 			now += 20 * ms
@@ -329,8 +337,8 @@
 			for n := range 20 {
 				ids = append(ids, Shard(n))
 			}
-			r, _ := track.Begin(now, Options{}, ids, now+time.Second, now+2*time.Second, 2)
-			for s := r.Next(now); s.Action != Done && s.Action != Reject; s = r.Next(now) {
+			query, _ := class.Begin(now, Options{}, ids, now+time.Second, now+2*time.Second, 2)
+			for s := query.Next(now); s.Action != Done && s.Action != Reject; s = query.Next(now) {
 				switch s.Action {
 				case CanMatch:
 					two++
@@ -340,16 +348,16 @@
 						if float64(n) >= left*20 {
 							count = 0
 						}
-						r.Summarized(now, Shard(n), 1, Summary{"v", count, 1, 1})
+						query.Summarized(now, Shard(n), 1, Summary{"v", count, 1, 1})
 					}
 				case Fetch:
 					now += takes
 					for _, id := range s.Shards {
-						r.Answered(now, id, 1, Answer{"v", []Hit{{id, "a", 1}}})
+						query.Answered(now, id, 1, Answer{"v", []Hit{{id, "a", 1}}})
 					}
 				}
 			}
-			r.Close(now)
+			query.Close(now)
 		}
 		return two
 	}
@@ -370,20 +378,20 @@
 	}
 }
 
-func TestFormsThatCannotBe(t *testing.T) {
+func TestInvalidOptionsAndAnswersAreRejected(t *testing.T) {
 	for _, bad := range []struct {
-		f      Options
-		blocks []Shard
+		options Options
+		shards  []Shard
 	}{{Options{Limit: 3}, []Shard{1}}, {Options{Ranked: true, Limit: -1}, []Shard{1}}, {Options{}, nil}, {Options{}, []Shard{1, 1}}} {
-		if _, err := sure().Begin(0, bad.f, bad.blocks, time.Second, time.Second, 2); err == nil {
+		if _, err := alwaysTwoPhases().Begin(0, bad.options, bad.shards, time.Second, time.Second, 2); err == nil {
 			t.Errorf("%+v passes", bad)
 		}
 	}
-	r, _ := sure().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0}, time.Second, time.Second, 1)
-	r.Next(0)
+	query, _ := alwaysTwoPhases().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0}, time.Second, time.Second, 1)
+	query.Next(0)
 	for _, bad := range []Answer{{"", nil}, {"v", []Hit{{0, "a", 1}, {0, "b", 1}}}, {"v", []Hit{{1, "a", 1}}}, {"v", []Hit{{0, "", 1}}},
 		{"v", []Hit{{0, "a", math.NaN()}}}, {"v", []Hit{{0, "a", math.Inf(1)}}}} {
-		if r.Answered(0, 0, 1, bad) == nil {
+		if query.Answered(0, 0, 1, bad) == nil {
 			t.Errorf("%+v passes", bad)
 		}
 	}
