--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -97,7 +97,7 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 100 * time.Millisecond, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-200*time.Millisecond) }, c.endTurn)
-	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
+	if len(k.responses) != 1 || !strings.Contains(string(<-k.responses), " 503 ") {
 		t.Error("it is not refused")
 	}
 	if c.counts.Expired != 1 || c.counts.Attempts+c.counts.Violations > 0 || len(c.queries) > 0 {
--- /dev/null
+++ b/coordinator/clients.go
@@ -0,0 +1,80 @@
+package coordinator
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"terntray/invariant"
+	"terntray/overload"
+	"terntray/server"
+)
+
+// client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a time. Tests
+// replace it.
+type client interface {
+	HasGone(now time.Duration) bool
+	Respond(build func(last bool) []byte)
+	CloseAfterResponse()
+}
+
+// clientHandler implements server.Handler: it hands what clients do to the coordinator.
+type clientHandler struct{ c *Coordinator }
+
+// serverConfig is what the server has to know of the deployment.
+func (c *Coordinator) serverConfig(classes map[string]server.Class) server.Config {
+	limits := c.deployment.Limits
+	config := server.Config{Classes: classes, MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
+	if limits.Sockets > 0 {
+		config.ReservedSockets = spare + c.fleet.mostLinks
+	}
+	return config
+}
+
+// Ready tells whether queries can be served: the endpoint list is known.
+func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
+
+// IsSheddingLoad tells whether this process' core is short, so that only a share of the arrivals is admitted.
+func (handler clientHandler) IsSheddingLoad() bool { return handler.c.admittedShare() < 1 }
+
+// Admit counts one arrival and tells whether it is admitted.
+func (handler clientHandler) Admit() bool {
+	c := handler.c
+	if overload.Admits(c.asked.Add(1), c.admittedShare()) {
+		return true
+	}
+	c.busied.Add(1)
+	return false
+}
+
+// admittedShare is the share of the arrivals to admit. Any goroutine may call it.
+func (c *Coordinator) admittedShare() float64 { return math.Float64frombits(c.share.Load()) }
+
+// QueryArrived takes a query in. The time that it waited for the loop shows whether this process' core is short.
+func (handler clientHandler) QueryArrived(arrival server.Arrival) {
+	c := handler.c
+	now := c.loop.Now()
+	c.gate.QueueDelay(now, now-arrival.ParsedAt)
+	c.arrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
+}
+
+// ClientLeft ends what the client has open.
+func (handler clientHandler) ClientLeft(client *server.ClientConn) { handler.c.clientLeaves(client) }
+
+// RequestRefused counts a request that was none.
+func (handler clientHandler) RequestRefused() { handler.c.counts.Bad++ }
+
+// ConnClosed counts the end of a client's connection.
+func (handler clientHandler) ConnClosed(closed server.ConnClosed) {
+	c := handler.c
+	c.counts.Closed[closed.Reason]++
+	if closed.Violation != invariant.Allowed {
+		c.violated(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), 0)
+	}
+}
+
+// CountersText is the line of the counters.
+func (handler clientHandler) CountersText() string { return handler.c.countersLine() }
+
+// EstimatesText is what the scheduler has learned, for a person to read.
+func (handler clientHandler) EstimatesText() string { return handler.c.beliefs() }
--- /dev/null
+++ b/coordinator/clients_test.go
@@ -0,0 +1,71 @@
+package coordinator
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// fakeClient is a client that keeps its response; a second one blocks.
+type fakeClient struct {
+	gone      atomic.Bool
+	closes    bool
+	responses chan []byte
+}
+
+func newFakeClient() *fakeClient { return &fakeClient{responses: make(chan []byte, 1)} }
+
+func (client *fakeClient) HasGone(time.Duration) bool { return client.gone.Load() }
+func (client *fakeClient) Respond(build func(last bool) []byte) {
+	client.responses <- build(client.closes)
+}
+func (client *fakeClient) CloseAfterResponse() { client.closes = true }
+
+// panickingConn is a connection whose reads panic once it is told to.
+type panickingConn struct {
+	net.Conn
+	now chan struct{}
+}
+
+func (conn *panickingConn) Read(buffer []byte) (int, error) {
+	select {
+	case <-conn.now:
+		panic("as if")
+	default:
+	}
+	return conn.Conn.Read(buffer)
+}
+
+// A client's driver panics while a query is open. The query ends as if its client had left.
+func TestPanicOfAClientsDriverEndsItsQuery(t *testing.T) {
+	c := fronted(t)
+	near, far := pair(t)
+	conn := &panickingConn{near, make(chan struct{})}
+	connection := c.server.NewConn(conn)
+	served := make(chan struct{})
+	go func() {
+		connection.Serve()
+		close(served)
+	}()
+	io.WriteString(far, queryRequest("q"))
+	c.loop.Receive()()
+	if c.byQuery["q"] == nil {
+		t.Fatal("it is not taken in")
+	}
+	close(conn.now)
+	near.SetReadDeadline(time.Unix(1, 0)) // its reading begins anew
+	<-served
+	if c.turnWith(); len(c.queries) > 0 || c.counts.Left != 1 {
+		t.Errorf("%d queries, counts %+v", len(c.queries), c.counts)
+	}
+}
+
+// queryRequest is a request of a query.
+func queryRequest(id string) string {
+	body := `{"segments":[{"segment":0,"boost":1}],"text":"x"}`
+	head := "POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s"
+	return fmt.Sprintf(head, id, len(body), body)
+}
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -7,25 +7,22 @@
 	"log"
 	"maps"
 	"math"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"terntray/eventloop"
 	"terntray/incarnation"
-	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/overload"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 const (
-	bindWait     = 2 * time.Second // for an address that is taken, or a shortage of the machine
 	busyLines    = 5 * time.Second // between lines that say that the core is short
 	seldomLines  = 10              // in a second, of what replicas bring about
 	longestWaits = 10              // cut-offs of a track; a client that says it waits for longer cannot mean it
@@ -45,9 +42,7 @@
 	zones       map[string]scheduler.ZoneIndex
 	tenants     map[string]scheduler.TenantIndex
 	shards      int
-	longest     map[string]time.Duration    // by track: what a client may say that it waits
 	effects     map[string]invariant.Effect // by track: what a repeat would do
-	stepped     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
 	agreed      map[string]time.Duration    // times, by track
 	maxOpen     int
 	maxAttempts int // of a subquery; 0: any number
@@ -60,22 +55,21 @@
 
 	queries    map[scheduler.RequestID]*openQuery // open ones
 	byQuery    map[string]*openQuery              // the same by the client's id
+	byClient   map[client]*openQuery              // and by the client
 	parts      map[scheduler.RequestID]*part      // of open queries, or with attempts out
-	arriving   *client                            // whose request is looked at in this turn and is not among them yet
+	arriving   client                             // whose request is looked at in this turn and is not among them yet
 	held       int                                // open queries, and parts of theirs that are not in
 	lastID     scheduler.RequestID
 	lastNumber scheduler.QueryNumber
 
-	questions questions
-	fleet     fleet
-	list      list
-	front     front
-	withheld  withheld
-	ready     atomic.Bool  // queries can be served; read by all
-	leaving   atomic.Bool  // told to end; read by all
-	leftAt    atomic.Int64 // when, as time since the process' start; set before
-	gone      bool         // and no client can come any more
-	drivers   sync.WaitGroup
+	questions     questions
+	fleet         fleet
+	list          list
+	server        *server.Server
+	withheld      withheld
+	ready         atomic.Bool // queries can be served; read by all
+	clientsClosed bool        // no client is connected and none can connect any more
+	drivers       sync.WaitGroup
 
 	busyAt      time.Duration      // the last line about it
 	stopReading context.CancelFunc // of a configuration that is read anew
@@ -93,18 +87,17 @@
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:  map[string]scheduler.ClassIndex{},
-		longest: map[string]time.Duration{},
-		effects: map[string]invariant.Effect{},
-		stepped: map[string]bool{},
-		agreed:  map[string]time.Duration{},
-		zones:   map[string]scheduler.ZoneIndex{},
-		tenants: map[string]scheduler.TenantIndex{},
-		queries: map[scheduler.RequestID]*openQuery{},
-		byQuery: map[string]*openQuery{},
-		parts:   map[scheduler.RequestID]*part{},
-		list:    list{boots: incarnation.New()},
-		counts:  Counts{Withheld: map[invariant.Reason]int{}},
+		tracks:   map[string]scheduler.ClassIndex{},
+		effects:  map[string]invariant.Effect{},
+		agreed:   map[string]time.Duration{},
+		zones:    map[string]scheduler.ZoneIndex{},
+		tenants:  map[string]scheduler.TenantIndex{},
+		queries:  map[scheduler.RequestID]*openQuery{},
+		byQuery:  map[string]*openQuery{},
+		byClient: map[client]*openQuery{},
+		parts:    map[scheduler.RequestID]*part{},
+		list:     list{boots: incarnation.New()},
+		counts:   Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
@@ -113,18 +106,22 @@
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
+	classes := map[string]server.Class{}
 	for n, name := range d.names("lanes") {
-		c.stepped[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
 		c.tracks[name] = scheduler.ClassIndex(n)
 		cutOff, err := d.span(fmt.Sprintf("lanes.%d.deadline", n), 0)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
-		c.longest[name] = longestWaits * cutOff
 		if c.agreed[name], err = d.span(fmt.Sprintf("lanes.%d.aim", n), cutOff); err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
 		c.effects[name] = effects[d.settings[fmt.Sprintf("lanes.%d.effect", n)]]
+		classes[name] = server.Class{
+			MaxTimeout: longestWaits * cutOff,
+			TwoStep:    n < len(fetches) && strings.Trim(fetches[n], "0.-") != "",
+			Effect:     c.effects[name],
+		}
 	}
 	for n, name := range d.names("zones") {
 		c.zones[name] = scheduler.ZoneIndex(n)
@@ -145,6 +142,11 @@
 	if bad = errors.Join(bad, c.fleet.begin(c, d), c.questions.begin(d, c.tracks)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
+	for name, class := range classes {
+		class.TwoPhase = c.questions.takes[name]
+		classes[name] = class
+	}
+	c.server = server.New(c.serverConfig(classes), clientHandler{c}, c.loop, to)
 	unused := d.notUsed(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
@@ -173,7 +175,7 @@
 
 // Serve serves until the context ends, then answers what is open and returns nil.
 func (c *Coordinator) Serve(ctx context.Context) error {
-	listener, err := listen(c.deployment.Listen)
+	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
@@ -182,12 +184,12 @@
 		return err
 	}
 	c.list.start(c)
-	c.front.start(c, listener)
+	c.server.Start(listener)
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
-	context.AfterFunc(ctx, func() { c.loop.Post(c.leave) })
-	c.loop.Run(c.endTurn, c.broken, c.over)
+	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
+	c.loop.Run(c.endTurn, c.broken, c.isShutDown)
 	c.list.stop()
 	c.fleet.stop()
 	c.peers.close()
@@ -196,17 +198,6 @@
 	return nil
 }
 
-// listen opens the listener. One that has ended a moment ago may still have the address, and the machine may lack
-// something for a moment.
-func listen(addr string) (l net.Listener, err error) {
-	for end := time.Now().Add(bindWait); ; time.Sleep(bindWait / 20) {
-		l, err = net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) && !netconn.IsShortage(err) || time.Now().After(end) {
-			return l, err
-		}
-	}
-}
-
 func (c *Coordinator) endTurn() {
 	c.module.Decide(c.loop.Now())
 	c.fleet.flush()
@@ -223,15 +214,6 @@
 	}
 }
 
-// lets tells whether one more arrival is let in. It is called by clients' goroutines.
-func (c *Coordinator) lets() bool {
-	if overload.Admits(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
-		return true
-	}
-	c.busied.Add(1)
-	return false
-}
-
 // broken starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
 // that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
 // forgets what it has learned; what the rules count, it keeps.
@@ -240,7 +222,7 @@
 	c.log.Printf("event=broken cause=%q", cause)
 	if k := c.arriving; k != nil {
 		c.arriving = nil
-		k.answer(plainly(http.StatusInternalServerError, "scrapped"))
+		k.Respond(server.Text(http.StatusInternalServerError, "scrapped"))
 	}
 	for _, q := range c.inOrder() {
 		for _, p := range q.parts {
@@ -263,17 +245,10 @@
 	c.list.retell()
 }
 
-// leave begins the end: clients are asked to go elsewhere, and those that still come are served.
-func (c *Coordinator) leave() {
-	c.log.Printf("event=leaving %s", c.countersLine())
-	c.leftAt.Store(int64(c.loop.Since(time.Now())))
-	c.leaving.Store(true)
-	c.front.leave(func() { c.loop.Post(func() { c.gone = true }) })
-}
-
 func (c *Coordinator) countersLine() string {
+	clients := c.server.Counts()
 	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
-		c.front.accepted.Load(), c.front.evicted.Load(), c.front.failed.Load(), c.busied.Load(), c.gate.Share())
+		clients.Accepted, clients.Evicted, clients.AcceptFailures, c.busied.Load(), c.gate.Share())
 	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.list.boots.Distrusted())
 	if c.peers != nil {
 		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
@@ -287,8 +262,6 @@
 	return line
 }
 
-func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }
-
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
 		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -77,13 +77,12 @@
 	}
 }
 
-// client tells the module the list that the deployment knows and gives a client whose answers nobody reads.
-func (c *Coordinator) client(t *testing.T) *client {
+// client tells the module the list that the deployment knows and gives a client of which the test decides what it does.
+func (c *Coordinator) client(t *testing.T) *fakeClient {
+	t.Helper()
 	c.list.c, c.list.held = c, c.deployment.Known
 	c.list.retell()
-	near, far := net.Pipe()
-	t.Cleanup(func() { far.Close() })
-	return newClient(c, near)
+	return newFakeClient()
 }
 
 // A client that asks to wait for a day and leaves must not be remembered for as long.
@@ -116,8 +115,7 @@
 	for n := range 3000 {
 		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
 		next := wire.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
-		near, far := net.Pipe()
-		k := newClient(c, near)
+		k := newFakeClient()
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.RunIteration(func() {
@@ -128,8 +126,6 @@
 		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
 			c.loop.RunIteration(c.loop.Receive(), c.endTurn)
 		}
-		near.Close()
-		far.Close()
 		if n%1000 == 999 {
 			timers, _ := c.loop.Timers()
 			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.parts), len(c.list.held.Targets), timers < 10, c.held)
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"terntray/invariant"
+	"terntray/server"
 )
 
 // Counts is what was taken in, sent and answered. Taken is the sum of Fulfilled, TurnedBack, Scrapped, Left
@@ -39,9 +40,9 @@
 	RefusedQuestions         int // as no whole answer could come in time
 	Lists, ListFailures      int
 	Broken, Reloads          int
-	PeerMessages             int         // from other co-ordinators
-	Closed                   closeCounts // clients' connections that ended
-	BadPeerMessages          int         // that were none
+	PeerMessages             int                // from other co-ordinators
+	Closed                   server.CloseCounts // clients' connections that ended
+	BadPeerMessages          int                // that were none
 }
 
 var outcomeNames = [9]string{
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -47,14 +47,14 @@
 		t.Fatal("nothing breaks")
 	}
 	c.broken(cause)
-	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 500 ") {
+	if len(k.responses) != 1 || !strings.Contains(string(<-k.responses), " 500 ") {
 		t.Error("it is not answered")
 	}
 	query.TwoPhase = nil
 	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
 	c.broken("as if, later")
-	if len(k.answers) != 1 {
-		t.Errorf("the next has %d answers", len(k.answers))
+	if len(k.responses) != 1 {
+		t.Errorf("the next has %d answers", len(k.responses))
 	}
 }
 
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -16,6 +16,7 @@
 )
 
 const (
+	lastLook    = 5 * time.Millisecond   // for what crosses the end of a connection
 	lastWords   = time.Second            // what a connection that cannot be written to may still bring
 	goodbye     = 50 * time.Millisecond  // for the last word on a connection
 	wholeTimes  = 4                      // times what a piece of a message may take: for all of it from the first on
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -4,7 +4,6 @@
 	"sync"
 	"time"
 
-	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/scheduler"
 )
@@ -12,10 +11,6 @@
 // How the rules of package guard are asked: when an attempt is decided, again by its connection's writer as the first byte
 // is about to go, when an answer is given and when a client's connection is closed.
 
-// clientSeenFresh is how old the knowledge that a client is still there may be when an attempt is written: an attempt may
-// begin 0.1 s after its client has gone at the latest, and this process may be held up in between.
-const clientSeenFresh = 40 * time.Millisecond
-
 // withheld are attempts that were refused as they were about to be written; the loop has yet to be told.
 type withheld struct {
 	mu  sync.Mutex
@@ -53,7 +48,7 @@
 func (l *attempt) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    l.deadline - now,
-		ClientGone:  l.part.of.client.hasGone(now),
+		ClientGone:  l.part.of.client.HasGone(now),
 		QueryClosed: l.part.over(),
 		Endpoint:    invariant.EndpointState(l.endpoint.state.Load()),
 	}
@@ -127,20 +122,3 @@
 	c.counts.Violations++
 	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.fleet.uid(to), reason)
 }
-
-// hasGone tells whether the client has left. It looks for itself where the last look was a while ago, as the connection's
-// reader may not have been able to tell yet. It may be called from any goroutine.
-func (k *client) hasGone(now time.Duration) bool {
-	if k.gone.Load() {
-		return true
-	}
-	if now-time.Duration(k.seenAt.Load()) < clientSeenFresh {
-		return false
-	}
-	if netconn.HasHungUp(k.conn) {
-		k.gone.Store(true)
-		return true
-	}
-	k.seenAt.Store(int64(now))
-	return false
-}
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -16,12 +16,13 @@
 	"terntray/internal/wire"
 	"terntray/invariant"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 // openQuery is a query that is open; the client that asked for it gets its one answer.
 type openQuery struct {
 	id       scheduler.RequestID
-	client   *client
+	client   client
 	query    *wire.Query
 	cutOff   time.Duration
 	parts    []*part
@@ -59,26 +60,26 @@
 }
 
 // arrives takes a query in. It was whole at that time.
-func (c *Coordinator) arrives(from *client, query *wire.Query, at time.Duration) {
+func (c *Coordinator) arrives(from client, query *wire.Query, at time.Duration) {
 	c.arriving = from
 	switch {
-	case from.hasGone(c.loop.Now()): // while it waited; what tells that comes behind
+	case from.HasGone(c.loop.Now()): // while it waited; what tells that comes behind
 		c.counts.Taken++
 		c.counts.Left++
 	case c.byQuery[query.ID] != nil:
 		c.bad(from, http.StatusConflict, "a retrieval with this Req-Id is open")
 	case c.unknownShard(query) >= 0:
 		c.bad(from, http.StatusBadRequest, fmt.Sprintf("there is no segment %d", c.unknownShard(query)))
-	case c.held >= c.maxOpen || c.front.crowded(len(c.queries)):
+	case c.held >= c.maxOpen || c.server.IsCrowded(len(c.queries)):
 		c.counts.Taken++
 		c.counts.TurnedBack++
 		c.counts.Full++
-		from.answer(turnedBack("too much is open"))
+		from.Respond(server.Rejection("too much is open"))
 	case c.loop.EarliestArrival(at)+query.Deadline <= c.loop.Now():
 		c.counts.Taken++
 		c.counts.TurnedBack++
 		c.counts.Expired++
-		from.answer(turnedBack("its time was over before it was read"))
+		from.Respond(server.Rejection("its time was over before it was read"))
 	default:
 		c.counts.Taken++
 		c.take(from, query, at)
@@ -87,10 +88,10 @@
 }
 
 // bad answers what is no query and ends its client's connection.
-func (c *Coordinator) bad(from *client, status int, words string) {
+func (c *Coordinator) bad(from client, status int, words string) {
 	c.counts.Bad++
-	from.ends.Store(true)
-	from.answer(plainly(status, words))
+	from.CloseAfterResponse()
+	from.Respond(server.Text(status, words))
 }
 
 func (c *Coordinator) unknownShard(query *wire.Query) int {
@@ -102,7 +103,7 @@
 	return -1
 }
 
-func (c *Coordinator) take(from *client, query *wire.Query, at time.Duration) {
+func (c *Coordinator) take(from client, query *wire.Query, at time.Duration) {
 	at = c.loop.EarliestArrival(at)
 	q := &openQuery{id: c.newID(), client: from, query: query, came: at, cutOff: at + query.Deadline}
 	track := c.tracks[query.Class]
@@ -121,7 +122,8 @@
 	}
 	q.number = number
 	c.queries[q.id], c.byQuery[query.ID] = q, q
-	from.open, c.arriving = q, nil
+	c.byClient[from] = q
+	c.arriving = nil
 	c.held++
 	left := max(0, q.cutOff-c.loop.Now())
 	q.ends = c.loop.After(left, "", func() { c.overdue(q) })
@@ -177,8 +179,8 @@
 }
 
 // clientLeaves ends what a client that is gone has open.
-func (c *Coordinator) clientLeaves(from *client) {
-	if q := from.open; q != nil {
+func (c *Coordinator) clientLeaves(from client) {
+	if q := c.byClient[from]; q != nil {
 		c.counts.Left++
 		c.trace("retrieval=%s left after=%v", q.query.ID, c.loop.Now()-q.came)
 		c.module.ClientDisconnects(c.loop.Now(), q.id)
@@ -189,10 +191,10 @@
 // close ends a query: nothing of it is sent from now on.
 func (c *Coordinator) close(q *openQuery) {
 	q.closed.Store(true)
-	q.client.open = nil
 	c.loop.Cancel(q.ends)
 	delete(c.queries, q.id)
 	delete(c.byQuery, q.query.ID)
+	delete(c.byClient, q.client)
 	c.held--
 	for _, p := range q.parts {
 		if !p.in {
@@ -254,7 +256,7 @@
 		c.counts.HeldBack++
 	}
 	c.close(q)
-	q.client.answer(func(last bool) []byte { return make(q, last) })
+	q.client.Respond(func(last bool) []byte { return make(q, last) })
 }
 
 // went tells whether any attempt was written whole.
