--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -198,7 +198,7 @@
 const loopMargin = 10 * time.Millisecond
 
 // Words of a program's log that are finds of their own.
-var findsInLogs = []string{"event=violation", "event=broken", "event=client_broken", "panic:", "DATA RACE", "fatal error"}
+var findsInLogs = []string{"event=violation", "event=broken", "event=client_panic", "panic:", "DATA RACE", "fatal error"}
 
 func (s *Soak) readLog(c *coordinator, l *life) {
 	log := l.program.Log()
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -14,20 +14,20 @@
 		"internal/replicaproto/replicaproto.go": {"waitMS = (c.Deadline - now).Milliseconds()", "waitMS = (c.Deadline - now).Milliseconds() + 400"},
 	}},
 	{"lost_answer", "answer", map[string][2]string{
-		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%23 == 7 {\n		return false\n	}\n	if !k.write(a.bytes) {\n"},
+		"server/response.go": {"	if !client.write(response.bytes) {\n", "	if client.requestCount%23 == 7 {\n		return false\n	}\n	if !client.write(response.bytes) {\n"},
 	}},
 	{"late_answer", "answer", map[string][2]string{
-		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%9 == 7 {\n		time.Sleep(4 * time.Second)\n	}\n	if !k.write(a.bytes) {\n"},
+		"server/response.go": {"	if !client.write(response.bytes) {\n", "	if client.requestCount%9 == 7 {\n		time.Sleep(4 * time.Second)\n	}\n	if !client.write(response.bytes) {\n"},
 	}},
 	{"two_answers", "answer", map[string][2]string{
-		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%9 == 7 {\n		a.bytes = append(a.bytes, a.bytes...)\n	}\n	if !k.write(a.bytes) {\n"},
+		"server/response.go": {"	if !client.write(response.bytes) {\n", "	if client.requestCount%9 == 7 {\n		response.bytes = append(response.bytes, response.bytes...)\n	}\n	if !client.write(response.bytes) {\n"},
 	}},
 	{"client_gone", "client_there", map[string][2]string{
-		"coordinator/client.go": {"	k.gone.Store(true)\n	if k.busy {\n", "	if false {\n"},
-		"coordinator/permit.go": {"	if k.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
+		"server/notify.go":   {"	client.gone.Store(true)\n	if client.requestOpen {\n", "	if false {\n"},
+		"server/presence.go": {"	if client.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
-		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
+		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == wire.Draining {\n		t.State = wire.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first < 0 || t.effect == replayable ||", "(true ||"},
@@ -43,10 +43,11 @@
 		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
-		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
+		"coordinator/shutdown.go": {"return c.clientsClosed && len(c.queries) == 0 }", "return c.clientsClosed && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
 	}},
 	{"wall_clock", "shutdown", map[string][2]string{ // the limit is kept without its monotonic reading
-		"coordinator/client.go": {"limit = k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)",
-			"limit = time.Unix(0, k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).UnixNano()).Add(goingOn)"},
+		"server/shutdown.go": {"func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n	limit := start.Add(shutdownAcceptTime)\n",
+			"var processStart = time.Now()\n\nfunc (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
+				"	limit := processStart.Round(0).Add(start.Sub(processStart)).Add(shutdownAcceptTime)\n"},
 	}},
 }
