--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -232,7 +232,7 @@
 		r.Mu.Unlock()
 		a.CutAll(true)
 		r.Change(a, "ready")
-		until(t, "the list is followed", func() bool { return strings.Count(p.logged(), "event=list ") > n })
+		until(t, "the list is followed", func() bool { return strings.Count(p.logged(), "event=endpoint_list ") > n })
 		time.Sleep(20 * time.Millisecond)
 		c.send(query("claim", fmt.Sprint("q", n), 10, 3))
 		c.expect(map[int]string{3: value(a, 3)})
--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -13,9 +13,7 @@
 // withSettings makes a coordinator whose settings have some others.
 func withSettings(t *testing.T, others map[string]string, targets ...wire.Target) *Coordinator {
 	t.Helper()
-	c := set(t, others)
-	c.deployment.Known.Targets = targets
-	return c
+	return set(t, others, targets...)
 }
 
 // The attempts beyond the first that a process has made count on after a panic in an iteration: its budget for them is the
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -10,8 +10,8 @@
 	"terntray/server"
 )
 
-// client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a time. Tests
-// replace it.
+// client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
+// time. Tests replace it.
 type client interface {
 	HasGone(now time.Duration) bool
 	Respond(build func(last bool) []byte)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"terntray/discovery"
 	"terntray/eventloop"
 	"terntray/incarnation"
 	"terntray/invariant"
@@ -64,7 +65,8 @@
 
 	questions     questions
 	fleet         fleet
-	list          list
+	discovery     *discovery.Watcher
+	incarnations  *incarnation.Tracker
 	server        *server.Server
 	withheld      withheld
 	ready         atomic.Bool // queries can be served; read by all
@@ -87,17 +89,17 @@
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:   map[string]scheduler.ClassIndex{},
-		effects:  map[string]invariant.Effect{},
-		agreed:   map[string]time.Duration{},
-		zones:    map[string]scheduler.ZoneIndex{},
-		tenants:  map[string]scheduler.TenantIndex{},
-		queries:  map[scheduler.RequestID]*openQuery{},
-		byQuery:  map[string]*openQuery{},
-		byClient: map[client]*openQuery{},
-		parts:    map[scheduler.RequestID]*part{},
-		list:     list{boots: incarnation.New()},
-		counts:   Counts{Withheld: map[invariant.Reason]int{}},
+		tracks:       map[string]scheduler.ClassIndex{},
+		effects:      map[string]invariant.Effect{},
+		agreed:       map[string]time.Duration{},
+		zones:        map[string]scheduler.ZoneIndex{},
+		tenants:      map[string]scheduler.TenantIndex{},
+		queries:      map[scheduler.RequestID]*openQuery{},
+		byQuery:      map[string]*openQuery{},
+		byClient:     map[client]*openQuery{},
+		parts:        map[scheduler.RequestID]*part{},
+		incarnations: incarnation.New(),
+		counts:       Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
@@ -146,6 +148,7 @@
 		class.TwoPhase = c.questions.takes[name]
 		classes[name] = class
 	}
+	c.discovery = discovery.New(c.discoveryConfig(), endpointHandler{c}, c.loop, to)
 	c.server = server.New(c.serverConfig(classes), clientHandler{c}, c.loop, to)
 	unused := d.notUsed(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
@@ -183,14 +186,14 @@
 		_ = listener.Close()
 		return err
 	}
-	c.list.start(c)
+	c.discovery.Start()
 	c.server.Start(listener)
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
 	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
 	c.loop.Run(c.endTurn, c.broken, c.isShutDown)
-	c.list.stop()
+	c.discovery.Stop()
 	c.fleet.stop()
 	c.peers.close()
 	c.drivers.Wait()
@@ -242,14 +245,14 @@
 		do()
 	}
 	clear(c.parts)
-	c.list.retell()
+	c.discovery.Repeat()
 }
 
 func (c *Coordinator) countersLine() string {
 	clients := c.server.Counts()
 	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
 		clients.Accepted, clients.Evicted, clients.AcceptFailures, c.busied.Load(), c.gate.Share())
-	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.list.boots.Distrusted())
+	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.incarnations.Distrusted())
 	if c.peers != nil {
 		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
 	}
@@ -292,4 +295,4 @@
 }
 
 // PollEndpoints asks discovery to tell of changes.
-func (c *Coordinator) PollEndpoints() { c.list.follow() }
+func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -80,8 +80,7 @@
 // client tells the module the list that the deployment knows and gives a client of which the test decides what it does.
 func (c *Coordinator) client(t *testing.T) *fakeClient {
 	t.Helper()
-	c.list.c, c.list.held = c, c.deployment.Known
-	c.list.retell()
+	c.discovery.Repeat()
 	return newFakeClient()
 }
 
@@ -101,7 +100,7 @@
 	if _, last := c.loop.Timers(); last > time.Minute {
 		t.Errorf("a timer is left that is due at %v", last)
 	}
-	if len(c.queries)+len(c.byQuery)+len(c.parts)+c.held > 0 || c.counts.Left != 1 {
+	if len(c.queries)+len(c.byQuery)+len(c.byClient)+len(c.parts)+c.held > 0 || c.counts.Left != 1 {
 		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.byQuery), len(c.parts), c.held, c.counts)
 	}
 }
@@ -110,7 +109,6 @@
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := made(t)
 	defer c.fleet.stop()
-	c.list.c = c
 	cell, sizes := 0, ""
 	for n := range 3000 {
 		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
@@ -119,7 +117,7 @@
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.RunIteration(func() {
-			c.list.tell(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
+			endpointHandler{c}.EndpointsReceived(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}})
 			c.arrives(k, query, c.loop.Now())
 		}, c.endTurn)
 		c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
@@ -128,7 +126,7 @@
 		}
 		if n%1000 == 999 {
 			timers, _ := c.loop.Timers()
-			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.parts), len(c.list.held.Targets), timers < 10, c.held)
+			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.byClient), len(c.parts), timers < 10, c.held)
 			if sizes == "" {
 				sizes = now
 			}
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -46,8 +46,7 @@
 	cell := 0
 	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
 	t.Cleanup(c.fleet.stop)
-	c.list.c, c.list.held = c, c.deployment.Known
-	c.list.retell()
+	c.discovery.Repeat()
 	return c
 }
 
@@ -93,10 +92,13 @@
 	}
 }
 
-// set makes a coordinator before one replica that nobody can reach, with some settings replaced.
-func set(t *testing.T, settings map[string]string) *Coordinator {
-	cell := 0
-	d := deployment(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
+// set makes a coordinator with some settings replaced, before one replica that nobody can reach unless others are given.
+func set(t *testing.T, settings map[string]string, targets ...wire.Target) *Coordinator {
+	if targets == nil {
+		cell := 0
+		targets = []wire.Target{{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}}
+	}
+	d := deployment(t, targets...)
 	maps.Copy(d.settings, settings)
 	c, err := New(d, log.New(io.Discard, "", 0))
 	if err != nil {
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -62,6 +62,6 @@
 	}
 	if d.stated != old.stated { // else what the environment said at the start holds
 		old.stated = d.stated
-		c.list.move(d.stated)
+		c.discovery.MoveTo(d.stated)
 	}
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -289,12 +289,3 @@
 		p.MalformedReceived(c.loop.Now(), k.id, bad)
 	}
 }
-
-// states are what discovery's words for a replica's state mean to package invariant.
-var states = map[string]invariant.EndpointState{
-	wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Removed: invariant.Removed,
-}
-
-var lives = map[string]scheduler.EndpointState{
-	wire.Ready: scheduler.Ready, wire.Draining: scheduler.Draining, wire.Removed: scheduler.Removed,
-}
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -1,8 +1,9 @@
 package coordinator
 
-// At SIGTERM package server stops to take clients in (server/shutdown.go tells the steps and their times), while all
-// queries that are open or still come run as ever. The process ends when the last client connection has ended and no query
-// is open; only then are the connections to replicas, to discovery and to other coordinators closed (Serve).
+// At SIGTERM package server stops to take clients in (server/shutdown.go tells the steps and their times), while
+// all queries that are open or still come run as ever. The process ends when the last client connection has ended
+// and no query is open; only then are the connections to replicas, to discovery and to other coordinators closed
+// (Serve).
 
 // shutDown begins the graceful shutdown. It is called on the loop, once.
 func (c *Coordinator) shutDown() {
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -27,7 +27,7 @@
 		"server/presence.go": {"	if client.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
-		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == wire.Draining {\n		t.State = wire.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
+		"coordinator/endpoints.go": {"	replica := c.fleet.named(target.UID)\n	replica.state.Store", "	if target.State == wire.Draining {\n		target.State = wire.Ready\n	}\n	replica := c.fleet.named(target.UID)\n	replica.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first < 0 || t.effect == replayable ||", "(true ||"},
