--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"strings"
 	"time"
 
 	"terntray/invariant"
@@ -21,16 +22,33 @@
 // clientHandler implements server.Handler: it hands what clients do to the coordinator.
 type clientHandler struct{ c *Coordinator }
 
+// maxTimeoutFactor bounds what a client may say that it waits, in deadlines of its class: more cannot be meant.
+const maxTimeoutFactor = 10
+
 // serverConfig is what the server has to know of the deployment.
-func (c *Coordinator) serverConfig(classes map[string]server.Class) server.Config {
+func (c *Coordinator) serverConfig() server.Config {
 	limits := c.deployment.Limits
-	config := server.Config{Classes: classes, MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
+	config := server.Config{Classes: c.serverClasses(), MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
 	if limits.Sockets > 0 {
 		config.ReservedSockets = spare + c.fleet.mostLinks
 	}
 	return config
 }
 
+func (c *Coordinator) serverClasses() map[string]server.Class {
+	classes := map[string]server.Class{}
+	secondSteps := strings.Split(c.deployment.settings["familyInfo.classFetch"], ",")
+	for n, class := range c.config.Classes {
+		classes[class.Name] = server.Class{
+			MaxTimeout: maxTimeoutFactor * class.Deadline,
+			TwoPhase:   c.questions.takes[class.Name],
+			TwoStep:    n < len(secondSteps) && strings.Trim(secondSteps[n], "0.-") != "",
+			Effect:     class.Effect,
+		}
+	}
+	return classes
+}
+
 // Ready tells whether queries can be served: the endpoint list is known.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -27,17 +27,13 @@
 	}
 )
 
-// discoveryConfig is what package discovery has to know of the deployment. An unreadable interval counts as none.
+// discoveryConfig is what package discovery has to know of the deployment.
 func (c *Coordinator) discoveryConfig() discovery.Config {
-	interval, err := c.deployment.span("guarantees.askEvery", 0)
-	if err != nil {
-		interval = 0
-	}
 	return discovery.Config{
 		Address:      c.deployment.Discovery,
 		Known:        c.deployment.Known,
-		OnDemand:     c.deployment.settings["discovery"] == "subscribe",
-		PollInterval: interval,
+		OnDemand:     c.config.Discovery == scheduler.DiscoverySubscribe,
+		PollInterval: c.config.PollInterval,
 	}
 }
 
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -16,7 +16,7 @@
 // list is all there is.
 func TestReadyOnlyOnceTheListIsKnownAnew(t *testing.T) {
 	for _, told := range []bool{true, false} {
-		a, err := fake.NewAgent()
+		a, err := fake.NewDiscoveryAgent()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 			t.Error("it is ready with the list of its last incarnation")
 		}
 		if told {
-			call.Tell(`{"rev":5,"all":true,"targets":[{"uid":"s-a","endpoint":"127.0.0.1:1","az":"west","pod_group":0,"state":"draining"}]}`)
+			call.Respond(`{"rev":5,"all":true,"targets":[{"uid":"s-a","endpoint":"127.0.0.1:1","az":"west","pod_group":0,"state":"draining"}]}`)
 		} else { // discovery is down: the old one is all there is
 			call.Conn.Close()
 		}
--- a/discovery/watch_test.go
+++ b/discovery/watch_test.go
@@ -13,9 +13,9 @@
 	"terntray/internal/wire"
 )
 
-func newAgent(t *testing.T) (agent *fake.Agent, address string) {
+func newAgent(t *testing.T) (agent *fake.DiscoveryAgent, address string) {
 	t.Helper()
-	agent, err := fake.NewAgent()
+	agent, err := fake.NewDiscoveryAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 		watch.run(ctx)
 		close(ended)
 	}()
-	(<-agent.Calls).Tell(`{"rev":5,"all":true,"targets":[]}`)
+	(<-agent.Calls).Respond(`{"rev":5,"all":true,"targets":[]}`)
 	select {
 	case next := <-agent.Calls:
 		if !strings.Contains(next.Path, "from=5") {
@@ -59,7 +59,7 @@
 		go func() { ended <- watch.run(context.Background()) }()
 		call := <-agent.Calls
 		if hold > 0 {
-			call.Tell(`{"rev":5,"all":true,"targets":[]}`)
+			call.Respond(`{"rev":5,"all":true,"targets":[]}`)
 			<-agent.Calls
 		}
 		began := time.Now()
