--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,13 +1,13 @@
-// Package incarnation places the starts of replicas, which discovery tells by the wall clock, on this process' monotonic
-// clock. Slow start and the closing of connections from before a restart rest on them, and a wall clock may be off, or be
-// stepped by seconds or an hour at any time.
+// Package incarnation places the starts of replicas' processes, which discovery tells by the wall clock, on this
+// process' monotonic clock. Slow start, and the closing of connections from before a restart, rest on them; a
+// wall clock may be off, or be stepped by seconds or an hour at any time.
 //
-// What is known without any wall clock goes first: a start that differs from the one told before lies after the listing
-// before, and so does, for all that is known, the start of a replica that no listing had. Where the wall clock says
-// otherwise it is off, and the replica counts as started now: too cold is safe, too warm is not. Where the wall clock has
-// been seen to be stepped, the later of the starts that it gives counts.
+// What is known without any wall clock goes first. A start that differs from the one told before lies after the
+// list before; so does, for all that is known, the start of a replica that no list had. Where the wall clock says
+// otherwise it is wrong, and the replica counts as started now: to count as too cold is safe, to count as too
+// warm is not. Where the wall clock has been seen to be stepped, the latest of the starts that it gives counts.
 //
-// It does no I/O and reads no clock.
+// All times are since this process' start, by the monotonic clock. The package does no I/O and reads no clock.
 package incarnation
 
 import (
@@ -15,101 +15,120 @@
 	"time"
 )
 
-const (
-	// Unknown is the start of a replica whose start is not told.
-	Unknown = time.Duration(math.MinInt64)
+// Unknown is the start of a replica whose start is not told: long ago.
+const Unknown = time.Duration(math.MinInt64)
 
-	listingLag  = time.Second     // by which a listing may be behind a replica's start
-	sameOffset  = 2 * time.Second // offsets of the wall clock that differ by less are one: slewing, and reading late
-	mostOffsets = 8               // that are remembered, the last ones
-	mostKnown   = 16384           // replicas that are remembered: some times the largest fleet
+const (
+	listLag       = time.Second     // by which a list may be behind a replica's start
+	sameOffset    = 2 * time.Second // offsets of the wall clock that differ by less are one: slewing, and late reading
+	maxOffsets    = 8               // offsets that are remembered, the latest ones
+	maxRemembered = 16384           // replicas that are remembered: some times the largest fleet
 )
 
-// Tracker remembers the starts that were told. Its zero value is not of use; see New.
+// Tracker remembers the starts that were told. Make one with New.
 type Tracker struct {
-	offsets  []time.Duration // of the wall clock from the monotonic one, as seen so far
-	known    map[string]start
-	lastTold time.Duration // when the listing before the present one was told
-	told     time.Duration // when the present one was; below 0: none was
-	distrust int           // starts that contradicted the wall clock
+	offsets      []time.Duration  // of the wall clock from the monotonic one, as seen so far
+	starts       map[string]start // by the replica's uid
+	previousList time.Duration    // when the list before the present one came; below 0: none did
+	currentList  time.Duration    // when the present list came; below 0: none did
+	distrusted   int              // starts so far that contradicted the wall clock
 }
 
+// start is the start of a replica's process.
 type start struct {
-	bootMS  int64
-	started time.Duration
-	exact   bool
-	at      time.Duration // when it was last told
+	bootMS   int64         // as discovery tells it: Unix time in milliseconds
+	started  time.Duration // the latest time at which it may have been
+	isExact  bool          // nothing contradicts the wall clock
+	lastTold time.Duration
 }
 
-// New makes a clock that knows nothing.
-func New() *Tracker { return &Tracker{known: map[string]start{}, lastTold: -1, told: -1} }
+// New makes a tracker that knows nothing.
+func New() *Tracker {
+	return &Tracker{starts: map[string]start{}, previousList: -1, currentList: -1}
+}
 
-// ObserveWallClock tells what the wall clock says at a time since the process' start.
-func (c *Tracker) ObserveWallClock(now time.Duration, wall time.Time) {
-	offset := time.Duration(wall.UnixNano()) - now
-	for _, seen := range c.offsets {
+// ObserveWallClock notes what the wall clock says at a time. It is to be called before each list.
+func (tracker *Tracker) ObserveWallClock(now time.Duration, wallClock time.Time) {
+	offset := time.Duration(wallClock.UnixNano()) - now
+	for _, seen := range tracker.offsets {
 		if (offset - seen).Abs() < sameOffset {
 			return
 		}
 	}
-	if len(c.offsets) == mostOffsets {
-		c.offsets = c.offsets[1:]
+	if len(tracker.offsets) == maxOffsets {
+		tracker.offsets = tracker.offsets[1:]
 	}
-	c.offsets = append(c.offsets, offset)
+	tracker.offsets = append(tracker.offsets, offset)
 }
 
-// ListReceived tells that discovery has told something: what it does not name is as it was before.
-func (c *Tracker) ListReceived(now time.Duration) { c.lastTold, c.told = c.told, now }
+// ListReceived notes that a list from discovery has come: what it does not name is as it was before.
+func (tracker *Tracker) ListReceived(now time.Duration) {
+	tracker.previousList = tracker.currentList
+	tracker.currentList = now
+}
 
-// StartOf is when a replica started that the present listing names, as time since the process' start; 0 in bootMS, the Unix
-// time in milliseconds that discovery tells, stands for long ago. Exact tells that the wall clock is not contradicted; else
-// the replica may have started at any time since the listing before, and started is the latest.
-func (c *Tracker) StartOf(now time.Duration, uid string, bootMS int64) (started time.Duration, exact bool) {
+// StartOf is when the process of a replica started that the present list names. BootMS is the start as discovery
+// tells it, in Unix time in milliseconds; 0 stands for long ago. Where isExact is false the wall clock is
+// contradicted: the process may have started at any time since the list before, and started is the latest.
+func (tracker *Tracker) StartOf(now time.Duration, uid string, bootMS int64) (started time.Duration, isExact bool) {
 	if bootMS <= 0 {
 		return Unknown, true
 	}
-	before, had := c.known[uid]
-	if had && before.bootMS == bootMS {
-		before.at = now
-		c.known[uid] = before
-		return before.started, before.exact
+	known, isKnown := tracker.starts[uid]
+	if isKnown && known.bootMS == bootMS {
+		known.lastTold = now
+		tracker.starts[uid] = known
+		return known.started, known.isExact
 	}
-	started = c.byWallClock(bootMS)
-	exact = started <= now && (c.lastTold < 0 || started >= c.lastTold-listingLag)
-	if !exact {
-		c.distrust++
+	started = tracker.byWallClock(bootMS)
+	isExact = tracker.isPossible(started, now)
+	if !isExact {
+		tracker.distrusted++
 		started = now
 	}
-	c.remember(uid, start{bootMS, started, exact, now})
-	return started, exact
+	tracker.remember(uid, start{bootMS: bootMS, started: started, isExact: isExact, lastTold: now})
+	return started, isExact
 }
 
 // byWallClock is the latest start that the wall clock has given reason for.
-func (c *Tracker) byWallClock(bootMS int64) time.Duration {
+func (tracker *Tracker) byWallClock(bootMS int64) time.Duration {
 	latest := Unknown
-	for _, offset := range c.offsets {
+	for _, offset := range tracker.offsets {
 		latest = max(latest, time.Duration(bootMS)*time.Millisecond-offset)
 	}
 	return latest
 }
 
+// isPossible tells whether a start that is told for the first time may have been then: not in the future, and not
+// before the previous list, which would have told it.
+func (tracker *Tracker) isPossible(started, now time.Duration) bool {
+	if started > now {
+		return false
+	}
+	return tracker.previousList < 0 || started >= tracker.previousList-listLag
+}
+
 // Distrusted is how many starts have contradicted the wall clock so far.
-func (c *Tracker) Distrusted() int { return c.distrust }
+func (tracker *Tracker) Distrusted() int { return tracker.distrusted }
 
-func (c *Tracker) remember(uid string, s start) {
-	if _, had := c.known[uid]; !had && len(c.known) >= mostKnown {
-		c.forgetOldest()
+func (tracker *Tracker) remember(uid string, told start) {
+	_, isKnown := tracker.starts[uid]
+	if !isKnown && len(tracker.starts) >= maxRemembered {
+		tracker.forgetOldest()
 	}
-	c.known[uid] = s
+	tracker.starts[uid] = told
 }
 
-// forgetOldest forgets the replica that was told longest ago.
-func (c *Tracker) forgetOldest() {
-	oldest, at := "", time.Duration(math.MaxInt64)
-	for uid, s := range c.known {
-		if s.at < at || s.at == at && uid < oldest {
-			oldest, at = uid, s.at
+// forgetOldest forgets the replica that was told longest ago; of several the first by uid.
+func (tracker *Tracker) forgetOldest() {
+	oldestUID := ""
+	oldest := time.Duration(math.MaxInt64)
+	for uid, known := range tracker.starts {
+		isOlder := known.lastTold < oldest || known.lastTold == oldest && uid < oldestUID
+		if isOlder {
+			oldestUID = uid
+			oldest = known.lastTold
 		}
 	}
-	delete(c.known, oldest)
+	delete(tracker.starts, oldestUID)
 }
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -11,87 +11,92 @@
 // epoch is the true time at the process' start.
 var epoch = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// told plays a listing at a time, with a wall clock that is off.
-func told(c *Tracker, now, off time.Duration) {
-	c.ObserveWallClock(now, epoch.Add(now+off))
-	c.ListReceived(now)
+// receiveList plays the coming of a list at a time, with a wall clock that is off.
+func receiveList(tracker *Tracker, now, off time.Duration) {
+	tracker.ObserveWallClock(now, epoch.Add(now+off))
+	tracker.ListReceived(now)
 }
 
 func bootAt(at time.Duration) int64 { return epoch.Add(at).UnixMilli() }
 
+// With a true wall clock starts are what discovery tells, also when they are told again later.
 func TestStartsByATrueClock(t *testing.T) {
-	c := New()
-	told(c, 0, 0)
-	if got, _ := c.StartOf(0, "a", bootAt(-time.Minute)); got != -time.Minute {
+	tracker := New()
+	receiveList(tracker, 0, 0)
+	if got, _ := tracker.StartOf(0, "a", bootAt(-time.Minute)); got != -time.Minute {
 		t.Errorf("a minute before: %v", got)
 	}
-	if got, _ := c.StartOf(0, "b", 0); got != Unknown {
+	if got, _ := tracker.StartOf(0, "b", 0); got != Unknown {
 		t.Errorf("not told: %v", got)
 	}
-	told(c, 10*time.Second, 0)
-	if got, _ := c.StartOf(10*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
+	receiveList(tracker, 10*time.Second, 0)
+	if got, _ := tracker.StartOf(10*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
 		t.Errorf("restarted a second ago: %v", got)
 	}
-	told(c, 20*time.Second, 0)
-	if got, _ := c.StartOf(20*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
+	receiveList(tracker, 20*time.Second, 0)
+	if got, _ := tracker.StartOf(20*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
 		t.Errorf("told again: %v", got)
 	}
 }
 
+// The wall clock is an hour slow, so that a replica seems to have started in the future. It counts as started now.
 func TestStartInTheFutureIsNow(t *testing.T) {
-	c := New()
-	told(c, 0, -time.Hour)
-	if got, exact := c.StartOf(0, "a", bootAt(-time.Minute)); got != 0 || exact {
+	tracker := New()
+	receiveList(tracker, 0, -time.Hour)
+	if got, exact := tracker.StartOf(0, "a", bootAt(-time.Minute)); got != 0 || exact {
 		t.Errorf("%v, exact %t", got, exact)
 	}
 }
 
-// A replica that restarts between two listings never counts as started before the first of them, whatever the wall clock
-// said at any time.
+// A replica restarts between two lists, or appears, while the wall clock is stepped to and fro. It never counts
+// as started before the first of the two, whatever the wall clock said at any time: it would count as warm while
+// it is cold.
 func TestRestartIsNeverTakenForOlderThanItCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		off := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(-4000, 4000).Draw(t, name)) * time.Second
 		}
-		c, now := New(), time.Duration(0)
-		told(c, now, off("first"))
-		c.StartOf(now, "a", bootAt(-time.Hour))
-		for n := range rapid.IntRange(1, 6).Draw(t, "listings") {
+		tracker, now := New(), time.Duration(0)
+		receiveList(tracker, now, off("first"))
+		tracker.StartOf(now, "a", bootAt(-time.Hour))
+		for n := range rapid.IntRange(1, 6).Draw(t, "lists") {
 			before := now
 			now += time.Duration(rapid.IntRange(1, 9000).Draw(t, fmt.Sprint("wait", n))) * time.Millisecond
-			told(c, now, off(fmt.Sprint("off", n)))
+			receiveList(tracker, now, off(fmt.Sprint("off", n)))
 			boot := before + time.Duration(rapid.Int64Range(0, int64(now-before)).Draw(t, fmt.Sprint("boot", n)))
-			if got, _ := c.StartOf(now, "a", bootAt(boot)); got > now || got < before-listingLag {
+			if got, _ := tracker.StartOf(now, "a", bootAt(boot)); got > now || got < before-listLag {
 				t.Fatalf("between %v and %v, told as %v", before, now, got)
 			}
-			if got, _ := c.StartOf(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listingLag {
+			if got, _ := tracker.StartOf(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listLag {
 				t.Fatalf("new between %v and %v, told as %v", before, now, got)
 			}
 		}
 	})
 }
 
-// A step that was seen makes the later start count.
+// The wall clock is stepped back by an hour. Of the starts that the two offsets give, the later counts.
 func TestLaterOfTwoClocksCounts(t *testing.T) {
-	c := New()
-	told(c, 0, time.Hour)
-	c.ObserveWallClock(time.Second, epoch.Add(time.Second))
-	if got, _ := c.StartOf(time.Second, "a", bootAt(-time.Minute)); got != -time.Minute {
+	tracker := New()
+	receiveList(tracker, 0, time.Hour)
+	tracker.ObserveWallClock(time.Second, epoch.Add(time.Second))
+	if got, _ := tracker.StartOf(time.Second, "a", bootAt(-time.Minute)); got != -time.Minute {
 		t.Errorf("%v", got)
 	}
 }
 
+// Replicas are replaced and the wall clock is stepped again and again. What is remembered stays bounded, and the
+// replica that was told longest ago is forgotten first.
 func TestMemoryIsBounded(t *testing.T) {
-	c := New()
-	for n := range mostKnown + 50 {
+	tracker := New()
+	for n := range maxRemembered + 50 {
 		now := time.Duration(n) * time.Millisecond
-		told(c, now, time.Duration(n)*time.Minute)
-		c.StartOf(now, fmt.Sprint(n), bootAt(now))
+		receiveList(tracker, now, time.Duration(n)*time.Minute)
+		tracker.StartOf(now, fmt.Sprint(n), bootAt(now))
 	}
-	if len(c.known) > mostKnown || len(c.offsets) > mostOffsets {
-		t.Errorf("%d replicas, %d offsets", len(c.known), len(c.offsets))
+	if len(tracker.starts) > maxRemembered || len(tracker.offsets) > maxOffsets {
+		t.Errorf("%d replicas, %d offsets", len(tracker.starts), len(tracker.offsets))
 	}
-	if _, had := c.known["0"]; had {
+	if _, had := tracker.starts["0"]; had {
 		t.Error("the oldest is remembered")
 	}
 }
