--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -30,7 +30,7 @@
 		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"scheduler/retry.go":     {"(first < 0 || t.effect == replayable ||", "(true ||"},
+		"scheduler/retry.go":     {"(first < 0 || t.effect == invariant.Idempotent ||", "(true ||"},
 		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -108,10 +108,10 @@
 	t.lastRejectedAt = c.now
 	bound = scale(bound, t.latenessFactor) // tightening fades by itself
 	waits := func(r *replicaState) bool {  // no trial otherwise
-		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.timeScale)
+		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(maxProbeInterval, c.timeScale)
 	}
 	over := slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
+		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.replicas.holders(p.shard), waits)
 	})
 	q.admittedAsProbe = over && c.now >= t.nextProbeAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
 		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.probeLimit && c.expectedFinish(p.replica, 0) > bound
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -18,14 +18,14 @@
 // EndpointListBegins opens a list: changes, or all, when who is not told is gone; an old one is an earlier life's.
 func (c *Scheduler) EndpointListBegins(now time.Duration, full, old bool) {
 	c.clock(now)
-	clear(c.holdersByCell)
+	c.replicas.listChanged()
 	if old {
 		c.lastTickAt = now
 	} else {
 		c.subscribed, c.askWait = true, askFirst
 	}
 	if full {
-		for _, r := range c.replicas {
+		for _, r := range c.replicas.all {
 			r.state = Removed
 		}
 	}
@@ -34,22 +34,22 @@
 // EndpointListed takes one entry of the list that EndpointListBegins opened.
 func (c *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
 	id, started := endpoint.ID, endpoint.Started
-	clear(c.holdersByCell)
-	r, known := c.replicasByID[id]
+	c.replicas.listChanged()
+	r, known := c.replicas.byID[id]
 	if !known {
-		r = c.newReplica()
-		c.replicasByID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
+		r = c.replicas.newState(now, c.oldestArrival())
+		c.replicas.byID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
 		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, startCap
 		r.retryCredit, r.limitCeiling = startCredit, maxCap
 		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
 		r.slowStartUsedUntil = c.coldBefore[id]
 		delete(c.coldBefore, id)
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
+		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
 	}
 	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
 	if started > r.startedAt {
 		r.startedAt, r.limit = started, startCap
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
+		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
 		if c.coldFor(r) { // slow at first
 			r.slowdown, r.usualLatency = 1/math.Sqrt(c.warmth(r)), 1
 			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
@@ -60,7 +60,7 @@
 func (c *Scheduler) EndpointPollFailed(now time.Duration) {
 	c.clock(now)
 	c.subscribed = false
-	c.askAt = now + scale(c.askWait, 0.5+c.chance())
+	c.askAt = now + scale(c.askWait, 0.5+c.random.next())
 	c.askWait = min(askMost, c.pollInterval/4, 2*c.askWait)
 }
 
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -31,7 +31,7 @@
 	var s strings.Builder
 	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.parallelism, c.hedgeCredit, len(c.extras), len(c.taken),
 		len(c.open))
-	for _, r := range c.replicas {
+	for _, r := range c.replicas.all {
 		if r.state == Removed {
 			continue
 		}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -24,7 +24,7 @@
 func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
 	c.clock(now)
 	err := decodeAhead(message, c.cells, func(l attemptsAt) {
-		for _, r := range c.holders(ShardNumber(l.cell)) {
+		for _, r := range c.replicas.holders(ShardNumber(l.cell)) {
 			if r.cell != l.cell {
 				continue
 			}
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -23,7 +23,7 @@
 	if l.coldUntil == nil {
 		l.coldUntil = map[ReplicaID]time.Duration{}
 	}
-	for id, r := range c.replicasByID {
+	for id, r := range c.replicas.byID {
 		l.coldUntil[id] = r.slowStartUsedUntil
 	}
 	return l
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -222,7 +222,7 @@
 		}
 	case "token":
 		if mayHaveRun >= 0 && m.now > mayHaveRun+modelWindow {
-			m.bad("rule 2: a further leg of referenced part %d after its window", id)
+			m.bad("rule 2: a further leg of keyed subquery %d after its window", id)
 		}
 	}
 	if len(p.attempts) > 0 && m.budget > 0 {
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -476,7 +476,7 @@
 		if err := m.c.GossipReceived(m.now, 7, message); err == nil {
 			t.Errorf("a message %s is taken", name)
 		}
-		for _, r := range m.c.replicas {
+		for _, r := range m.c.replicas.all {
 			if m.c.waits(r) != 0 || r.slowdown != 1 || m.c.heard() || m.c.allowance[0] != left {
 				t.Errorf("a message %s is believed", name)
 			}
@@ -510,7 +510,7 @@
 		if (err == nil) != (m.c.peersAt != before) {
 			t.Errorf("%v, and heard %v", err, m.c.peersAt)
 		}
-		for _, r := range m.c.replicas {
+		for _, r := range m.c.replicas.all {
 			w, most := m.c.waits(r), scale(m.c.shortestObjective, m.c.parallelism)
 			if w < 0 || w > most || err != nil && w > 0 || r.slowdown < 0.9 || r.slowdown > 32 {
 				t.Errorf("%v ahead, pace %.1f after %v", w, r.slowdown, err)
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -6,15 +6,17 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"terntray/invariant"
 )
 
 const (
-	hungAfter  = 800 * time.Millisecond // silence with attempts out; longer than ordinary pauses
-	hungTimes  = 4.0                    // times the expected time: nor is a slow replica a silent one
-	hungPassed = 4                      // answers to later attempts; heavy parts let few by
-	errorLimit = 3                      // replies in a row that bring no answer set a replica aside
-	trialFirst = 1 * time.Second        // from setting aside to the first trial
-	trialMost  = 4 * time.Second        // longest time between trials
+	hungAfter          = 800 * time.Millisecond // silence with attempts out; longer than ordinary pauses
+	hungTimes          = 4.0                    // times the expected time: nor is a slow replica a silent one
+	hungPassed         = 4                      // answers to later attempts; heavy parts let few by
+	errorLimit         = 3                      // replies in a row that bring no answer set a replica aside
+	firstProbeInterval = 1 * time.Second        // from setting aside to the first trial
+	maxProbeInterval   = 4 * time.Second        // longest time between trials
 )
 
 // eject takes a replica out of the ordinary path, or one track there; what is held for it is placed anew.
@@ -33,10 +35,10 @@
 func (c *Scheduler) reinstate(r *replicaState, t *class) {
 	if r.ejectedForAll() {
 		r.recovering, r.limit = true, 1
-		r.reinstateAll(len(c.classes), scale(trialFirst, c.timeScale))
+		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
 	}
 	r.forClass(t).ejected = false
-	r.probeInterval, r.recentLatency = scale(trialFirst, c.timeScale), min(r.recentLatency, r.usualLatency)
+	r.probeInterval, r.recentLatency = scale(firstProbeInterval, c.timeScale), min(r.recentLatency, r.usualLatency)
 	c.host.Log(fmt.Sprintf("replica %d answers again: a trickle goes to it", r.id))
 }
 
@@ -57,7 +59,7 @@
 
 func (c *Scheduler) canSpare(r *replicaState, t *class) bool {
 	for back := range c.cellsPerShard {
-		others := c.holders(ShardNumber(int(r.cell) - back + c.cells))
+		others := c.replicas.holders(ShardNumber(int(r.cell) - back + c.cells))
 		if !slices.ContainsFunc(others, func(o *replicaState) bool { return o != r && c.sendable(o, t, nil) }) {
 			return false
 		}
@@ -73,20 +75,20 @@
 // none has for a while, the part itself.
 func (c *Scheduler) probe(p *subquery) bool {
 	copied := len(p.attempts) > 0
-	mayCopy := p.query.class.effect == replayable && c.hedgeAllowed && !c.onLastAttempt(p)
+	mayCopy := p.query.class.effect == invariant.Idempotent && c.hedgeAllowed && !c.onLastAttempt(p)
 	tooOld := c.now-p.query.arrivedAt > (p.query.deadlineAt-p.query.arrivedAt)/2 // its answer would tell too late
 	if (copied || p.isRetry) && !c.withinRetryBudget() || p.inFlight() && !mayCopy || p.query.suspectedDeadly() || tooOld {
 		return false
 	}
-	for _, r := range c.holders(p.shard) {
+	for _, r := range c.replicas.holders(p.shard) {
 		due := r.nextProbeAt
 		if !copied && p.replica != nil && c.hedgeAllowed {
-			due += scale(trialMost, c.timeScale)
+			due += scale(maxProbeInterval, c.timeScale)
 		}
 		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.coldRoom(r, p) {
 			r.nextProbeAt = c.now + r.probeInterval
-			if r.probeInterval = min(scale(trialMost, c.timeScale), 2*r.probeInterval); p.replica == nil {
-				r.probeInterval = scale(trialFirst, c.timeScale) // no other holder is in use
+			if r.probeInterval = min(scale(maxProbeInterval, c.timeScale), 2*r.probeInterval); p.replica == nil {
+				r.probeInterval = scale(firstProbeInterval, c.timeScale) // no other holder is in use
 			}
 			c.startAttempt(p, r)
 			return true
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -17,7 +17,7 @@
 func (c *Scheduler) choose(p *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
 	least := time.Duration(math.MaxInt64)
-	for _, r := range c.holders(p.shard) {
+	for _, r := range c.replicas.holders(p.shard) {
 		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.query.class, p) {
 			best, least = r, d
 		}
@@ -45,7 +45,7 @@
 		if p.answered || p.abandoned || stays || !p.queued && len(p.attempts) > 0 {
 			continue
 		}
-		c.queue(p, c.fastest(p))
+		p.queueFor(c.fastest(p))
 		mine = append(mine, p)
 	}
 	c.rebalance(mine)
@@ -81,7 +81,7 @@
 			}
 			last = p
 			left := c.expectedFinish(worst, -p.work)
-			for _, r := range c.holders(p.shard) {
+			for _, r := range c.replicas.holders(p.shard) {
 				there := c.expectedFinish(r, p.work)
 				d := max(left, there)
 				if r != worst && (d < least || d == least && moved != nil && there < soonest) &&
@@ -91,7 +91,7 @@
 			}
 		}
 		if settled[worst] = moved == nil; moved != nil {
-			c.queue(moved, to)
+			moved.queueFor(to)
 		}
 	}
 }
@@ -99,9 +99,9 @@
 // release sends held parts in order of their queries' arrival, as caps allow, and drops what is too late;
 // unless all is looked at, only where there is room.
 func (c *Scheduler) release(all bool) {
-	blocked, ahead := make([]bool, len(c.replicas)), make([]time.Duration, len(c.replicas))
+	blocked, ahead := make([]bool, len(c.replicas.all)), make([]time.Duration, len(c.replicas.all))
 	free := 0
-	for _, r := range c.replicas {
+	for _, r := range c.replicas.all {
 		if blocked[r.index] = !all && (r.queuedWork == 0 || c.full(r)); !blocked[r.index] {
 			free++
 		}
@@ -157,8 +157,7 @@
 }
 
 func (c *Scheduler) startAttempt(p *subquery, r *replicaState) {
-	c.queue(p, nil)
-	p.queued = false
+	p.unqueue()
 	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.parallelism), c.timePerWork(r)/r.slowdown)
 	if c.gossipEnabled {
 		t := &c.tallies[sentAttempts]
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -229,7 +229,7 @@
 func TestLegWithoutCopiesHasTimeForItsOwnWork(t *testing.T) {
 	m := newModel(t, 0)
 	m.c.hedgeAllowed = false
-	for _, r := range m.c.replicas {
+	for _, r := range m.c.replicas.all {
 		r.slowdown = 0.05
 	}
 	q := m.ask(0, 1, 3*time.Second)
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -91,34 +91,57 @@
 	})
 }
 
-// newReplica gives the state of a replica that is listed for the first time. It is the state of one that was removed long
-// ago and that nothing open can refer to, if there is one, so that a long-lived co-ordinator does not hold
-// a state for each replica that was ever listed.
-func (c *Scheduler) newReplica() *replicaState {
-	for _, replica := range c.replicas {
-		unused := replica.state == Removed && len(replica.outstanding) == 0 && c.now-replica.lastListedAt > trialMost
-		if unused && (len(c.open) == 0 || c.open[0].arrivedAt > replica.lastListedAt) {
-			delete(c.replicasByID, replica.id)
+// replicaSet holds the state of each replica, in the order in which they were first listed.
+type replicaSet struct {
+	cells         int // into which replicas are grouped
+	cellsPerShard int // successive cells that hold a shard
+
+	all           []*replicaState
+	byID          map[ReplicaID]*replicaState
+	holdersByCell [][]*replicaState // the holders of a cell's shards; nil: to be made from the list
+}
+
+func newReplicaSet(cells, cellsPerShard int) replicaSet {
+	return replicaSet{
+		cells:         cells,
+		cellsPerShard: cellsPerShard,
+		byID:          map[ReplicaID]*replicaState{},
+		holdersByCell: make([][]*replicaState, cells),
+	}
+}
+
+// newState gives a state for a replica that is listed for the first time. Its load and its times are zero or outdated;
+// the caller sets the others. It is the state of a replica that was removed before the oldest open query arrived, if there is
+// one, as nothing can refer to that any more: a long-lived co-ordinator does not hold a state for each
+// replica that was ever listed.
+func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
+	for _, replica := range s.all {
+		unused := replica.state == Removed && len(replica.outstanding) == 0 && now-replica.lastListedAt > maxProbeInterval
+		if unused && oldestArrival > replica.lastListedAt {
+			delete(s.byID, replica.id)
 			return replica
 		}
 	}
-	replica := &replicaState{index: len(c.replicas), state: Removed}
-	c.replicas = append(c.replicas, replica)
+	replica := &replicaState{index: len(s.all), state: Removed}
+	s.all = append(s.all, replica)
 	return replica
 }
 
 // holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result holds
-// until the next change of the list.
-func (c *Scheduler) holders(shard ShardNumber) []*replicaState {
-	cell := int(shard) % c.cells
-	if c.holdersByCell[cell] == nil {
-		c.holdersByCell[cell] = []*replicaState{}
-		for _, replica := range c.replicas {
-			behind := (int(replica.cell) - cell + c.cells) % c.cells
-			if replica.state == Ready && behind < c.cellsPerShard {
-				c.holdersByCell[cell] = append(c.holdersByCell[cell], replica)
+// until listChanged.
+func (s *replicaSet) holders(shard ShardNumber) []*replicaState {
+	cell := int(shard) % s.cells
+	if s.holdersByCell[cell] == nil {
+		s.holdersByCell[cell] = []*replicaState{}
+		for _, replica := range s.all {
+			behind := (int(replica.cell) - cell + s.cells) % s.cells
+			if replica.state == Ready && behind < s.cellsPerShard {
+				s.holdersByCell[cell] = append(s.holdersByCell[cell], replica)
 			}
 		}
 	}
-	return c.holdersByCell[cell]
+	return s.holdersByCell[cell]
 }
+
+// listChanged says that the state or cell of a replica changes.
+func (s *replicaSet) listChanged() { clear(s.holdersByCell) }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -5,6 +5,8 @@
 import (
 	"slices"
 	"time"
+
+	"terntray/invariant"
 )
 
 const (
@@ -21,8 +23,8 @@
 func (c *Scheduler) mayRetry(p *subquery) bool {
 	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.mayHaveRun || !l.ended })
 	t := p.query.class
-	return len(p.attempts)+p.attemptsUsed < c.maxAttempts && (first < 0 || t.effect == replayable ||
-		t.effect == referenced && c.now < p.attempts[first].sentAt+t.keyWindow)
+	return len(p.attempts)+p.attemptsUsed < c.maxAttempts && (first < 0 || t.effect == invariant.Idempotent ||
+		t.effect == invariant.Keyed && c.now < p.attempts[first].sentAt+t.keyWindow)
 }
 
 // backsOff tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
@@ -42,7 +44,7 @@
 
 // attemptTimeout is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
 func (c *Scheduler) attemptTimeout(l *attempt) time.Duration {
-	if c.hedgeAllowed || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == singleUse {
+	if c.hedgeAllowed || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == invariant.NonIdempotent {
 		return 0
 	}
 	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.others())
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,14 +9,11 @@
 	"math"
 	"slices"
 	"time"
-
-	"terntray/invariant"
 )
 
 const (
 	sweepEvery = 10 * time.Millisecond // between looks at the clock: small beside any part's work
 	endMargin  = 20 * time.Millisecond // answers leave this long before cut-off or agreed time: two sweeps
-	rounding   = 0.00005               // weight; half of what sums may fall short by
 
 	fewOpen = 64 // queries that cost a turn little
 
@@ -24,20 +21,19 @@
 	sharesKept = 16   // queries; the last ones that tell what first tries come with
 )
 
-const replayable, referenced, singleUse = invariant.Idempotent, invariant.Keyed, invariant.NonIdempotent
-
 // New starts a co-ordinator. It fails if the configuration is not valid.
 func New(host Host, seed uint64, config Config) (*Scheduler, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	c := &Scheduler{
-		host: host, seed: seed, parameters: newParameters(&config),
+		host: host, parameters: newParameters(&config),
+		random:      random{seed: seed, selfIndex: config.SelfIndex},
 		classes:     newClasses(config.Classes),
 		parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64, blank: 1, askWait: askFirst,
 		queriesByID: map[RequestID]*query{}, queriesByNumber: map[QueryNumber]*query{},
-		subqueries: map[RequestID]*subquery{}, replicasByID: map[ReplicaID]*replicaState{},
-		holdersByCell: make([][]*replicaState, config.Cells), asked: make([]float64, config.Cells),
+		subqueries: map[RequestID]*subquery{},
+		replicas:   newReplicaSet(config.Cells, config.CellsPerShard), asked: make([]float64, config.Cells),
 	}
 	c.hedgeCredit = maxCopies * c.hedgeScale
 	for _, quota := range c.tenantQuotas {
@@ -176,7 +172,7 @@
 			c.halve(r)
 			r.limitCeiling = max(1, min(r.limitCeiling, float64(len(r.outstanding))))
 			if c.unseenLoadFactor > 1 { // full of what others sent
-				r.fullUntil = c.now + scale(fullWait, 0.5+c.chance())
+				r.fullUntil = c.now + scale(fullWait, 0.5+c.random.next())
 			}
 		case how == Unreachable:
 			c.eject(r, nil, "cannot be reached")
@@ -195,7 +191,7 @@
 	case p.answered || p.abandoned:
 		delete(c.subqueries, id)
 	case c.mayRetry(p):
-		c.queue(p, nil)
+		p.queueFor(nil)
 	default:
 		c.abandon(p)
 		c.failIfHopeless(p.query)
@@ -206,7 +202,7 @@
 func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, busy float64) {
 	c.clock(now)
 	c.meanUtilization, c.lastLoadReportAt = c.meanUtilization+busyStep*(busy-c.meanUtilization), now
-	if r, known := c.replicasByID[id]; known {
+	if r, known := c.replicas.byID[id]; known {
 		r.utilization, r.utilizationAt = busy, now
 	}
 }
@@ -305,7 +301,7 @@
 	for n := range c.asked {
 		c.asked[n] *= fade
 	}
-	for _, r := range c.replicas {
+	for _, r := range c.replicas.all {
 		if r.state == Ready {
 			if size, active = size+r.size, active+1; !c.coldFor(r) {
 				c.warm++
@@ -379,8 +375,8 @@
 
 // abandon abandons a part, or what is still out of one that is in: nothing more is sent for it.
 func (c *Scheduler) abandon(p *subquery) {
-	c.queue(p, nil)
-	p.queued, p.abandoned = false, p.abandoned || !p.answered
+	p.unqueue()
+	p.abandoned = p.abandoned || !p.answered
 	for n, l := range p.attempts {
 		if !l.ended && c.cancelAllowed {
 			c.host.CancelAttempt(p.id, AttemptNumber(n))
@@ -396,3 +392,19 @@
 		c.giveUp(q)
 	}
 }
+
+// after drops the times before one from a list in order.
+func after(times []time.Duration, at time.Duration) []time.Duration {
+	for len(times) > 0 && times[0] < at {
+		times = times[1:]
+	}
+	return times
+}
+
+// oldestArrival is when the oldest open query arrived; the end of time if none is open.
+func (c *Scheduler) oldestArrival() time.Duration {
+	if len(c.open) == 0 {
+		return math.MaxInt64
+	}
+	return c.open[0].arrivedAt
+}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -39,7 +39,7 @@
 
 func (m *model) aside(id ReplicaID) bool { return m.index(id).ejectedForAll() }
 
-func (m *model) index(id ReplicaID) *replicaState { return m.c.replicasByID[id] }
+func (m *model) index(id ReplicaID) *replicaState { return m.c.replicas.byID[id] }
 
 func TestPartsLeaveInOrderOfArrival(t *testing.T) {
 	m := newModel(t, 0)
@@ -210,8 +210,8 @@
 		delete(m.replicas, id)
 		m.turn()
 	}
-	if n := len(m.c.replicas); n > len(m.order)+30 || len(m.c.replicasByID) > n || m.index(102).slowdown == 1 {
-		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.replicasByID), len(m.order), m.index(102).slowdown)
+	if n := len(m.c.replicas.all); n > len(m.order)+30 || len(m.c.replicas.byID) > n || m.index(102).slowdown == 1 {
+		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.replicas.byID), len(m.order), m.index(102).slowdown)
 	}
 }
 
@@ -400,7 +400,7 @@
 			m.end(o.p, o.n, Succeeded)
 		}
 		var slowdowns []float64
-		for _, replica := range m.c.replicas {
+		for _, replica := range m.c.replicas.all {
 			slowdowns = append(slowdowns, replica.slowdown)
 		}
 		if got := slices.Max(slowdowns) > 1.1; got != slow {
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -29,7 +29,7 @@
 // EnableShadow counts from now on what other settings would have decided. It fails if they are
 // not valid, or tell of other classes or other shards, as then nothing could be compared.
 func (c *Scheduler) EnableShadow(config Config) error {
-	under, err := New(c.host, c.seed, config)
+	under, err := New(c.host, c.random.seed, config)
 	if err != nil {
 		return err
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -38,7 +38,7 @@
 	for back := range c.cellsPerShard {
 		asked += c.asked[(int(r.cell)-back+c.cells)%c.cells]
 	}
-	return c.draw(uint64(p.id), uint64(r.id))*asked < allowed
+	return c.random.of(uint64(p.id), uint64(r.id))*asked < allowed
 }
 
 // countSent notes that a subquery's work goes to a replica.
