--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -158,11 +158,11 @@
 
 func (c *Scheduler) startAttempt(p *subquery, r *replicaState) {
 	p.unqueue()
-	base := scale(p.work+scale(r.outstandingWork+c.waits(r), 1/c.parallelism), c.timePerWork(r)/r.slowdown)
+	base := scale(p.work+scale(r.outstandingWork+c.peerBacklog(r), 1/c.parallelism), c.timePerWork(r)/r.slowdown)
 	if c.gossipEnabled {
-		t := &c.tallies[sentAttempts]
-		if t.add(c.now, r.cell, p.work, 1); p.query.attemptsSent == 0 && len(c.tenantQuotas) > 0 {
-			t.tenants = append(t.tenants, p.query.tenant)
+		c.gossip.attemptSent(c.now, r.cell, p.work)
+		if p.query.attemptsSent == 0 && len(c.tenantQuotas) > 0 {
+			c.gossip.queryAdmitted(p.query.tenant)
 		}
 	}
 	l := &attempt{subquery: p, replica: r, sentAt: c.now, expected: base, work: p.work}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -47,5 +47,5 @@
 	if c.hedgeAllowed || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == invariant.NonIdempotent {
 		return 0
 	}
-	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.others())
+	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.unseenLoad())
 }
