--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -13,9 +13,7 @@
 // withSettings makes a coordinator whose settings have some others.
 func withSettings(t *testing.T, others map[string]string, targets ...wire.Target) *Coordinator {
 	t.Helper()
-	c := set(t, others)
-	c.deployment.Known.Targets = targets
-	return c
+	return set(t, others, targets...)
 }
 
 // The attempts beyond the first that a process has made count on after a panic in an iteration: its budget for them is the
@@ -97,7 +95,7 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 100 * time.Millisecond, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-200*time.Millisecond) }, c.endTurn)
-	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
+	if len(k.responses) != 1 || !strings.Contains(string(<-k.responses), " 503 ") {
 		t.Error("it is not refused")
 	}
 	if c.counts.Expired != 1 || c.counts.Attempts+c.counts.Violations > 0 || len(c.queries) > 0 {
--- a/proofs/soak/breaks_test.go
+++ b/proofs/soak/breaks_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// The breaks quote the program's text. Where the program is reworded and the quotation is not, the break is not made, and
-// the soak that wants it caught is told so only after minutes.
-func TestBreaksQuoteTheProgramAsItIs(t *testing.T) {
-	patches := []map[string][2]string{panicking}
-	for _, fault := range deliberate {
-		patches = append(patches, fault.patches)
+// The deliberate breaks quote lines of the program as text. A renamed line or a moved file leaves a quotation behind that
+// still compiles and no longer breaks anything; each must stand once in the file that it names.
+func TestBreaksQuoteTheProgramAsItStands(t *testing.T) {
+	all := map[string]map[string][2]string{"panicking": panicking}
+	for _, deliberateBreak := range deliberate {
+		all[deliberateBreak.name] = deliberateBreak.patches
 	}
-	for _, files := range patches {
-		for file, change := range files {
+	for name, patches := range all {
+		for file, patch := range patches {
 			text, err := os.ReadFile(filepath.Join("..", "..", file))
 			if err != nil {
-				t.Error(err)
+				t.Errorf("%s: %v", name, err)
 				continue
 			}
-			if times := strings.Count(string(text), change[0]); times != 1 {
-				t.Errorf("%s has %d times, wanted once: %s", file, times, change[0])
+			if found := strings.Count(string(text), patch[0]); found != 1 {
+				t.Errorf("%s: found %d times in %s, want once: %q", name, found, file, patch[0])
 			}
 		}
 	}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, told := range decoded.cells {
-		for _, replica := range c.holders(ShardNumber(told.cell)) {
+		for _, replica := range c.replicas.holders(ShardNumber(told.cell)) {
 			if replica.cell == told.cell {
 				c.takePeerAttempts(replica, decoded, told.attempts)
 			}
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -164,7 +164,7 @@
 		if err := m.c.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
 			t.Errorf("a message %s: %v, want a fault in %s", name, err, test.field)
 		}
-		for _, replica := range m.c.replicas {
+		for _, replica := range m.c.replicas.all {
 			if m.c.peerBacklog(replica) != 0 || replica.slowdown != 1 {
 				t.Errorf("a message %s is believed of replica %d", name, replica.id)
 			}
@@ -194,7 +194,7 @@
 			t.Errorf("%v, and heard at %v", err, m.c.gossip.heardAt)
 		}
 		most := scale(m.c.shortestObjective, m.c.parallelism)
-		for _, replica := range m.c.replicas {
+		for _, replica := range m.c.replicas.all {
 			backlog := m.c.peerBacklog(replica)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
 				t.Errorf("%v in flight after %v", backlog, err)
