--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -34,7 +34,7 @@
 		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
-		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
+		"scheduler/slowstart.go": {"	if !s.warmingUp(replica, now) {\n		return true\n", "	if true {\n		return true\n"},
 	}},
 	{"honest", "honest", map[string][2]string{
 		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -42,16 +42,15 @@
 		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, startCap
 		r.retryCredit, r.limitCeiling = startCredit, maxCap
 		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
-		r.slowStartUsedUntil = c.coldBefore[id]
-		delete(c.coldBefore, id)
+		c.slowStart.listed(r)
 		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
 	}
 	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
 	if started > r.startedAt {
 		r.startedAt, r.limit = started, startCap
 		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
-		if c.coldFor(r) { // slow at first
-			r.slowdown, r.usualLatency = 1/math.Sqrt(c.warmth(r)), 1
+		if c.slowStart.warmingUp(r, c.now) { // slow at first
+			r.slowdown, r.usualLatency = 1/math.Sqrt(c.slowStart.capacity(r, c.now)), 1
 			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
 		}
 	}
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -26,13 +26,11 @@
 	toldFresh = 2 * time.Second // that a replica's own word tells more than what all say: some parts' time
 
 	paceFades = 10.0 // seconds in which the pace of an idle replica goes back to a third
-
-	flowFades = 10.0 // seconds in which what went to warm ones is forgotten to a third
 )
 
 func (c *Scheduler) answered(r *replicaState, t *class, l *attempt, took time.Duration) {
 	r.lastReplyAt, r.forClass(t).lastReplyAt, r.forClass(t).consecutiveErrors = c.now, c.now, 0
-	c.countAnswered(r)
+	c.slowStart.answered(r, c.now)
 	for _, o := range r.outstanding {
 		if o.sentAt < l.sentAt {
 			o.overtaken++
@@ -50,7 +48,7 @@
 	surprise := math.Log(float64(took+time.Millisecond) / float64(l.expected+time.Millisecond))
 	off := max(-maxSurprise, min(maxSurprise, surprise-math.Log(r.slowdown)))
 	r.slowdown *= math.Exp(paceStep * off)
-	if !c.coldFor(r) {
+	if !c.slowStart.warmingUp(r, c.now) {
 		queued := 1 - float64(l.work)/float64(l.expected)
 		c.parallelism = max(startLanes, min(mostLanes, c.parallelism*math.Exp(-lanesStep*queued*off)))
 	}
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -37,7 +37,7 @@
 		}
 		fmt.Fprintf(&s, "replica %d: pace %.3g cap %.0f out %d (%v) held %v aside %v credit %.1f recent %.3g usual %.3g cold %v trial in %v gap %v\n",
 			r.id, r.slowdown, r.limit, len(r.outstanding), r.outstandingWork, r.queuedWork,
-			r.ejectedForAny(), r.retryCredit, r.recentLatency, r.usualLatency, c.coldFor(r), r.nextProbeAt-c.now, r.probeInterval)
+			r.ejectedForAny(), r.retryCredit, r.recentLatency, r.usualLatency, c.slowStart.warmingUp(r, c.now), r.nextProbeAt-c.now, r.probeInterval)
 	}
 	return s.String()
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -68,7 +68,7 @@
 }
 
 func (c *Scheduler) sendable(r *replicaState, t *class, p *subquery) bool {
-	return r.state == Ready && !r.forClass(t).ejected && c.coldRoom(r, p)
+	return r.state == Ready && !r.forClass(t).ejected && c.slowStartAdmits(r, p)
 }
 
 // probe sends a copy of a part to a holder that is set aside, if one is due there; where no copy may go, or
@@ -85,7 +85,7 @@
 		if !copied && p.replica != nil && c.hedgeAllowed {
 			due += scale(maxProbeInterval, c.timeScale)
 		}
-		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.coldRoom(r, p) {
+		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.slowStartAdmits(r, p) {
 			r.nextProbeAt = c.now + r.probeInterval
 			if r.probeInterval = min(scale(maxProbeInterval, c.timeScale), 2*r.probeInterval); p.replica == nil {
 				r.probeInterval = scale(firstProbeInterval, c.timeScale) // no other holder is in use
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -46,11 +46,6 @@
 	crossZoneDelay    time.Duration // added to the expected time at a replica of another zone, for what crossing costs
 	maxRetryAfter     time.Duration // 0: rejected clients are told no time
 
-	overloadMultiple float64       // times its present capacity at which a starting replica is overloaded; 0: no slow start
-	startCapacity    float64       // share of its full capacity that a replica starts with
-	warmUpTime       time.Duration // from the start to full capacity
-	overloadTime     time.Duration // over which overloadMultiple is measured
-
 	retryBudgetSpan  time.Duration // over which attempts are counted; 0: no budget
 	retryBudgetShare float64       // further attempts in that time, for each subquery that came
 	retryBudgetFree  float64       // further attempts in that time beside that share
@@ -92,11 +87,6 @@
 		hedgeAllowed:  config.HedgeAllowed,
 		maxRetryAfter: config.MaxRetryAfter,
 
-		overloadMultiple: config.SlowStart.OverloadMultiple,
-		startCapacity:    config.SlowStart.StartCapacity,
-		warmUpTime:       config.SlowStart.WarmAfter,
-		overloadTime:     config.SlowStart.OverloadFor,
-
 		mustSubscribe: config.Discovery == DiscoverySubscribe,
 		pollInterval:  cmp.Or(config.PollInterval, math.MaxInt64),
 		gossipEnabled: config.Gossip && config.Coordinators > 1,
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -126,7 +126,7 @@
 				c.abandon(p)
 				c.failIfHopeless(q)
 			case (first || r == nil) && c.probe(p) || r == nil:
-			case blocked[r.index] || c.full(r) || !c.coldRoom(r, p) ||
+			case blocked[r.index] || c.full(r) || !c.slowStartAdmits(r, p) ||
 				(p.isRetry || !first) && !c.withinRetryBudget() ||
 				!first && (r.retryCredit < 1 && len(r.outstanding) > 0 || c.backsOff(r, q.class, c.onLastAttempt(p))):
 				if first && !blocked[r.index] {
@@ -175,7 +175,7 @@
 	if len(p.attempts) > 1 {
 		r.retryCredit--
 	}
-	c.countSent(r, p.work)
+	c.slowStart.attemptStarted(r, p.work, c.parallelism, c.now)
 	c.host.StartAttempt(p.id, r.id, c.attemptTimeout(l))
 	c.look(func(as *Scheduler) { c.watched.attempt(c.attemptTimeout(l), as.attemptTimeout(l)) })
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -30,10 +30,10 @@
 		host: host, parameters: newParameters(&config),
 		random:      random{seed: seed, selfIndex: config.SelfIndex},
 		classes:     newClasses(config.Classes),
-		parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64, blank: 1, askWait: askFirst,
+		parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64, slowStart: newSlowStart(&config), askWait: askFirst,
 		queriesByID: map[RequestID]*query{}, queriesByNumber: map[QueryNumber]*query{},
 		subqueries: map[RequestID]*subquery{},
-		replicas:   newReplicaSet(config.Cells, config.CellsPerShard), asked: make([]float64, config.Cells),
+		replicas:   newReplicaSet(config.Cells, config.CellsPerShard),
 	}
 	c.hedgeCredit = maxCopies * c.hedgeScale
 	for _, quota := range c.tenantQuotas {
@@ -101,7 +101,7 @@
 		p.attemptsUsed = 1
 	}
 	q.subqueries, c.subqueries[id] = append(q.subqueries, p), p
-	c.asked[int(shard)%c.cells]++
+	c.slowStart.subqueryArrived(shard)
 }
 
 // UsePhases tells that a query's steps are whole or nothing and end by NextStep alone; if reserves, the
@@ -283,20 +283,16 @@
 	for n := range c.classes {
 		c.classes[n].latenessFactor = 1 + (c.classes[n].latenessFactor-1)*math.Exp(-passed/longerFades)
 	}
-	fade := math.Exp(-passed / flowFades)
-	c.flow, c.warm, c.blank = c.flow*fade, 0, c.blank*fade
+	c.slowStart.fade(passed)
 	size, active := 0.0, 0.0
 	if c.now > c.lastLoadReportAt+shedQuiet {
 		c.meanUtilization = 0 // nobody tells it any more
 	}
-	for n := range c.asked {
-		c.asked[n] *= fade
-	}
 	for _, r := range c.replicas.all {
 		if r.state == Ready {
-			if size, active = size+r.size, active+1; !c.coldFor(r) {
-				c.warm++
-			}
+			size += r.size
+			active++
+			c.slowStart.readyReplica(r, c.now)
 		}
 		c.detectOutlier(r)
 		r.unload(func(l *attempt) bool { return l.overtaken > 0 && c.hung(l) }) // lost, it would hold a place
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -56,6 +56,7 @@
 	}
 	as := *c
 	as.parameters = c.watched.under.parameters
+	as.slowStart.settings = c.watched.under.slowStart.settings
 	if as.gossipEnabled {
 		as.gossip.heardAt = c.now // as if the others told
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,63 +1,202 @@
 package scheduler
 
-// Slow start: how much a cold replica is sent, all co-ordinators together.
-
 import (
+	"maps"
+	"math"
+	"slices"
 	"time"
 )
 
+// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its full
+// work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the replica's start,
+// the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a subquery may go
+// there now.
+//
+// Each co-ordinator uses its part of the budget of all. Where that part holds some subqueries, they are spaced in time.
+// Where it is less than one, as among many co-ordinators, chance decides for each subquery, so that all together send
+// what the replica bears, and no more than in proportion to what warm replicas do.
+
 const (
-	coldLanes  = 2.0 // parts side by side that a cold budget counts on
-	coldSafety = 0.8 // share of this instance's part of the cold budget that it uses
-	coldMany   = 2.0 // its divisor where it is less than a part
-	coldFlow   = 0.5 // share of the multiple that topples, of what warm ones get
+	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on for.
+	slowStartParallelism = 2.0
+
+	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
+	slowStartSafety = 0.8
+
+	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a time,
+	// as chance may let several go at once.
+	slowStartChanceDivisor = 2.0
+
+	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one is
+	// sent beside that.
+	slowStartFlowShare = 0.5
+
+	// slowStartMemory is the time in seconds in which answers and arrivals are forgotten to a third.
+	slowStartMemory = 10.0
 )
 
-func (c *Scheduler) coldFor(r *replicaState) bool {
-	return c.overloadMultiple > 0 && r.startedAt != StartUnknown && c.now-r.startedAt < c.warmUpTime+c.overloadTime
+// slowStart is what a co-ordinator knows of the load on warm and starting replicas. When a replica's part is used up
+// stands in its replicaState.
+type slowStart struct {
+	settings slowStartSettings
+
+	warmAnswers  float64   // answers of warm replicas, as remembered
+	warmReplicas float64   // how many are ready and warm, as of the last tick
+	unobserved   float64   // share of the memory that lies before this co-ordinator's start: 1 at first
+	arrivals     []float64 // by cell: subqueries that came for it, as remembered
+
+	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of the
+	// process left it.
+	usedUntil map[ReplicaID]time.Duration
 }
 
-func (c *Scheduler) warmth(r *replicaState) float64 {
-	age := max(0, (c.now-r.startedAt).Seconds()/c.warmUpTime.Seconds())
-	return min(1, c.startCapacity+(1-c.startCapacity)*age)
+// slowStartSettings do not change while the Scheduler lives.
+type slowStartSettings struct {
+	SlowStartConfig
+	coordinators  float64
+	cells         int
+	cellsPerShard int
 }
 
-// coldRoom keeps to this instance's share of a cold replica's budget: where that is less than a part, chance
-// lets each go or not, as many as it and what warm ones get allow. Guards against: pushing over a fresh
-// replica, and leaving it idle. Could hurt: where the warm ones are sent far more than they can do.
-func (c *Scheduler) coldRoom(r *replicaState, p *subquery) bool {
-	if !c.coldFor(r) || p == nil {
+func newSlowStart(config *Config) slowStart {
+	return slowStart{
+		settings: slowStartSettings{
+			SlowStartConfig: config.SlowStart,
+			coordinators:    float64(config.Coordinators),
+			cells:           config.Cells,
+			cellsPerShard:   config.CellsPerShard,
+		},
+		unobserved: 1,
+		arrivals:   make([]float64, config.Cells),
+	}
+}
+
+// warmingUp tells whether a replica's start was so short a while ago that it may be overloaded because of it.
+func (s *slowStart) warmingUp(replica *replicaState, now time.Duration) bool {
+	if s.settings.OverloadMultiple <= 0 || replica.startedAt == StartUnknown {
+		return false
+	}
+	return now-replica.startedAt < s.settings.WarmAfter+s.settings.OverloadFor
+}
+
+// capacity is the share of its full capacity that a replica has, from StartCapacity to 1.
+func (s *slowStart) capacity(replica *replicaState, now time.Duration) float64 {
+	age := max(0, (now-replica.startedAt).Seconds()/s.settings.WarmAfter.Seconds())
+	return min(1, s.settings.StartCapacity+(1-s.settings.StartCapacity)*age)
+}
+
+// admits tells whether a subquery may go to a replica now.
+//
+// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell never
+// recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
+func (s *slowStart) admits(replica *replicaState, p *subquery, parallelism float64, now time.Duration, random *random) bool {
+	if !s.warmingUp(replica, now) {
 		return true
 	}
-	takes := c.coldTakes(r, p.work)
-	if burst := scale(c.overloadTime, 1/coldSafety-1); takes <= burst {
-		return c.now >= r.slowStartUsedUntil+takes-burst
+	takes := s.budgetTime(replica, p.work, parallelism, now)
+	burst := scale(s.settings.OverloadFor, 1/slowStartSafety-1)
+	if takes <= burst {
+		return now >= replica.slowStartUsedUntil+takes-burst
 	}
-	allowed, asked := coldFlow*c.overloadMultiple*c.warmth(r)*c.flow/max(1, c.warm), 0.0
-	allowed += (1 - c.blank) * flowFades / takes.Seconds() / coldMany
-	for back := range c.cellsPerShard {
-		asked += c.asked[(int(r.cell)-back+c.cells)%c.cells]
+	chance := random.of(uint64(p.id), uint64(replica.id))
+	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
+}
+
+// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so long
+// a time of this co-ordinator's part.
+func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
+	warmShare := slowStartFlowShare * s.settings.OverloadMultiple * s.capacity(replica, now)
+	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
+	ownPart := (1 - s.unobserved) * slowStartMemory / takes.Seconds() / slowStartChanceDivisor
+	return inProportion + ownPart
+}
+
+// arrivalsFor is the number of subqueries that came within the memory's time for the shards that a replica holds.
+func (s *slowStart) arrivalsFor(replica *replicaState) float64 {
+	arrivals := 0.0
+	for back := range s.settings.cellsPerShard {
+		arrivals += s.arrivals[(int(replica.cell)-back+s.settings.cells)%s.settings.cells]
+	}
+	return arrivals
+}
+
+// budgetTime is the time for which so much work uses up this co-ordinator's part of a starting replica's budget. Once
+// warm, the replica is taken to do what others do.
+func (s *slowStart) budgetTime(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) time.Duration {
+	budget := slowStartSafety * s.settings.OverloadMultiple * s.capacity(replica, now)
+	part := budget * min(parallelism, slowStartParallelism) / s.settings.coordinators
+	return scale(work, 1/part)
+}
+
+// subqueryArrived notes a subquery for a shard.
+func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[int(shard)%s.settings.cells]++ }
+
+// attemptStarted notes that a subquery's work goes to a replica.
+func (s *slowStart) attemptStarted(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) {
+	if s.warmingUp(replica, now) {
+		takes := s.budgetTime(replica, work, parallelism, now)
+		replica.slowStartUsedUntil = max(replica.slowStartUsedUntil, now) + takes
+	}
+}
+
+// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as that
+// may be too much.
+func (s *slowStart) answered(replica *replicaState, now time.Duration) {
+	if !s.warmingUp(replica, now) {
+		s.warmAnswers++
 	}
-	return c.random.of(uint64(p.id), uint64(r.id))*asked < allowed
 }
 
-// countSent notes that a subquery's work goes to a replica.
-func (c *Scheduler) countSent(r *replicaState, work time.Duration) {
-	if c.coldFor(r) {
-		r.slowStartUsedUntil = max(r.slowStartUsedUntil, c.now) + c.coldTakes(r, work)
+// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica goes on
+// with.
+func (s *slowStart) fade(passed float64) {
+	left := math.Exp(-passed / slowStartMemory)
+	s.warmAnswers *= left
+	s.warmReplicas = 0
+	s.unobserved *= left
+	for cell := range s.arrivals {
+		s.arrivals[cell] *= left
 	}
 }
 
-// countAnswered notes that a replica has answered. What warm ones answer shows what one of them can do; what they are sent
-// does not, while they are sent too much.
-func (c *Scheduler) countAnswered(r *replicaState) {
-	if !c.coldFor(r) {
-		c.flow++
+// readyReplica counts a replica that is ready, after fade.
+func (s *slowStart) readyReplica(replica *replicaState, now time.Duration) {
+	if !s.warmingUp(replica, now) {
+		s.warmReplicas++
 	}
 }
 
-// coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
-func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
-	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.parallelism, coldLanes) / float64(c.coordinators)
-	return scale(work, 1/share)
+// listed sets what an earlier Scheduler of the process has sent to a replica that is listed for the first time.
+func (s *slowStart) listed(replica *replicaState) {
+	replica.slowStartUsedUntil = s.usedUntil[replica.id]
+	delete(s.usedUntil, replica.id)
+}
+
+// snapshot is a copy of what is known, for a later Scheduler of the same process.
+func (s *slowStart) snapshot(replicas map[ReplicaID]*replicaState) slowStart {
+	copied := *s
+	copied.arrivals = slices.Clone(s.arrivals)
+	copied.usedUntil = maps.Clone(s.usedUntil)
+	if copied.usedUntil == nil {
+		copied.usedUntil = map[ReplicaID]time.Duration{}
+	}
+	for id, replica := range replicas {
+		copied.usedUntil[id] = replica.slowStartUsedUntil
+	}
+	return copied
+}
+
+// resume takes over an earlier Scheduler's snapshot; the settings stay.
+func (s *slowStart) resume(earlier slowStart) {
+	s.warmAnswers = earlier.warmAnswers
+	s.warmReplicas = earlier.warmReplicas
+	s.unobserved = earlier.unobserved
+	s.usedUntil = earlier.usedUntil
+	copy(s.arrivals, earlier.arrivals)
+}
+
+// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any may
+// at some time.
+func (c *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
+	return p == nil || c.slowStart.admits(replica, p, c.parallelism, c.now, &c.random)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,114 +8,114 @@
 	"time"
 )
 
-// coldCrowd is a number of co-ordinators that share a cold replica and a warm one.
-type coldCrowd struct {
-	members []*Scheduler
-	cold    *replicaState
-	warm    *replicaState
-	freeAt  time.Duration // when the warm one has done what it was sent
-	answers []warmAnswer  // of the warm one, in order
-	chance  *rand.Rand
-	sent    []time.Duration // to the cold one, by all together
-	nextID  RequestID
-	before  []time.Duration // by member: when its counts were last faded
+// slowStartCrowd is a number of co-ordinators that share a starting replica and a warm one.
+type slowStartCrowd struct {
+	members  []*Scheduler
+	starting *replicaState
+	warm     *replicaState
+	freeAt   time.Duration // when the warm one has done what it was sent
+	answers  []warmAnswer  // of the warm one, in order
+	chance   *rand.Rand
+	sent     []time.Duration // to the starting one, by all together
+	nextID   RequestID
+	fadedAt  []time.Duration // by member: when its counts were last faded
+}
+
+// warmAnswer is an answer of the warm replica on its way.
+type warmAnswer struct {
+	to *Scheduler
+	at time.Duration
 }
 
 const (
-	crowdWork  = 50 * time.Millisecond
-	crowdLanes = 2.0
+	crowdWork        = 50 * time.Millisecond // of a subquery
+	crowdParallelism = 2.0
+	crowdStart       = time.Minute // when the starting replica starts
 )
 
-func newColdCrowd(t *testing.T, members int, seed uint64) *coldCrowd {
+func newSlowStartCrowd(t *testing.T, members int, seed uint64) *slowStartCrowd {
 	t.Helper()
-	crowd := &coldCrowd{chance: rand.New(rand.NewPCG(seed, 5)), before: make([]time.Duration, members)}
+	crowd := &slowStartCrowd{chance: rand.New(rand.NewPCG(seed, 5)), fadedAt: make([]time.Duration, members)}
 	for n := range members {
 		m := newModel(t, 0)
 		m.settings["balancers"], m.settings["selfIndex"] = fmt.Sprint(members), fmt.Sprint(n)
-		c, err := New(m, seed, configOf(t, m.settings))
+		member, err := New(m, seed, configOf(t, m.settings))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.EndpointListBegins(0, true, false)
-		c.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
-		c.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: time.Minute, Size: 1})
-		c.parallelism, c.warm, c.blank = crowdLanes, 1, 1
-		crowd.cold, crowd.warm = c.replicas.byID[2], c.replicas.byID[1]
-		crowd.members = append(crowd.members, c)
+		member.EndpointListBegins(0, true, false)
+		member.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
+		member.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: crowdStart, Size: 1})
+		member.parallelism = crowdParallelism
+		member.slowStart.warmReplicas = 1
+		crowd.warm, crowd.starting = member.replicas.byID[1], member.replicas.byID[2]
+		crowd.members = append(crowd.members, member)
 	}
 	return crowd
 }
 
-// warmAnswer is an answer of the warm replica on its way.
-type warmAnswer struct {
-	to *Scheduler
-	at time.Duration
-}
-
 // arrives has one subquery arrive somewhere, and go where it may.
-func (crowd *coldCrowd) arrives(now time.Duration) {
+func (crowd *slowStartCrowd) arrives(now time.Duration) {
 	n := crowd.chance.IntN(len(crowd.members))
-	c := crowd.members[n]
-	c.clock(now)
-	fade := math.Exp(-(now - crowd.before[n]).Seconds() / flowFades)
-	crowd.before[n] = now
-	c.flow, c.blank = c.flow*fade, c.blank*fade
-	for cell := range c.asked {
-		c.asked[cell] *= fade
-	}
-	c.asked[0]++
+	member := crowd.members[n]
+	member.clock(now)
+	member.slowStart.fade((now - crowd.fadedAt[n]).Seconds())
+	member.slowStart.warmReplicas = 1
+	crowd.fadedAt[n] = now
+	member.slowStart.subqueryArrived(0)
 	crowd.nextID++
-	p := &subquery{id: crowd.nextID, work: crowdWork}
+	arrived := &subquery{id: crowd.nextID, work: crowdWork}
 	for len(crowd.answers) > 0 && crowd.answers[0].at <= now {
-		crowd.answers[0].to.countAnswered(crowd.warm)
+		crowd.answers[0].to.slowStart.answered(crowd.warm, now)
 		crowd.answers = crowd.answers[1:]
 	}
-	if now < time.Minute || !c.coldRoom(crowd.cold, p) {
-		crowd.freeAt = max(crowd.freeAt, now) + scale(crowdWork, 1/crowdLanes)
-		crowd.answers = append(crowd.answers, warmAnswer{c, crowd.freeAt})
-		c.countSent(crowd.warm, p.work)
+	if now < crowdStart || !member.slowStartAdmits(crowd.starting, arrived) {
+		crowd.freeAt = max(crowd.freeAt, now) + scale(crowdWork, 1/crowdParallelism)
+		crowd.answers = append(crowd.answers, warmAnswer{member, crowd.freeAt})
+		member.slowStart.attemptStarted(crowd.warm, arrived.work, member.parallelism, now)
 		return
 	}
-	c.countSent(crowd.cold, p.work)
+	member.slowStart.attemptStarted(crowd.starting, arrived.work, member.parallelism, now)
 	crowd.sent = append(crowd.sent, now)
 }
 
-// coldBound is how many calls a cold replica bears in the window where the settings allow so many (STANDING.md).
-func coldBound(allowed float64) float64 {
+// slowStartBound is how many calls a starting replica bears in the window where the settings allow so many (STANDING.md).
+func slowStartBound(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstWindow is the most that the cold replica is sent in any window of its warm-up, in shares of what it bears. The
+// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it bears. The
 // co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
 func worstWindow(t *testing.T, members int, load float64, ran time.Duration, seed uint64) (worst float64) {
-	crowd := newColdCrowd(t, members, seed)
-	started := time.Minute
-	for n := range crowd.before {
-		crowd.before[n] = started - ran
+	crowd := newSlowStartCrowd(t, members, seed)
+	for n := range crowd.fadedAt {
+		crowd.fadedAt[n] = crowdStart - ran
 	}
-	perSecond := load * crowdLanes / crowdWork.Seconds()
+	perSecond := load * crowdParallelism / crowdWork.Seconds()
 	first := 0
-	for now := started - ran; now < started+modelWarm; now += time.Duration(crowd.chance.ExpFloat64() / perSecond * float64(time.Second)) {
-		if crowd.arrives(now); now < started {
-			continue
-		}
-		for first < len(crowd.sent) && crowd.sent[first] <= now-modelTip {
-			first++
+	for now := crowdStart - ran; now < crowdStart+modelWarm; {
+		if crowd.arrives(now); now >= crowdStart {
+			for first < len(crowd.sent) && crowd.sent[first] <= now-modelTip {
+				first++
+			}
+			capacity := 0.2 + 0.8*(now-crowdStart).Seconds()/modelWarm.Seconds()
+			allowed := 3 * capacity * crowdParallelism * modelTip.Seconds() / crowdWork.Seconds()
+			worst = max(worst, float64(len(crowd.sent)-first)/slowStartBound(allowed))
 		}
-		warmth := 0.2 + 0.8*(now-started).Seconds()/modelWarm.Seconds()
-		allowed := 3 * warmth * crowdLanes * modelTip.Seconds() / crowdWork.Seconds()
-		worst = max(worst, float64(len(crowd.sent)-first)/coldBound(allowed))
+		now += time.Duration(crowd.chance.ExpFloat64() / perSecond * float64(time.Second))
 	}
 	return worst
 }
 
-// However many co-ordinators share a cold replica, however much more than the warm ones can do is asked of the cell, and also
-// where all co-ordinators have just been restarted, they stay within what it bears, all together.
-func TestColdReplicaBearsWhatAllSendTogether(t *testing.T) {
-	for _, ran := range []time.Duration{3 * flowFades * time.Second, 0} {
+// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however much more
+// than the warm ones can do is asked of the cell, and also where all co-ordinators have just been restarted, they stay
+// within what it bears, all together.
+func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
+	longSinceStart := 3 * time.Duration(slowStartMemory) * time.Second
+	for _, ran := range []time.Duration{longSinceStart, 0} {
 		for _, members := range []int{1, 2, 5, 12, 30, 100} {
 			for _, load := range []float64{0.5, 1, 2, 4} {
 				worst := 0.0
@@ -124,9 +124,60 @@
 				}
 				t.Logf("%d co-ordinators that have run for %v, load %v: %.2f of the bound", members, ran, load, worst)
 				if worst > 1 {
-					t.Errorf("%d co-ordinators that have run for %v, load %v: %.2f times what it bears", members, ran, load, worst)
+					t.Errorf("%d co-ordinators that have run for %v, load %v: %.2f times what it bears",
+						members, ran, load, worst)
 				}
 			}
 		}
 	}
 }
+
+// A Scheduler that is made anew after a panic must not give a starting replica the whole budget again.
+func TestSlowStartGoesOnWithTheLedger(t *testing.T) {
+	before := newSlowStartCrowd(t, 1, 1)
+	for now := crowdStart; now < crowdStart+time.Second; now += 10 * time.Millisecond {
+		before.arrives(now)
+	}
+	usedUntil := before.starting.slowStartUsedUntil
+	after := newModel(t, 0)
+	scheduler, err := New(after, 1, configOf(t, after.settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	scheduler.Resume(before.members[0].Ledger())
+	scheduler.EndpointListBegins(0, true, true)
+	scheduler.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: crowdStart, Size: 1})
+	if got := scheduler.replicas.byID[2].slowStartUsedUntil; usedUntil == 0 || got != usedUntil {
+		t.Errorf("used until %v, before the panic %v", got, usedUntil)
+	}
+	if scheduler.slowStart.arrivals[0] != before.members[0].slowStart.arrivals[0] {
+		t.Errorf("%v subqueries remembered, before the panic %v", scheduler.slowStart.arrivals, before.members[0].slowStart.arrivals)
+	}
+}
+
+func TestSlowStartCapacityGrowsWithAge(t *testing.T) {
+	limiter := newSlowStart(&Config{Cells: 1, SlowStart: SlowStartConfig{
+		OverloadMultiple: 3, StartCapacity: 0.2, WarmAfter: 8 * time.Second, OverloadFor: 1500 * time.Millisecond}})
+	replica := &replicaState{startedAt: time.Minute}
+	for _, test := range []struct {
+		age       time.Duration
+		capacity  float64
+		warmingUp bool
+	}{
+		{0, 0.2, true},
+		{4 * time.Second, 0.6, true},
+		{8 * time.Second, 1, true},
+		{9499 * time.Millisecond, 1, true},
+		{9500 * time.Millisecond, 1, false},
+	} {
+		now := time.Minute + test.age
+		capacity, warmingUp := limiter.capacity(replica, now), limiter.warmingUp(replica, now)
+		if math.Abs(capacity-test.capacity) > 1e-9 || warmingUp != test.warmingUp {
+			t.Errorf("at %v: capacity %v, warming up %t; want %+v", test.age, capacity, warmingUp, test)
+		}
+	}
+	replica.startedAt = StartUnknown
+	if limiter.warmingUp(replica, time.Minute) {
+		t.Error("a replica of which no start is known counts as starting")
+	}
+}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -24,17 +24,15 @@
 	gossip                                             gossip        // exchange with the other co-ordinators
 	typicalSize                                        float64       // the mean size of those in use
 	deadlineShares                                     []float64     // of their cut-offs that queries came with of late
-	flow, warm, blank                                  float64       // answers of late from warm replicas, how many there are, share of that time before the start
-	asked                                              []float64     // parts of late, by cell
+	slowStart                                          slowStart
 
 	open            []*query // in order of arrival
 	queriesByID     map[RequestID]*query
 	queriesByNumber map[QueryNumber]*query
-	subqueries      map[RequestID]*subquery     // those with attempts out or of open queries
-	hedgeCredit     float64                     // second copies earned
-	parallelism     float64                     // learned: parts a replica works on side by side
-	taken, extras   []time.Duration             // within the attempt budget's span
-	coldBefore      map[ReplicaID]time.Duration // of replicas not listed yet: coldAt as an earlier Coordinator left it
+	subqueries      map[RequestID]*subquery // those with attempts out or of open queries
+	hedgeCredit     float64                 // second copies earned
+	parallelism     float64                 // learned: parts a replica works on side by side
+	taken, extras   []time.Duration         // within the attempt budget's span
 
 	replicas replicaSet
 }
