--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -47,14 +47,14 @@
 func TestReplicaThatRestartsIsColdWhateverTheWallClockSays(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		p, _, replica, roster := startedStepped(t, slow, fake.Succeed, step, 2*time.Hour)
-		if strings.Contains(p.Log(), "is cold") {
-			t.Errorf("clock off by %v: a replica that has been up for hours is cold", step)
+		if strings.Contains(p.Log(), "is warming up") {
+			t.Errorf("clock off by %v: a replica that has been up for hours is warming up", step)
 		}
 		roster.Mu.Lock()
 		replica.BootMS = time.Now().UnixMilli()
 		roster.Mu.Unlock()
 		roster.SetState(replica, "ready")
-		for end := time.Now().Add(5 * time.Second); !strings.Contains(p.Log(), "is cold"); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(5 * time.Second); !strings.Contains(p.Log(), "is warming up"); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Errorf("clock off by %v: a replica that has just restarted passes for warm", step)
 				break
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -1,7 +1,5 @@
 package scheduler
 
-// Endpoint discovery: what the list says of the replicas, and when it is asked for anew.
-
 import (
 	"cmp"
 	"fmt"
@@ -9,68 +7,150 @@
 	"time"
 )
 
+// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when the
+// list is polled.
+
 const (
-	askFirst    = 500 * time.Millisecond // to the next call after one for the list has failed
-	askMost     = 2 * time.Second        // between such calls, and half of it: with a call that hangs, a change is known within 6 s
-	askPatience = 8 * time.Second        // without any reply, after which a call counts as lost
+	// firstPollBackoff is the mean time from a failed poll to the next; it doubles with each failure in a row.
+	firstPollBackoff = 500 * time.Millisecond
+
+	// maxPollBackoff bounds that time. With its random half on top and a poll that hangs for two seconds, a change of the
+	// list is known within six seconds after discovery is back.
+	maxPollBackoff = 2 * time.Second
+
+	// pollTimeout is the time after which a poll that has no answer counts as lost.
+	pollTimeout = 8 * time.Second
 )
 
-// EndpointListBegins opens a list: changes, or all, when who is not told is gone; an old one is an earlier life's.
-func (c *Scheduler) EndpointListBegins(now time.Duration, full, old bool) {
+// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is followed by
+// all changes until a failure is reported.
+//
+// It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown, and
+// attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just back,
+// so they wait longer with each failure, and by chance.
+type endpointPoller struct {
+	mustPoll     bool          // changes come only after a poll
+	pollInterval time.Duration // longest time between two polls; math.MaxInt64: no limit
+
+	following  bool          // a list has come since the last failure
+	nextPollAt time.Duration // while not following
+	backoff    time.Duration // mean time from the next failure to the poll after it
+}
+
+func newEndpointPoller(config *Config) endpointPoller {
+	return endpointPoller{
+		mustPoll:     config.Discovery == DiscoverySubscribe,
+		pollInterval: cmp.Or(config.PollInterval, math.MaxInt64),
+		backoff:      firstPollBackoff,
+	}
+}
+
+// listed notes a list that has come from discovery.
+func (p *endpointPoller) listed() {
+	p.following = true
+	p.backoff = firstPollBackoff
+}
+
+// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads the
+// polls of many co-ordinators.
+func (p *endpointPoller) failed(now time.Duration, chance float64) {
+	p.following = false
+	p.nextPollAt = now + scale(p.backoff, 0.5+chance)
+	p.backoff = min(maxPollBackoff, p.pollInterval/4, 2*p.backoff)
+}
+
+// waiting tells whether a poll is due, now or at nextPollAt.
+func (p *endpointPoller) waiting() bool { return p.mustPoll && !p.following }
+
+// due tells whether to poll now; if so, nextPollAt is when that poll counts as lost.
+func (p *endpointPoller) due(now time.Duration) bool {
+	if now < p.nextPollAt {
+		return false
+	}
+	p.nextPollAt = now + min(pollTimeout, p.pollInterval/2)
+	return true
+}
+
+// pollEndpoints polls the list if that is due, and asks to be woken for the next time.
+func (c *Scheduler) pollEndpoints() {
+	if !c.poller.waiting() {
+		return
+	}
+	if c.poller.due(c.now) {
+		c.host.PollEndpoints()
+	}
+	c.wakeBy(c.poller.nextPollAt)
+}
+
+// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in it
+// are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this Scheduler was
+// made; it is no news of discovery.
+func (c *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
 	c.clock(now)
 	c.replicas.listChanged()
-	if old {
+	if restored {
 		c.lastTickAt = now
 	} else {
-		c.subscribed, c.askWait = true, askFirst
+		c.poller.listed()
 	}
 	if full {
-		for _, r := range c.replicas.all {
-			r.state = Removed
+		for _, replica := range c.replicas.all {
+			replica.state = Removed
 		}
 	}
 }
 
 // EndpointListed takes one entry of the list that EndpointListBegins opened.
 func (c *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
-	id, started := endpoint.ID, endpoint.Started
 	c.replicas.listChanged()
-	r, known := c.replicas.byID[id]
+	replica, known := c.replicas.byID[endpoint.ID]
 	if !known {
-		r = c.replicas.newState(now, c.oldestArrival())
-		c.replicas.byID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
-		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, startCap
-		r.retryCredit, r.limitCeiling = startCredit, maxCap
-		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
-		c.slowStart.listed(r)
-		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+		replica = c.addReplica(now, endpoint.ID)
 	}
-	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
-	if started > r.startedAt {
-		r.startedAt, r.limit = started, startCap
-		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
-		if c.slowStart.warmingUp(r, c.now) { // slow at first
-			r.slowdown, r.usualLatency = 1/math.Sqrt(c.slowStart.capacity(r, c.now)), 1
-			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
-		}
+	replica.state = endpoint.State
+	replica.cell = endpoint.Cell
+	replica.zone = endpoint.Zone
+	replica.size = cmp.Or(max(0, endpoint.Size), 1)
+	if endpoint.Started > replica.startedAt {
+		c.replicaStarted(replica, endpoint.Started)
 	}
 }
 
-func (c *Scheduler) EndpointPollFailed(now time.Duration) {
-	c.clock(now)
-	c.subscribed = false
-	c.askAt = now + scale(c.askWait, 0.5+c.random.next())
-	c.askWait = min(askMost, c.pollInterval/4, 2*c.askWait)
+// addReplica gives a replica that is listed for the first time its state.
+func (c *Scheduler) addReplica(now time.Duration, id ReplicaID) *replicaState {
+	replica := c.replicas.newState(now, c.oldestArrival())
+	c.replicas.byID[id] = replica
+	replica.id = id
+	replica.startedAt = StartUnknown
+	replica.recovering = false
+	replica.slowdown = 1
+	replica.recentLatency = 1
+	replica.usualLatency = 1
+	replica.limit = startCap
+	replica.limitCeiling = maxCap
+	replica.retryCredit = startCredit
+	replica.utilizationAt = 0
+	replica.peerWork = 0
+	replica.fullUntil = 0
+	c.slowStart.listed(replica)
+	replica.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+	return replica
 }
 
-// follow asks to be told of changes to the list. Guards against: a list that is lost, silently or not. Could
-// hurt: by adding to the load of a list service that is swamped, hence the wait.
-func (c *Scheduler) follow() {
-	if c.mustSubscribe && !c.subscribed {
-		if c.now >= c.askAt {
-			c.askAt = c.now + min(askPatience, c.pollInterval/2)
-			c.host.PollEndpoints()
-		}
-		c.wakeBy(c.askAt)
+// replicaStarted forgets what held for an earlier incarnation of a replica.
+func (c *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
+	replica.startedAt = startedAt
+	replica.limit = startCap
+	replica.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+	if c.slowStart.warmingUp(replica, c.now) {
+		replica.slowdown = 1 / math.Sqrt(c.slowStart.capacity(replica, c.now))
+		replica.usualLatency = 1
+		c.host.Log(fmt.Sprintf("replica %d is warming up: slow start", replica.id))
 	}
 }
+
+// EndpointPollFailed tells that a poll of the list has failed, or that its changes do not come any more.
+func (c *Scheduler) EndpointPollFailed(now time.Duration) {
+	c.clock(now)
+	c.poller.failed(now, c.random.next())
+}
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// However long discovery was away, and however the calls for it ended, it is asked again soon enough after its return that a
-// change is known 6 s after it could be told (STANDING.md): a call may hang for 2 s, and the list has to arrive.
-func TestDiscoveryIsAskedInTimeAfterALongOutage(t *testing.T) {
+// However long discovery was away, and however the polls of it ended, it is polled again soon enough after its return that a
+// change is known 6 s after it could be told (STANDING.md): a poll may hang for 2 s, and the list has to arrive.
+func TestEndpointsArePolledInTimeAfterALongOutage(t *testing.T) {
 	const (
 		hangs   = 2 * time.Second
-		told    = 6 * time.Second
+		known   = 6 * time.Second
 		arrives = 500 * time.Millisecond
 	)
 	for seed := range 40 {
@@ -30,8 +30,59 @@
 			longest = max(longest, m.now-failed)
 			m.pass(hangs)
 		}
-		if longest+hangs+arrives > told {
-			t.Fatalf("seed %d: asked %v after a call failed; with a call that hangs for %v, a change is known too late", seed, longest, hangs)
+		if longest+hangs+arrives > known {
+			t.Fatalf("seed %d: polled %v after a failure; with a poll that hangs for %v, a change is known too late",
+				seed, longest, hangs)
 		}
 	}
 }
+
+func TestEndpointsArePolledAgainAfterAFailure(t *testing.T) {
+	m := newModel(t, 16)
+	if len(m.asks) != 1 {
+		t.Fatalf("polled %d times at the start", len(m.asks))
+	}
+	m.c.EndpointPollFailed(m.now)
+	m.turn()
+	m.pass(2 * time.Second)
+	if len(m.asks) < 2 {
+		t.Fatal("not polled again after a failure")
+	}
+	m.tell(false, false)
+	m.turn()
+	polls := len(m.asks)
+	m.pass(20 * time.Second)
+	if len(m.asks) != polls {
+		t.Errorf("polled %d times more while following", len(m.asks)-polls)
+	}
+}
+
+func TestPollBackoff(t *testing.T) {
+	for _, test := range []struct {
+		interval time.Duration // between polls, as settings allow; 0: any
+		chance   float64
+		want     []time.Duration // from each failure in a row to the next poll
+	}{
+		{0, 0.5, []time.Duration{500 * ms, 1000 * ms, 2000 * ms, 2000 * ms}},
+		{0, 0, []time.Duration{250 * ms, 500 * ms, 1000 * ms, 1000 * ms}},
+		{4 * time.Second, 0.5, []time.Duration{500 * ms, 1000 * ms, 1000 * ms}},
+	} {
+		poller := newEndpointPoller(&Config{Discovery: DiscoverySubscribe, PollInterval: test.interval})
+		now := time.Minute
+		for n, want := range test.want {
+			poller.failed(now, test.chance)
+			if got := poller.nextPollAt - now; !poller.waiting() || got != want {
+				t.Errorf("interval %v, chance %v: %v after failure %d, want %v", test.interval, test.chance, got, n, want)
+			}
+			if poller.due(poller.nextPollAt-1) || !poller.due(poller.nextPollAt) {
+				t.Errorf("interval %v, chance %v: not polled when due after failure %d", test.interval, test.chance, n)
+			}
+		}
+		if poller.listed(); poller.waiting() || poller.backoff != firstPollBackoff {
+			t.Errorf("a list does not end the wait: %+v", poller)
+		}
+	}
+	if poller := newEndpointPoller(&Config{Discovery: DiscoveryAutomatic}); poller.waiting() {
+		t.Error("polls a list whose changes come by themselves")
+	}
+}
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -52,9 +52,6 @@
 
 	tenantQuotas []float64 // queries a second, by tenant: this co-ordinator's share where the others' use is not known
 
-	mustSubscribe bool          // changes of the endpoint list come only after Host.PollEndpoints
-	pollInterval  time.Duration // longest time between two polls; math.MaxInt64: no limit
-
 	gossipEnabled bool // messages to the other co-ordinators are allowed, and there are others
 	listedSizes   bool // Endpoint.Size tells how much work a replica can do
 
@@ -87,8 +84,6 @@
 		hedgeAllowed:  config.HedgeAllowed,
 		maxRetryAfter: config.MaxRetryAfter,
 
-		mustSubscribe: config.Discovery == DiscoverySubscribe,
-		pollInterval:  cmp.Or(config.PollInterval, math.MaxInt64),
 		gossipEnabled: config.Gossip && config.Coordinators > 1,
 		listedSizes:   config.ListedSizes,
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 		host: host, parameters: newParameters(&config),
 		random:      random{seed: seed, selfIndex: config.SelfIndex},
 		classes:     newClasses(config.Classes),
-		parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64, slowStart: newSlowStart(&config), askWait: askFirst,
+		parallelism: startLanes, typicalSize: 1, wakeupAt: math.MaxInt64, slowStart: newSlowStart(&config), poller: newEndpointPoller(&config),
 		queriesByID: map[RequestID]*query{}, queriesByNumber: map[QueryNumber]*query{},
 		subqueries: map[RequestID]*subquery{},
 		replicas:   newReplicaSet(config.Cells, config.CellsPerShard),
@@ -247,7 +247,7 @@
 // little is open, else once in a sweep, and in between what something came in for.
 func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
-	c.follow()
+	c.pollEndpoints()
 	c.taken, c.extras = after(c.taken, now-c.retryBudgetSpan+1), after(c.extras, now-c.retryBudgetSpan)
 	all := len(c.open) <= fewOpen || now >= c.lastTickAt+sweepEvery
 	if all {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -436,26 +436,6 @@
 	}
 }
 
-func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
-	m := newModel(t, 16)
-	if len(m.asks) != 1 {
-		t.Fatalf("asked %d times at the start", len(m.asks))
-	}
-	m.c.EndpointPollFailed(m.now)
-	m.turn()
-	m.pass(2 * time.Second)
-	if len(m.asks) < 2 {
-		t.Fatal("not asked again after a failure")
-	}
-	m.tell(false, false)
-	m.turn()
-	asked := len(m.asks)
-	m.pass(20 * time.Second)
-	if len(m.asks) != asked {
-		t.Errorf("asked %d times more while following", len(m.asks)-asked)
-	}
-}
-
 func TestOverShareIsTurnedBackFirst(t *testing.T) {
 	m := newModel(t, 32)
 	for range 12 {
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -15,8 +15,7 @@
 
 	classes                                            []class
 	allowance                                          []float64 // per tenant: left of its quota
-	subscribed                                         bool
-	askAt, askWait                                     time.Duration
+	poller                                             endpointPoller
 	now, lastTickAt, wakeupAt, stalled, lastRejectedAt time.Duration // shedAt: the last turning back
 	readDelay, lastLoadReportAt                        time.Duration // own core's lateness, as told; last load report
 	meanUtilization                                    float64       // learned from reports: share of the replicas' cores in use
