--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -15,45 +15,45 @@
 	"terntray/internal/fake"
 )
 
-func TestRequestsInPiecesAndInARowOnOneConnection(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
-	c := p.connect()
+func TestPipelinedAndSplitRequestsAreServed(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
+	client := program.connect()
 	body := `{"segments":[{"segment":1,"boost":1}],"text":"x"}`
 	text := query("look", "q1", 10, 2) + fmt.Sprintf("POST /look/more HTTP/1.1\r\nHost: b\r\nReq-Id: q2\r\nReq-Deadline: 9\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body) + query("look", "q3", 10, 5)
 	for at := 0; at < len(text); at += 37 {
-		c.send(text[at:min(len(text), at+37)])
+		client.send(text[at:min(len(text), at+37)])
 	}
-	c.expect(map[int]string{2: value(a, 2)})
-	c.expect(map[int]string{1: value(a, 1)})
-	c.expect(map[int]string{5: value(a, 5)})
+	client.expect(map[int]string{2: value(replica, 2)})
+	client.expect(map[int]string{1: value(replica, 1)})
+	client.expect(map[int]string{5: value(replica, 5)})
 }
 
-func TestClientThatLeavesIsNoticedAtOnce(t *testing.T) {
-	a := newStandin(t, "s-a", 0, silent)
-	p, _ := deployed(t, settings, a)
-	c := p.connect()
-	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
-	c.Conn.Close()
-	until(t, "the part is given up", func() bool {
-		a.Mu.Lock()
-		defer a.Mu.Unlock()
-		return len(a.Abandoned) == 1 && a.Abandoned[0] == "q1.3"
+func TestClientDisconnectCancelsItsQuery(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, silent)
+	program, _ := deployed(t, settings, replica)
+	client := program.connect()
+	client.send(query("look", "q1", 30, 3))
+	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	client.Conn.Close()
+	until(t, "the subquery is given up", func() bool {
+		replica.Mu.Lock()
+		defer replica.Mu.Unlock()
+		return len(replica.Abandoned) == 1 && replica.Abandoned[0] == "q1.3"
 	})
-	until(t, "it is counted", func() bool { n := p.counters(); return n["left"] == 1 && n["open"] == 0 })
+	until(t, "it is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
 	// What the replica says now is of no harm.
-	a.Reply(a.Received()[0], "OK", "late")
-	a.SetBehavior(fulfil)
-	d := p.connect()
-	d.send(query("look", "q2", 10, 3))
-	d.expect(map[int]string{3: value(a, 3)})
+	replica.Reply(replica.Received()[0], "OK", "late")
+	replica.SetBehavior(succeed)
+	other := program.connect()
+	other.send(query("look", "q2", 10, 3))
+	other.expect(map[int]string{3: value(replica, 3)})
 }
 
-func TestBadRequestsAreRefusedAndTheServiceGoesOn(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
+func TestMalformedRequestsAreRefused(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
 	good := query("look", "q1", 10, 3)
 	for text, want := range map[string]int{
 		"hello\r\n\r\n": 400,
@@ -69,107 +69,113 @@
 		"POST /up HTTP/1.1\r\nHost: b\r\n\r\n":                            405,
 		"POST /look HTTP/1.1\r\nHost: b\r\nContent-Length: 65537\r\n\r\n": 413,
 	} {
-		c := p.connect()
-		c.send(text)
-		if r := c.receive(); r.status != want || len(strings.TrimSpace(r.body)) == 0 {
-			t.Errorf("%.60q was answered %d %q, want %d", text, r.status, r.body, want)
+		client := program.connect()
+		client.send(text)
+		if answer := client.receive(); answer.status != want || len(strings.TrimSpace(answer.body)) == 0 {
+			t.Errorf("%.60q was answered %d %q, want %d", text, answer.status, answer.body, want)
 		}
 	}
-	if n := p.counters(); n["bad"] != 12 || n["taken"] != 0 || len(a.Received()) > 0 {
-		t.Errorf("counters %v", n)
+	if counters := program.counters(); counters["bad"] != 12 || counters["taken"] != 0 || len(replica.Received()) > 0 {
+		t.Errorf("counters %v", counters)
 	}
-	c := p.connect()
-	c.send(good)
-	c.expect(map[int]string{3: value(a, 3)})
+	client := program.connect()
+	client.send(good)
+	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-func TestRequestIDThatIsOpenIsRefusedWithoutHarm(t *testing.T) {
-	a := newStandin(t, "s-a", 0, silent)
-	p, _ := deployed(t, settings, a)
-	c, d := p.connect(), p.connect()
+func TestDuplicateRequestIDIsRefused(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, silent)
+	program, _ := deployed(t, settings, replica)
+	c, other := program.connect(), program.connect()
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
-	d.send(query("look", "q1", 30, 3))
-	if r := d.receive(); r.status != 409 {
-		t.Errorf("the second was answered %d", r.status)
+	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	other.send(query("look", "q1", 30, 3))
+	if answer := other.receive(); answer.status != 409 {
+		t.Errorf("the second was answered %d", answer.status)
 	}
-	fulfil(a, a.Received()[0])
-	c.expect(map[int]string{3: value(a, 3)})
+	succeed(replica, replica.Received()[0])
+	c.expect(map[int]string{3: value(replica, 3)})
 }
 
-func TestMoreThanMayBeOpenIsTurnedBack(t *testing.T) {
-	a := newStandin(t, "s-a", 0, silent)
-	p, _ := deployed(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":6`, 1), a)
-	c, d := p.connect(), p.connect()
+func TestQueriesBeyondMaxOpenAreRejected(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, silent)
+	program, _ := deployed(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":6`, 1), replica)
+	c, other := program.connect(), program.connect()
 	c.send(query("look", "q1", 30, 1, 2, 3, 4, 5))
-	until(t, "its parts arrive", func() bool { return len(a.Received()) == 5 })
-	d.send(query("look", "q2", 30, 6))
-	if r := d.receive(); r.status != 503 {
-		t.Errorf("answered %d", r.status)
+	until(t, "its subqueries arrive", func() bool { return len(replica.Received()) == 5 })
+	other.send(query("look", "q2", 30, 6))
+	if answer := other.receive(); answer.status != 503 {
+		t.Errorf("answered %d", answer.status)
 	}
-	fulfil(a, a.Received()[0]) // a part that is in makes room
-	until(t, "it is in", func() bool { return p.counters()["legs_ok"] == 1 })
-	a.SetBehavior(fulfil)
-	d.send(query("look", "q3", 30, 7, 8, 9))
-	if r := d.receive(); r.status != 200 {
-		t.Errorf("answered %d", r.status)
+	succeed(replica, replica.Received()[0]) // a subquery that is in makes room
+	until(t, "it is in", func() bool { return program.counters()["legs_ok"] == 1 })
+	replica.SetBehavior(succeed)
+	other.send(query("look", "q3", 30, 7, 8, 9))
+	if answer := other.receive(); answer.status != 200 {
+		t.Errorf("answered %d", answer.status)
 	}
-	if n := p.counters(); n["full"] != 1 || n["turned_back"] != 1 || n["taken"] != 3 || n["open"] != 1 {
-		t.Errorf("counters %v", n)
+	if counters := program.counters(); counters["full"] != 1 || counters["turned_back"] != 1 || counters["taken"] != 3 || counters["open"] != 1 {
+		t.Errorf("counters %v", counters)
 	}
 }
 
 // When there are more clients than descriptors for them, those that are idle make room.
-func TestIdleClientsMakeRoom(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	r := newRoster(t, "127.0.0.1:0", a)
-	p := start(t, configure(t, r.Listener.Addr().String(), 40, settings, a))
+func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	discovery := newDiscovery(t, "127.0.0.1:0", replica)
+	program := start(t, configure(t, discovery.Listener.Addr().String(), 40, settings, replica))
 	for n := range 20 {
-		p.connect().send("POST /look HTTP/1.1\r\n"[:n])
-		c := p.connect()
-		c.send(query("look", fmt.Sprint("q", n), 10, 3))
-		c.expect(map[int]string{3: value(a, 3)})
+		program.connect().send("POST /look HTTP/1.1\r\n"[:n])
+		client := program.connect()
+		client.send(query("look", fmt.Sprint("q", n), 10, 3))
+		client.expect(map[int]string{3: value(replica, 3)})
 	}
 }
 
 // Whatever a bad client does, it has an error or a close within three seconds of its connecting.
-func TestBadClientsAreEndedInTime(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
+func TestMisbehavingClientsAreDisconnectedInTime(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
 	good := query("look", "q1", 10, 3)
-	drip := func(c *client) { // a head without an end, byte by byte
-		c.send("POST /look HTTP/1.1\r\nX: ")
+	drip := func(client *clientConn) { // a head without an end, byte by byte
+		client.send("POST /look HTTP/1.1\r\nX: ")
 		for n := 0; n < 200; n++ {
-			if _, err := io.WriteString(c.Conn, "y"); err != nil {
+			if _, err := io.WriteString(client.Conn, "y"); err != nil {
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	a.SetBehavior(func(s *fake.Replica, c fake.Call) {
-		if c.ID != "open.3" {
-			fulfil(s, c)
+	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
+		if call.ID != "open.3" {
+			succeed(replica, call)
 		}
 	})
-	c := p.connect()
-	c.send(query("look", "open", 20, 3))
-	until(t, "the part is there", func() bool { return a.HasReceived("open.3") })
+	client := program.connect()
+	client.send(query("look", "open", 20, 3))
+	until(t, "the subquery is there", func() bool { return replica.HasReceived("open.3") })
 	ended := make(chan string)
-	for name, does := range map[string]func(*client){
-		"silence":             func(*client) {},
-		"half a request":      func(c *client) { c.send(good[:len(good)-9]) },
-		"drops":               drip,
-		"half after a whole":  func(c *client) { c.send(good); c.receive(); c.send(good[:20]) },
-		"a body of 60 MB":     func(c *client) { c.send("POST /look HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"); c.pour(60e6) },
-		"chunks without end":  func(c *client) { c.send("POST /look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff"); c.pour(60e6) },
-		"another one's id":    func(c *client) { c.send(query("look", "open", 10, 3)) },
-		"too many conditions": func(c *client) { c.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
+	for name, does := range map[string]func(*clientConn){
+		"silence":            func(*clientConn) {},
+		"half a request":     func(client *clientConn) { client.send(good[:len(good)-9]) },
+		"drops":              drip,
+		"half after a whole": func(client *clientConn) { client.send(good); client.receive(); client.send(good[:20]) },
+		"a body of 60 MB": func(client *clientConn) {
+			client.send("POST /look HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+			client.pour(60e6)
+		},
+		"chunks without end": func(client *clientConn) {
+			client.send("POST /look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff")
+			client.pour(60e6)
+		},
+		"another one's id":    func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
+		"too many conditions": func(client *clientConn) { client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
 	} {
 		go func() {
-			c := p.connect()
-			c.Conn.SetDeadline(time.Now().Add(3 * time.Second))
-			does(c)
-			if _, err := io.Copy(io.Discard, c.in); errors.Is(err, os.ErrDeadlineExceeded) {
+			client := program.connect()
+			client.Conn.SetDeadline(time.Now().Add(3 * time.Second))
+			does(client)
+			if _, err := io.Copy(io.Discard, client.in); errors.Is(err, os.ErrDeadlineExceeded) {
 				name += " is not ended"
 			}
 			ended <- name
@@ -180,60 +186,60 @@
 			t.Error(name)
 		}
 	}
-	for _, part := range a.Received() {
+	for _, part := range replica.Received() {
 		if part.ID == "open.3" {
-			fulfil(a, part)
+			succeed(replica, part)
 		}
 	}
-	c.expect(map[int]string{3: value(a, 3)})
+	client.expect(map[int]string{3: value(replica, 3)})
 }
 
 // pour sends so many bytes, or as many as are taken.
-func (c *client) pour(n int) {
+func (client *clientConn) pour(n int) {
 	some := []byte(strings.Repeat("y", 1<<16))
 	for ; n > 0; n -= len(some) {
-		if _, err := c.Conn.Write(some); err != nil {
+		if _, err := client.Conn.Write(some); err != nil {
 			return
 		}
 	}
 }
 
 // Hundreds that say nothing leave room for usual clients, who keep their connections.
-func TestSilentCrowdLeavesRoom(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	r := newRoster(t, "127.0.0.1:0", a)
-	p := start(t, configure(t, r.Listener.Addr().String(), 256, settings, a))
-	var usual []*client
+func TestSilentCrowdDoesNotLockOutClients(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	discovery := newDiscovery(t, "127.0.0.1:0", replica)
+	program := start(t, configure(t, discovery.Listener.Addr().String(), 256, settings, replica))
+	var usual []*clientConn
 	for n := range 20 {
-		usual = append(usual, p.connect())
+		usual = append(usual, program.connect())
 		usual[n].send(query("look", fmt.Sprint("a", n), 10, 3))
-		usual[n].expect(map[int]string{3: value(a, 3)})
+		usual[n].expect(map[int]string{3: value(replica, 3)})
 	}
 	for range 600 {
-		p.connect()
+		program.connect()
 	}
 	for n, c := range usual {
 		c.send(query("look", fmt.Sprint("b", n), 10, 3))
-		c.expect(map[int]string{3: value(a, 3)})
-		d := p.connect()
-		d.send(query("look", fmt.Sprint("c", n), 10, 3))
-		d.expect(map[int]string{3: value(a, 3)})
+		c.expect(map[int]string{3: value(replica, 3)})
+		other := program.connect()
+		other.send(query("look", fmt.Sprint("c", n), 10, 3))
+		other.expect(map[int]string{3: value(replica, 3)})
 	}
 }
 
 // Clients hold no more than a third of the descriptors: those that asked once and stay have to leave room for others.
-func TestClientsThatAskOnceAndStayLeaveRoom(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	r := newRoster(t, "127.0.0.1:0", a)
-	p := start(t, configure(t, r.Listener.Addr().String(), 96, settings, a))
+func TestIdleClientsThatHaveAskedAreEvicted(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	discovery := newDiscovery(t, "127.0.0.1:0", replica)
+	program := start(t, configure(t, discovery.Listener.Addr().String(), 96, settings, replica))
 	var open atomic.Int32
 	for n := range 60 {
-		c := p.connect()
+		client := program.connect()
 		open.Add(1)
-		c.send(query("look", fmt.Sprint("q", n), 10, 3))
-		c.expect(map[int]string{3: value(a, 3)})
+		client.send(query("look", fmt.Sprint("q", n), 10, 3))
+		client.expect(map[int]string{3: value(replica, 3)})
 		go func() {
-			c.in.ReadByte()
+			client.in.ReadByte()
 			open.Add(-1)
 		}()
 		asked := time.Now()
@@ -248,38 +254,38 @@
 }
 
 // What one client does not read holds up nobody else.
-func TestClientThatReadsNothingHoldsUpNobody(t *testing.T) {
+func TestClientThatReadsNothingBlocksNoOther(t *testing.T) {
 	var asked atomic.Int32
-	a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) {
+	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		asked.Add(1)
-		s.Reply(c, "OK", strings.Repeat("v", 60000))
+		replica.Reply(call, "OK", strings.Repeat("v", 60000))
 	})
-	p, _ := deployed(t, settings, a)
-	c := p.connect()
-	c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	program, _ := deployed(t, settings, replica)
+	client := program.connect()
+	client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
 		for n := range 400 {
-			if _, err := c.Conn.Write([]byte(query("look", fmt.Sprint("c", n), 10, 3))); err != nil {
+			if _, err := client.Conn.Write([]byte(query("look", fmt.Sprint("c", n), 10, 3))); err != nil {
 				return
 			}
 		}
 	}()
 	until(t, "its answers pile up", func() bool { return asked.Load() >= 5 })
-	d := p.connect()
+	other := program.connect()
 	for n := range 5 {
-		d.send(query("look", fmt.Sprint("d", n), 10, 3))
-		if r := d.receive(); r.status != 200 {
-			t.Errorf("answered %d", r.status)
+		other.send(query("look", fmt.Sprint("d", n), 10, 3))
+		if answer := other.receive(); answer.status != 200 {
+			t.Errorf("answered %d", answer.status)
 		}
 	}
 }
 
 // What clients and replicas open and drop is given back, however they do it.
-func TestDescriptorsAreGivenBack(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
+func TestDescriptorsAreReleased(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
 	descriptors := func() int {
-		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.cmd.Process.Pid))
 		if err != nil {
 			t.Skip("the descriptors of a process cannot be seen here")
 		}
@@ -288,54 +294,54 @@
 	http.DefaultClient.CloseIdleConnections()
 	before := descriptors()
 	for n := range 60 {
-		c := p.connect()
+		client := program.connect()
 		switch n % 4 {
 		case 0: // leaves with its answer
-			c.send(query("look", fmt.Sprint("q", n), 10, 3))
-			c.receive()
+			client.send(query("look", fmt.Sprint("q", n), 10, 3))
+			client.receive()
 		case 1: // leaves without it
-			c.send(query("look", fmt.Sprint("q", n), 10, 3))
+			client.send(query("look", fmt.Sprint("q", n), 10, 3))
 		case 2: // leaves in the midst of a request
-			c.send(query("look", fmt.Sprint("q", n), 10, 3)[:n])
+			client.send(query("look", fmt.Sprint("q", n), 10, 3)[:n])
 		case 3: // sends what is no request
-			c.send("?\r\n\r\n")
-			c.receive()
+			client.send("?\r\n\r\n")
+			client.receive()
 		}
-		c.Conn.Close()
+		client.Conn.Close()
 		if n%10 == 0 {
-			a.Mu.Lock()
-			for _, conn := range a.Conns {
+			replica.Mu.Lock()
+			for _, conn := range replica.Conns {
 				conn.Close()
 			}
-			a.Mu.Unlock()
+			replica.Mu.Unlock()
 		}
 	}
 	until(t, "all descriptors but a connection to the replica are back", func() bool { return descriptors() <= before+1 })
 }
 
 // A request that comes a byte a millisecond has an end as well: something lies unread at any look at its connection.
-func TestRequestThatDripsQuicklyIsEndedInTime(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
+func TestRequestByteByByteTimesOut(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
 	for name, begin := range map[string]string{
 		"a head": "POST /look HTTP/1.1\r\nX: ",
 		"a body": "POST /look HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline: 9\r\nContent-Length: 60000\r\n\r\n",
 	} {
-		c := p.connect()
-		c.send(begin)
+		client := program.connect()
+		client.send(begin)
 		began := time.Now()
 		go func() {
 			for time.Since(began) < 6*time.Second {
-				if _, err := io.WriteString(c.Conn, "y"); err != nil {
+				if _, err := io.WriteString(client.Conn, "y"); err != nil {
 					return
 				}
 				time.Sleep(time.Millisecond)
 			}
 		}()
-		c.Conn.SetReadDeadline(began.Add(3 * time.Second))
-		if _, err := c.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
+		client.Conn.SetReadDeadline(began.Add(3 * time.Second))
+		if _, err := client.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s that drips has neither an error nor an end after 3 s", name)
 		}
-		c.Conn.Close()
+		client.Conn.Close()
 	}
 }
--- a/cmd/terntray/deadline_test.go
+++ b/cmd/terntray/deadline_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// fullBacklog listens on a port where the machine takes up two connections and leaves all others waiting until accept is
-// called: their clients try again after a second.
-func fullBacklog(t *testing.T) (l net.Listener, accept func()) {
+// fullBacklog listens on a port where the machine takes up two connections and leaves all others waiting until
+// accept is called: their clients try again after a second.
+func fullBacklog(t *testing.T) (listener net.Listener, accept func()) {
 	t.Helper()
 	var relisten error
 	config := net.ListenConfig{}
-	l, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := l.(*net.TCPListener).SyscallConn()
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	}
 	var fillers []net.Conn
 	for range 4 {
-		conn, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 50*time.Millisecond)
 		if err != nil {
 			break
 		}
@@ -37,9 +37,9 @@
 	if len(fillers) == 0 || len(fillers) == 4 {
 		t.Fatalf("%d connections fill the backlog", len(fillers))
 	}
-	return l, func() {
+	return listener, func() {
 		for _, conn := range fillers {
-			taken, err := l.Accept()
+			taken, err := listener.Accept()
 			if err != nil {
 				t.Error(err)
 				return
@@ -50,29 +50,29 @@
 	}
 }
 
-// What a replica is told of the time left is what is left as the call is written, not as it was decided: a connection may
-// take a second to come up.
-func TestTimeToldIsWhatIsLeftWhenTheConnectionIsUp(t *testing.T) {
+// What a replica is told of the time left is what is left as the call is written, not as it was decided: a
+// connection may take a second to come up.
+func TestDeadlineSentIsWhatIsLeftWhenTheConnectionIsUp(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
 		slack    = 150 * time.Millisecond
 	)
 	for _, model := range []string{"m", "h2"} {
 		l, accept := fullBacklog(t)
-		a := newStandin(t, "s-a", 0, silent)
-		a.Listener.Close()
-		a.Listener, a.Model = l, model
+		replica := newReplica(t, "s-a", 0, silent)
+		replica.Listener.Close()
+		replica.Listener, replica.Model = l, model
 		slow := strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":2500000`, 1)
-		p, _ := installed(t, slow, allHTTP2, 1024, a)
-		c := p.connect()
+		program, _ := deployedWith(t, slow, allHTTP2, 1024, replica)
+		client := program.connect()
 		sent := time.Now()
-		c.send(query("look", "q1", deadline.Seconds(), 3))
+		client.send(query("look", "q1", deadline.Seconds(), 3))
 		time.Sleep(500 * time.Millisecond)
 		accept()
-		go a.Accept(l)
-		until(t, "the call arrives", func() bool { return a.HasReceived("q1") })
+		go replica.Accept(l)
+		until(t, "the call arrives", func() bool { return replica.HasReceived("q1") })
 		left := deadline - time.Since(sent)
-		told := time.Duration(a.Received()[0].TimeLeftMS) * time.Millisecond
+		told := time.Duration(replica.Received()[0].TimeLeftMS) * time.Millisecond
 		if told > left+slack {
 			t.Errorf("%s: told %v with %v left", model, told, left)
 		}
--- /dev/null
+++ b/cmd/terntray/edge_cases_test.go
@@ -0,0 +1,280 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"terntray/internal/fake"
+)
+
+// Where the form has no place for a reference, a request with one is refused, and nothing of it runs.
+func TestIdempotencyKeyThatCannotBeForwardedIsRefused(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, strings.Replace(settings, `"side_effect"`, `"token"`, 1), replica)
+	client := program.connect()
+	for n, track := range []string{"claim", "look", "claim"} {
+		text := query(track, fmt.Sprint("q", n), 10, 3)
+		if n < 2 {
+			text = strings.Replace(text, "Host: b", "Host: b\r\nIdempotency-Key: ed84f3c1", 1)
+		}
+		client.send(text)
+		if n > 0 {
+			client.expect(map[int]string{3: value(replica, 3)})
+		} else if answer := client.receive(); answer.status != 501 || answer.last {
+			t.Errorf("answered %d, last %t", answer.status, answer.last)
+		}
+	}
+	if replica.HasReceived("q0") {
+		t.Error("its subquery was sent without the reference")
+	}
+}
+
+// A sound request is served whatever it is cut into: in chunks of a byte it takes far more than its body.
+func TestRequestInVerySmallChunksIsServed(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
+	body := fmt.Sprintf(`{"segments":[{"segment":3,"boost":1}],"text":%q}`, strings.Repeat("t", 20_000))
+	var chunks strings.Builder
+	for _, b := range []byte(body) {
+		fmt.Fprintf(&chunks, "1\r\n%c\r\n", b)
+	}
+	for n := range 3 {
+		client := program.connect()
+		text := fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q%d\r\nReq-Deadline: 9\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", n, chunks.String())
+		client.send(text[:100_000])
+		time.Sleep(20 * time.Millisecond) // that it is read in two goes; it is served either way
+		client.send(text[100_000:])
+		client.expect(map[int]string{3: value(replica, 3)})
+	}
+}
+
+// A watch that falls silent is opened anew, and what it missed is kept, within the second that it may take before
+// that counts as told; the same for a SIGHUP that moves discovery while it is silent.
+func TestDrainMissedByASilentWatchIsLearnedInTime(t *testing.T) {
+	for _, moved := range []bool{false, true} {
+		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
+		old, next := newAgent(t), newAgent(t)
+		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch waits for 1 s
+		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
+		program := newProgram(t, env)
+		(<-old.Calls).Respond(listing(5, true, []*fake.Replica{a, b}))
+		<-old.Calls // the watch, which gets no answer
+		silent := time.Now()
+		a.State = "draining"
+		from, within := old, 2*time.Second
+		if moved {
+			file := strings.TrimPrefix(env[0], "ROUTER_CONFIG=")
+			text, _ := os.ReadFile(file)
+			os.WriteFile(file, []byte(strings.Replace(string(text), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)), 0o600)
+			program.cmd.Process.Signal(syscall.SIGHUP)
+			<-next.Calls // the first call there gets none either
+			from, within = next, 1500*time.Millisecond
+		}
+		call := <-from.Calls
+		if took := time.Since(silent); took > within+500*time.Millisecond {
+			t.Errorf("moved %t: it is asked again after %v", moved, took)
+		}
+		if strings.Contains(call.Path, "from") {
+			t.Errorf("moved %t: %s asks for no whole list", moved, call.Path)
+		}
+		call.Respond(listing(7, true, []*fake.Replica{a, b}))
+		until(t, "the list is told", func() bool { return strings.Contains(program.logged(), "rev=7 ") })
+		client := program.connect()
+		for n := range 6 {
+			client.send(query("look", fmt.Sprint("q", n), 10, n))
+			client.expect(map[int]string{n: value(b, n)})
+		}
+		if len(a.Received()) > 0 {
+			t.Errorf("moved %t: subqueries were sent to a draining replica", moved)
+		}
+		a.State = "ready"
+	}
+}
+
+// The same where lists come to those who ask only: a watch that has fallen silent is asked anew before what it
+// missed counts as told, 2 s after its wait is over.
+func TestSilentWatchIsRestartedWhereListsArePolled(t *testing.T) {
+	a, agent := newReplica(t, "s-a", 0, succeed), newAgent(t)
+	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch waits for 1 s
+	newProgram(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
+	(<-agent.Calls).Respond(listing(5, true, []*fake.Replica{a}))
+	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
+		t.Fatalf("%s is no watch that waits for 1 s", call.Path)
+	}
+	silent := time.Now()
+	if call := <-agent.Calls; time.Since(silent) > 3*time.Second || strings.Contains(call.Path, "from") {
+		t.Errorf("%s comes after %v", call.Path, time.Since(silent))
+	}
+}
+
+func newAgent(t *testing.T) *fake.DiscoveryAgent {
+	a, err := fake.NewDiscoveryAgent()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { a.Listener.Close() })
+	return a
+}
+
+// Wherever its connection is cut, a non-idempotent subquery runs once at the most, and where it may have run no
+// answer says that trying again is harmless.
+func TestNonIdempotentSubqueryRunsOnceWhereverItsConnectionBreaks(t *testing.T) {
+	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
+	program, _ := deployed(t, settings, a, b)
+	frame := 5 + len("q00.3 3 d=9999 6\nof q00")
+	cuts := []int{0, 1, 4, 5, 12, 20}
+	for n := range 9 {
+		cuts = append(cuts, frame-4+n)
+	}
+	for _, n := range cuts {
+		for _, replica := range []*fake.Replica{a, b} {
+			replica.Mu.Lock()
+			replica.CutAfter = func() int { return n }
+			replica.Mu.Unlock()
+			replica.CloseConnections(n%2 == 0)
+		}
+		id := fmt.Sprintf("q%02d", n)
+		client := program.connect()
+		client.send(query("claim", id, 10, 3))
+		answer := client.receive()
+		ran := 0
+		for _, replica := range []*fake.Replica{a, b} {
+			for _, part := range replica.Received() {
+				if part.ID == id+".3" {
+					ran++
+				}
+			}
+		}
+		if ran > 1 || ran > 0 && answer.status == 503 || answer.status == 200 && ran != 1 {
+			t.Errorf("cut after %d bytes: run %d times, answered %d", n, ran, answer.status)
+		}
+		client.Conn.Close()
+	}
+}
+
+// Told to end while it stands still, with requests on old and new connections behind it: all are answered.
+func TestRequestsDuringShutdownAreAnswered(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
+	var all []*clientConn
+	for range 6 {
+		all = append(all, program.connect())
+	}
+	program.stalls(100*time.Millisecond, func() {
+		for range 6 {
+			all = append(all, program.connect())
+		}
+		for n, c := range all[:6] {
+			c.send(query("look", fmt.Sprint("old", n), 10, n))
+		}
+		program.cmd.Process.Signal(syscall.SIGTERM)
+		for n, c := range all[6:] {
+			c.send(query("look", fmt.Sprint("new", n), 10, n))
+		}
+	})
+	for n, c := range all {
+		c.expect(map[int]string{n % 6: value(replica, n%6)})
+	}
+	program.ends(t)
+}
+
+// An answer whose rest was lost on its way and comes a little later is as good as any; non-idempotent subqueries
+// depend on it.
+func TestReplyInPiecesIsAccepted(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, nil)
+	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
+		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
+		io.WriteString(call.Conn, text[:len(text)/2])
+		time.Sleep(220 * time.Millisecond) // as long as machines wait before they send again
+		io.WriteString(call.Conn, text[len(text)/2:])
+	})
+	program, _ := deployed(t, settings, replica)
+	client := program.connect()
+	client.send(query("claim", "q1", 10, 3))
+	client.expect(map[int]string{3: value(replica, 3)})
+}
+
+// The same after a rest that is longer than a whole answer may take.
+func TestReplyInPiecesOnAnIdleConnectionIsAccepted(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	client := program.connect()
+	client.send(query("claim", "q1", 10, 3))
+	client.expect(map[int]string{3: value(replica, 3)})
+	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
+		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
+		io.WriteString(call.Conn, text[:len(text)/2])
+		time.Sleep(20 * time.Millisecond)
+		io.WriteString(call.Conn, text[len(text)/2:])
+	})
+	time.Sleep(600 * time.Millisecond) // four times what a piece may take are 0.4 s
+	client.send(query("claim", "q2", 10, 3))
+	client.expect(map[int]string{3: value(replica, 3)})
+}
+
+// An answer that goes on and on, a byte at a time, ends its connection within a bound: nothing waits behind it for
+// a whole deadline. A subquery that may run again is answered elsewhere, one that may not is given up for good.
+func TestEndlessReplyClosesItsConnection(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
+		go func() {
+			io.WriteString(call.Conn, "\x00\x00\xff\xffY")
+			for {
+				if _, err := io.WriteString(call.Conn, "7"); err != nil {
+					return
+				}
+				time.Sleep(20 * time.Millisecond)
+			}
+		}()
+	})
+	program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	client := program.connect()
+	began := time.Now()
+	client.send(query("claim", "q1", 10, 3))
+	if answer := client.receive(); answer.status != 500 || time.Since(began) > 5*time.Second {
+		t.Errorf("answered %d after %v", answer.status, time.Since(began))
+	}
+	if counters := program.counters(); counters["legs_spoilt"] != 1 || counters["spoilt"] != 1 {
+		t.Errorf("counters %v", counters)
+	}
+}
+
+// A class with a second step, which the protocol has not, gets no answer that passes for whole; the others are served.
+func TestClassWithASecondPhaseIsRefused(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
+	client := program.connect()
+	client.send(query("claim", "q1", 10, 3))
+	if answer := client.receive(); answer.status != 501 || answer.last || replica.HasReceived("q1") {
+		t.Errorf("answered %d, last %t", answer.status, answer.last)
+	}
+	client.send(query("look", "q2", 10, 3))
+	client.expect(map[int]string{3: value(replica, 3)})
+}
+
+// However many requests wait for an answer, the next is heard and answered at once: it does not lie in the
+// machine's queue until one of those ends, nor behind a client that has its answer and rests. With 36 descriptors
+// there are eight places.
+func TestRequestBehindWaitingOnesIsAnsweredAtOnce(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, silent)
+	program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
+	for n := range 8 { // all but one may wait
+		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
+	}
+	until(t, "they wait", func() bool { return strings.Count(program.logged(), "retrieval=waits") >= 7 })
+	for n := range 9 {
+		client := program.connect()
+		began := time.Now()
+		client.send(query("look", fmt.Sprint("q", n), 0.5, 9))
+		if answer := client.receive(); answer.status != 503 || time.Since(began) > time.Second {
+			t.Errorf("%d: answered %d after %v", n, answer.status, time.Since(began))
+		}
+	}
+	if counters := program.counters(); counters["taken"] != 17 || counters["full"] != 10 {
+		t.Errorf("counters %v", counters)
+	}
+}
--- a/cmd/terntray/standins_test.go
+++ b/cmd/terntray/harness_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	inTime = 20 * time.Second // for anything awaited: a busy machine may be slow
-	asMain = "TERNTRAY_TEST_MAIN"
+	awaitTimeout = 20 * time.Second // for anything awaited: a busy machine may be slow
+	mainVariable = "TERNTRAY_TEST_MAIN"
 )
 
 // TestMain lets the test binary stand in for the program, so that the race detector watches it too.
 func TestMain(m *testing.M) {
-	if os.Getenv(asMain) != "" {
+	if os.Getenv(mainVariable) != "" {
 		main()
 		return
 	}
@@ -37,7 +37,7 @@
 
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(inTime); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -45,9 +45,9 @@
 }
 
 // The scripted peers, ended with their test.
-var fulfil, silent, reset, listing = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
+var succeed, silent, reset, listing = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
 
-func newStandin(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
+func newReplica(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
 	s, err := fake.NewReplica(uid, cell, act)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	return s
 }
 
-func newRoster(t *testing.T, at string, replicas ...*fake.Replica) *fake.Discovery {
+func newDiscovery(t *testing.T, at string, replicas ...*fake.Replica) *fake.Discovery {
 	r, err := fake.NewDiscovery(at, replicas...)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 	return r
 }
 
-// settings describe a deployment of one cell, one shard a number, with three tracks.
+// settings describe a deployment of one cell, one shard a number, with three classes.
 const settings = `{"balancers":1,"bounds":{"connectTimeout":1000000,"idleClose":30000000,"maxAttempts":3,
 "maxOpen":40,"mayCancel":true,"multiplex":4,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":1,"callCost":0,"cells":1,"classFetch":[0,0,0],"classNeed":[1.0,1.0,1.0],
@@ -76,8 +76,8 @@
 {"name":"some","aim":2000000,"deadline":30000000,"effect":"pure"}],
 "orgs":[],"tariffs":{},"zone":0,"zones":["west","east"]}`
 
-// program is the co-ordinator under test.
-type program struct {
+// process is the co-ordinator under test.
+type process struct {
 	t    *testing.T
 	cmd  *exec.Cmd
 	addr string
@@ -88,22 +88,22 @@
 	log bytes.Buffer
 }
 
-func (p *program) Write(b []byte) (int, error) {
-	p.Mu.Lock()
-	defer p.Mu.Unlock()
-	return p.log.Write(b)
+func (program *process) Write(b []byte) (int, error) {
+	program.Mu.Lock()
+	defer program.Mu.Unlock()
+	return program.log.Write(b)
 }
 
-func (p *program) logged() string {
-	p.Mu.Lock()
-	defer p.Mu.Unlock()
-	return p.log.String()
+func (program *process) logged() string {
+	program.Mu.Lock()
+	defer program.Mu.Unlock()
+	return program.log.String()
 }
 
 // command makes the program's command line, with the environment that it names.
 func command(env []string, args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(append(os.Environ(), asMain+"=1"), env...)
+	cmd.Env = append(append(os.Environ(), mainVariable+"=1"), env...)
 	return cmd
 }
 
@@ -120,15 +120,15 @@
 }
 
 // start starts the program and waits until it serves.
-func start(t *testing.T, env []string, args ...string) *program {
-	p := newProgram(t, env, args...)
-	until(t, "GET /up", func() bool { return p.get("/up") == "200 up" })
-	return p
+func start(t *testing.T, env []string, args ...string) *process {
+	program := newProgram(t, env, args...)
+	until(t, "GET /up", func() bool { return program.get("/up") == "200 up" })
+	return program
 }
 
 // newProgram starts it and waits until it can be connected to.
-func newProgram(t *testing.T, env []string, args ...string) *program {
-	p := &program{t: t, cmd: command(env, append([]string{"serve", "-trace"}, args...)...), done: make(chan struct{})}
+func newProgram(t *testing.T, env []string, args ...string) *process {
+	p := &process{t: t, cmd: command(env, append([]string{"serve", "-trace"}, args...)...), done: make(chan struct{})}
 	p.cmd.Stderr = p
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -153,15 +153,15 @@
 }
 
 // deployed starts the program among replicas and discovery.
-func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*program, *fake.Discovery) {
-	r := newRoster(t, "127.0.0.1:0", replicas...)
-	p := start(t, configure(t, r.Listener.Addr().String(), 1024, settings, replicas...))
-	until(t, "a watch stands", func() bool { return r.Watches() > 0 })
-	return p, r
+func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*process, *fake.Discovery) {
+	discovery := newDiscovery(t, "127.0.0.1:0", replicas...)
+	program := start(t, configure(t, discovery.Listener.Addr().String(), 1024, settings, replicas...))
+	until(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
+	return program, discovery
 }
 
-func (p *program) get(path string) string {
-	r, err := http.Get("http://" + p.addr + path)
+func (program *process) get(path string) string {
+	r, err := http.Get("http://" + program.addr + path)
 	if err != nil {
 		return err.Error()
 	}
@@ -171,33 +171,33 @@
 }
 
 // counters reads what the program has counted.
-func (p *program) counters() map[string]int {
+func (program *process) counters() map[string]int {
 	all := map[string]int{}
-	for _, pair := range strings.Fields(p.get("/counters"))[1:] {
+	for _, pair := range strings.Fields(program.get("/counters"))[1:] {
 		name, n, _ := strings.Cut(pair, "=")
 		all[name], _ = strconv.Atoi(n)
 	}
 	if sum := all["fulfilled"] + all["turned_back"] + all["scrapped"] + all["left"] + all["open"]; sum != all["taken"] {
-		p.t.Errorf("taken does not add up: %v", all)
+		program.t.Errorf("taken does not add up: %v", all)
 	}
 	return all
 }
 
-// client is a connection to the program.
-type client struct {
+// clientConn is a connection to the program.
+type clientConn struct {
 	t    *testing.T
 	Conn net.Conn
 	in   *bufio.Reader
 }
 
-func (p *program) connect() *client {
-	conn, err := net.Dial("tcp", p.addr)
+func (program *process) connect() *clientConn {
+	conn, err := net.Dial("tcp", program.addr)
 	if err != nil {
-		p.t.Fatal(err)
+		program.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * inTime))
-	return &client{p.t, conn, bufio.NewReader(conn)}
+	program.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(2 * awaitTimeout))
+	return &clientConn{program.t, conn, bufio.NewReader(conn)}
 }
 
 // query makes a request for some shards.
@@ -205,18 +205,18 @@
 	return queryOf("of "+id, track, id, within, shards...)
 }
 
-// queryOf makes one whose parts carry a text.
+// queryOf makes one whose subqueries carry a text.
 func queryOf(text, track, id string, within float64, shards ...int) string {
 	var segments []string
-	for _, s := range shards {
-		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, s, 1/float64(len(shards))))
+	for _, replica := range shards {
+		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, replica, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, strings.Join(segments, ","), text)
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
 		track, id, within, len(body), body)
 }
 
-func (c *client) send(text string) { io.WriteString(c.Conn, text) }
+func (client *clientConn) send(text string) { io.WriteString(client.Conn, text) }
 
 // answer is a response; matches holds the values by shard.
 type answer struct {
@@ -238,25 +238,25 @@
 	return all
 }
 
-func (c *client) receive() *answer {
-	c.t.Helper()
-	r, err := http.ReadResponse(c.in, nil)
+func (client *clientConn) receive() *answer {
+	client.t.Helper()
+	r, err := http.ReadResponse(client.in, nil)
 	if err != nil {
-		c.t.Errorf("no answer: %v", err)
+		client.t.Errorf("no answer: %v", err)
 		return &answer{}
 	}
 	body, err := io.ReadAll(r.Body)
 	a := &answer{status: r.StatusCode, last: r.Close, body: string(body)}
 	if err != nil || r.Header.Get("Content-Type") == "application/json" && json.Unmarshal(body, a) != nil {
-		c.t.Errorf("an answer of %q: %v", body, err)
+		client.t.Errorf("an answer of %q: %v", body, err)
 	}
 	return a
 }
 
 // expect checks that an answer is whole and has exactly these values.
-func (c *client) expect(values map[int]string) {
-	c.t.Helper()
-	if a := c.receive(); a.status != http.StatusOK || !a.AllIn || !maps.Equal(a.values(), values) {
-		c.t.Errorf("answer %d %s, want %v", a.status, a.body, values)
+func (client *clientConn) expect(values map[int]string) {
+	client.t.Helper()
+	if a := client.receive(); a.status != http.StatusOK || !a.AllIn || !maps.Equal(a.values(), values) {
+		client.t.Errorf("answer %d %s, want %v", a.status, a.body, values)
 	}
 }
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -13,27 +13,29 @@
 	"terntray/internal/fake"
 )
 
-func value(s *fake.Replica, shard int) string { return fmt.Sprintf("v<%s.%d>", s.UID, shard) }
+func value(replica *fake.Replica, shard int) string {
+	return fmt.Sprintf("v<%s.%d>", replica.UID, shard)
+}
 
-func TestRetrievalIsFulfilledWithTheValuesAsGiven(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
-	c := p.connect()
-	c.send(query("look", "q1", 10, 3, 9))
-	c.expect(map[int]string{3: value(a, 3), 9: value(a, 9)})
-	for _, part := range a.Received() {
+func TestQuerySucceedsWithTheReplicasValues(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
+	client := program.connect()
+	client.send(query("look", "q1", 10, 3, 9))
+	client.expect(map[int]string{3: value(replica, 3), 9: value(replica, 9)})
+	for _, part := range replica.Received() {
 		if part.Text != "of q1" || part.TimeLeftMS < 1 || part.TimeLeftMS > 10000 || part.ID != fmt.Sprint("q1.", part.Shard) {
 			t.Errorf("the replica was sent %+v", part)
 		}
 	}
-	n := p.counters()
-	if n["taken"] != 1 || n["fulfilled"] != 1 || n["legs"] != 2 || n["legs_ok"] != 2 || n["opened"] != 1 {
-		t.Errorf("counters %v", n)
+	counters := program.counters()
+	if counters["taken"] != 1 || counters["fulfilled"] != 1 || counters["legs"] != 2 || counters["legs_ok"] != 2 || counters["opened"] != 1 {
+		t.Errorf("counters %v", counters)
 	}
 }
 
 // A log that nobody reads holds up nothing.
-func TestLogThatIsNotReadHoldsUpNothing(t *testing.T) {
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	stuck := make(chan struct{})
 	l := newAsyncWriter(writer(func(b []byte) { <-stuck }))
 	for range 2 * maxPendingLines {
@@ -50,107 +52,107 @@
 
 func (w writer) Write(b []byte) (int, error) { w(b); return len(b), nil }
 
-func (p *program) ends(t *testing.T) {
+func (program *process) ends(t *testing.T) {
 	t.Helper()
 	select {
-	case <-p.done:
-	case <-time.After(inTime):
+	case <-program.done:
+	case <-time.After(awaitTimeout):
 		t.Fatal("the program does not end")
 	}
-	if p.err != nil {
-		t.Errorf("the program ended with %v", p.err)
+	if program.err != nil {
+		t.Errorf("the program ended with %v", program.err)
 	}
 }
 
-func TestToldToEndItAnswersWhatIsOpenAndWhatStillComes(t *testing.T) {
-	a := newStandin(t, "s-a", 0, silent)
-	p, _ := deployed(t, settings, a)
-	c, idle := p.connect(), p.connect()
+func TestShutdownAnswersOpenAndLateQueries(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, silent)
+	program, _ := deployed(t, settings, replica)
+	c, idle := program.connect(), program.connect()
 	idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
-	if r := idle.receive(); r.last {
+	if answer := idle.receive(); answer.last {
 		t.Error("the connection was ended with its first answer")
 	}
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the part arrives", func() bool { return a.HasReceived("q1") })
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	program.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := idle.in.ReadByte(); err == nil {
 		t.Error("an idle connection stays open")
 	}
-	d := p.connect()
-	d.send(query("look", "q2", 30, 4))
-	until(t, "its part arrives", func() bool { return a.HasReceived("q2") })
+	other := program.connect()
+	other.send(query("look", "q2", 30, 4))
+	until(t, "its subquery arrives", func() bool { return replica.HasReceived("q2") })
 	until(t, "no further connection is taken", func() bool {
-		conn, err := net.Dial("tcp", p.addr)
+		conn, err := net.Dial("tcp", program.addr)
 		if err == nil {
 			conn.Close()
 		}
 		return err != nil
 	})
-	for _, part := range a.Received() {
-		fulfil(a, part)
+	for _, part := range replica.Received() {
+		succeed(replica, part)
 	}
-	for _, k := range []*client{c, d} {
-		if r := k.receive(); r.status != 200 || !r.last {
-			t.Errorf("answered %d, last %t", r.status, r.last)
+	for _, k := range []*clientConn{c, other} {
+		if answer := k.receive(); answer.status != 200 || !answer.last {
+			t.Errorf("answered %d, last %t", answer.status, answer.last)
 		}
 	}
-	p.ends(t)
-	if log := p.logged(); !strings.Contains(log, "event=ended taken=2 fulfilled=2") {
+	program.ends(t)
+	if log := program.logged(); !strings.Contains(log, "event=ended taken=2 fulfilled=2") {
 		t.Error("no counters at the end")
 	}
 }
 
-// An answer that its client takes slowly while the program is told to end arrives whole; one that is never read holds the end up
-// for no longer than an answer may take to be read.
-func TestAnswerThatIsReadSlowlyAcrossTheEndArrivesWhole(t *testing.T) {
+// An answer that its client takes slowly while the program is told to end arrives whole; one that is never read
+// holds the end up for no longer than an answer may take to be read.
+func TestResponseReadSlowlyAcrossTheShutdownArrivesComplete(t *testing.T) {
 	for _, reads := range []bool{true, false} {
-		a := newStandin(t, "s-a", 0, func(s *fake.Replica, c fake.Call) { s.Reply(c, "OK", strings.Repeat("v", 60_000)) })
-		p, _ := deployed(t, settings, a)
+		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { replica.Reply(call, "OK", strings.Repeat("v", 60_000)) })
+		program, _ := deployed(t, settings, replica)
 		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.ShrinkBuffers(raw) }}
-		conn, err := narrow.Dial("tcp", p.addr)
+		conn, err := narrow.Dial("tcp", program.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(2 * inTime))
-		c := &client{t, conn, bufio.NewReader(conn)}
+		conn.SetDeadline(time.Now().Add(2 * awaitTimeout))
+		c := &clientConn{t, conn, bufio.NewReader(conn)}
 		shards := make([]int, 8) // far more than the machines hold for a connection
 		for n := range shards {
 			shards[n] = n
 		}
 		c.send(query("look", "q", 10, shards...))
-		until(t, "the answer is made", func() bool { return p.counters()["fulfilled"] == 1 })
-		p.cmd.Process.Signal(syscall.SIGTERM)
-		until(t, "it is told to end", func() bool { return strings.Contains(p.logged(), "event=shutting_down") })
+		until(t, "the answer is made", func() bool { return program.counters()["fulfilled"] == 1 })
+		program.cmd.Process.Signal(syscall.SIGTERM)
+		until(t, "it is told to end", func() bool { return strings.Contains(program.logged(), "event=shutting_down") })
 		if !reads {
-			p.ends(t)
+			program.ends(t)
 			continue
 		}
 		for range 5 { // a first bit of it, then the rest after the listener's end
 			c.in.Peek(c.in.Buffered() + 1)
 			time.Sleep(200 * time.Millisecond)
 		}
-		if r := c.receive(); r.status != 200 || len(r.values()) != len(shards) {
-			t.Errorf("answered %d with %d values", r.status, len(r.values()))
+		if answer := c.receive(); answer.status != 200 || len(answer.values()) != len(shards) {
+			t.Errorf("answered %d with %d values", answer.status, len(answer.values()))
 		}
-		p.ends(t)
+		program.ends(t)
 	}
 }
 
 // Bytes that come behind a last request must not have its answer cut off by a reset.
-func TestLastAnswerArrivesWholeWhateverIsSentBehind(t *testing.T) {
-	a := newStandin(t, "s-a", 0, fulfil)
-	p, _ := deployed(t, settings, a)
+func TestLastResponseArrivesCompleteWhateverIsSentBehind(t *testing.T) {
+	replica := newReplica(t, "s-a", 0, succeed)
+	program, _ := deployed(t, settings, replica)
 	for range 20 {
-		c := p.connect()
-		c.send(strings.Replace(query("look", "q1", 10, 3), "Host: b", "Host: b\r\nConnection: close", 1) + strings.Repeat("x", 9000))
-		if r := c.receive(); r.status != 200 || !r.last {
-			t.Fatalf("answered %d, last %t", r.status, r.last)
+		client := program.connect()
+		client.send(strings.Replace(query("look", "q1", 10, 3), "Host: b", "Host: b\r\nConnection: close", 1) + strings.Repeat("x", 9000))
+		if answer := client.receive(); answer.status != 200 || !answer.last {
+			t.Fatalf("answered %d, last %t", answer.status, answer.last)
 		}
 	}
 }
 
-func TestWhatIsWrongAtTheStartIsNamed(t *testing.T) {
+func TestStartErrorsNameTheirCause(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/terntray/move_test.go
+++ b/cmd/terntray/migration_test.go
@@ -10,13 +10,13 @@
 )
 
 // The steps of docs/migration.md, as an operator takes them, with what is to be watched at each and the way back.
-func TestMoveStepByStep(t *testing.T) {
-	a, b := newStandin(t, "s-a", 0, fulfil), newStandin(t, "s-b", 0, fulfil)
-	ask := func(p *program, id string) {
+func TestMigrationStepByStep(t *testing.T) {
+	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
+	ask := func(program *process, id string) {
 		t.Helper()
-		c := p.connect()
-		c.send(query("look", id, 10, 3))
-		if got := c.receive().values()[3]; got != value(a, 3) && got != value(b, 3) {
+		client := program.connect()
+		client.send(query("look", id, 10, 3))
+		if got := client.receive().values()[3]; got != value(a, 3) && got != value(b, 3) {
 			t.Fatalf("%s: answered %q", id, got)
 		}
 	}
@@ -25,7 +25,7 @@
 	if line := old.get("/counters"); strings.Contains(line, "watched=") || strings.Contains(line, "stranger") {
 		t.Errorf("step 1, the new build with the old files counts %s", line)
 	}
-	watching, _ := installed(t, settings, `{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
+	watching, _ := deployedWith(t, settings, `{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
 	ask(watching, "watching")
 	if n := watching.counters(); n["watched"] != 1 || n["watched_legs"] < 1 || n["would_time_out_otherwise"] < 1 {
 		t.Errorf("step 2 counts %v", n)
@@ -35,10 +35,10 @@
 	file := func(listen, other string) string {
 		return fmt.Sprintf(`{"peers":{"listen":%q,"others":[%q]}}`, listen, other)
 	}
-	first, _ := installed(t, told, file(one, two), 1024, a, b)
-	second, _ := installed(t, told, file(two, one), 1024, a, b)
+	first, _ := deployedWith(t, told, file(one, two), 1024, a, b)
+	second, _ := deployedWith(t, told, file(two, one), 1024, a, b)
 	ask(first, "told")
-	until(t, "step 4, the other hears of the leg and of its end", func() bool { return second.counters()["peer_messages"] >= 2 })
+	until(t, "step 4, the other hears of the attempt and of its end", func() bool { return second.counters()["peer_messages"] >= 2 })
 	stranger, err := net.Dial("udp4", two)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 		t.Errorf("step 4 counts %v", n)
 	}
 	// half of the way back: the setting without its file starts, sends none and says so, in a line that names it
-	half, _ := installed(t, told, `{}`, 1024, a, b)
+	half, _ := deployedWith(t, told, `{}`, 1024, a, b)
 	ask(half, "half")
 	if !strings.Contains(half.logged(), `event=not_used setting=bounds.peers value="true" holds="false"`) {
 		t.Errorf("without others it says %s", half.logged())
@@ -60,6 +60,6 @@
 	if line := half.get("/counters"); strings.Contains(line, "stranger") { // it has no socket for messages
 		t.Errorf("without others it counts %s", line)
 	}
-	back, _ := installed(t, settings, `{}`, 1024, a, b)
+	back, _ := deployedWith(t, settings, `{}`, 1024, a, b)
 	ask(back, "back")
 }
