--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -29,22 +29,22 @@
 		k := c.client(t)
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
-		q := c.byQuery[query.ID]
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
+		q := c.queriesByRequestID[query.ID]
 		if q == nil {
 			continue
 		}
 		for range 3 { // each attempt fails, having run
-			for _, l := range q.parts[0].attempts {
-				if !l.over {
-					c.giveUp(l, scheduler.Failed)
+			for _, l := range q.subqueries[0].attempts {
+				if !l.ended {
+					c.abandonAttempt(l, scheduler.Failed)
 				}
 			}
 			time.Sleep(220 * time.Millisecond) // longer than a retry waits after an error
 			c.turnWith()
 		}
-		sent += len(q.parts[0].attempts) - 1
-		c.broken("as if")
+		sent += len(q.subqueries[0].attempts) - 1
+		c.recoverFromPanic("as if")
 		c.turnWith()
 	}
 	if sent > 2 {
@@ -75,9 +75,9 @@
 			k := c.client(t)
 			query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: 5 * time.Second,
 				Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-			c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+			c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 			if panics && n%10 == 9 {
-				c.broken("as if")
+				c.recoverFromPanic("as if")
 				c.turnWith()
 			}
 		}
@@ -96,7 +96,7 @@
 	c.loop.AdvanceClock(10 * time.Second)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 100 * time.Millisecond, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-200*time.Millisecond) }, c.endTurn)
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()-200*time.Millisecond) }, c.endIteration)
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
 		t.Error("it is not refused")
 	}
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -60,7 +60,7 @@
 	seenAt    atomic.Int64 // the last look that saw the client, as time since the process' start
 	known     atomic.Bool  // has brought a request
 	evicted   atomic.Bool
-	open      *openQuery // belongs to the goroutine that takes the turns
+	open      *queryState // belongs to the goroutine that takes the turns
 }
 
 type answer struct {
@@ -79,7 +79,7 @@
 
 // last tells whether an answer made now is the connection's last.
 func (k *client) last() bool {
-	return k.ends.Load() || k.c.leaving.Load() || k.evicted.Load() || k.c.front.waits.Load()
+	return k.ends.Load() || k.c.shuttingDown.Load() || k.evicted.Load() || k.c.front.waits.Load()
 }
 
 // answerWith makes an answer that says what becomes of its connection: one look at it holds for both. Guards against: a
@@ -117,7 +117,7 @@
 	reason := closedBroken
 	if cause := eventloop.Recover(func() { reason = k.serve() }); cause != "" {
 		k.c.log.Printf("event=client_broken cause=%q", cause)
-		k.c.loop.Post(func() { k.c.clientLeaves(k) })
+		k.c.loop.Post(func() { k.c.clientDisconnected(k) })
 	}
 	k.noteClosed(reason)
 }
@@ -227,7 +227,7 @@
 func (k *client) leaves() {
 	k.gone.Store(true)
 	if k.busy {
-		k.c.loop.Post(func() { k.c.clientLeaves(k) })
+		k.c.loop.Post(func() { k.c.clientDisconnected(k) })
 	}
 }
 
@@ -248,7 +248,7 @@
 		if k.asked > 0 {
 			k.since = time.Now()
 		}
-		switch late := k.evicted.Load() || k.c.leaving.Load(); {
+		switch late := k.evicted.Load() || k.c.shuttingDown.Load(); {
 		case k.lookEnds.IsZero():
 		case late:
 			k.lookEnds = time.Now().Add(crossing)
@@ -279,10 +279,10 @@
 	partly := k.asked == 0 || k.requests.Buffered() > 0
 	limit := k.since.Add(requestWithin)
 	switch {
-	case k.evicted.Load() || k.c.leaving.Load() && !partly:
+	case k.evicted.Load() || k.c.shuttingDown.Load() && !partly:
 		return longAgo
-	case k.c.leaving.Load(): // later ones might not be answered before the end
-		limit = k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)
+	case k.c.shuttingDown.Load(): // later ones might not be answered before the end
+		limit = k.c.loop.Start().Add(time.Duration(k.c.shutdownAt.Load())).Add(goingOn)
 		if least := k.since.Add(crossing); limit.Before(least) {
 			limit = least
 		}
@@ -317,17 +317,17 @@
 	k.begins(r.Close)
 	defer func() { k.letIn = false }()
 	track, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
-	_, known := k.c.tracks[track]
+	_, known := k.c.classes[track]
 	switch {
 	case r.Path == "/up" && r.Method == http.MethodGet:
-		if !k.c.ready.Load() || k.c.leaving.Load() {
+		if !k.c.ready.Load() || k.c.shuttingDown.Load() {
 			return k.give(k.answerWith(plainly(http.StatusServiceUnavailable, "not ready")))
 		}
 		return k.give(k.answerWith(plainly(http.StatusOK, "up")))
 	case r.Path == "/counters" && r.Method == http.MethodGet:
 		return k.c.loop.Post(func() { k.answer(plainly(http.StatusOK, k.c.countersLine())) })
 	case r.Path == "/beliefs" && r.Method == http.MethodGet:
-		return k.c.loop.Post(func() { k.answer(plainly(http.StatusOK, k.c.beliefs())) })
+		return k.c.loop.Post(func() { k.answer(plainly(http.StatusOK, k.c.estimatesPage())) })
 	case r.Path == "/up" || r.Path == "/counters" || r.Path == "/beliefs" || known && r.Method != http.MethodPost:
 		return k.refuse(&wire.Fault{Status: http.StatusMethodNotAllowed, Words: "this is for another method"})
 	case !known:
@@ -337,7 +337,7 @@
 		return k.give(k.answerWith(turnedBack("busy")))
 	}
 	lacks := ""
-	if k.c.stepped[track] {
+	if k.c.hasSecondStep[track] {
 		lacks = "the protocol has no second step"
 	} else if k.c.effects[track] == invariant.Keyed && r.Header.Get(reference) != "" { // without it a repeat would run
 		lacks = "a reference cannot be passed on to replicas"
@@ -346,14 +346,14 @@
 		k.c.loop.Post(func() { k.c.counts.Bad++ })
 		return k.give(k.answerWith(plainly(http.StatusNotImplemented, lacks)))
 	}
-	query, err := wire.ReadQuery(r, k.c.longest, k.c.questions.takes)
+	query, err := wire.ReadQuery(r, k.c.maxWait, k.c.twoPhase.allowed)
 	if err != nil {
 		return k.refuse(err)
 	}
 	read := k.c.loop.Since(time.Now())
 	return k.c.loop.Post(func() {
 		k.c.gate.QueueDelay(k.c.loop.Now(), k.c.loop.Now()-read)
-		k.c.arrives(k, query, at)
+		k.c.queryArrives(k, query, at)
 	})
 }
 
@@ -375,7 +375,7 @@
 	for !k.letIn && math.Float64frombits(k.c.share.Load()) < 1 {
 		path, size := k.requests.Plain()
 		track, _, _ := bytes.Cut(path, []byte("/"))
-		if _, known := k.c.tracks[string(track)]; size == 0 || !known {
+		if _, known := k.c.classes[string(track)]; size == 0 || !known {
 			return true
 		}
 		if k.letIn = k.c.lets(); k.letIn {
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -45,7 +45,7 @@
 		return closedSlowRequest
 	case k.evicted.Load():
 		return closedEvicted
-	case k.c.leaving.Load():
+	case k.c.shuttingDown.Load():
 		return closedShutdown
 	}
 	return closedIdle
@@ -66,7 +66,7 @@
 	k.c.loop.Post(func() {
 		k.c.counts.Closed[reason]++
 		if refused != invariant.Allowed {
-			k.c.violated(refused, "close", fmt.Sprint(id, " ", reason), 0)
+			k.c.reportViolation(refused, "close", fmt.Sprint(id, " ", reason), 0)
 		}
 	})
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -39,42 +39,42 @@
 	log        *log.Logger
 	Trace      bool // a line for each query and attempt; to be set before Serve
 
-	peers       *peers
-	module      *scheduler.Scheduler
-	tracks      map[string]scheduler.ClassIndex
+	gossip       *gossip
+	scheduler      *scheduler.Scheduler
+	classes      map[string]scheduler.ClassIndex
 	zones       map[string]scheduler.ZoneIndex
 	tenants     map[string]scheduler.TenantIndex
 	shards      int
-	longest     map[string]time.Duration    // by track: what a client may say that it waits
+	maxWait     map[string]time.Duration    // by track: what a client may say that it waits
 	effects     map[string]invariant.Effect // by track: what a repeat would do
-	stepped     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
-	agreed      map[string]time.Duration    // times, by track
+	hasSecondStep     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
+	objectives      map[string]time.Duration    // times, by track
 	maxOpen     int
 	maxAttempts int // of a subquery; 0: any number
 	counts      Counts
-	core        core
+	core        cpuMeter
 	gate        overload.Controller
 	share       atomic.Uint64 // of arrivals to let in, as bits; read by all
 	asked       atomic.Uint64 // arrivals so far; by all
 	busied      atomic.Uint64 // of them, not let in; by all
 
-	queries    map[scheduler.RequestID]*openQuery // open ones
-	byQuery    map[string]*openQuery              // the same by the client's id
-	parts      map[scheduler.RequestID]*part      // of open queries, or with attempts out
+	queries    map[scheduler.RequestID]*queryState // open ones
+	queriesByRequestID    map[string]*queryState              // the same by the client's id
+	subqueries      map[scheduler.RequestID]*subqueryState      // of open queries, or with attempts out
 	arriving   *client                            // whose request is looked at in this turn and is not among them yet
-	held       int                                // open queries, and parts of theirs that are not in
+	unanswered       int                                // open queries, and parts of theirs that are not in
 	lastID     scheduler.RequestID
 	lastNumber scheduler.QueryNumber
 
-	questions questions
+	twoPhase twoPhaseQueries
 	fleet     fleet
 	list      list
 	front     front
-	withheld  withheld
+	refusedWrites  refusedWrites
 	ready     atomic.Bool  // queries can be served; read by all
-	leaving   atomic.Bool  // told to end; read by all
-	leftAt    atomic.Int64 // when, as time since the process' start; set before
-	gone      bool         // and no client can come any more
+	shuttingDown   atomic.Bool  // told to end; read by all
+	shutdownAt    atomic.Int64 // when, as time since the process' start; set before
+	clientsGone      bool         // and no client can come any more
 	drivers   sync.WaitGroup
 
 	busyAt      time.Duration      // the last line about it
@@ -92,36 +92,36 @@
 // New makes a co-ordinator; it opens nothing yet.
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
-		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:  map[string]scheduler.ClassIndex{},
-		longest: map[string]time.Duration{},
+		loop: eventloop.New(), deployment: d, log: to, core: cpuMeter{cores: max(1, math.Ceil(d.Limits.Cores))},
+		classes:  map[string]scheduler.ClassIndex{},
+		maxWait: map[string]time.Duration{},
 		effects: map[string]invariant.Effect{},
-		stepped: map[string]bool{},
-		agreed:  map[string]time.Duration{},
+		hasSecondStep: map[string]bool{},
+		objectives:  map[string]time.Duration{},
 		zones:   map[string]scheduler.ZoneIndex{},
 		tenants: map[string]scheduler.TenantIndex{},
-		queries: map[scheduler.RequestID]*openQuery{},
-		byQuery: map[string]*openQuery{},
-		parts:   map[scheduler.RequestID]*part{},
+		queries: map[scheduler.RequestID]*queryState{},
+		queriesByRequestID: map[string]*queryState{},
+		subqueries:   map[scheduler.RequestID]*subqueryState{},
 		list:    list{boots: incarnation.New()},
 		counts:  Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
 	c.share.Store(math.Float64bits(c.gate.Share()))
-	if err := d.absurd(); err != nil {
+	if err := d.validate(); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
 	for n, name := range d.names("lanes") {
-		c.stepped[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
-		c.tracks[name] = scheduler.ClassIndex(n)
-		cutOff, err := d.span(fmt.Sprintf("lanes.%d.deadline", n), 0)
+		c.hasSecondStep[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
+		c.classes[name] = scheduler.ClassIndex(n)
+		cutOff, err := d.duration(fmt.Sprintf("lanes.%d.deadline", n), 0)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
-		c.longest[name] = longestWaits * cutOff
-		if c.agreed[name], err = d.span(fmt.Sprintf("lanes.%d.aim", n), cutOff); err != nil {
+		c.maxWait[name] = longestWaits * cutOff
+		if c.objectives[name], err = d.duration(fmt.Sprintf("lanes.%d.aim", n), cutOff); err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
 		c.effects[name] = effects[d.settings[fmt.Sprintf("lanes.%d.effect", n)]]
@@ -133,19 +133,19 @@
 		c.tenants[name] = scheduler.TenantIndex(n)
 	}
 	var err, bad error
-	c.shards, err = d.whole("familyInfo.ranges", 0)
+	c.shards, err = d.wholeNumber("familyInfo.ranges", 0)
 	if c.shards == 0 {
 		err = errors.New("setting familyInfo.ranges is missing")
 	}
 	bad = errors.Join(bad, err)
-	c.maxOpen, err = d.whole("bounds.maxOpen", math.MaxInt32)
+	c.maxOpen, err = d.wholeNumber("bounds.maxOpen", math.MaxInt32)
 	bad = errors.Join(bad, err)
-	c.maxAttempts, err = d.whole("bounds.maxAttempts", 0)
+	c.maxAttempts, err = d.wholeNumber("bounds.maxAttempts", 0)
 	bad = errors.Join(bad, err)
-	if bad = errors.Join(bad, c.fleet.begin(c, d), c.questions.begin(d, c.tracks)); bad != nil {
+	if bad = errors.Join(bad, c.fleet.begin(c, d), c.twoPhase.begin(d, c.classes)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
-	unused := d.notUsed(len(c.fleet.installation.Peers.Others) > 0)
+	unused := d.unsupportedSettings(len(c.fleet.installation.Peers.Others) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
 	}
@@ -154,7 +154,7 @@
 
 // begin starts the module from nothing but the list as it was last held.
 func (c *Coordinator) begin() error {
-	settings, watched, err := c.deployment.settled(c.fleet.installation)
+	settings, watched, err := c.deployment.schedulerSettings(c.fleet.installation)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 			return fmt.Errorf("installation: watch.settings: %w", err)
 		}
 	}
-	c.module = module
+	c.scheduler = module
 	return nil
 }
 
@@ -177,7 +177,7 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.meet(c.fleet.installation.Peers); err != nil {
+	if err := c.startGossip(c.fleet.installation.Peers); err != nil {
 		_ = listener.Close()
 		return err
 	}
@@ -186,11 +186,11 @@
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
-	context.AfterFunc(ctx, func() { c.loop.Post(c.leave) })
-	c.loop.Run(c.endTurn, c.broken, c.over)
+	context.AfterFunc(ctx, func() { c.loop.Post(c.beginShutdown) })
+	c.loop.Run(c.endIteration, c.recoverFromPanic, c.finished)
 	c.list.stop()
 	c.fleet.stop()
-	c.peers.close()
+	c.gossip.close()
 	c.drivers.Wait()
 	c.log.Printf("event=ended %s", c.countersLine())
 	return nil
@@ -207,12 +207,12 @@
 	}
 }
 
-func (c *Coordinator) endTurn() {
-	c.module.Decide(c.loop.Now())
+func (c *Coordinator) endIteration() {
+	c.scheduler.Decide(c.loop.Now())
 	c.fleet.flush()
 	if c.core.look(c.loop.Now()) {
 		c.gate.CoreUsed(c.loop.Now(), c.core.used)
-		c.module.ReadDelayed(c.loop.Now(), c.gate.ReadDelay())
+		c.scheduler.ReadDelayed(c.loop.Now(), c.gate.ReadDelay())
 	}
 	if share := c.gate.Share(); share != math.Float64frombits(c.share.Load()) {
 		if share < 1 && c.loop.Now() >= c.busyAt+busyLines {
@@ -232,18 +232,18 @@
 	return false
 }
 
-// broken starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
+// recoverFromPanic starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
 // that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
 // forgets what it has learned; what the rules count, it keeps.
-func (c *Coordinator) broken(cause string) {
+func (c *Coordinator) recoverFromPanic(cause string) {
 	c.counts.Broken++
 	c.log.Printf("event=broken cause=%q", cause)
 	if k := c.arriving; k != nil {
 		c.arriving = nil
 		k.answer(plainly(http.StatusInternalServerError, "scrapped"))
 	}
-	for _, q := range c.inOrder() {
-		for _, p := range q.parts {
+	for _, q := range c.queriesInOrder() {
+		for _, p := range q.subqueries {
 			for n := range p.attempts {
 				c.CancelAttempt(p.id, scheduler.AttemptNumber(n))
 			}
@@ -251,34 +251,34 @@
 		c.Fail(q.id)
 	}
 	told := c.loop.TakeNextIteration()
-	counted := c.module.Ledger()
+	counted := c.scheduler.Ledger()
 	if err := c.begin(); err != nil {
 		c.log.Printf("event=broken cause=%q", err)
 	}
-	c.module.Resume(counted)
+	c.scheduler.Resume(counted)
 	for _, do := range told { // the new module knows none of them; what holds their places lets go
 		do()
 	}
-	clear(c.parts)
+	clear(c.subqueries)
 	c.list.retell()
 }
 
-// leave begins the end: clients are asked to go elsewhere, and those that still come are served.
-func (c *Coordinator) leave() {
+// beginShutdown begins the end: clients are asked to go elsewhere, and those that still come are served.
+func (c *Coordinator) beginShutdown() {
 	c.log.Printf("event=leaving %s", c.countersLine())
-	c.leftAt.Store(int64(c.loop.Since(time.Now())))
-	c.leaving.Store(true)
-	c.front.leave(func() { c.loop.Post(func() { c.gone = true }) })
+	c.shutdownAt.Store(int64(c.loop.Since(time.Now())))
+	c.shuttingDown.Store(true)
+	c.front.leave(func() { c.loop.Post(func() { c.clientsGone = true }) })
 }
 
 func (c *Coordinator) countersLine() string {
 	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
 		c.front.accepted.Load(), c.front.evicted.Load(), c.front.failed.Load(), c.busied.Load(), c.gate.Share())
 	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.list.boots.Distrusted())
-	if c.peers != nil {
-		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
+	if c.gossip != nil {
+		line += fmt.Sprintf(" stranger_peer_messages=%d", c.gossip.strangers.Load())
 	}
-	if w, ok := c.module.ShadowCounts(); ok {
+	if w, ok := c.scheduler.ShadowCounts(); ok {
 		line += fmt.Sprintf(" watched=%d would_turn_back=%d would_let_in=%d watched_parts=%d would_go_elsewhere=%d",
 			w.Queries, w.WouldReject, w.WouldAdmit, w.Subqueries, w.WouldPlaceElsewhere)
 		line += fmt.Sprintf(" watched_legs=%d would_time_out_otherwise=%d would_not_copy=%d would_copy=%d",
@@ -287,7 +287,7 @@
 	return line
 }
 
-func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }
+func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }
 
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
@@ -315,7 +315,7 @@
 
 // ScheduleWakeup tells the module when a time has passed.
 func (c *Coordinator) ScheduleWakeup(name string, in time.Duration) {
-	c.loop.After(in, name, func() { c.module.Wakeup(c.loop.Now(), name) })
+	c.loop.After(in, name, func() { c.scheduler.Wakeup(c.loop.Now(), name) })
 }
 
 // PollEndpoints asks discovery to tell of changes.
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -93,17 +93,17 @@
 	defer c.fleet.stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 24 * time.Hour, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 	if timers, _ := c.loop.Timers(); c.counts.Attempts != 1 || timers < 2 {
 		t.Fatalf("%d legs, %d timers", c.counts.Attempts, timers)
 	}
-	c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
-	c.loop.RunIteration(func() {}, c.endTurn)
+	c.loop.RunIteration(func() { c.clientDisconnected(k) }, c.endIteration)
+	c.loop.RunIteration(func() {}, c.endIteration)
 	if _, last := c.loop.Timers(); last > time.Minute {
 		t.Errorf("a timer is left that is due at %v", last)
 	}
-	if len(c.queries)+len(c.byQuery)+len(c.parts)+c.held > 0 || c.counts.Left != 1 {
-		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.byQuery), len(c.parts), c.held, c.counts)
+	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.unanswered > 0 || c.counts.Left != 1 {
+		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.queriesByRequestID), len(c.subqueries), c.unanswered, c.counts)
 	}
 }
 
@@ -122,17 +122,17 @@
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.RunIteration(func() {
 			c.list.tell(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
-			c.arrives(k, query, c.loop.Now())
-		}, c.endTurn)
-		c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
+			c.queryArrives(k, query, c.loop.Now())
+		}, c.endIteration)
+		c.loop.RunIteration(func() { c.clientDisconnected(k) }, c.endIteration)
 		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
-			c.loop.RunIteration(c.loop.Receive(), c.endTurn)
+			c.loop.RunIteration(c.loop.Receive(), c.endIteration)
 		}
 		near.Close()
 		far.Close()
 		if n%1000 == 999 {
 			timers, _ := c.loop.Timers()
-			now := fmt.Sprint(len(c.queries), len(c.byQuery), len(c.parts), len(c.list.held.Targets), timers < 10, c.held)
+			now := fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.subqueries), len(c.list.held.Targets), timers < 10, c.unanswered)
 			if sizes == "" {
 				sizes = now
 			}
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -7,8 +7,8 @@
 
 const coreEvery = 50 * time.Millisecond // between looks at this process's own core
 
-// core tells how much of its own processor this process uses. It belongs to the goroutine that takes the turns.
-type core struct {
+// cpuMeter tells how much of its own processor this process uses. It belongs to the goroutine that takes the turns.
+type cpuMeter struct {
 	cores  float64 // it may use
 	at     time.Duration
 	before time.Duration // processor time used until then
@@ -16,7 +16,7 @@
 }
 
 // look takes a look if it is time; it tells whether used is new.
-func (k *core) look(now time.Duration) bool {
+func (k *cpuMeter) look(now time.Duration) bool {
 	if now < k.at+coreEvery {
 		return false
 	}
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -65,17 +65,17 @@
 		n.PeerMessages, n.BadPeerMessages) + n.Closed.String()
 }
 
-// beliefs tells what the module believes of its tracks and replicas, for a person to read.
-func (c *Coordinator) beliefs() string {
+// estimatesPage tells what the module believes of its tracks and replicas, for a person to read.
+func (c *Coordinator) estimatesPage() string {
 	var s strings.Builder
-	believed := c.module.ClassEstimates()
-	for _, name := range slices.Sorted(maps.Keys(c.tracks)) {
-		b := believed[c.tracks[name]]
-		if t := c.questions.learns[name]; t != nil {
+	believed := c.scheduler.ClassEstimates()
+	for _, name := range slices.Sorted(maps.Keys(c.classes)) {
+		b := believed[c.classes[name]]
+		if t := c.twoPhase.classes[name]; t != nil {
 			fmt.Fprintf(&s, "questions of track=%s %s\n", name, t)
 		}
 		fmt.Fprintf(&s, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name, b.SubqueryWork, b.WorkPerHint, b.LatenessFactor, b.ProbeLimit)
 	}
-	fmt.Fprintf(&s, "share=%.2f core=%.2f\n%s", c.gate.Share(), c.core.used, c.module.DescribeReplicas())
+	fmt.Fprintf(&s, "share=%.2f core=%.2f\n%s", c.gate.Share(), c.core.used, c.scheduler.DescribeReplicas())
 	return s.String()
 }
--- a/coordinator/crossings_front_test.go
+++ b/coordinator/crossings_front_test.go
@@ -131,7 +131,7 @@
 	for n := range far {
 		far[n] = asksUp(t, l)
 	}
-	c.leftAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
+	c.shutdownAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(-time.Second))
 	c.front.listener = l
 	go c.front.accept(c)
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -25,14 +25,14 @@
 	defer c.fleet.stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
-	c.loop.RunIteration(c.loop.Receive(), c.endTurn) // the connection is up
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
+	c.loop.RunIteration(c.loop.Receive(), c.endIteration) // the connection is up
 	if len(c.fleet.attempts) != 1 {
 		t.Fatalf("%d legs are out", len(c.fleet.attempts))
 	}
-	c.broken("as if")
-	if c.turnWith(); len(c.fleet.attempts)+len(c.parts)+len(c.queries) > 0 {
-		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.parts), len(c.queries))
+	c.recoverFromPanic("as if")
+	if c.turnWith(); len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
 	}
 }
 
@@ -42,17 +42,17 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}},
 		TwoPhase: &wire.TwoPhaseQuery{}} // which this track does not take, so that nothing is ready for it
-	cause := eventloop.Recover(func() { c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn) })
+	cause := eventloop.Recover(func() { c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration) })
 	if cause == "" {
 		t.Fatal("nothing breaks")
 	}
-	c.broken(cause)
+	c.recoverFromPanic(cause)
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 500 ") {
 		t.Error("it is not answered")
 	}
 	query.TwoPhase = nil
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
-	c.broken("as if, later")
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
+	c.recoverFromPanic("as if, later")
 	if len(k.answers) != 1 {
 		t.Errorf("the next has %d answers", len(k.answers))
 	}
@@ -63,17 +63,17 @@
 	c := fronted(t)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 	for _, l := range c.fleet.attempts {
 		c.loop.NextIteration(func() { panic("as if") })
-		c.giveUp(l, scheduler.TimedOut)
+		c.abandonAttempt(l, scheduler.TimedOut)
 	}
 	if cause := eventloop.Recover(c.turnWith); cause == "" || len(c.fleet.attempts) != 1 {
 		t.Fatalf("it breaks by %q with %d legs", cause, len(c.fleet.attempts))
 	}
-	c.broken("as if")
-	if c.turnWith(); len(c.fleet.attempts)+len(c.parts)+len(c.queries) > 0 {
-		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.parts), len(c.queries))
+	c.recoverFromPanic("as if")
+	if c.turnWith(); len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
 	}
 }
 
@@ -109,25 +109,25 @@
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
 		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 		ended := c.loop.Receive() // of its connection, which is as good as one that was up and broke
-		q := c.byQuery["q"]
+		q := c.queriesByRequestID["q"]
 		for id := range c.fleet.links {
 			c.fleet.pool.ConnUp(c.loop.Now(), id)
 		}
-		l := q.parts[0].attempts[0]
+		l := q.subqueries[0].attempts[0]
 		l.call.Stage = replicaproto.Begun
 		if leaves {
-			c.loop.RunIteration(func() { c.clientLeaves(k) }, c.endTurn)
+			c.loop.RunIteration(func() { c.clientDisconnected(k) }, c.endIteration)
 		} else {
-			c.loop.RunIteration(func() { c.Fail(q.id) }, c.endTurn)
+			c.loop.RunIteration(func() { c.Fail(q.id) }, c.endIteration)
 		}
-		if c.loop.RunIteration(ended, c.endTurn); len(c.fleet.links) > 0 {
+		if c.loop.RunIteration(ended, c.endIteration); len(c.fleet.links) > 0 {
 			t.Errorf("its client leaves %t: it goes on another connection", leaves)
 		}
 		c.turnWith()
-		if len(c.fleet.attempts)+len(c.parts) > 0 {
-			t.Errorf("its client leaves %t: %d legs, %d parts are left", leaves, len(c.fleet.attempts), len(c.parts))
+		if len(c.fleet.attempts)+len(c.subqueries) > 0 {
+			t.Errorf("its client leaves %t: %d legs, %d parts are left", leaves, len(c.fleet.attempts), len(c.subqueries))
 		}
 	}
 }
@@ -138,10 +138,10 @@
 		c := set(t, map[string]string{"bounds.mayCancel": "false"})
 		k := c.client(t)
 		query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}}
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
-		p := c.byQuery["q"].parts[0]
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
+		p := c.queriesByRequestID["q"].subqueries[0]
 		c.loop.Receive() // the end of its connection; they are as good as ones that stand
-		c.StartAttempt(p.id, p.attempts[0].to, time.Second)
+		c.StartAttempt(p.id, p.attempts[0].replica, time.Second)
 		c.loop.Receive()
 		first, other := p.attempts[0], p.attempts[1]
 		if begun {
@@ -158,15 +158,15 @@
 			}
 		}
 		c.loop.RunIteration(func() {
-			c.replied(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.loop.Now())
+			c.replyReceived(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.loop.Now())
 		}, func() {})
-		if !p.in {
+		if !p.answered {
 			t.Fatal("the part is not in")
 		}
 		before := len(c.fleet.links)
 		c.loop.RunIteration(func() { c.linkEnded(beside, io.EOF, c.loop.Now()) }, func() {})
-		if c.loop.RunIteration(func() {}, func() {}); !other.over || len(c.fleet.links) > before-1 {
-			t.Errorf("begun %t: over %t, %d connections after %d", begun, other.over, len(c.fleet.links), before)
+		if c.loop.RunIteration(func() {}, func() {}); !other.ended || len(c.fleet.links) > before-1 {
+			t.Errorf("begun %t: over %t, %d connections after %d", begun, other.ended, len(c.fleet.links), before)
 		}
 	}
 }
--- a/coordinator/crossings_settings_test.go
+++ b/coordinator/crossings_settings_test.go
@@ -21,8 +21,8 @@
 			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: 2 * n, Weight: 1 / float64(parts)})
 		}
 		k := c.client(t)
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, func() { c.module.Decide(c.loop.Now()) })
-		c.loop.RunIteration(func() { c.clientLeaves(k) }, func() {})
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, func() { c.scheduler.Decide(c.loop.Now()) })
+		c.loop.RunIteration(func() { c.clientDisconnected(k) }, func() {})
 		c.turnWith()
 		return c.counts.TurnedBack > before
 	}
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -61,7 +61,7 @@
 }
 
 // turnWith takes a turn with all that waits; nothing else is under way.
-func (c *Coordinator) turnWith() { c.loop.RunIteration(func() {}, c.endTurn) }
+func (c *Coordinator) turnWith() { c.loop.RunIteration(func() {}, c.endIteration) }
 
 // What waited unread for a client that has left meanwhile is not taken in, however much stands before the client's end.
 // Guards against: a crowd or a standstill behind which requests go out for nobody.
@@ -102,12 +102,12 @@
 	query := func(id string) *wire.Query {
 		return &wire.Query{ID: id, Class: "look", Deadline: time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	}
-	c.loop.RunIteration(func() { k.gone.Store(true); c.arrives(k, query("q"), c.loop.Now()) }, c.endTurn)
+	c.loop.RunIteration(func() { k.gone.Store(true); c.queryArrives(k, query("q"), c.loop.Now()) }, c.endIteration)
 	if c.counts.Attempts > 0 || c.counts.Left != 1 {
 		t.Errorf("not begun: counts %+v", c.counts)
 	}
 	d := c.client(t)
-	c.loop.RunIteration(func() { c.arrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endTurn)
+	c.loop.RunIteration(func() { c.queryArrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endIteration)
 	c.turnWith()
 	if len(c.fleet.links) > 0 {
 		t.Errorf("taken in, then left: %d connections for its parts", len(c.fleet.links))
@@ -125,7 +125,7 @@
 		}
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.AdvanceClock(10 * time.Second)
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-waited) }, c.endTurn)
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()-waited) }, c.endIteration)
 		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
 			t.Errorf("it waited for %v: counts %+v", waited, c.counts)
 		}
@@ -149,7 +149,7 @@
 		}()
 		io.WriteString(far, asking("q"))
 		(c.loop.Receive())()
-		q := c.byQuery["q"]
+		q := c.queriesByRequestID["q"]
 		if q == nil {
 			t.Fatal("it is not taken in")
 		}
@@ -226,8 +226,8 @@
 	c := fronted(t)
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, func() {})
-	c.reply(c.byQuery["q"].id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
+	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, func() {})
+	c.answerOnce(c.queriesByRequestID["q"].id, &c.counts.Fulfilled, func(q *queryState, last bool) []byte {
 		text := wire.CompleteResponse(true, nil, last)
 		k.evicted.Store(true)
 		return text
@@ -285,9 +285,9 @@
 	io.WriteString(far, asking("q"))
 	go k.serveSafely()
 	(c.loop.Receive())()
-	c.Complete(c.byQuery["q"].id, true)
-	c.leftAt.Store(int64(c.loop.Since(time.Now())))
-	c.leaving.Store(true)
+	c.Complete(c.queriesByRequestID["q"].id, true)
+	c.shutdownAt.Store(int64(c.loop.Since(time.Now())))
+	c.shuttingDown.Store(true)
 	io.WriteString(far, "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
 	text, err := io.ReadAll(far)
 	answers := strings.Split(string(text), "HTTP/1.1 ")
@@ -302,12 +302,12 @@
 	c := fronted(t)
 	near, _ := pair(t)
 	k := newClient(c, near)
-	c.leftAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
-	c.leaving.Store(true)
+	c.shutdownAt.Store(int64(c.loop.Since(time.Now().Add(-goingOn))))
+	c.shuttingDown.Store(true)
 	if left := time.Until(k.limit()); left > crossing {
 		t.Errorf("a new connection may bring a request for %v", left)
 	}
-	c.leftAt.Store(int64(c.loop.Since(time.Now())))
+	c.shutdownAt.Store(int64(c.loop.Since(time.Now())))
 	if left := time.Until(k.limit()); left < goingOn/2 {
 		t.Errorf("right after the word to end it has only %v", left)
 	}
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -34,7 +34,7 @@
 
 	settings map[string]string
 	path     string // of the file
-	stated   string // the address of discovery as the file states it
+	discoveryInFile   string // the address of discovery as the file states it
 }
 
 // Limits are those of the machine.
@@ -83,7 +83,7 @@
 	if d.settings, err = Flatten(d.Nested); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %s: settings: %w", path, err)
 	}
-	d.stated = d.Discovery
+	d.discoveryInFile = d.Discovery
 	return d, nil
 }
 
@@ -163,7 +163,7 @@
 	return strings.Split(d.settings[list], ",")
 }
 
-func (d *Deployment) whole(name string, absent int) (int, error) {
+func (d *Deployment) wholeNumber(name string, absent int) (int, error) {
 	v := d.settings[name]
 	if v == "" || v == "-" {
 		return absent, nil
@@ -175,8 +175,8 @@
 	return int(n), nil
 }
 
-func (d *Deployment) span(name string, absent time.Duration) (time.Duration, error) {
-	n, err := d.whole(name, int(absent.Microseconds()))
+func (d *Deployment) duration(name string, absent time.Duration) (time.Duration, error) {
+	n, err := d.wholeNumber(name, int(absent.Microseconds()))
 	return time.Duration(n) * time.Microsecond, err
 }
 
@@ -189,9 +189,9 @@
 	{"bounds.maxOpen", 1e15}, {"bounds.multiplex", 1e15}, {"bounds.maxAttempts", 1e15}, {"guarantees.askEvery", 1e15},
 }
 
-// absurd names a setting with which nothing could be served although each figure can be read. Guards against: a start that
+// validate names a setting with which nothing could be served although each figure can be read. Guards against: a start that
 // turns everything back, calls nobody or breaks. Could hurt: a deployment that means something by such a figure.
-func (d *Deployment) absurd() error {
+func (d *Deployment) validate() error {
 	for _, s := range aboveZero {
 		v := d.settings[s.name]
 		if n, err := strconv.ParseFloat(v, 64); v != "" && v != "-" && (err != nil || !(n > 0 && n <= s.most)) {
@@ -208,19 +208,19 @@
 	return nil
 }
 
-// carried gives the settings as this program can carry them out: messages between co-ordinators are allowed, not asked for,
+// supportedSettings gives the settings as this program can carry them out: messages between co-ordinators are allowed, not asked for,
 // and go to nobody where nobody is named; the protocol has no second step, and tracks with one are answered 501. Guards
 // against: settings of another customer that are valid, and with which this would not start.
-func (d *Deployment) carried(named bool) map[string]string {
+func (d *Deployment) supportedSettings(named bool) map[string]string {
 	settings := maps.Clone(d.settings)
-	for name, value := range d.notUsed(named) {
+	for name, value := range d.unsupportedSettings(named) {
 		settings[name] = value
 	}
 	return settings
 }
 
-// notUsed are the settings that cannot be carried out, with the values that hold in their place.
-func (d *Deployment) notUsed(named bool) map[string]string {
+// unsupportedSettings are the settings that cannot be carried out, with the values that hold in their place.
+func (d *Deployment) unsupportedSettings(named bool) map[string]string {
 	all := map[string]string{}
 	if d.settings["bounds.peers"] == "true" && !named {
 		all["bounds.peers"] = "false"
--- a/coordinator/front.go
+++ b/coordinator/front.go
@@ -106,7 +106,7 @@
 
 // maySweep tells whether the last look for connections that the machine has accepted may go on.
 func (f *front) maySweep(c *Coordinator) bool {
-	return c.loop.Since(time.Now())-time.Duration(c.leftAt.Load()) < goingOn+writeLimit
+	return c.loop.Since(time.Now())-time.Duration(c.shutdownAt.Load()) < goingOn+writeLimit
 }
 
 // noteFailed counts an accept that failed, and logs it now and then: a shortage may last.
--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -204,7 +204,7 @@
 	for {
 		ended := false
 		bytes, ended = k.output(bytes[:0])
-		k.c.tellWithheld()
+		k.c.reportRefusedWrites()
 		switch {
 		case ended:
 			k.writeLast(conn, bytes)
@@ -223,7 +223,7 @@
 	defer k.mu.Unlock()
 	for !k.ended {
 		now := k.c.loop.Since(time.Now())
-		if bytes = k.session.Output(bytes, mostOutput, now); len(bytes) > 0 || k.c.withheld.waits() {
+		if bytes = k.session.Output(bytes, mostOutput, now); len(bytes) > 0 || k.c.refusedWrites.waits() {
 			return bytes, false
 		}
 		k.more.Wait()
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -42,7 +42,7 @@
 	l.asked = c.deployment.settings["discovery"] == "subscribe"
 	// Half of the time in which silence counts as told leaves room for a second call.
 	l.hold = hold
-	if every, err := c.deployment.span("guarantees.askEvery", 0); err == nil && every > 0 {
+	if every, err := c.deployment.duration("guarantees.askEvery", 0); err == nil && every > 0 {
 		l.hold = min(every/2, time.Minute)
 	}
 	l.stopCall = func() {}
@@ -145,7 +145,7 @@
 		l.c.log.Printf("event=list_failed at=%s cause=%q", host, cause)
 	}
 	if told {
-		l.c.module.EndpointPollFailed(l.c.loop.Now())
+		l.c.scheduler.EndpointPollFailed(l.c.loop.Now())
 	}
 	l.failing = true
 }
@@ -253,7 +253,7 @@
 		l.change(told.Targets)
 	}
 	l.held.Rev = told.Rev
-	c.module.EndpointListBegins(c.loop.Now(), told.All, old)
+	c.scheduler.EndpointListBegins(c.loop.Now(), told.All, old)
 	for _, t := range told.Targets {
 		l.tellOf(t)
 	}
@@ -294,7 +294,7 @@
 	if at, ok := c.zones[t.Zone]; ok {
 		zone = at
 	}
-	c.module.EndpointListed(c.loop.Now(), scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
+	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
 		Size: size(c.fleet.installation, t.Model)})
 }
 
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -20,8 +20,8 @@
 	mostPeersUnread = 1024 // messages that wait to be read; what comes beyond is dropped, as any may be lost
 )
 
-// peers carries messages between co-ordinators as datagrams. A nil one carries none.
-type peers struct {
+// gossip carries messages between co-ordinators as datagrams. A nil one carries none.
+type gossip struct {
 	socket *net.UDPConn
 	others []netip.AddrPort
 	index  map[netip.AddrPort]scheduler.PeerIndex
@@ -30,10 +30,10 @@
 	strangers atomic.Int64 // messages from elsewhere, which nobody reads
 }
 
-// settled gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
+// schedulerSettings gives the settings that the module starts with, and those to watch; nil: none. What the installation file says
 // of co-ordinators and sizes must fit them.
-func (d *Deployment) settled(in *config.Config) (settings, watched map[string]string, err error) {
-	settings, weighed := d.carried(len(in.Peers.Others) > 0), d.settings["weightKind"]
+func (d *Deployment) schedulerSettings(in *config.Config) (settings, watched map[string]string, err error) {
+	settings, weighed := d.supportedSettings(len(in.Peers.Others) > 0), d.settings["weightKind"]
 	allowed := d.settings["bounds.peers"] == "true"
 	if len(in.Peers.Others) > 0 && !allowed {
 		err = errors.New("installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
@@ -58,12 +58,12 @@
 	return 0
 }
 
-// meet opens the socket and reads until it is closed.
-func (c *Coordinator) meet(in config.Gossip) error {
+// startGossip opens the socket and reads until it is closed.
+func (c *Coordinator) startGossip(in config.Gossip) error {
 	if len(in.Others) == 0 {
 		return nil
 	}
-	p := &peers{index: map[netip.AddrPort]scheduler.PeerIndex{}}
+	p := &gossip{index: map[netip.AddrPort]scheduler.PeerIndex{}}
 	for n, other := range in.Others {
 		addr, err := net.ResolveUDPAddr("udp4", other)
 		if err != nil {
@@ -79,12 +79,12 @@
 	if err != nil {
 		return fmt.Errorf("installation: peers.listen: %w", err)
 	}
-	c.peers = p
+	c.gossip = p
 	c.drivers.Go(func() { c.hearPeers(p) })
 	return nil
 }
 
-func (c *Coordinator) hearPeers(p *peers) {
+func (c *Coordinator) hearPeers(p *gossip) {
 	buffer := make([]byte, mostPeerMessage+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
@@ -107,7 +107,7 @@
 		p.unread.Add(1)
 		c.loop.Post(func() {
 			p.unread.Add(-1)
-			if err := c.module.GossipReceived(c.loop.Now(), peer, message); err != nil {
+			if err := c.scheduler.GossipReceived(c.loop.Now(), peer, message); err != nil {
 				c.counts.BadPeerMessages++
 				c.seldom("event=bad_peer_message cause=%q", err)
 				return
@@ -119,15 +119,15 @@
 
 // Broadcast carries out decide.Host. A message that cannot go is lost, as any may be.
 func (c *Coordinator) Broadcast(message []byte) {
-	if c.peers == nil {
+	if c.gossip == nil {
 		return
 	}
-	for _, other := range c.peers.others {
-		_, _ = c.peers.socket.WriteToUDPAddrPort(message, other)
+	for _, other := range c.gossip.others {
+		_, _ = c.gossip.socket.WriteToUDPAddrPort(message, other)
 	}
 }
 
-func (p *peers) close() {
+func (p *gossip) close() {
 	if p != nil {
 		_ = p.socket.Close()
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -42,7 +42,7 @@
 func (c *Coordinator) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if c.loop.RunIteration(func() {}, c.endTurn); holds() {
+		if c.loop.RunIteration(func() {}, c.endIteration); holds() {
 			return
 		}
 	}
@@ -66,15 +66,15 @@
 	}
 	for _, c := range []*Coordinator{a, b} {
 		defer c.fleet.stop()
-		if err := c.meet(c.fleet.installation.Peers); err != nil {
+		if err := c.startGossip(c.fleet.installation.Peers); err != nil {
 			t.Fatal(err)
 		}
 		defer c.drivers.Wait()
-		defer c.peers.close()
+		defer c.gossip.close()
 		c.client(t)
 	}
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	a.loop.RunIteration(func() { a.arrives(a.client(t), query, a.loop.Now()) }, a.endTurn)
+	a.loop.RunIteration(func() { a.queryArrives(a.client(t), query, a.loop.Now()) }, a.endIteration)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
 	}
@@ -88,12 +88,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	to := b.peers.socket.LocalAddr().(*net.UDPAddr)
+	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
 	if _, err := s.WriteToUDP([]byte("who am I"), to); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range [][]byte{{}, []byte("x"), make([]byte, 2000)} {
-		if _, err := a.peers.socket.WriteToUDP(bad, to); err != nil {
+		if _, err := a.gossip.socket.WriteToUDP(bad, to); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatalf("named %t: %v", named, err)
 		}
-		told, _, err := d.settled(c.fleet.installation)
+		told, _, err := d.schedulerSettings(c.fleet.installation)
 		c.fleet.stop()
 		if err != nil || told["bounds.peers"] != fmt.Sprint(named) || told["familyInfo.classFetch"] != "0" || told["balancers"] != "3" {
 			t.Errorf("named %t: the module is told %v, %v", named, told, err)
@@ -134,8 +134,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.meet(c.fleet.installation.Peers); err != nil || c.peers != nil {
-		t.Errorf("%v, peers %v", err, c.peers)
+	if err := c.startGossip(c.fleet.installation.Peers); err != nil || c.gossip != nil {
+		t.Errorf("%v, peers %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
 }
@@ -184,7 +184,7 @@
 		for shard := range 4 {
 			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: shard, Weight: 0.25})
 		}
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 		return c.counts.Attempts, c.countersLine()
 	}
 	attempts, line := run("")
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -18,58 +18,58 @@
 	"terntray/scheduler"
 )
 
-// openQuery is a query that is open; the client that asked for it gets its one answer.
-type openQuery struct {
+// queryState is a query that is open; the client that asked for it gets its one answer.
+type queryState struct {
 	id       scheduler.RequestID
 	client   *client
-	query    *wire.Query
-	cutOff   time.Duration
-	parts    []*part
+	request    *wire.Query
+	deadline   time.Duration
+	subqueries    []*subqueryState
 	closed   atomic.Bool // read by all
-	came     time.Duration
-	ends     *eventloop.Timer // at the cut-off
+	arrived     time.Duration
+	deadlineTimer     *eventloop.Timer // at the cut-off
 	number   scheduler.QueryNumber
-	question *question // nil: it is none
+	twoPhase *twoPhaseState // nil: it is none
 }
 
-type part struct {
+type subqueryState struct {
 	id       scheduler.RequestID
-	of       *openQuery
+	query       *queryState
 	shard    int
-	wire     string // its id on the wire
-	attempts []*attempt
-	in       bool
-	done     atomic.Bool // its step is over; read by all
+	wireID     string // its id on the wire
+	attempts []*attemptState
+	answered       bool
+	abandoned     atomic.Bool // its step is over; read by all
 	value    []byte
 	text     []byte // what its call carries; nil: the query's
 }
 
-// attempt is one attempt at a part.
-type attempt struct {
+// attemptState is one attemptState at a part.
+type attemptState struct {
 	connpool.Attempt // as it is sent; no Call where there was no connection for it
 	call             replicaproto.Call
-	part             *part
+	subquery             *subqueryState
 	number           scheduler.AttemptNumber
-	to               scheduler.ReplicaID
+	replica               scheduler.ReplicaID
 	deadline         time.Duration // when it stops being awaited, as time since the process' start
 	endpoint         *replica
-	over             bool              // the module has been told, or is about to be
+	ended             bool              // the module has been told, or is about to be
 	outcome          scheduler.Outcome // once it is over
-	ends             *eventloop.Timer  // when its time is over
+	timeoutTimer             *eventloop.Timer  // when its time is over
 }
 
-// arrives takes a query in. It was whole at that time.
-func (c *Coordinator) arrives(from *client, query *wire.Query, at time.Duration) {
+// queryArrives takes a query in. It was whole at that time.
+func (c *Coordinator) queryArrives(from *client, query *wire.Query, at time.Duration) {
 	c.arriving = from
 	switch {
-	case from.hasGone(c.loop.Now()): // while it waited; what tells that comes behind
+	case from.hasDisconnected(c.loop.Now()): // while it waited; what tells that comes behind
 		c.counts.Taken++
 		c.counts.Left++
-	case c.byQuery[query.ID] != nil:
-		c.bad(from, http.StatusConflict, "a retrieval with this Req-Id is open")
+	case c.queriesByRequestID[query.ID] != nil:
+		c.rejectMalformed(from, http.StatusConflict, "a retrieval with this Req-Id is open")
 	case c.unknownShard(query) >= 0:
-		c.bad(from, http.StatusBadRequest, fmt.Sprintf("there is no segment %d", c.unknownShard(query)))
-	case c.held >= c.maxOpen || c.front.crowded(len(c.queries)):
+		c.rejectMalformed(from, http.StatusBadRequest, fmt.Sprintf("there is no segment %d", c.unknownShard(query)))
+	case c.unanswered >= c.maxOpen || c.front.crowded(len(c.queries)):
 		c.counts.Taken++
 		c.counts.TurnedBack++
 		c.counts.Full++
@@ -81,13 +81,13 @@
 		from.answer(turnedBack("its time was over before it was read"))
 	default:
 		c.counts.Taken++
-		c.take(from, query, at)
+		c.acceptQuery(from, query, at)
 	}
 	c.arriving = nil
 }
 
-// bad answers what is no query and ends its client's connection.
-func (c *Coordinator) bad(from *client, status int, words string) {
+// rejectMalformed answers what is no query and ends its client's connection.
+func (c *Coordinator) rejectMalformed(from *client, status int, words string) {
 	c.counts.Bad++
 	from.ends.Store(true)
 	from.answer(plainly(status, words))
@@ -102,10 +102,10 @@
 	return -1
 }
 
-func (c *Coordinator) take(from *client, query *wire.Query, at time.Duration) {
+func (c *Coordinator) acceptQuery(from *client, query *wire.Query, at time.Duration) {
 	at = c.loop.EarliestArrival(at)
-	q := &openQuery{id: c.newID(), client: from, query: query, came: at, cutOff: at + query.Deadline}
-	track := c.tracks[query.Class]
+	q := &queryState{id: c.newID(), client: from, request: query, arrived: at, deadline: at + query.Deadline}
+	track := c.classes[query.Class]
 	c.lastNumber++
 	number := c.lastNumber
 	hint := time.Duration(0)
@@ -113,30 +113,30 @@
 		hint += p.Hint
 	}
 	if query.TwoPhase != nil {
-		if err := c.takeQuestion(q); err != nil {
+		if err := c.beginTwoPhase(q); err != nil {
 			c.counts.Taken--
-			c.bad(from, http.StatusBadRequest, err.Error())
+			c.rejectMalformed(from, http.StatusBadRequest, err.Error())
 			return
 		}
 	}
 	q.number = number
-	c.queries[q.id], c.byQuery[query.ID] = q, q
+	c.queries[q.id], c.queriesByRequestID[query.ID] = q, q
 	from.open, c.arriving = q, nil
-	c.held++
-	left := max(0, q.cutOff-c.loop.Now())
-	q.ends = c.loop.After(left, "", func() { c.overdue(q) })
+	c.unanswered++
+	left := max(0, q.deadline-c.loop.Now())
+	q.deadlineTimer = c.loop.After(left, "", func() { c.deadlinePassed(q) })
 	c.trace("retrieval=%s track=%s left=%v parts=%d", query.ID, query.Class, left, len(query.Subqueries))
-	if q.question != nil {
-		c.takeSteps(q, track, left, hint)
+	if q.twoPhase != nil {
+		c.startFirstPhase(q, track, left, hint)
 		return
 	}
-	c.held += len(query.Subqueries)
-	c.module.QueryArrives(c.loop.Now(), scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
+	c.unanswered += len(query.Subqueries)
+	c.scheduler.QueryArrives(c.loop.Now(), scheduler.QueryArrival{ID: q.id, Number: number, Class: track, Tenant: c.tenantOf(query),
 		TimeLeft: left, WorkHint: hint, Subqueries: len(query.Subqueries)})
 	for _, asked := range query.Subqueries {
-		p := &part{id: c.newID(), of: q, shard: asked.Shard, wire: wire.SubqueryID(query.ID, asked.Shard)}
-		q.parts, c.parts[p.id] = append(q.parts, p), p
-		c.module.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
+		p := &subqueryState{id: c.newID(), query: q, shard: asked.Shard, wireID: wire.SubqueryID(query.ID, asked.Shard)}
+		q.subqueries, c.subqueries[p.id] = append(q.subqueries, p), p
+		c.scheduler.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{ID: p.id, Query: number, Shard: scheduler.ShardNumber(p.shard),
 			Weight: asked.Weight, WorkHint: asked.Hint})
 	}
 }
@@ -151,13 +151,13 @@
 	return scheduler.TenantIndex(len(c.tenants))
 }
 
-// overdue answers a query that the module has left open until its cut-off. Guards against: a fault of the
+// deadlinePassed answers a query that the module has left open until its cut-off. Guards against: a fault of the
 // module that would lose it. Could hurt: never, as its time is over.
-func (c *Coordinator) overdue(q *openQuery) {
+func (c *Coordinator) deadlinePassed(q *queryState) {
 	if !q.closed.Load() {
-		c.log.Printf("event=overdue retrieval=%s stalled=%v loop_late=%v", q.query.ID, c.loop.StalledFor(), c.loop.LateBy())
+		c.log.Printf("event=overdue retrieval=%s stalled=%v loop_late=%v", q.request.ID, c.loop.StalledFor(), c.loop.LateBy())
 		c.Fail(q.id)
-		c.module.ClientDisconnects(c.loop.Now(), q.id)
+		c.scheduler.ClientDisconnects(c.loop.Now(), q.id)
 	}
 }
 
@@ -165,138 +165,138 @@
 func (c *Coordinator) newID() scheduler.RequestID {
 	for {
 		c.lastID++
-		if c.queries[c.lastID] == nil && c.parts[c.lastID] == nil {
+		if c.queries[c.lastID] == nil && c.subqueries[c.lastID] == nil {
 			return c.lastID
 		}
 	}
 }
 
-func (c *Coordinator) inOrder() []*openQuery {
-	byID := func(a, b *openQuery) int { return cmp.Compare(a.id, b.id) }
+func (c *Coordinator) queriesInOrder() []*queryState {
+	byID := func(a, b *queryState) int { return cmp.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Values(c.queries), byID)
 }
 
-// clientLeaves ends what a client that is gone has open.
-func (c *Coordinator) clientLeaves(from *client) {
+// clientDisconnected ends what a client that is gone has open.
+func (c *Coordinator) clientDisconnected(from *client) {
 	if q := from.open; q != nil {
 		c.counts.Left++
-		c.trace("retrieval=%s left after=%v", q.query.ID, c.loop.Now()-q.came)
-		c.module.ClientDisconnects(c.loop.Now(), q.id)
-		c.close(q)
+		c.trace("retrieval=%s left after=%v", q.request.ID, c.loop.Now()-q.arrived)
+		c.scheduler.ClientDisconnects(c.loop.Now(), q.id)
+		c.closeQuery(q)
 	}
 }
 
-// close ends a query: nothing of it is sent from now on.
-func (c *Coordinator) close(q *openQuery) {
+// closeQuery ends a query: nothing of it is sent from now on.
+func (c *Coordinator) closeQuery(q *queryState) {
 	q.closed.Store(true)
 	q.client.open = nil
-	c.loop.Cancel(q.ends)
+	c.loop.Cancel(q.deadlineTimer)
 	delete(c.queries, q.id)
-	delete(c.byQuery, q.query.ID)
-	c.held--
-	for _, p := range q.parts {
-		if !p.in {
-			c.held--
+	delete(c.queriesByRequestID, q.request.ID)
+	c.unanswered--
+	for _, p := range q.subqueries {
+		if !p.answered {
+			c.unanswered--
 		}
-		c.letGo(p)
+		c.releaseAttempts(p)
 	}
-	if q.question != nil {
-		c.endQuestion(q)
+	if q.twoPhase != nil {
+		c.closeTwoPhase(q)
 	}
 }
 
-// letGo lets go of the attempts of a part whose step or query is over, as far as they are.
-func (c *Coordinator) letGo(p *part) {
-	c.withhold(p)
+// releaseAttempts lets go of the attempts of a part whose step or query is over, as far as they are.
+func (c *Coordinator) releaseAttempts(p *subqueryState) {
+	c.withdrawUnsent(p)
 	for _, l := range p.attempts {
-		if l.over && l.Call != nil {
+		if l.ended && l.Call != nil {
 			c.fleet.pool.Forget(c.loop.Now(), &l.Attempt)
 		}
 	}
-	c.clear(p)
+	c.forgetIfSettled(p)
 }
 
-// withhold keeps what has not gone out yet of a part of which nothing more is wanted from going out.
-func (c *Coordinator) withhold(p *part) {
+// withdrawUnsent keeps what has not gone out yet of a part of which nothing more is wanted from going out.
+func (c *Coordinator) withdrawUnsent(p *subqueryState) {
 	for _, l := range p.attempts {
 		switch {
-		case l.over:
+		case l.ended:
 		case c.fleet.pool.Withdraw(c.loop.Now(), &l.Attempt):
-			c.tell(l, scheduler.Cancelled)
+			c.notifyEndedSoon(l, scheduler.Cancelled)
 		default: // it is begun: if that fails, it is not begun anew
 			c.fleet.pool.NoRetransmit(&l.Attempt)
 		}
 	}
 }
 
-// over tells whether nothing more is wanted of a part.
-func (p *part) over() bool { return p.done.Load() || p.of.closed.Load() }
+// unwanted tells whether nothing more is wanted of a part.
+func (p *subqueryState) unwanted() bool { return p.abandoned.Load() || p.query.closed.Load() }
 
-// clear lets go of a part that nothing can be told of any more.
-func (c *Coordinator) clear(p *part) {
-	if p.over() && !slices.ContainsFunc(p.attempts, func(l *attempt) bool { return !l.over }) {
-		delete(c.parts, p.id)
+// forgetIfSettled lets go of a part that nothing can be told of any more.
+func (c *Coordinator) forgetIfSettled(p *subqueryState) {
+	if p.unwanted() && !slices.ContainsFunc(p.attempts, func(l *attemptState) bool { return !l.ended }) {
+		delete(c.subqueries, p.id)
 	}
 }
 
-// reply gives a query its one answer.
-func (c *Coordinator) reply(id scheduler.RequestID, count *int, make func(q *openQuery, last bool) []byte) {
+// answerOnce gives a query its one answer.
+func (c *Coordinator) answerOnce(id scheduler.RequestID, count *int, make func(q *queryState, last bool) []byte) {
 	q := c.queries[id]
 	if q == nil {
-		c.violated(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), 0)
+		c.reportViolation(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), 0)
 		return
 	}
-	if reason := (invariant.Answer{Late: c.loop.Now() - q.cutOff, LoopStalled: c.loop.StalledFor()}).Check(); reason != invariant.Allowed {
-		c.violated(reason, "answer", q.query.ID, 0)
+	if reason := (invariant.Answer{Late: c.loop.Now() - q.deadline, LoopStalled: c.loop.StalledFor()}).Check(); reason != invariant.Allowed {
+		c.reportViolation(reason, "answer", q.request.ID, 0)
 	}
 	*count++
-	if count != &c.counts.Fulfilled && c.loop.Now()-q.came > (q.cutOff-q.came)/2 && !c.went(q) {
+	if count != &c.counts.Fulfilled && c.loop.Now()-q.arrived > (q.deadline-q.arrived)/2 && !c.anyWrittenWhole(q) {
 		c.counts.HeldBack++
 	}
-	c.close(q)
+	c.closeQuery(q)
 	q.client.answer(func(last bool) []byte { return make(q, last) })
 }
 
-// went tells whether any attempt was written whole.
-func (c *Coordinator) went(q *openQuery) bool {
-	return slices.ContainsFunc(q.parts, func(p *part) bool {
+// anyWrittenWhole tells whether any attempt was written whole.
+func (c *Coordinator) anyWrittenWhole(q *queryState) bool {
+	return slices.ContainsFunc(q.subqueries, func(p *subqueryState) bool {
 		return slices.ContainsFunc(p.attempts, c.fleet.went)
 	})
 }
 
 // Complete answers with the parts that are in.
 func (c *Coordinator) Complete(id scheduler.RequestID, whole bool) {
-	if q := c.queries[id]; q != nil && q.question != nil {
-		c.stepSoon(q) // a step is over
+	if q := c.queries[id]; q != nil && q.twoPhase != nil {
+		c.scheduleNextPhase(q) // a step is over
 		return
 	}
-	c.reply(id, &c.counts.Fulfilled, func(q *openQuery, last bool) []byte {
+	c.answerOnce(id, &c.counts.Fulfilled, func(q *queryState, last bool) []byte {
 		if !whole {
 			c.counts.Partial++
 		}
 		var matches []wire.SubqueryValue
-		for _, p := range q.parts {
-			if p.in {
+		for _, p := range q.subqueries {
+			if p.answered {
 				matches = append(matches, wire.SubqueryValue{Segment: p.shard, Payload: string(p.value)})
 			}
 		}
-		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.loop.Now()-q.came)
+		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.request.ID, whole, len(matches), c.loop.Now()-q.arrived)
 		return wire.CompleteResponse(whole, matches, last)
 	})
 }
 
 // Reject answers that trying again is harmless.
 func (c *Coordinator) Reject(id scheduler.RequestID, comeBack time.Duration) {
-	c.reply(id, &c.counts.TurnedBack, func(q *openQuery, last bool) []byte {
-		c.trace("retrieval=%s turned_back after=%v", q.query.ID, c.loop.Now()-q.came)
+	c.answerOnce(id, &c.counts.TurnedBack, func(q *queryState, last bool) []byte {
+		c.trace("retrieval=%s turned_back after=%v", q.request.ID, c.loop.Now()-q.arrived)
 		return wire.RejectResponse(comeBack, "turned back", last)
 	})
 }
 
 // Fail answers that the query failed.
 func (c *Coordinator) Fail(id scheduler.RequestID) {
-	c.reply(id, &c.counts.Scrapped, func(q *openQuery, last bool) []byte {
-		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.loop.Now()-q.came)
+	c.answerOnce(id, &c.counts.Scrapped, func(q *queryState, last bool) []byte {
+		c.trace("retrieval=%s scrapped after=%v", q.request.ID, c.loop.Now()-q.arrived)
 		return refusal(http.StatusInternalServerError, "scrapped", last)
 	})
 }
@@ -307,36 +307,36 @@
 
 // StartAttempt sends an attempt of a part.
 func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
-	p := c.parts[id]
+	p := c.subqueries[id]
 	if p == nil {
 		c.log.Printf("event=unknown_part id=%d", id)
 		return
 	}
-	wait := p.of.cutOff - c.loop.Now()
+	wait := p.query.deadline - c.loop.Now()
 	if timeout > 0 {
 		wait = min(wait, timeout)
 	}
-	l := &attempt{part: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.loop.Now() + wait, to: to, endpoint: c.fleet.endpoint(to)}
-	l.SentAt, l.NonIdempotent = c.loop.Now(), c.effects[p.of.query.Class] == invariant.NonIdempotent
+	l := &attemptState{subquery: p, number: scheduler.AttemptNumber(len(p.attempts)), deadline: c.loop.Now() + wait, replica: to, endpoint: c.fleet.endpoint(to)}
+	l.SentAt, l.NonIdempotent = c.loop.Now(), c.effects[p.query.request.Class] == invariant.NonIdempotent
 	earlier := p.attempts
 	p.attempts = append(p.attempts, l)
-	c.noteSent(l, earlier)
+	c.countStarted(l, earlier)
 	switch {
-	case c.mayDecide(l, earlier) != invariant.Allowed:
-		c.tell(l, scheduler.NeverSent)
+	case c.checkStart(l, earlier) != invariant.Allowed:
+		c.notifyEndedSoon(l, scheduler.NeverSent)
 	case !c.fleet.send(l):
-		c.tell(l, scheduler.Unreachable)
+		c.notifyEndedSoon(l, scheduler.Unreachable)
 	default:
-		l.ends = c.loop.After(wait, "", func() { c.giveUp(l, scheduler.TimedOut) })
+		l.timeoutTimer = c.loop.After(wait, "", func() { c.abandonAttempt(l, scheduler.TimedOut) })
 	}
 }
 
-// noteSent counts and logs what kind of attempt goes.
-func (c *Coordinator) noteSent(l *attempt, earlier []*attempt) {
+// countStarted counts and logs what kind of attempt goes.
+func (c *Coordinator) countStarted(l *attemptState, earlier []*attemptState) {
 	c.counts.Attempts++
 	kind := "first"
 	switch {
-	case slices.ContainsFunc(earlier, func(e *attempt) bool { return !e.over }):
+	case slices.ContainsFunc(earlier, func(e *attemptState) bool { return !e.ended }):
 		kind = "hedge"
 		c.counts.Hedges++
 	case len(earlier) > 0:
@@ -344,52 +344,52 @@
 		c.counts.Retries++
 	}
 	if c.Trace {
-		c.trace("sent=%s.%d query=%s replica=%s kind=%s left=%v", l.part.wire, l.number, l.part.of.query.ID, c.fleet.uid(l.to),
+		c.trace("sent=%s.%d query=%s replica=%s kind=%s left=%v", l.subquery.wireID, l.number, l.subquery.query.request.ID, c.fleet.uid(l.replica),
 			kind, l.deadline-c.loop.Now())
 	}
 }
 
 // CancelAttempt gives an attempt up.
 func (c *Coordinator) CancelAttempt(id scheduler.RequestID, n scheduler.AttemptNumber) {
-	if p := c.parts[id]; p != nil && int(n) < len(p.attempts) {
-		c.giveUp(p.attempts[n], scheduler.Cancelled)
+	if p := c.subqueries[id]; p != nil && int(n) < len(p.attempts) {
+		c.abandonAttempt(p.attempts[n], scheduler.Cancelled)
 	}
 }
 
-// giveUp stops waiting for an attempt.
-func (c *Coordinator) giveUp(l *attempt, how scheduler.Outcome) {
-	if l.over {
+// abandonAttempt stops waiting for an attempt.
+func (c *Coordinator) abandonAttempt(l *attemptState, how scheduler.Outcome) {
+	if l.ended {
 		return
 	}
 	c.fleet.pool.Abandon(c.loop.Now(), &l.Attempt)
-	c.tell(l, how)
+	c.notifyEndedSoon(l, how)
 }
 
-// tell has the module told at the start of the next turn how an attempt ended.
-func (c *Coordinator) tell(l *attempt, how scheduler.Outcome) {
-	l.over, l.outcome = true, how
-	c.loop.Cancel(l.ends)
+// notifyEndedSoon has the module told at the start of the next turn how an attempt ended.
+func (c *Coordinator) notifyEndedSoon(l *attemptState, how scheduler.Outcome) {
+	l.ended, l.outcome = true, how
+	c.loop.Cancel(l.timeoutTimer)
 	took := c.loop.Now() - l.SentAt
-	c.loop.NextIteration(func() { c.ends(l, how, took) })
+	c.loop.NextIteration(func() { c.attemptEnded(l, how, took) })
 }
 
-func (c *Coordinator) ends(l *attempt, how scheduler.Outcome, took time.Duration) {
-	l.over, l.outcome = true, how
-	c.loop.Cancel(l.ends)
+func (c *Coordinator) attemptEnded(l *attemptState, how scheduler.Outcome, took time.Duration) {
+	l.ended, l.outcome = true, how
+	c.loop.Cancel(l.timeoutTimer)
 	delete(c.fleet.attempts, l.ID)
 	c.counts.Outcomes[how]++
 	if c.Trace {
-		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.part.wire, l.number, c.fleet.uid(l.to), outcomeNames[how], took)
+		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.subquery.wireID, l.number, c.fleet.uid(l.replica), outcomeNames[how], took)
 	}
-	c.module.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{Subquery: l.part.id, Attempt: l.number, Outcome: how, Took: took})
-	if l.part.over() && l.Call != nil {
+	c.scheduler.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{Subquery: l.subquery.id, Attempt: l.number, Outcome: how, Took: took})
+	if l.subquery.unwanted() && l.Call != nil {
 		c.fleet.pool.Forget(c.loop.Now(), &l.Attempt)
 	}
-	c.clear(l.part)
+	c.forgetIfSettled(l.subquery)
 }
 
-// replied takes what a replica says of a part; at is when it was read.
-func (c *Coordinator) replied(from *link, r *replicaproto.Event, at time.Duration) {
+// replyReceived takes what a replica says of a part; at is when it was read.
+func (c *Coordinator) replyReceived(from *link, r *replicaproto.Event, at time.Duration) {
 	ended, late := c.fleet.pool.ReplyReceived(c.loop.Now(), from.id, connpool.AttemptID(r.Attempt), r.SubqueryID, at)
 	if late {
 		c.counts.Late++
@@ -399,7 +399,7 @@
 	}
 	l := c.fleet.attempts[ended.ID]
 	if r.Busy >= 0 {
-		c.module.LoadReported(c.loop.Now(), l.to, r.Busy)
+		c.scheduler.LoadReported(c.loop.Now(), l.replica, r.Busy)
 	}
 	how := scheduler.Failed
 	switch r.End {
@@ -408,18 +408,18 @@
 			break
 		}
 		how = scheduler.Succeeded
-		if l.part.of.question != nil {
-			how = c.tells(l, r.Value, at-l.SentAt)
+		if l.subquery.query.twoPhase != nil {
+			how = c.phaseReplyReceived(l, r.Value, at-l.SentAt)
 		}
-		if p := l.part; how == scheduler.Succeeded && !p.in && !p.over() {
-			p.in, p.value = true, r.Value
-			c.held--
+		if p := l.subquery; how == scheduler.Succeeded && !p.answered && !p.unwanted() {
+			p.answered, p.value = true, r.Value
+			c.unanswered--
 		}
 	case replicaproto.Rejected:
 		how = scheduler.Overloaded
 	}
-	c.ends(l, how, at-l.SentAt)
-	if l.part.in { // its other attempts, where nothing may be called off
-		c.withhold(l.part)
+	c.attemptEnded(l, how, at-l.SentAt)
+	if l.subquery.answered { // its other attempts, where nothing may be called off
+		c.withdrawUnsent(l.subquery)
 	}
 }
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -60,8 +60,8 @@
 	if d.Limits != old.Limits || !maps.Equal(d.settings, old.settings) {
 		c.log.Printf("event=not_taken_up words=%q", "limits and settings hold from the start on; restart for them")
 	}
-	if d.stated != old.stated { // else what the environment said at the start holds
-		old.stated = d.stated
-		c.list.move(d.stated)
+	if d.discoveryInFile != old.discoveryInFile { // else what the environment said at the start holds
+		old.discoveryInFile = d.discoveryInFile
+		c.list.move(d.discoveryInFile)
 	}
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -40,7 +40,7 @@
 	all           map[scheduler.ReplicaID]*replica
 	pool          *connpool.Pool
 	links         map[connpool.ConnID]*link
-	attempts      map[connpool.AttemptID]*attempt // whose end is not told
+	attempts      map[connpool.AttemptID]*attemptState // whose end is not told
 	lastAttempt   connpool.AttemptID
 	connectWithin time.Duration
 	mostLinks     int
@@ -54,7 +54,7 @@
 }
 
 func (f *fleet) begin(c *Coordinator, d *Deployment) error {
-	*f = fleet{c: c, all: map[scheduler.ReplicaID]*replica{}, links: map[connpool.ConnID]*link{}, attempts: map[connpool.AttemptID]*attempt{},
+	*f = fleet{c: c, all: map[scheduler.ReplicaID]*replica{}, links: map[connpool.ConnID]*link{}, attempts: map[connpool.AttemptID]*attemptState{},
 		mostLinks: math.MaxInt, sizes: &wire.ValueSizes{}}
 	f.context, f.stop = context.WithCancel(context.Background())
 	if d.Limits.Sockets > 0 {
@@ -62,10 +62,10 @@
 	}
 	limits := connpool.Limits{MaxConns: f.mostLinks}
 	var errs [4]error
-	f.connectWithin, errs[0] = d.span("bounds.connectTimeout", time.Second)
-	limits.IdleTimeout, errs[1] = d.span("bounds.idleClose", 0)
-	limits.MaxAttemptsPerConn, errs[2] = d.whole("bounds.multiplex", math.MaxInt32)
-	f.batch, errs[3] = d.whole("familyInfo.batch", 1)
+	f.connectWithin, errs[0] = d.duration("bounds.connectTimeout", time.Second)
+	limits.IdleTimeout, errs[1] = d.duration("bounds.idleClose", 0)
+	limits.MaxAttemptsPerConn, errs[2] = d.wholeNumber("bounds.multiplex", math.MaxInt32)
+	f.batch, errs[3] = d.wholeNumber("familyInfo.batch", 1)
 	limits.ConnectTimeout, f.batch = f.connectWithin, max(1, f.batch)
 	if f.installation = d.Installation; f.installation == nil {
 		f.installation, _ = config.Read("") // nothing is read
@@ -131,18 +131,18 @@
 }
 
 // went tells whether an attempt was written whole.
-func (f *fleet) went(l *attempt) bool { return l.Call != nil && f.pool.WrittenWhole(&l.Attempt) }
+func (f *fleet) went(l *attemptState) bool { return l.Call != nil && f.pool.WrittenWhole(&l.Attempt) }
 
 // send has an attempt sent; it fails where there is no connection for it and none can be had.
-func (f *fleet) send(l *attempt) bool {
+func (f *fleet) send(l *attemptState) bool {
 	f.lastAttempt++
-	p := l.part
+	p := l.subquery
 	l.ID = f.lastAttempt
-	l.call = replicaproto.Call{Attempt: uint64(l.ID), Group: uint64(p.of.id), SubqueryID: p.wire, Shard: p.shard, Text: p.textOf(),
-		Deadline: l.deadline, Permit: func(now time.Duration) bool { return f.c.permit(l, now) }}
+	l.call = replicaproto.Call{Attempt: uint64(l.ID), Group: uint64(p.query.id), SubqueryID: p.wireID, Shard: p.shard, Text: p.callText(),
+		Deadline: l.deadline, Permit: func(now time.Duration) bool { return f.c.mayWrite(l, now) }}
 	l.Call = &l.call
 	f.attempts[l.ID] = l
-	if !f.pool.Send(f.c.loop.Now(), &l.Attempt, l.to) {
+	if !f.pool.Send(f.c.loop.Now(), &l.Attempt, l.replica) {
 		delete(f.attempts, l.ID)
 		return false
 	}
@@ -222,7 +222,7 @@
 // AttemptEnded tells how an attempt ended.
 func (f *fleet) AttemptEnded(id connpool.AttemptID, how scheduler.Outcome, took time.Duration) {
 	if l := f.attempts[id]; l != nil {
-		f.c.ends(l, how, took)
+		f.c.attemptEnded(l, how, took)
 	}
 }
 
@@ -274,7 +274,7 @@
 		e := &all[n]
 		switch e.Kind {
 		case replicaproto.Reply:
-			c.replied(k, e, at)
+			c.replyReceived(k, e, at)
 		case replicaproto.NeverRan, replicaproto.MayHaveRun:
 			p.AttemptSettled(c.loop.Now(), k.id, connpool.AttemptID(e.Attempt), e.Kind == replicaproto.NeverRan, at)
 		case replicaproto.CallLimit:
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -43,10 +43,10 @@
 		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
-		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
+		"coordinator/coordinator.go": {"func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }", "func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
 	}},
 	{"wall_clock", "shutdown", map[string][2]string{ // the limit is kept without its monotonic reading
-		"coordinator/client.go": {"limit = k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).Add(goingOn)",
-			"limit = time.Unix(0, k.c.loop.Start().Add(time.Duration(k.c.leftAt.Load())).UnixNano()).Add(goingOn)"},
+		"coordinator/client.go": {"limit = k.c.loop.Start().Add(time.Duration(k.c.shutdownAt.Load())).Add(goingOn)",
+			"limit = time.Unix(0, k.c.loop.Start().Add(time.Duration(k.c.shutdownAt.Load())).UnixNano()).Add(goingOn)"},
 	}},
 }
