--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -39,43 +39,43 @@
 	log        *log.Logger
 	Trace      bool // a line for each query and attempt; to be set before Serve
 
-	gossip       *gossip
-	scheduler      *scheduler.Scheduler
-	classes      map[string]scheduler.ClassIndex
-	zones       map[string]scheduler.ZoneIndex
-	tenants     map[string]scheduler.TenantIndex
-	shards      int
-	maxWait     map[string]time.Duration    // by track: what a client may say that it waits
-	effects     map[string]invariant.Effect // by track: what a repeat would do
-	hasSecondStep     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
-	objectives      map[string]time.Duration    // times, by track
-	maxOpen     int
-	maxAttempts int // of a subquery; 0: any number
-	counts      Counts
-	core        cpuMeter
-	gate        overload.Controller
-	share       atomic.Uint64 // of arrivals to let in, as bits; read by all
-	asked       atomic.Uint64 // arrivals so far; by all
-	busied      atomic.Uint64 // of them, not let in; by all
+	gossip        *gossip
+	scheduler     *scheduler.Scheduler
+	classes       map[string]scheduler.ClassIndex
+	zones         map[string]scheduler.ZoneIndex
+	tenants       map[string]scheduler.TenantIndex
+	shards        int
+	maxWait       map[string]time.Duration    // by track: what a client may say that it waits
+	effects       map[string]invariant.Effect // by track: what a repeat would do
+	hasSecondStep map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
+	objectives    map[string]time.Duration    // times, by track
+	maxOpen       int
+	maxAttempts   int // of a subquery; 0: any number
+	counts        Counts
+	core          cpuMeter
+	gate          overload.Controller
+	share         atomic.Uint64 // of arrivals to let in, as bits; read by all
+	asked         atomic.Uint64 // arrivals so far; by all
+	busied        atomic.Uint64 // of them, not let in; by all
 
-	queries    map[scheduler.RequestID]*queryState // open ones
-	queriesByRequestID    map[string]*queryState              // the same by the client's id
-	subqueries      map[scheduler.RequestID]*subqueryState      // of open queries, or with attempts out
-	arriving   *client                            // whose request is looked at in this turn and is not among them yet
-	unanswered       int                                // open queries, and parts of theirs that are not in
-	lastID     scheduler.RequestID
-	lastNumber scheduler.QueryNumber
+	queries            map[scheduler.RequestID]*queryState    // open ones
+	queriesByRequestID map[string]*queryState                 // the same by the client's id
+	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
+	arriving           *client                                // whose request is looked at in this turn and is not among them yet
+	unanswered         int                                    // open queries, and parts of theirs that are not in
+	lastID             scheduler.RequestID
+	lastNumber         scheduler.QueryNumber
 
-	twoPhase twoPhaseQueries
-	fleet     fleet
-	list      list
-	front     front
-	refusedWrites  refusedWrites
-	ready     atomic.Bool  // queries can be served; read by all
-	shuttingDown   atomic.Bool  // told to end; read by all
+	twoPhase      twoPhaseQueries
+	fleet         fleet
+	list          list
+	front         front
+	refusedWrites refusedWrites
+	ready         atomic.Bool  // queries can be served; read by all
+	shuttingDown  atomic.Bool  // told to end; read by all
 	shutdownAt    atomic.Int64 // when, as time since the process' start; set before
-	clientsGone      bool         // and no client can come any more
-	drivers   sync.WaitGroup
+	clientsGone   bool         // and no client can come any more
+	drivers       sync.WaitGroup
 
 	busyAt      time.Duration      // the last line about it
 	stopReading context.CancelFunc // of a configuration that is read anew
@@ -93,18 +93,18 @@
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		loop: eventloop.New(), deployment: d, log: to, core: cpuMeter{cores: max(1, math.Ceil(d.Limits.Cores))},
-		classes:  map[string]scheduler.ClassIndex{},
-		maxWait: map[string]time.Duration{},
-		effects: map[string]invariant.Effect{},
-		hasSecondStep: map[string]bool{},
-		objectives:  map[string]time.Duration{},
-		zones:   map[string]scheduler.ZoneIndex{},
-		tenants: map[string]scheduler.TenantIndex{},
-		queries: map[scheduler.RequestID]*queryState{},
+		classes:            map[string]scheduler.ClassIndex{},
+		maxWait:            map[string]time.Duration{},
+		effects:            map[string]invariant.Effect{},
+		hasSecondStep:      map[string]bool{},
+		objectives:         map[string]time.Duration{},
+		zones:              map[string]scheduler.ZoneIndex{},
+		tenants:            map[string]scheduler.TenantIndex{},
+		queries:            map[scheduler.RequestID]*queryState{},
 		queriesByRequestID: map[string]*queryState{},
-		subqueries:   map[scheduler.RequestID]*subqueryState{},
-		list:    list{boots: incarnation.New()},
-		counts:  Counts{Withheld: map[invariant.Reason]int{}},
+		subqueries:         map[scheduler.RequestID]*subqueryState{},
+		list:               list{boots: incarnation.New()},
+		counts:             Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
@@ -145,7 +145,7 @@
 	if bad = errors.Join(bad, c.fleet.begin(c, d), c.twoPhase.begin(d, c.classes)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
-	unused := d.unsupportedSettings(len(c.fleet.installation.Peers.Others) > 0)
+	unused := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.startGossip(c.fleet.installation.Peers); err != nil {
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -32,9 +32,9 @@
 	// Installation is the project's own settings; nil: as without a file.
 	Installation *config.Config `json:"-"`
 
-	settings map[string]string
-	path     string // of the file
-	discoveryInFile   string // the address of discovery as the file states it
+	settings        map[string]string
+	path            string // of the file
+	discoveryInFile string // the address of discovery as the file states it
 }
 
 // Limits are those of the machine.
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range []*Coordinator{a, b} {
 		defer c.fleet.stop()
-		if err := c.startGossip(c.fleet.installation.Peers); err != nil {
+		if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
 			t.Fatal(err)
 		}
 		defer c.drivers.Wait()
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.startGossip(c.fleet.installation.Peers); err != nil || c.gossip != nil {
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil || c.gossip != nil {
 		t.Errorf("%v, peers %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -20,42 +20,42 @@
 
 // queryState is a query that is open; the client that asked for it gets its one answer.
 type queryState struct {
-	id       scheduler.RequestID
-	client   *client
-	request    *wire.Query
-	deadline   time.Duration
+	id            scheduler.RequestID
+	client        *client
+	request       *wire.Query
+	deadline      time.Duration
 	subqueries    []*subqueryState
-	closed   atomic.Bool // read by all
-	arrived     time.Duration
-	deadlineTimer     *eventloop.Timer // at the cut-off
-	number   scheduler.QueryNumber
-	twoPhase *twoPhaseState // nil: it is none
+	closed        atomic.Bool // read by all
+	arrived       time.Duration
+	deadlineTimer *eventloop.Timer // at the cut-off
+	number        scheduler.QueryNumber
+	twoPhase      *twoPhaseState // nil: it is none
 }
 
 type subqueryState struct {
-	id       scheduler.RequestID
-	query       *queryState
-	shard    int
-	wireID     string // its id on the wire
-	attempts []*attemptState
-	answered       bool
-	abandoned     atomic.Bool // its step is over; read by all
-	value    []byte
-	text     []byte // what its call carries; nil: the query's
+	id        scheduler.RequestID
+	query     *queryState
+	shard     int
+	wireID    string // its id on the wire
+	attempts  []*attemptState
+	answered  bool
+	abandoned atomic.Bool // its step is over; read by all
+	value     []byte
+	text      []byte // what its call carries; nil: the query's
 }
 
 // attemptState is one attemptState at a part.
 type attemptState struct {
 	connpool.Attempt // as it is sent; no Call where there was no connection for it
 	call             replicaproto.Call
-	subquery             *subqueryState
+	subquery         *subqueryState
 	number           scheduler.AttemptNumber
-	replica               scheduler.ReplicaID
+	replica          scheduler.ReplicaID
 	deadline         time.Duration // when it stops being awaited, as time since the process' start
 	endpoint         *replica
-	ended             bool              // the module has been told, or is about to be
+	ended            bool              // the module has been told, or is about to be
 	outcome          scheduler.Outcome // once it is over
-	timeoutTimer             *eventloop.Timer  // when its time is over
+	timeoutTimer     *eventloop.Timer  // when its time is over
 }
 
 // queryArrives takes a query in. It was whole at that time.
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -16,23 +16,23 @@
 
 // twoPhaseQueries is what belongs to them; it belongs to the turns.
 type twoPhaseQueries struct {
-	allowed    map[string]bool // tracks
-	classes   map[string]*twophase.Class
-	sharedVersions   bool // versions
-	maxAttempts int  // allowance of a part; 0: any number
+	allowed        map[string]bool // tracks
+	classes        map[string]*twophase.Class
+	sharedVersions bool // versions
+	maxAttempts    int  // allowance of a part; 0: any number
 }
 
 // twoPhaseState is an open one.
 type twoPhaseState struct {
-	run       *twophase.Query
-	options      twophase.Options
-	request     *wire.TwoPhaseQuery
-	hints     map[twophase.Shard]time.Duration
-	canMatch bool // the present parts ask for them
-	stepScheduled       bool // a step is to be taken in the next turn
-	wakeup      *eventloop.Timer
-	took      [2]time.Duration // sums over replies: of summaries, of answers
-	replies   [2]int
+	run           *twophase.Query
+	options       twophase.Options
+	request       *wire.TwoPhaseQuery
+	hints         map[twophase.Shard]time.Duration
+	canMatch      bool // the present parts ask for them
+	stepScheduled bool // a step is to be taken in the next turn
+	wakeup        *eventloop.Timer
+	took          [2]time.Duration // sums over replies: of summaries, of answers
+	replies       [2]int
 }
 
 func (n *twoPhaseQueries) begin(d *Deployment, tracks map[string]scheduler.ClassIndex) error {
@@ -40,9 +40,9 @@
 	if d.Installation == nil {
 		return nil
 	}
-	n.sharedVersions = d.Installation.Phases.SharedVersions
+	n.sharedVersions = d.Installation.TwoPhase.SharedVersions
 	var bad error
-	for _, name := range d.Installation.Phases.Tracks {
+	for _, name := range d.Installation.TwoPhase.Classes {
 		at, known := tracks[name]
 		path := fmt.Sprintf("lanes.%d.", at)
 		if !known || d.settings[path+"effect"] != "pure" {
