--- a/coordinator/broken_test.go
+++ b/coordinator/broken_test.go
@@ -100,7 +100,7 @@
 	if len(k.answers) != 1 || !strings.Contains(string((<-k.answers).bytes), " 503 ") {
 		t.Error("it is not refused")
 	}
-	if c.counts.Expired != 1 || c.counts.Attempts+c.counts.Violations > 0 || len(c.queries) > 0 {
+	if c.counts.RejectedExpired != 1 || c.counts.Attempts+c.counts.Violations > 0 || len(c.queries) > 0 {
 		t.Errorf("counts %+v, %d open", c.counts, len(c.queries))
 	}
 }
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"math"
 	"net"
 	"net/http"
 	"os"
@@ -300,7 +299,7 @@
 		return true
 	}
 	if k.large = k.c.front.enlarge(); !k.large && !k.busy { // while a request is open, read drops what is too much
-		k.c.loop.Post(func() { k.c.counts.Bad++ })
+		k.c.loop.Post(func() { k.c.counts.Malformed++ })
 		k.give(answer{wire.RejectResponse(0, "too many large requests", true), true})
 	}
 	return k.large || k.busy
@@ -308,7 +307,7 @@
 
 // refuse answers what is no request and ends the connection: where the next one begins is in doubt.
 func (k *client) refuse(err error) bool {
-	k.c.loop.Post(func() { k.c.counts.Bad++ })
+	k.c.loop.Post(func() { k.c.counts.Malformed++ })
 	return k.give(answer{refuse(err, true), true})
 }
 
@@ -333,7 +332,7 @@
 	case !known:
 		return k.refuse(&wire.Fault{Status: http.StatusNotFound, Words: "no track is called so"})
 	}
-	if !k.letIn && !k.c.lets() {
+	if !k.letIn && !k.c.admission.admit() {
 		return k.give(k.answerWith(turnedBack("busy")))
 	}
 	lacks := ""
@@ -343,7 +342,7 @@
 		lacks = "a reference cannot be passed on to replicas"
 	}
 	if lacks != "" {
-		k.c.loop.Post(func() { k.c.counts.Bad++ })
+		k.c.loop.Post(func() { k.c.counts.Malformed++ })
 		return k.give(k.answerWith(plainly(http.StatusNotImplemented, lacks)))
 	}
 	query, err := wire.ReadQuery(r, k.c.maxWait, k.c.twoPhase.allowed)
@@ -352,7 +351,7 @@
 	}
 	read := k.c.loop.Since(time.Now())
 	return k.c.loop.Post(func() {
-		k.c.gate.QueueDelay(k.c.loop.Now(), k.c.loop.Now()-read)
+		k.c.admission.queueDelay(k.c.loop.Now(), k.c.loop.Now()-read)
 		k.c.queryArrives(k, query, at)
 	})
 }
@@ -372,13 +371,13 @@
 // Guards against: a core that spends itself on reading what it turns back. Should also cover: clients that ask again at
 // once. Could hurt: never, what is not plain is read as ever.
 func (k *client) atTheDoor() bool {
-	for !k.letIn && math.Float64frombits(k.c.share.Load()) < 1 {
+	for !k.letIn && k.c.admission.isShedding() {
 		path, size := k.requests.Plain()
 		track, _, _ := bytes.Cut(path, []byte("/"))
 		if _, known := k.c.classes[string(track)]; size == 0 || !known {
 			return true
 		}
-		if k.letIn = k.c.lets(); k.letIn {
+		if k.letIn = k.c.admission.admit(); k.letIn {
 			return true
 		}
 		k.requests.Consume(size)
--- a/coordinator/close.go
+++ b/coordinator/close.go
@@ -64,7 +64,7 @@
 	closing := invariant.ClientClose{RequestOpen: k.busy, ClientGone: k.gone.Load() || k.unwritable}
 	refused, id := closing.Check(), k.conn.RemoteAddr()
 	k.c.loop.Post(func() {
-		k.c.counts.Closed[reason]++
+		k.c.counts.ClientConnsClosed[reason]++
 		if refused != invariant.Allowed {
 			k.c.reportViolation(refused, "close", fmt.Sprint(id, " ", reason), 0)
 		}
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -20,14 +20,11 @@
 	"terntray/incarnation"
 	"terntray/internal/netconn"
 	"terntray/invariant"
-	"terntray/overload"
 	"terntray/scheduler"
 )
 
 const (
 	bindWait     = 2 * time.Second // for an address that is taken, or a shortage of the machine
-	busyLines    = 5 * time.Second // between lines that say that the core is short
-	seldomLines  = 10              // in a second, of what replicas bring about
 	longestWaits = 10              // cut-offs of a track; a client that says it waits for longer cannot mean it
 )
 
@@ -52,11 +49,8 @@
 	maxOpen       int
 	maxAttempts   int // of a subquery; 0: any number
 	counts        Counts
-	core          cpuMeter
-	gate          overload.Controller
-	share         atomic.Uint64 // of arrivals to let in, as bits; read by all
-	asked         atomic.Uint64 // arrivals so far; by all
-	busied        atomic.Uint64 // of them, not let in; by all
+	admission     admission
+	limitedLog    limitedLog
 
 	queries            map[scheduler.RequestID]*queryState    // open ones
 	queriesByRequestID map[string]*queryState                 // the same by the client's id
@@ -77,11 +71,7 @@
 	clientsGone   bool         // and no client can come any more
 	drivers       sync.WaitGroup
 
-	busyAt      time.Duration      // the last line about it
 	stopReading context.CancelFunc // of a configuration that is read anew
-
-	seldomAt             time.Duration // begin of the second in which lines are counted
-	seldomLeft, unlogged int
 }
 
 // effects are the settings' words for what running a subquery twice would do.
@@ -92,7 +82,7 @@
 // New makes a co-ordinator; it opens nothing yet.
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
-		loop: eventloop.New(), deployment: d, log: to, core: cpuMeter{cores: max(1, math.Ceil(d.Limits.Cores))},
+		loop: eventloop.New(), deployment: d, log: to, limitedLog: limitedLog{log: to},
 		classes:            map[string]scheduler.ClassIndex{},
 		maxWait:            map[string]time.Duration{},
 		effects:            map[string]invariant.Effect{},
@@ -104,11 +94,11 @@
 		queriesByRequestID: map[string]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
 		list:               list{boots: incarnation.New()},
-		counts:             Counts{Withheld: map[invariant.Reason]int{}},
+		counts:             Counts{Refused: map[invariant.Reason]int{}},
 
-		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
+		stopReading: func() {},
 	}
-	c.share.Store(math.Float64bits(c.gate.Share()))
+	c.admission.start(d.Limits.Cores, to)
 	if err := d.validate(); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
@@ -210,33 +200,16 @@
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
 	c.fleet.flush()
-	if c.core.look(c.loop.Now()) {
-		c.gate.CoreUsed(c.loop.Now(), c.core.used)
-		c.scheduler.ReadDelayed(c.loop.Now(), c.gate.ReadDelay())
-	}
-	if share := c.gate.Share(); share != math.Float64frombits(c.share.Load()) {
-		if share < 1 && c.loop.Now() >= c.busyAt+busyLines {
-			c.busyAt = c.loop.Now()
-			c.log.Printf("event=busy share=%.2f words=%q", share, "this core is short, not the replicas: turning back at the door")
-		}
-		c.share.Store(math.Float64bits(share))
+	if c.admission.update(c.loop.Now()) {
+		c.scheduler.ReadDelayed(c.loop.Now(), c.admission.readDelay())
 	}
 }
 
-// lets tells whether one more arrival is let in. It is called by clients' goroutines.
-func (c *Coordinator) lets() bool {
-	if overload.Admits(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
-		return true
-	}
-	c.busied.Add(1)
-	return false
-}
-
 // recoverFromPanic starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
 // that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
 // forgets what it has learned; what the rules count, it keeps.
 func (c *Coordinator) recoverFromPanic(cause string) {
-	c.counts.Broken++
+	c.counts.Panics++
 	c.log.Printf("event=broken cause=%q", cause)
 	if k := c.arriving; k != nil {
 		c.arriving = nil
@@ -271,22 +244,6 @@
 	c.front.leave(func() { c.loop.Post(func() { c.clientsGone = true }) })
 }
 
-func (c *Coordinator) countersLine() string {
-	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
-		c.front.accepted.Load(), c.front.evicted.Load(), c.front.failed.Load(), c.busied.Load(), c.gate.Share())
-	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.list.boots.Distrusted())
-	if c.gossip != nil {
-		line += fmt.Sprintf(" stranger_peer_messages=%d", c.gossip.strangers.Load())
-	}
-	if w, ok := c.scheduler.ShadowCounts(); ok {
-		line += fmt.Sprintf(" watched=%d would_turn_back=%d would_let_in=%d watched_parts=%d would_go_elsewhere=%d",
-			w.Queries, w.WouldReject, w.WouldAdmit, w.Subqueries, w.WouldPlaceElsewhere)
-		line += fmt.Sprintf(" watched_legs=%d would_time_out_otherwise=%d would_not_copy=%d would_copy=%d",
-			w.Attempts, w.WouldTimeOutOtherwise, w.WouldNotHedge, w.WouldHedge)
-	}
-	return line
-}
-
 func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }
 
 func (c *Coordinator) trace(format string, args ...any) {
@@ -295,19 +252,9 @@
 	}
 }
 
-// seldom logs what others can bring about as often as they like: so many lines in a second, then a count.
-func (c *Coordinator) seldom(format string, args ...any) {
-	if c.loop.Now()-c.seldomAt >= time.Second {
-		if c.unlogged > 0 {
-			c.log.Printf("event=more_of_these n=%d", c.unlogged)
-		}
-		c.seldomAt, c.seldomLeft, c.unlogged = c.loop.Now(), seldomLines, 0
-	}
-	if c.seldomLeft--; c.seldomLeft < 0 {
-		c.unlogged++
-		return
-	}
-	c.log.Printf(format, args...)
+// logLimited logs what others can cause as often as they like.
+func (c *Coordinator) logLimited(format string, args ...any) {
+	c.limitedLog.printf(c.loop.Now(), format, args...)
 }
 
 // Log is the module's word for the log.
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -102,7 +102,7 @@
 	if _, last := c.loop.Timers(); last > time.Minute {
 		t.Errorf("a timer is left that is due at %v", last)
 	}
-	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.unanswered > 0 || c.counts.Left != 1 {
+	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.unanswered > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.queriesByRequestID), len(c.subqueries), c.unanswered, c.counts)
 	}
 }
@@ -189,7 +189,7 @@
 	}
 	conn.Close()
 	stop()
-	if err := <-ended; err != nil || c.counts.Broken != 1 || c.counts.Scrapped != 1 || !c.ready.Load() {
+	if err := <-ended; err != nil || c.counts.Panics != 1 || c.counts.Failed != 1 || !c.ready.Load() {
 		t.Errorf("ended with %v, counts %+v", err, c.counts)
 	}
 }
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -2,80 +2,149 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"strings"
 
 	"terntray/invariant"
+	"terntray/scheduler"
 )
 
-// Counts is what was taken in, sent and answered. Taken is the sum of Fulfilled, TurnedBack, Scrapped, Left
-// and what is open.
+// Counts counts what was received, sent and answered since the start. It belongs to the event loop.
+//
+// Queries is the sum of Succeeded, Rejected, Failed, Disconnected and the queries that are open. The keys under which
+// operators read these counters are older than the names here; see Counts.line.
 type Counts struct {
-	Taken, Fulfilled, Partial, TurnedBack, Scrapped, Left int
+	// Queries.
+	Queries         int // received
+	Succeeded       int
+	Partial         int // of them, without some subqueries
+	Rejected        int
+	RejectedFull    int // of them, as too much was open
+	RejectedExpired int // of them, as their deadline had passed before they could be read
+	Failed          int
+	Disconnected    int // ended as their clients disconnected
+	WaitedUnsent    int // rejected or failed after half of their time, with no attempt written whole
+	Malformed       int // requests that are no queries; not among Queries
 
-	HeldBack   int                      // turned back or scrapped in the second half of their time, without an attempt that went
-	Full       int                      // of those turned back: by the bound on what is open
-	Expired    int                      // of those turned back: their time was over before they could be read
-	Bad        int                      // requests that were none
-	Attempts   int                      // sent
-	Retries    int                      // of them, after another of the same subquery had ended
-	Hedges     int                      // of them, beside another of the same subquery
-	Withheld   map[invariant.Reason]int // of them, refused when decided or as they were about to be written
-	Violations int                      // actions that a rule forbids and that were decided all the same: 0, or a fault of this program
-	Outcomes   [9]int                   // of attempts, by how they ended
-	Late       int                      // replies to attempts that had ended
+	// Attempts.
+	Attempts   int
+	Retries    int // of them, after another of the same subquery had ended
+	Hedges     int // of them, beside another of the same subquery
+	Outcomes   [len(outcomeKeys)]int
+	Refused    map[invariant.Reason]int // not written, as an invariant forbade it then
+	Violations int                      // actions decided against an invariant; above 0: a fault of this program
+	LateReply  int                      // replies to attempts that had ended
 
-	Opened, Refused, Dropped int // connections to replicas
-	Spoilt                   int // of them, ended by what came
-	Silent                   int // of them, ended as a ping had no answer
-	Leaving                  int // of them, on which the far side took nothing new (GOAWAY)
-	LimitReached             int // times that attempts had to wait for the far side's limit
-	TLSFailed                int // of those that did not come up
-	RunningOut               int // certificates that are about to run out, now
-	Questions, TwoPhases     int // that ended; of them, asked in two phases
-	Pruned                   int // blocks of those that were not asked
-	BadSummaries             int // that could not be used
-	RefusedQuestions         int // as no whole answer could come in time
-	Lists, ListFailures      int
-	Broken, Reloads          int
-	PeerMessages             int         // from other co-ordinators
-	Closed                   closeCounts // clients' connections that ended
-	BadPeerMessages          int         // that were none
+	// Connections to replicas.
+	ConnsOpened          int
+	ConnsFailed          int // did not come up
+	TLSFailed            int // of them, for their certificates or handshake
+	ConnsDropped         int // broke with attempts out, or unasked
+	ConnsMalformed       int // closed for what came
+	ConnsSilent          int // closed as a ping was not answered
+	ConnsGoingAway       int // the replica took nothing new on them
+	StreamLimitReached   int // times that attempts waited for the replica's limit
+	CertificatesExpiring int // now
+
+	// Two-phase queries.
+	TwoPhaseQueries    int // ended
+	CanMatchPhases     int // of them, with a can-match phase
+	ShardsPruned       int // not asked, as their can-match reply proved that they cannot matter
+	MalformedSummaries int // can-match replies that cannot be used
+	TwoPhaseRejected   int // no complete answer could come in time
+
+	// The process.
+	EndpointLists        int
+	EndpointListFailures int
+	Panics               int // in the event loop
+	Reloads              int
+	Gossip               int // messages received
+	MalformedGossip      int
+	ClientConnsClosed    closeCounts
 }
 
-var outcomeNames = [9]string{
-	"ok", "erred", "turned_away", "timed_out", "unreachable", "reset", "cancelled", "moot", "spoilt",
+// outcomeKeys are the keys of Counts.Outcomes, by scheduler.Outcome. Trace lines use the same words.
+var outcomeKeys = [...]string{
+	scheduler.Succeeded:       "ok",
+	scheduler.Failed:          "erred",
+	scheduler.Overloaded:      "turned_away",
+	scheduler.TimedOut:        "timed_out",
+	scheduler.Unreachable:     "unreachable",
+	scheduler.ConnectionReset: "reset",
+	scheduler.Cancelled:       "cancelled",
+	scheduler.NeverSent:       "moot",
+	scheduler.MalformedReply:  "spoilt",
 }
 
-// line tells the counters, with how many queries are open.
-func (n *Counts) line(open int) string {
-	s := fmt.Sprintf("taken=%d fulfilled=%d partial=%d turned_back=%d full=%d expired=%d scrapped=%d left=%d open=%d",
-		n.Taken, n.Fulfilled, n.Partial, n.TurnedBack, n.Full, n.Expired, n.Scrapped, n.Left, open)
-	s += fmt.Sprintf(" held_back=%d bad=%d legs=%d retries=%d hedges=%d violations=%d", n.HeldBack, n.Bad, n.Attempts, n.Retries, n.Hedges, n.Violations)
+// counterLine collects counters in the form that operators read: key=value, separated by spaces.
+type counterLine struct{ text strings.Builder }
+
+func (line *counterLine) add(key string, value any) {
+	if line.text.Len() > 0 {
+		line.text.WriteByte(' ')
+	}
+	fmt.Fprintf(&line.text, "%s=%v", key, value)
+}
+
+// line gives the counters under the keys that operators know, with how many queries are open.
+func (counts *Counts) line(open int) string {
+	line := &counterLine{}
+	counts.addQueries(line, open)
+	counts.addAttempts(line)
+	counts.addConnections(line)
+	counts.addProcess(line)
+	return line.text.String() + counts.ClientConnsClosed.String()
+}
+
+func (counts *Counts) addQueries(line *counterLine, open int) {
+	line.add("taken", counts.Queries)
+	line.add("fulfilled", counts.Succeeded)
+	line.add("partial", counts.Partial)
+	line.add("turned_back", counts.Rejected)
+	line.add("full", counts.RejectedFull)
+	line.add("expired", counts.RejectedExpired)
+	line.add("scrapped", counts.Failed)
+	line.add("left", counts.Disconnected)
+	line.add("open", open)
+	line.add("held_back", counts.WaitedUnsent)
+	line.add("bad", counts.Malformed)
+}
+
+func (counts *Counts) addAttempts(line *counterLine) {
+	line.add("legs", counts.Attempts)
+	line.add("retries", counts.Retries)
+	line.add("hedges", counts.Hedges)
+	line.add("violations", counts.Violations)
 	for _, reason := range invariant.Reasons() {
-		s += fmt.Sprintf(" withheld_%s=%d", reason, n.Withheld[reason])
+		line.add("withheld_"+reason.String(), counts.Refused[reason])
 	}
-	for i, name := range outcomeNames {
-		s += fmt.Sprintf(" legs_%s=%d", name, n.Outcomes[i])
+	for outcome, key := range outcomeKeys {
+		line.add("legs_"+key, counts.Outcomes[outcome])
 	}
-	return s + fmt.Sprintf(" late=%d opened=%d refused=%d dropped=%d spoilt=%d silent=%d goes_away=%d limit_reached=%d tls_failed=%d certificates_running_out=%d lists=%d list_failures=%d broken=%d reloads=%d questions=%d two_phases=%d pruned=%d bad_summaries=%d refused_questions=%d peer_messages=%d bad_peer_messages=%d",
-		n.Late, n.Opened, n.Refused, n.Dropped, n.Spoilt, n.Silent, n.Leaving, n.LimitReached, n.TLSFailed, n.RunningOut,
-		n.Lists, n.ListFailures, n.Broken, n.Reloads, n.Questions, n.TwoPhases, n.Pruned, n.BadSummaries, n.RefusedQuestions,
-		n.PeerMessages, n.BadPeerMessages) + n.Closed.String()
+	line.add("late", counts.LateReply)
 }
 
-// estimatesPage tells what the module believes of its tracks and replicas, for a person to read.
-func (c *Coordinator) estimatesPage() string {
-	var s strings.Builder
-	believed := c.scheduler.ClassEstimates()
-	for _, name := range slices.Sorted(maps.Keys(c.classes)) {
-		b := believed[c.classes[name]]
-		if t := c.twoPhase.classes[name]; t != nil {
-			fmt.Fprintf(&s, "questions of track=%s %s\n", name, t)
-		}
-		fmt.Fprintf(&s, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name, b.SubqueryWork, b.WorkPerHint, b.LatenessFactor, b.ProbeLimit)
-	}
-	fmt.Fprintf(&s, "share=%.2f core=%.2f\n%s", c.gate.Share(), c.core.used, c.scheduler.DescribeReplicas())
-	return s.String()
+func (counts *Counts) addConnections(line *counterLine) {
+	line.add("opened", counts.ConnsOpened)
+	line.add("refused", counts.ConnsFailed)
+	line.add("dropped", counts.ConnsDropped)
+	line.add("spoilt", counts.ConnsMalformed)
+	line.add("silent", counts.ConnsSilent)
+	line.add("goes_away", counts.ConnsGoingAway)
+	line.add("limit_reached", counts.StreamLimitReached)
+	line.add("tls_failed", counts.TLSFailed)
+	line.add("certificates_running_out", counts.CertificatesExpiring)
+}
+
+func (counts *Counts) addProcess(line *counterLine) {
+	line.add("lists", counts.EndpointLists)
+	line.add("list_failures", counts.EndpointListFailures)
+	line.add("broken", counts.Panics)
+	line.add("reloads", counts.Reloads)
+	line.add("questions", counts.TwoPhaseQueries)
+	line.add("two_phases", counts.CanMatchPhases)
+	line.add("pruned", counts.ShardsPruned)
+	line.add("bad_summaries", counts.MalformedSummaries)
+	line.add("refused_questions", counts.TwoPhaseRejected)
+	line.add("peer_messages", counts.Gossip)
+	line.add("bad_peer_messages", counts.MalformedGossip)
 }
--- a/coordinator/crossings_front_test.go
+++ b/coordinator/crossings_front_test.go
@@ -48,7 +48,7 @@
 			t.Fatal("its slot is taken")
 		}
 	}
-	if len(c.queries) > 0 || c.counts.Left != 1 {
+	if len(c.queries) > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("%d retrievals, counts %+v", len(c.queries), c.counts)
 	}
 }
--- a/coordinator/crossings_settings_test.go
+++ b/coordinator/crossings_settings_test.go
@@ -15,7 +15,7 @@
 func TestRequestsAreChargedToTheTenantThatAsks(t *testing.T) {
 	c := set(t, map[string]string{"orgs.count": "2", "orgs.1.name": "c", "orgs.0.quotaPerS": "1", "orgs.1.quotaPerS": "1"})
 	asks := func(tenant string, parts int) (turnedBack bool) {
-		before := c.counts.TurnedBack
+		before := c.counts.Rejected
 		query := &wire.Query{ID: "q", Class: "look", Tenant: tenant, Deadline: 6 * time.Second}
 		for n := range parts {
 			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: 2 * n, Weight: 1 / float64(parts)})
@@ -24,7 +24,7 @@
 		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, func() { c.scheduler.Decide(c.loop.Now()) })
 		c.loop.RunIteration(func() { c.clientDisconnected(k) }, func() {})
 		c.turnWith()
-		return c.counts.TurnedBack > before
+		return c.counts.Rejected > before
 	}
 	for range 2 { // its allowance
 		asks("a,b", 1)
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -87,7 +87,7 @@
 			k.serveSafely()
 			c.front.release(k)
 			c.turnWith()
-			if c.counts.Attempts+c.counts.Taken > 0 || len(c.queries) > 0 {
+			if c.counts.Attempts+c.counts.Queries > 0 || len(c.queries) > 0 {
 				t.Errorf("%s, reset %t: counts %+v", name, reset, c.counts)
 			}
 		}
@@ -103,7 +103,7 @@
 		return &wire.Query{ID: id, Class: "look", Deadline: time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	}
 	c.loop.RunIteration(func() { k.gone.Store(true); c.queryArrives(k, query("q"), c.loop.Now()) }, c.endIteration)
-	if c.counts.Attempts > 0 || c.counts.Left != 1 {
+	if c.counts.Attempts > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("not begun: counts %+v", c.counts)
 	}
 	d := c.client(t)
@@ -126,7 +126,7 @@
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.AdvanceClock(10 * time.Second)
 		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()-waited) }, c.endIteration)
-		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
+		if c.counts.Disconnected == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
 			t.Errorf("it waited for %v: counts %+v", waited, c.counts)
 		}
 	}
@@ -227,7 +227,7 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, func() {})
-	c.answerOnce(c.queriesByRequestID["q"].id, &c.counts.Fulfilled, func(q *queryState, last bool) []byte {
+	c.answerOnce(c.queriesByRequestID["q"].id, &c.counts.Succeeded, func(q *queryState, last bool) []byte {
 		text := wire.CompleteResponse(true, nil, last)
 		k.evicted.Store(true)
 		return text
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -111,7 +111,7 @@
 	l.c.drivers.Go(func() {
 		err := l.calls(ctx, host, func(told *wire.EndpointList) {
 			post(func() {
-				l.c.counts.Lists++
+				l.c.counts.EndpointLists++
 				if host != l.host {
 					l.arrived(host)
 				}
@@ -136,7 +136,7 @@
 // broke takes a watch that has ended. The module is told of it, but where changes come unasked only of the first
 // in a row, and not while the list is moving: the new address has yet to tell it.
 func (l *list) broke(host string, cause error) {
-	l.c.counts.ListFailures++
+	l.c.counts.EndpointListFailures++
 	if len(l.held.Targets) > 0 { // an old list is better than none
 		l.c.ready.Store(true)
 	}
--- /dev/null
+++ b/coordinator/pages.go
@@ -0,0 +1,58 @@
+package coordinator
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// countersLine is the page of the counters and the last line of the log.
+func (c *Coordinator) countersLine() string {
+	line := &counterLine{}
+	line.add("accepted", c.front.accepted.Load())
+	line.add("evicted", c.front.evicted.Load())
+	line.add("accept_failed", c.front.failed.Load())
+	line.add("busy", c.admission.shed.Load())
+	line.add("share", fmt.Sprintf("%.2f", c.admission.controller.Share()))
+	line.add("wall_clock_distrusted", c.list.boots.Distrusted())
+	if c.gossip != nil {
+		line.add("stranger_peer_messages", c.gossip.strangers.Load())
+	}
+	c.addShadowCounts(line)
+	return c.counts.line(len(c.queries)) + " " + line.text.String()
+}
+
+// addShadowCounts adds what other settings would have decided, where they are evaluated.
+func (c *Coordinator) addShadowCounts(line *counterLine) {
+	counts, evaluated := c.scheduler.ShadowCounts()
+	if !evaluated {
+		return
+	}
+	line.add("watched", counts.Queries)
+	line.add("would_turn_back", counts.WouldReject)
+	line.add("would_let_in", counts.WouldAdmit)
+	line.add("watched_parts", counts.Subqueries)
+	line.add("would_go_elsewhere", counts.WouldPlaceElsewhere)
+	line.add("watched_legs", counts.Attempts)
+	line.add("would_time_out_otherwise", counts.WouldTimeOutOtherwise)
+	line.add("would_not_copy", counts.WouldNotHedge)
+	line.add("would_copy", counts.WouldHedge)
+}
+
+// estimatesPage is what the scheduler has learned of classes and replicas, for a person to read.
+func (c *Coordinator) estimatesPage() string {
+	var page strings.Builder
+	estimates := c.scheduler.ClassEstimates()
+	for _, name := range slices.Sorted(maps.Keys(c.classes)) {
+		if twoPhase := c.twoPhase.classes[name]; twoPhase != nil {
+			fmt.Fprintf(&page, "questions of track=%s %s\n", name, twoPhase)
+		}
+		estimate := estimates[c.classes[name]]
+		fmt.Fprintf(&page, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name,
+			estimate.SubqueryWork, estimate.WorkPerHint, estimate.LatenessFactor, estimate.ProbeLimit)
+	}
+	share := c.admission.controller.Share()
+	fmt.Fprintf(&page, "share=%.2f core=%.2f\n%s", share, c.admission.cpu.usedShare, c.scheduler.DescribeReplicas())
+	return page.String()
+}
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -102,11 +102,11 @@
 		c.loop.Post(func() {
 			p.unread.Add(-1)
 			if err := c.scheduler.GossipReceived(c.loop.Now(), peer, message); err != nil {
-				c.counts.BadPeerMessages++
-				c.seldom("event=bad_peer_message cause=%q", err)
+				c.counts.MalformedGossip++
+				c.logLimited("event=bad_peer_message cause=%q", err)
 				return
 			}
-			c.counts.PeerMessages++
+			c.counts.Gossip++
 		})
 	}
 }
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -78,7 +78,7 @@
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
 	}
-	b.until(t, "the other hears of the leg", func() bool { return b.counts.PeerMessages == 1 })
+	b.until(t, "the other hears of the leg", func() bool { return b.counts.Gossip == 1 })
 	from, err := net.ResolveUDPAddr("udp4", stranger)
 	if err != nil {
 		t.Fatal(err)
@@ -97,9 +97,9 @@
 			t.Fatal(err)
 		}
 	}
-	b.until(t, "three bad messages are counted", func() bool { return b.counts.BadPeerMessages == 3 })
-	if b.counts.PeerMessages != 1 {
-		t.Errorf("%d messages taken", b.counts.PeerMessages)
+	b.until(t, "three bad messages are counted", func() bool { return b.counts.MalformedGossip == 3 })
+	if b.counts.Gossip != 1 {
+		t.Errorf("%d messages taken", b.counts.Gossip)
 	}
 }
 
--- a/coordinator/permit.go
+++ b/coordinator/permit.go
@@ -117,8 +117,8 @@
 }
 
 func (c *Coordinator) countRefused(l *attemptState, reason invariant.Reason, when string) {
-	c.counts.Withheld[reason]++
-	c.seldom("event=withheld query=%s attempt=%s.%d replica=%s reason=%s when=%s",
+	c.counts.Refused[reason]++
+	c.logLimited("event=withheld query=%s attempt=%s.%d replica=%s reason=%s when=%s",
 		l.subquery.query.request.ID, l.subquery.wireID, l.number, c.fleet.uid(l.replica), reason, when)
 }
 
--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -63,24 +63,24 @@
 	c.arriving = from
 	switch {
 	case from.hasDisconnected(c.loop.Now()): // while it waited; what tells that comes behind
-		c.counts.Taken++
-		c.counts.Left++
+		c.counts.Queries++
+		c.counts.Disconnected++
 	case c.queriesByRequestID[query.ID] != nil:
 		c.rejectMalformed(from, http.StatusConflict, "a retrieval with this Req-Id is open")
 	case c.unknownShard(query) >= 0:
 		c.rejectMalformed(from, http.StatusBadRequest, fmt.Sprintf("there is no segment %d", c.unknownShard(query)))
 	case c.unanswered >= c.maxOpen || c.front.crowded(len(c.queries)):
-		c.counts.Taken++
-		c.counts.TurnedBack++
-		c.counts.Full++
+		c.counts.Queries++
+		c.counts.Rejected++
+		c.counts.RejectedFull++
 		from.answer(turnedBack("too much is open"))
 	case c.loop.EarliestArrival(at)+query.Deadline <= c.loop.Now():
-		c.counts.Taken++
-		c.counts.TurnedBack++
-		c.counts.Expired++
+		c.counts.Queries++
+		c.counts.Rejected++
+		c.counts.RejectedExpired++
 		from.answer(turnedBack("its time was over before it was read"))
 	default:
-		c.counts.Taken++
+		c.counts.Queries++
 		c.acceptQuery(from, query, at)
 	}
 	c.arriving = nil
@@ -88,7 +88,7 @@
 
 // rejectMalformed answers what is no query and ends its client's connection.
 func (c *Coordinator) rejectMalformed(from *client, status int, words string) {
-	c.counts.Bad++
+	c.counts.Malformed++
 	from.ends.Store(true)
 	from.answer(plainly(status, words))
 }
@@ -114,7 +114,7 @@
 	}
 	if query.TwoPhase != nil {
 		if err := c.beginTwoPhase(q); err != nil {
-			c.counts.Taken--
+			c.counts.Queries--
 			c.rejectMalformed(from, http.StatusBadRequest, err.Error())
 			return
 		}
@@ -179,7 +179,7 @@
 // clientDisconnected ends what a client that is gone has open.
 func (c *Coordinator) clientDisconnected(from *client) {
 	if q := from.open; q != nil {
-		c.counts.Left++
+		c.counts.Disconnected++
 		c.trace("retrieval=%s left after=%v", q.request.ID, c.loop.Now()-q.arrived)
 		c.scheduler.ClientDisconnects(c.loop.Now(), q.id)
 		c.closeQuery(q)
@@ -250,8 +250,8 @@
 		c.reportViolation(reason, "answer", q.request.ID, 0)
 	}
 	*count++
-	if count != &c.counts.Fulfilled && c.loop.Now()-q.arrived > (q.deadline-q.arrived)/2 && !c.anyWrittenWhole(q) {
-		c.counts.HeldBack++
+	if count != &c.counts.Succeeded && c.loop.Now()-q.arrived > (q.deadline-q.arrived)/2 && !c.anyWrittenWhole(q) {
+		c.counts.WaitedUnsent++
 	}
 	c.closeQuery(q)
 	q.client.answer(func(last bool) []byte { return make(q, last) })
@@ -270,7 +270,7 @@
 		c.scheduleNextPhase(q) // a step is over
 		return
 	}
-	c.answerOnce(id, &c.counts.Fulfilled, func(q *queryState, last bool) []byte {
+	c.answerOnce(id, &c.counts.Succeeded, func(q *queryState, last bool) []byte {
 		if !whole {
 			c.counts.Partial++
 		}
@@ -287,7 +287,7 @@
 
 // Reject answers that trying again is harmless.
 func (c *Coordinator) Reject(id scheduler.RequestID, comeBack time.Duration) {
-	c.answerOnce(id, &c.counts.TurnedBack, func(q *queryState, last bool) []byte {
+	c.answerOnce(id, &c.counts.Rejected, func(q *queryState, last bool) []byte {
 		c.trace("retrieval=%s turned_back after=%v", q.request.ID, c.loop.Now()-q.arrived)
 		return wire.RejectResponse(comeBack, "turned back", last)
 	})
@@ -295,7 +295,7 @@
 
 // Fail answers that the query failed.
 func (c *Coordinator) Fail(id scheduler.RequestID) {
-	c.answerOnce(id, &c.counts.Scrapped, func(q *queryState, last bool) []byte {
+	c.answerOnce(id, &c.counts.Failed, func(q *queryState, last bool) []byte {
 		c.trace("retrieval=%s scrapped after=%v", q.request.ID, c.loop.Now()-q.arrived)
 		return refusal(http.StatusInternalServerError, "scrapped", last)
 	})
@@ -379,7 +379,7 @@
 	delete(c.fleet.attempts, l.ID)
 	c.counts.Outcomes[how]++
 	if c.Trace {
-		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.subquery.wireID, l.number, c.fleet.uid(l.replica), outcomeNames[how], took)
+		c.trace("leg=%s.%d replica=%s outcome=%s took=%v", l.subquery.wireID, l.number, c.fleet.uid(l.replica), outcomeKeys[how], took)
 	}
 	c.scheduler.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{Subquery: l.subquery.id, Attempt: l.number, Outcome: how, Took: took})
 	if l.subquery.unwanted() && l.Call != nil {
@@ -392,7 +392,7 @@
 func (c *Coordinator) replyReceived(from *link, r *replicaproto.Event, at time.Duration) {
 	ended, late := c.fleet.pool.ReplyReceived(c.loop.Now(), from.id, connpool.AttemptID(r.Attempt), r.SubqueryID, at)
 	if late {
-		c.counts.Late++
+		c.counts.LateReply++
 	}
 	if ended == nil || c.fleet.attempts[ended.ID] == nil {
 		return
--- a/coordinator/questions.go
+++ b/coordinator/questions.go
@@ -142,11 +142,11 @@
 	case twophase.Done:
 		c.trace("retrieval=%s question whole words=%q", q.request.ID, s.Reason)
 		c.scheduler.StartNextPhase(c.loop.Now(), q.id, 0)
-		c.answerOnce(q.id, &c.counts.Fulfilled, func(q *queryState, last bool) []byte {
+		c.answerOnce(q.id, &c.counts.Succeeded, func(q *queryState, last bool) []byte {
 			return wire.HitsResponse(n.run.Hits(), last)
 		})
 	case twophase.Reject:
-		c.counts.RefusedQuestions++
+		c.counts.TwoPhaseRejected++
 		c.trace("retrieval=%s question refused words=%q", q.request.ID, s.Reason)
 		c.Reject(q.id, 0)
 		c.scheduler.ClientDisconnects(c.loop.Now(), q.id)
@@ -177,7 +177,7 @@
 	if n.canMatch {
 		s, err := wire.ReadSummary(value)
 		if err != nil || !n.run.Summarized(c.loop.Now(), id, from, s) {
-			c.counts.BadSummaries++
+			c.counts.MalformedSummaries++
 			n.run.NoSummary(id)
 		}
 		n.took[0], n.replies[0] = n.took[0]+took, n.replies[0]+1
@@ -188,7 +188,7 @@
 		err = n.run.Answered(c.loop.Now(), id, from, a)
 	}
 	if err != nil {
-		c.seldom("event=bad_answer replica=%s part=%s cause=%q", c.fleet.uid(l.replica), l.subquery.wireID, err)
+		c.logLimited("event=bad_answer replica=%s part=%s cause=%q", c.fleet.uid(l.replica), l.subquery.wireID, err)
 		return scheduler.Failed
 	}
 	n.took[1], n.replies[1] = n.took[1]+took, n.replies[1]+1
@@ -205,10 +205,10 @@
 	}
 	n.run.Close(c.loop.Now())
 	two, asked := n.run.Phases()
-	c.counts.Questions++
+	c.counts.TwoPhaseQueries++
 	if two == 2 {
-		c.counts.TwoPhases++
-		c.counts.Pruned += len(q.request.Subqueries) - asked
+		c.counts.CanMatchPhases++
+		c.counts.ShardsPruned += len(q.request.Subqueries) - asked
 	}
 }
 
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -234,27 +234,27 @@
 	c := f.c
 	switch what {
 	case connpool.ConnectFailed:
-		c.counts.Refused++
+		c.counts.ConnsFailed++
 	case connpool.Dropped:
-		c.counts.Dropped++
+		c.counts.ConnsDropped++
 	case connpool.Malformed:
-		c.counts.Spoilt++
+		c.counts.ConnsMalformed++
 	case connpool.PingTimeout:
-		c.counts.Silent++
+		c.counts.ConnsSilent++
 	case connpool.GoingAway:
-		c.counts.Leaving++
+		c.counts.ConnsGoingAway++
 	case connpool.StreamLimit:
-		c.counts.LimitReached++
+		c.counts.StreamLimitReached++
 	}
 	if errors.As(cause, new(*tlsFailure)) {
 		c.counts.TLSFailed++
 	}
-	c.seldom("event=%s replica=%s addr=%s out=%d cause=%q", what, f.uid(to), f.links[id].addr, out, cause)
+	c.logLimited("event=%s replica=%s addr=%s out=%d cause=%q", what, f.uid(to), f.links[id].addr, out, cause)
 }
 
 // linkUp notes that calls may go on a connection.
 func (c *Coordinator) linkUp(k *link) {
-	c.counts.Opened++
+	c.counts.ConnsOpened++
 	c.fleet.pool.ConnUp(c.loop.Now(), k.id)
 }
 
--- a/coordinator/secure.go
+++ b/coordinator/secure.go
@@ -78,10 +78,10 @@
 }
 
 func (c *Coordinator) lookAtCertificates() {
-	c.counts.RunningOut = 0
+	c.counts.CertificatesExpiring = 0
 	for _, name := range slices.Sorted(maps.Keys(c.fleet.secure)) {
 		if l := c.fleet.secure[name]; runsOut(l, time.Now()) {
-			c.counts.RunningOut++
+			c.counts.CertificatesExpiring++
 			c.log.Printf("event=certificate_runs_out tls=%s at=%s", name, l.NotAfter.Format(time.RFC3339))
 		}
 	}
