--- a/cmd/terntray/crossings_test.go
+++ b/cmd/terntray/crossings_test.go
@@ -263,7 +263,7 @@
 	for n := range 8 { // all but one may wait
 		p.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
-	until(t, "they wait", func() bool { return strings.Count(p.logged(), "retrieval=waits") >= 7 })
+	until(t, "they wait", func() bool { return strings.Count(p.logged(), "query_arrived=waits") >= 7 })
 	for n := range 9 {
 		c := p.connect()
 		began := time.Now()
--- /dev/null
+++ b/coordinator/arrival.go
@@ -0,0 +1,157 @@
+package coordinator
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"terntray/internal/wire"
+	"terntray/scheduler"
+)
+
+// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at once,
+// or is open from then on; its client gets exactly one answer.
+//
+// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see recoverFromPanic.
+func (c *Coordinator) queryArrives(from *client, request *wire.Query, receivedAt time.Duration) {
+	c.arriving = from
+	unknownShard, hasUnknown := c.unknownShard(request)
+	switch {
+	case from.hasDisconnected(c.loop.Now()): // while the query waited for the loop
+		c.counts.Queries++
+		c.counts.Disconnected++
+	case c.queriesByRequestID[request.ID] != nil:
+		c.rejectMalformed(from, http.StatusConflict, "a retrieval with this Req-Id is open")
+	case hasUnknown:
+		c.rejectMalformed(from, http.StatusBadRequest, fmt.Sprintf("there is no segment %d", unknownShard))
+	case c.isFull():
+		c.counts.RejectedFull++
+		c.rejectArrival(from, "too much is open")
+	case c.loop.EarliestArrival(receivedAt)+request.Deadline <= c.loop.Now():
+		c.counts.RejectedExpired++
+		c.rejectArrival(from, "its time was over before it was read")
+	default:
+		c.counts.Queries++
+		c.acceptQuery(from, request, receivedAt)
+	}
+	c.arriving = nil
+}
+
+// isFull reports whether so much is open that nothing more is accepted.
+func (c *Coordinator) isFull() bool {
+	return c.openWork >= c.maxOpen || c.front.crowded(len(c.queries))
+}
+
+// unknownShard finds a shard that a query asks for and that does not exist.
+func (c *Coordinator) unknownShard(request *wire.Query) (shard int, found bool) {
+	for _, subquery := range request.Subqueries {
+		if subquery.Shard >= c.shards {
+			return subquery.Shard, true
+		}
+	}
+	return 0, false
+}
+
+// rejectArrival answers a query that is not accepted; its client may send it again.
+func (c *Coordinator) rejectArrival(from *client, reason string) {
+	c.counts.Queries++
+	c.counts.Rejected++
+	from.answer(turnedBack(reason))
+}
+
+// rejectMalformed answers what is no query and ends its client's connection.
+func (c *Coordinator) rejectMalformed(from *client, status int, reason string) {
+	c.counts.Malformed++
+	from.ends.Store(true)
+	from.answer(plainly(status, reason))
+}
+
+// acceptQuery opens a query and tells the scheduler of it.
+func (c *Coordinator) acceptQuery(from *client, request *wire.Query, receivedAt time.Duration) {
+	arrived := c.loop.EarliestArrival(receivedAt)
+	query := &queryState{
+		id:       c.newRequestID(),
+		number:   c.nextQueryNumber(),
+		client:   from,
+		request:  request,
+		arrived:  arrived,
+		deadline: arrived + request.Deadline,
+	}
+	if request.TwoPhase != nil {
+		if err := c.beginTwoPhase(query); err != nil {
+			c.counts.Queries--
+			c.rejectMalformed(from, http.StatusBadRequest, err.Error())
+			return
+		}
+	}
+	c.openQuery(query)
+	if query.twoPhase != nil {
+		c.startFirstPhase(query)
+	} else {
+		c.startSinglePhase(query)
+	}
+}
+
+func (c *Coordinator) nextQueryNumber() scheduler.QueryNumber {
+	c.lastNumber++
+	return c.lastNumber
+}
+
+// openQuery makes a query one of the open ones.
+func (c *Coordinator) openQuery(query *queryState) {
+	c.queries[query.id] = query
+	c.queriesByRequestID[query.request.ID] = query
+	query.client.open = query
+	c.arriving = nil
+	c.openWork++
+	timeLeft := c.timeLeft(query)
+	query.deadlineTimer = c.loop.After(timeLeft, "", func() { c.deadlinePassed(query) })
+	c.trace("query_arrived=%s class=%s left=%v subqueries=%d",
+		query.request.ID, query.request.Class, timeLeft, len(query.request.Subqueries))
+}
+
+// startSinglePhase tells the scheduler of a query and of all its subqueries.
+func (c *Coordinator) startSinglePhase(query *queryState) {
+	c.scheduler.QueryArrives(c.loop.Now(), c.arrivalOf(query, len(query.request.Subqueries)))
+	for _, asked := range query.request.Subqueries {
+		subquery := c.addSubquery(query, asked.Shard, wire.SubqueryID(query.request.ID, asked.Shard), nil)
+		c.scheduler.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{
+			ID:       subquery.id,
+			Query:    query.number,
+			Shard:    scheduler.ShardNumber(asked.Shard),
+			Weight:   asked.Weight,
+			WorkHint: asked.Hint,
+		})
+	}
+}
+
+// arrivalOf is what the scheduler is told of a query that begins with some subqueries.
+func (c *Coordinator) arrivalOf(query *queryState, subqueries int) scheduler.QueryArrival {
+	hint := time.Duration(0)
+	for _, asked := range query.request.Subqueries {
+		hint += asked.Hint
+	}
+	return scheduler.QueryArrival{
+		ID:         query.id,
+		Number:     query.number,
+		Class:      c.classes[query.request.Class],
+		Tenant:     c.tenantOf(query.request),
+		TimeLeft:   c.timeLeft(query),
+		WorkHint:   hint,
+		Subqueries: subqueries,
+	}
+}
+
+// timeLeft is how long a query's client still waits.
+func (c *Coordinator) timeLeft(query *queryState) time.Duration {
+	return max(0, query.deadline-c.loop.Now())
+}
+
+// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own; charging
+// it to another's would have that one's queries rejected.
+func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
+	if tenant, named := c.tenants[inValues.Replace(request.Tenant)]; named {
+		return tenant
+	}
+	return scheduler.TenantIndex(len(c.tenants))
+}
--- /dev/null
+++ b/coordinator/attempt.go
@@ -0,0 +1,182 @@
+package coordinator
+
+import (
+	"time"
+	"unicode/utf8"
+
+	"terntray/connpool"
+	"terntray/internal/replicaproto"
+	"terntray/invariant"
+	"terntray/scheduler"
+)
+
+// StartAttempt implements scheduler.Host: it sends an attempt of a subquery to a replica. The scheduler is told in the
+// next iteration, not at once, where that cannot be: it is in the midst of deciding.
+func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
+	subquery := c.subqueries[id]
+	if subquery == nil {
+		c.log.Printf("event=unknown_subquery id=%d", id)
+		return
+	}
+	earlier := subquery.attempts
+	attempt := c.newAttempt(subquery, to, timeout)
+	subquery.attempts = append(earlier, attempt)
+	c.countStarted(attempt, earlier)
+	switch {
+	case c.checkStart(attempt, earlier) != invariant.Allowed:
+		c.notifyEndedSoon(attempt, scheduler.NeverSent)
+	case !c.fleet.send(attempt):
+		c.notifyEndedSoon(attempt, scheduler.Unreachable)
+	default:
+		left := attempt.deadline - c.loop.Now()
+		timedOut := func() { c.abandonAttempt(attempt, scheduler.TimedOut) }
+		attempt.timeoutTimer = c.loop.After(left, "", timedOut)
+	}
+}
+
+// newAttempt makes an attempt that times out with its query's deadline, or earlier with a timeout above 0.
+func (c *Coordinator) newAttempt(subquery *subqueryState, to scheduler.ReplicaID, timeout time.Duration) *attemptState {
+	deadline := subquery.query.deadline
+	if timeout > 0 {
+		deadline = min(deadline, c.loop.Now()+timeout)
+	}
+	attempt := &attemptState{
+		subquery: subquery,
+		number:   scheduler.AttemptNumber(len(subquery.attempts)),
+		replica:  to,
+		endpoint: c.fleet.endpoint(to),
+		deadline: deadline,
+	}
+	attempt.SentAt = c.loop.Now()
+	attempt.NonIdempotent = c.effectOf(subquery.query) == invariant.NonIdempotent
+	return attempt
+}
+
+// countStarted counts and traces an attempt by its kind.
+func (c *Coordinator) countStarted(attempt *attemptState, earlier []*attemptState) {
+	c.counts.Attempts++
+	kind := "first"
+	switch {
+	case anyOut(earlier):
+		kind = "hedge"
+		c.counts.Hedges++
+	case len(earlier) > 0:
+		kind = "retry"
+		c.counts.Retries++
+	}
+	if c.Trace {
+		c.trace("attempt_sent=%s query=%s replica=%s kind=%s left=%v", attempt.name(),
+			attempt.subquery.query.request.ID, c.fleet.uid(attempt.replica), kind, attempt.deadline-c.loop.Now())
+	}
+}
+
+// CancelAttempt implements scheduler.Host: nobody waits for an attempt any more.
+func (c *Coordinator) CancelAttempt(id scheduler.RequestID, number scheduler.AttemptNumber) {
+	subquery := c.subqueries[id]
+	if subquery != nil && int(number) < len(subquery.attempts) {
+		c.abandonAttempt(subquery.attempts[number], scheduler.Cancelled)
+	}
+}
+
+// abandonAttempt stops waiting for an attempt that has not ended.
+func (c *Coordinator) abandonAttempt(attempt *attemptState, outcome scheduler.Outcome) {
+	if attempt.ended {
+		return
+	}
+	c.fleet.pool.Abandon(c.loop.Now(), &attempt.Attempt)
+	c.notifyEndedSoon(attempt, outcome)
+}
+
+// withdrawUnsent keeps attempts of a subquery that is no longer wanted from going out, as far as they have not begun to.
+// One that has begun ends by itself; should its connection break, it does not begin anew on another one.
+func (c *Coordinator) withdrawUnsent(subquery *subqueryState) {
+	for _, attempt := range subquery.attempts {
+		if attempt.ended {
+			continue
+		}
+		if c.fleet.pool.Withdraw(c.loop.Now(), &attempt.Attempt) {
+			c.notifyEndedSoon(attempt, scheduler.Cancelled)
+		} else {
+			c.fleet.pool.NoRetransmit(&attempt.Attempt)
+		}
+	}
+}
+
+// notifyEndedSoon ends an attempt; the scheduler is notified at the start of the next iteration.
+func (c *Coordinator) notifyEndedSoon(attempt *attemptState, outcome scheduler.Outcome) {
+	c.markEnded(attempt, outcome)
+	took := c.loop.Now() - attempt.SentAt
+	c.loop.NextIteration(func() { c.attemptEnded(attempt, outcome, took) })
+}
+
+func (c *Coordinator) markEnded(attempt *attemptState, outcome scheduler.Outcome) {
+	attempt.ended = true
+	attempt.outcome = outcome
+	c.loop.Cancel(attempt.timeoutTimer)
+}
+
+// attemptEnded notifies the scheduler that an attempt has ended, and lets go of what is not needed any more.
+func (c *Coordinator) attemptEnded(attempt *attemptState, outcome scheduler.Outcome, took time.Duration) {
+	c.markEnded(attempt, outcome)
+	delete(c.fleet.attempts, attempt.ID)
+	c.counts.Outcomes[outcome]++
+	if c.Trace {
+		c.trace("attempt_ended=%s replica=%s outcome=%s took=%v", attempt.name(),
+			c.fleet.uid(attempt.replica), outcomeKeys[outcome], took)
+	}
+	c.scheduler.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{
+		Subquery: attempt.subquery.id,
+		Attempt:  attempt.number,
+		Outcome:  outcome,
+		Took:     took,
+	})
+	if attempt.subquery.unwanted() && attempt.Call != nil {
+		c.fleet.pool.Forget(c.loop.Now(), &attempt.Attempt)
+	}
+	c.forgetIfSettled(attempt.subquery)
+}
+
+// replyReceived takes a replica's reply, which was read at a loop time.
+func (c *Coordinator) replyReceived(from *link, reply *replicaproto.Event, readAt time.Duration) {
+	id := connpool.AttemptID(reply.Attempt)
+	answered, late := c.fleet.pool.ReplyReceived(c.loop.Now(), from.id, id, reply.SubqueryID, readAt)
+	if late {
+		c.counts.LateReply++
+	}
+	if answered == nil || c.fleet.attempts[answered.ID] == nil {
+		return
+	}
+	attempt := c.fleet.attempts[answered.ID]
+	if reply.Busy >= 0 {
+		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.Busy)
+	}
+	took := readAt - attempt.SentAt
+	outcome := c.takeReply(attempt, reply, took)
+	c.attemptEnded(attempt, outcome, took)
+	if attempt.subquery.answered { // its other attempts, which the scheduler cancels only where the settings allow that
+		c.withdrawUnsent(attempt.subquery)
+	}
+}
+
+// takeReply takes the answer in a reply, if it has one, and tells how the attempt ended.
+func (c *Coordinator) takeReply(attempt *attemptState, reply *replicaproto.Event, took time.Duration) scheduler.Outcome {
+	switch reply.End {
+	case replicaproto.Rejected:
+		return scheduler.Overloaded
+	case replicaproto.OK:
+	default:
+		return scheduler.Failed
+	}
+	if !utf8.Valid(reply.Value) { // no answer to a client could carry it unchanged
+		return scheduler.Failed
+	}
+	subquery := attempt.subquery
+	outcome := scheduler.Succeeded
+	if subquery.query.twoPhase != nil {
+		outcome = c.phaseReplyReceived(attempt, reply.Value, took)
+	}
+	if outcome == scheduler.Succeeded && !subquery.answered && !subquery.unwanted() {
+		c.markAnswered(subquery, reply.Value)
+	}
+	return outcome
+}
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -56,7 +56,7 @@
 	queriesByRequestID map[string]*queryState                 // the same by the client's id
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
 	arriving           *client                                // whose request is looked at in this turn and is not among them yet
-	unanswered         int                                    // open queries, and parts of theirs that are not in
+	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
 
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -102,8 +102,8 @@
 	if _, last := c.loop.Timers(); last > time.Minute {
 		t.Errorf("a timer is left that is due at %v", last)
 	}
-	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.unanswered > 0 || c.counts.Disconnected != 1 {
-		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.queriesByRequestID), len(c.subqueries), c.unanswered, c.counts)
+	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.openWork > 0 || c.counts.Disconnected != 1 {
+		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.queriesByRequestID), len(c.subqueries), c.openWork, c.counts)
 	}
 }
 
@@ -132,7 +132,7 @@
 		far.Close()
 		if n%1000 == 999 {
 			timers, _ := c.loop.Timers()
-			now := fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.subqueries), len(c.list.held.Targets), timers < 10, c.unanswered)
+			now := fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.subqueries), len(c.list.held.Targets), timers < 10, c.openWork)
 			if sizes == "" {
 				sizes = now
 			}
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -227,7 +227,7 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, func() {})
-	c.answerOnce(c.queriesByRequestID["q"].id, &c.counts.Succeeded, func(q *queryState, last bool) []byte {
+	c.answer(c.queriesByRequestID["q"].id, succeeded, func(q *queryState, last bool) []byte {
 		text := wire.CompleteResponse(true, nil, last)
 		k.evicted.Store(true)
 		return text
--- /dev/null
+++ b/coordinator/twophase.go
@@ -0,0 +1,250 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"terntray/eventloop"
+	"terntray/internal/wire"
+	"terntray/scheduler"
+	"terntray/twophase"
+)
+
+// twoPhaseQueries is what two-phase queries have in common: can-match first, then fetch of the shards that can matter.
+// Package twophase decides what to ask for; the scheduler places and repeats the subqueries of both phases like any
+// others. It belongs to the event loop, but for allowed, which does not change.
+type twoPhaseQueries struct {
+	allowed        map[string]bool            // classes whose queries may ask for two phases
+	classes        map[string]*twophase.Class // what was learned of each
+	sharedVersions bool                       // shards share one line of versions
+	maxAttempts    int                        // for each shard, in both phases
+}
+
+// twoPhaseState is what an open two-phase query has beyond any other.
+type twoPhaseState struct {
+	run           *twophase.Query
+	request       *wire.TwoPhaseQuery
+	hints         map[twophase.Shard]time.Duration // of work, as its client gave them
+	canMatch      bool                             // the present subqueries ask for summaries, not for hits
+	stepScheduled bool                             // takeNextStep is called in the next iteration
+	wakeup        *eventloop.Timer                 // for takeNextStep
+	canMatchWork  replyTimes
+	fetchWork     replyTimes
+}
+
+// replyTimes sums up how long replies took.
+type replyTimes struct {
+	count int
+	sum   time.Duration
+}
+
+func (times *replyTimes) add(took time.Duration) {
+	times.count++
+	times.sum += took
+}
+
+func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
+
+func (queries *twoPhaseQueries) begin(d *Deployment, classes map[string]scheduler.ClassIndex) error {
+	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
+	if d.Installation == nil {
+		return nil
+	}
+	queries.sharedVersions = d.Installation.TwoPhase.SharedVersions
+	var invalid error
+	for _, name := range d.Installation.TwoPhase.Classes {
+		class, known := classes[name]
+		path := fmt.Sprintf("lanes.%d.", class)
+		if !known || d.settings[path+"effect"] != "pure" {
+			invalid = errors.Join(invalid, fmt.Errorf("installation: phases.tracks: found %q, wanted a replayable track", name))
+			continue
+		}
+		objective, err := d.duration(path+"aim", time.Second)
+		invalid = errors.Join(invalid, err)
+		queries.allowed[name] = true
+		queries.classes[name] = twophase.NewClass(objective)
+	}
+	var err error
+	queries.maxAttempts, err = d.wholeNumber("bounds.maxAttempts", 1<<30)
+	return errors.Join(invalid, err)
+}
+
+// beginTwoPhase makes a query one of two phases; the scheduler does not know it yet. An error says what is wrong with the
+// client's request.
+func (c *Coordinator) beginTwoPhase(query *queryState) error {
+	request := query.request.TwoPhase
+	options := twophase.Options{Ranked: request.Best != nil, SharedVersions: c.twoPhase.sharedVersions}
+	if options.Ranked {
+		options.Limit = *request.Best
+	}
+	hints := map[twophase.Shard]time.Duration{}
+	var shards []twophase.Shard
+	for _, asked := range query.request.Subqueries {
+		shard := twophase.Shard(asked.Shard)
+		shards = append(shards, shard)
+		hints[shard] = asked.Hint
+	}
+	class := c.twoPhase.classes[query.request.Class]
+	objective := min(query.arrived+c.objectives[query.request.Class], query.deadline)
+	run, err := class.Begin(c.loop.Now(), options, shards, objective, query.deadline, c.twoPhase.maxAttempts)
+	if err != nil {
+		return err
+	}
+	query.twoPhase = &twoPhaseState{run: run, request: request, hints: hints}
+	return nil
+}
+
+// startFirstPhase tells the scheduler of a two-phase query and of the subqueries of its first phase.
+func (c *Coordinator) startFirstPhase(query *queryState) {
+	step := query.twoPhase.run.Next(c.loop.Now())
+	c.scheduler.QueryArrives(c.loop.Now(), c.arrivalOf(query, max(1, len(step.Shards))))
+	c.scheduler.UsePhases(query.id, step.Action == twophase.CanMatch)
+	if step.Action == twophase.CanMatch || step.Action == twophase.Fetch {
+		c.startPhase(query, step)
+	} else { // nothing has to be asked
+		c.scheduleNextStep(query)
+	}
+}
+
+// startPhase tells the scheduler of the subqueries of a phase.
+func (c *Coordinator) startPhase(query *queryState, step twophase.Step) {
+	state := query.twoPhase
+	state.canMatch = step.Action == twophase.CanMatch
+	for _, shard := range step.Shards {
+		wireID, text := c.phaseCall(query, shard)
+		subquery := c.addSubquery(query, int(shard), wireID, text)
+		c.scheduler.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{
+			ID:       subquery.id,
+			Query:    query.number,
+			Shard:    scheduler.ShardNumber(shard),
+			Weight:   1 / float64(len(step.Shards)),
+			WorkHint: state.run.WorkHint(state.canMatch, state.hints[shard]),
+		})
+	}
+}
+
+// phaseCall is what a call of the present phase carries to a replica of a shard. The two phases' ids on the wire differ.
+func (c *Coordinator) phaseCall(query *queryState, shard twophase.Shard) (wireID string, text []byte) {
+	state := query.twoPhase
+	wireID = wire.SubqueryID(query.request.ID, int(shard))
+	if state.canMatch {
+		return wireID + "s", wire.CanMatchRequest(state.request, query.request.Text)
+	}
+	return wireID, wire.FetchRequest(state.request, state.run.Version(shard), query.request.Text)
+}
+
+// scheduleNextStep has a two-phase query's next step taken at the start of the next iteration.
+func (c *Coordinator) scheduleNextStep(query *queryState) {
+	state := query.twoPhase
+	if state.stepScheduled {
+		return
+	}
+	state.stepScheduled = true
+	c.loop.NextIteration(func() {
+		state.stepScheduled = false
+		if !query.closed.Load() {
+			c.takeNextStep(query)
+		}
+	})
+}
+
+// takeNextStep does what package twophase wants done next.
+func (c *Coordinator) takeNextStep(query *queryState) {
+	state := query.twoPhase
+	c.loop.Cancel(state.wakeup)
+	state.wakeup = nil
+	switch step := state.run.Next(c.loop.Now()); step.Action {
+	case twophase.Wait:
+		state.wakeup = c.loop.After(step.Wakeup-c.loop.Now(), "", func() { c.scheduleNextStep(query) })
+	case twophase.Fetch:
+		c.endPhase(query)
+		c.scheduler.StartNextPhase(c.loop.Now(), query.id, len(step.Shards))
+		c.startPhase(query, step)
+	case twophase.Done:
+		c.trace("two_phase_complete=%s reason=%q", query.request.ID, step.Reason)
+		c.scheduler.StartNextPhase(c.loop.Now(), query.id, 0)
+		c.answer(query.id, succeeded, func(_ *queryState, last bool) []byte {
+			return wire.HitsResponse(state.run.Hits(), last)
+		})
+	case twophase.Reject:
+		c.counts.TwoPhaseRejected++
+		c.trace("two_phase_rejected=%s reason=%q", query.request.ID, step.Reason)
+		c.Reject(query.id, 0)
+		c.scheduler.ClientDisconnects(c.loop.Now(), query.id)
+	}
+}
+
+// endPhase lets go of the subqueries of a phase that is over.
+func (c *Coordinator) endPhase(query *queryState) {
+	ended := query.subqueries
+	query.subqueries = nil
+	for _, subquery := range ended {
+		subquery.abandoned.Store(true)
+		c.releaseSubquery(subquery)
+	}
+}
+
+// phaseReplyReceived takes what a replica replied to a subquery of a two-phase query, and tells how the attempt ended.
+func (c *Coordinator) phaseReplyReceived(attempt *attemptState, value []byte, took time.Duration) scheduler.Outcome {
+	if attempt.subquery.unwanted() {
+		return scheduler.Succeeded
+	}
+	defer c.scheduleNextStep(attempt.subquery.query)
+	if attempt.subquery.query.twoPhase.canMatch {
+		c.canMatchReplyReceived(attempt, value, took)
+		return scheduler.Succeeded
+	}
+	if err := c.fetchReplyReceived(attempt, value, took); err != nil {
+		c.logLimited("event=malformed_fetch_reply replica=%s subquery=%s cause=%q",
+			c.fleet.uid(attempt.replica), attempt.subquery.wireID, err)
+		return scheduler.Failed
+	}
+	return scheduler.Succeeded
+}
+
+// canMatchReplyReceived takes a shard's summary. One that cannot be used proves nothing: the shard is asked in the second
+// phase.
+func (c *Coordinator) canMatchReplyReceived(attempt *attemptState, value []byte, took time.Duration) {
+	state := attempt.subquery.query.twoPhase
+	shard := twophase.Shard(attempt.subquery.shard)
+	summary, err := wire.ReadSummary(value)
+	usable := err == nil && state.run.Summarized(c.loop.Now(), shard, twophase.Replica(attempt.replica), summary)
+	if !usable {
+		c.counts.MalformedSummaries++
+		state.run.NoSummary(shard)
+	}
+	state.canMatchWork.add(took)
+}
+
+// fetchReplyReceived takes a shard's hits.
+func (c *Coordinator) fetchReplyReceived(attempt *attemptState, value []byte, took time.Duration) error {
+	state := attempt.subquery.query.twoPhase
+	hits, err := wire.ReadAnswer(attempt.subquery.shard, value)
+	if err != nil {
+		return err
+	}
+	shard := twophase.Shard(attempt.subquery.shard)
+	if err := state.run.Answered(c.loop.Now(), shard, twophase.Replica(attempt.replica), hits); err != nil {
+		return err
+	}
+	state.fetchWork.add(took)
+	return nil
+}
+
+// closeTwoPhase counts a two-phase query that is over and learns from it.
+func (c *Coordinator) closeTwoPhase(query *queryState) {
+	state := query.twoPhase
+	c.loop.Cancel(state.wakeup)
+	if state.canMatchWork.count > 0 && state.fetchWork.count > 0 {
+		class := c.twoPhase.classes[query.request.Class]
+		class.ObserveCost(state.canMatchWork.mean(), state.fetchWork.mean())
+	}
+	state.run.Close(c.loop.Now())
+	phases, fetched := state.run.Phases()
+	c.counts.TwoPhaseQueries++
+	if phases == 2 {
+		c.counts.CanMatchPhases++
+		c.counts.ShardsPruned += len(query.request.Subqueries) - fetched
+	}
+}
--- a/internal/fake/chaos.go
+++ b/internal/fake/chaos.go
@@ -152,7 +152,7 @@
 		m[uid][part]++
 	}
 	for line := range strings.Lines(log) {
-		_, rest, ok := strings.Cut(line, " leg=")
+		_, rest, ok := strings.Cut(line, " attempt_ended=")
 		words := strings.Fields(rest)
 		if !ok || len(words) < 3 {
 			continue
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -23,8 +23,8 @@
 		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%9 == 7 {\n		a.bytes = append(a.bytes, a.bytes...)\n	}\n	if !k.write(a.bytes) {\n"},
 	}},
 	{"client_gone", "client_there", map[string][2]string{
-		"coordinator/client.go": {"	k.gone.Store(true)\n	if k.busy {\n", "	if false {\n"},
-		"coordinator/permit.go": {"	if k.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
+		"coordinator/client.go":     {"	k.gone.Store(true)\n	if k.busy {\n", "	if false {\n"},
+		"coordinator/invariants.go": {"	if k.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
 		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
@@ -37,7 +37,7 @@
 		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
 	}},
 	{"honest", "honest", map[string][2]string{
-		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
+		"coordinator/answer.go": {"Payload: string(subquery.value)}", "Payload: string(subquery.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
 		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
