--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -38,6 +38,8 @@
 
 	gossip        *gossip
 	scheduler     *scheduler.Scheduler
+	config        scheduler.Config
+	shadow        *scheduler.Config // under which decisions are counted and not acted on; nil: none
 	classes       map[string]scheduler.ClassIndex
 	zones         map[string]scheduler.ZoneIndex
 	tenants       map[string]scheduler.TenantIndex
@@ -74,11 +76,6 @@
 	stopReading context.CancelFunc // of a configuration that is read anew
 }
 
-// effects are the settings' words for what running a subquery twice would do.
-var effects = map[string]invariant.Effect{
-	"pure": invariant.Idempotent, "token": invariant.Keyed, "side_effect": invariant.NonIdempotent,
-}
-
 // New makes a co-ordinator; it opens nothing yet.
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
@@ -102,19 +99,8 @@
 	if err := d.validate(); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
-	for n, name := range d.names("lanes") {
-		c.hasSecondStep[name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
-		c.classes[name] = scheduler.ClassIndex(n)
-		cutOff, err := d.duration(fmt.Sprintf("lanes.%d.deadline", n), 0)
-		if err != nil {
-			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
-		}
-		c.maxWait[name] = longestWaits * cutOff
-		if c.objectives[name], err = d.duration(fmt.Sprintf("lanes.%d.aim", n), cutOff); err != nil {
-			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
-		}
-		c.effects[name] = effects[d.settings[fmt.Sprintf("lanes.%d.effect", n)]]
+	if err := c.configure(d); err != nil {
+		return nil, err
 	}
 	for n, name := range d.names("zones") {
 		c.zones[name] = scheduler.ZoneIndex(n)
@@ -130,30 +116,44 @@
 	bad = errors.Join(bad, err)
 	c.maxOpen, err = d.wholeNumber("bounds.maxOpen", math.MaxInt32)
 	bad = errors.Join(bad, err)
-	c.maxAttempts, err = d.wholeNumber("bounds.maxAttempts", 0)
-	bad = errors.Join(bad, err)
-	if bad = errors.Join(bad, c.fleet.begin(c, d), c.twoPhase.begin(d, c.classes)); bad != nil {
+	c.maxAttempts = c.config.MaxAttempts
+	if bad = errors.Join(bad, c.fleet.begin(c, d), c.twoPhase.begin(d, &c.config)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
 	unused := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
 	}
+	if err := d.checkPeersAndSizes(c.fleet.installation); err != nil {
+		return nil, err
+	}
 	return c, c.begin()
 }
 
-// begin starts the module from nothing but the list as it was last held.
-func (c *Coordinator) begin() error {
-	settings, watched, err := c.deployment.schedulerSettings(c.fleet.installation)
-	if err != nil {
+// configure reads the typed configuration that queries are served and decided with.
+func (c *Coordinator) configure(d *Deployment) (err error) {
+	if c.config, c.shadow, err = d.schedulerConfigs(); err != nil {
 		return err
 	}
-	module, err := scheduler.New(c, c.deployment.seed(), settings)
+	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
+	for n, class := range c.config.Classes {
+		c.hasSecondStep[class.Name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
+		c.classes[class.Name] = scheduler.ClassIndex(n)
+		c.maxWait[class.Name] = longestWaits * class.Deadline
+		c.objectives[class.Name] = class.Objective
+		c.effects[class.Name] = class.Effect
+	}
+	return nil
+}
+
+// begin starts the module from nothing but the list as it was last held.
+func (c *Coordinator) begin() error {
+	module, err := scheduler.New(c, c.deployment.seed(), c.config)
 	if err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if watched != nil {
-		if err := module.EnableShadow(watched); err != nil {
+	if c.shadow != nil {
+		if err := module.EnableShadow(*c.shadow); err != nil {
 			return fmt.Errorf("installation: watch.settings: %w", err)
 		}
 	}
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -1,16 +1,21 @@
 package coordinator
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"terntray/eventloop"
 	"terntray/internal/wire"
+	"terntray/invariant"
 	"terntray/scheduler"
 	"terntray/twophase"
 )
 
+const unlimitedAttempts = 1 << 30 // of a subquery, where the settings name no limit
+
 // twoPhaseQueries is what two-phase queries have in common: can-match first, then fetch of the shards that can matter.
 // Package twophase decides what to ask for; the scheduler places and repeats the subqueries of both phases like any
 // others. It belongs to the event loop, but for allowed, which does not change.
@@ -46,28 +51,25 @@
 
 func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-func (queries *twoPhaseQueries) begin(d *Deployment, classes map[string]scheduler.ClassIndex) error {
+// begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
+func (queries *twoPhaseQueries) begin(d *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
 	if d.Installation == nil {
 		return nil
 	}
 	queries.sharedVersions = d.Installation.TwoPhase.SharedVersions
+	queries.maxAttempts = cmp.Or(config.MaxAttempts, unlimitedAttempts)
 	var invalid error
 	for _, name := range d.Installation.TwoPhase.Classes {
-		class, known := classes[name]
-		path := fmt.Sprintf("lanes.%d.", class)
-		if !known || d.settings[path+"effect"] != "pure" {
+		at := slices.IndexFunc(config.Classes, func(class scheduler.ClassConfig) bool { return class.Name == name })
+		if at < 0 || config.Classes[at].Effect != invariant.Idempotent {
 			invalid = errors.Join(invalid, fmt.Errorf("installation: phases.tracks: found %q, wanted a replayable track", name))
 			continue
 		}
-		objective, err := d.duration(path+"aim", time.Second)
-		invalid = errors.Join(invalid, err)
 		queries.allowed[name] = true
-		queries.classes[name] = twophase.NewClass(objective)
+		queries.classes[name] = twophase.NewClass(config.Classes[at].Objective)
 	}
-	var err error
-	queries.maxAttempts, err = d.wholeNumber("bounds.maxAttempts", 1<<30)
-	return errors.Join(invalid, err)
+	return invalid
 }
 
 // beginTwoPhase makes a query one of two phases; the scheduler does not know it yet. An error says what is wrong with the
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -40,7 +40,7 @@
 		"coordinator/answer.go": {"Payload: string(subquery.value)}", "Payload: string(subquery.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
-		"scheduler/retry.go": {"	return c.budgetSpan == 0 || float64", "	return true || float64"},
+		"scheduler/retry.go": {"	return c.retryBudgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
 		"coordinator/coordinator.go": {"func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }", "func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
