--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -121,7 +121,7 @@
 		c.send(query("look", "q", 10, shards...))
 		until(t, "the answer is made", func() bool { return p.counters()["fulfilled"] == 1 })
 		p.cmd.Process.Signal(syscall.SIGTERM)
-		until(t, "it is told to end", func() bool { return strings.Contains(p.logged(), "event=leaving") })
+		until(t, "it is told to end", func() bool { return strings.Contains(p.logged(), "event=shutting_down") })
 		if !reads {
 			p.ends(t)
 			continue
--- a/cmd/terntray/move_test.go
+++ b/cmd/terntray/move_test.go
@@ -54,7 +54,7 @@
 	// half of the way back: the setting without its file starts, sends none and says so, in a line that names it
 	half, _ := installed(t, told, `{}`, 1024, a, b)
 	ask(half, "half")
-	if !strings.Contains(half.logged(), `event=not_used setting=bounds.peers value="true" holds="false"`) {
+	if !strings.Contains(half.logged(), `event=unsupported_setting setting=bounds.peers value="true" effective="false"`) {
 		t.Errorf("without others it says %s", half.logged())
 	}
 	if line := half.get("/counters"); strings.Contains(line, "stranger") { // it has no socket for messages
--- a/cmd/terntray/standins_test.go
+++ b/cmd/terntray/standins_test.go
@@ -140,7 +140,7 @@
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		<-p.done
-		if log := p.logged(); t.Failed() || strings.Contains(log, "DATA RACE") || strings.Contains(log, "event=broken") || strings.Contains(log, "event=violation") {
+		if log := p.logged(); t.Failed() || strings.Contains(log, "DATA RACE") || strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=violation") {
 			t.Errorf("the program's log:\n%s", log)
 		}
 	})
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -134,7 +134,7 @@
 	return scheduler.QueryArrival{
 		ID:         query.id,
 		Number:     query.number,
-		Class:      c.classes[query.request.Class],
+		Class:      c.classes[query.request.Class].index,
 		Tenant:     c.tenantOf(query.request),
 		TimeLeft:   c.timeLeft(query),
 		WorkHint:   hint,
@@ -150,7 +150,7 @@
 // tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own; charging
 // it to another's would have that one's queries rejected.
 func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
-	if tenant, named := c.tenants[inValues.Replace(request.Tenant)]; named {
+	if tenant, named := c.tenants[nameCharacters.Replace(request.Tenant)]; named {
 		return tenant
 	}
 	return scheduler.TenantIndex(len(c.tenants))
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -336,16 +336,16 @@
 		return k.give(k.answerWith(turnedBack("busy")))
 	}
 	lacks := ""
-	if k.c.hasSecondStep[track] {
+	if k.c.classes[track].hasSecondStep {
 		lacks = "the protocol has no second step"
-	} else if k.c.effects[track] == invariant.Keyed && r.Header.Get(reference) != "" { // without it a repeat would run
+	} else if k.c.classes[track].effect == invariant.Keyed && r.Header.Get(reference) != "" { // without it a repeat would run
 		lacks = "a reference cannot be passed on to replicas"
 	}
 	if lacks != "" {
 		k.c.loop.Post(func() { k.c.counts.Malformed++ })
 		return k.give(k.answerWith(plainly(http.StatusNotImplemented, lacks)))
 	}
-	query, err := wire.ReadQuery(r, k.c.maxWait, k.c.twoPhase.allowed)
+	query, err := wire.ReadQuery(r, k.c.maxTimeouts, k.c.twoPhase.allowed)
 	if err != nil {
 		return k.refuse(err)
 	}
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -5,12 +5,7 @@
 	"errors"
 	"fmt"
 	"log"
-	"maps"
-	"math"
 	"net"
-	"net/http"
-	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -24,144 +19,96 @@
 )
 
 const (
-	bindWait     = 2 * time.Second // for an address that is taken, or a shortage of the machine
-	longestWaits = 10              // cut-offs of a track; a client that says it waits for longer cannot mean it
+	bindTimeout       = 2 * time.Second // for an address that is taken, or a shortage of the machine
+	bindRetryInterval = bindTimeout / 20
 )
 
-// Coordinator is one co-ordinator. Its fields belong to the goroutine that takes the turns, but for those
-// that say otherwise.
+// Coordinator is one co-ordinator. Its fields belong to the event loop, except those that say otherwise.
 type Coordinator struct {
 	loop       *eventloop.Loop
 	deployment *Deployment
 	log        *log.Logger
-	Trace      bool // a line for each query and attempt; to be set before Serve
-
-	gossip        *gossip
-	scheduler     *scheduler.Scheduler
-	config        scheduler.Config
-	shadow        *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	classes       map[string]scheduler.ClassIndex
-	zones         map[string]scheduler.ZoneIndex
-	tenants       map[string]scheduler.TenantIndex
-	shards        int
-	maxWait       map[string]time.Duration    // by track: what a client may say that it waits
-	effects       map[string]invariant.Effect // by track: what a repeat would do
-	hasSecondStep map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
-	objectives    map[string]time.Duration    // times, by track
-	maxOpen       int
-	maxAttempts   int // of a subquery; 0: any number
-	counts        Counts
-	admission     admission
-	limitedLog    limitedLog
-
-	queries            map[scheduler.RequestID]*queryState    // open ones
-	queriesByRequestID map[string]*queryState                 // the same by the client's id
+	Trace      bool // a line for each query and attempt; set before Serve
+
+	// Configuration, read once by New and not changed.
+	config      scheduler.Config
+	shadow      *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes     map[string]class  // by name
+	maxTimeouts map[string]time.Duration
+	zones       map[string]scheduler.ZoneIndex
+	tenants     map[string]scheduler.TenantIndex
+	shards      int
+	maxOpen     int // of openWork
+
+	scheduler  *scheduler.Scheduler // a new one after a panic
+	admission  admission
+	twoPhase   twoPhaseQueries
+	counts     Counts
+	limitedLog limitedLog
+
+	// What is open.
+	queries            map[scheduler.RequestID]*queryState
+	queriesByRequestID map[string]*queryState                 // the same by their clients' ids
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
-	arriving           *client                                // whose request is looked at in this turn and is not among them yet
+	arriving           *client                                // whose request is looked at and not open yet; else nil
 	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
 
-	twoPhase      twoPhaseQueries
+	// Drivers. Their goroutines notify the loop by posting to it.
+	front         front
 	fleet         fleet
 	list          list
-	front         front
+	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
-	ready         atomic.Bool  // queries can be served; read by all
-	shuttingDown  atomic.Bool  // told to end; read by all
-	shutdownAt    atomic.Int64 // when, as time since the process' start; set before
-	clientsGone   bool         // and no client can come any more
+	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
 	drivers       sync.WaitGroup
 
-	stopReading context.CancelFunc // of a configuration that is read anew
+	ready        atomic.Bool  // queries can be served; read by any goroutine
+	shuttingDown atomic.Bool  // read by any goroutine
+	shutdownAt   atomic.Int64 // loop time; set before shuttingDown
+	clientsGone  bool         // shutting down, and no client can connect any more
 }
 
-// New makes a co-ordinator; it opens nothing yet.
-func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
+// New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
+func New(d *Deployment, logger *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
-		loop: eventloop.New(), deployment: d, log: to, limitedLog: limitedLog{log: to},
-		classes:            map[string]scheduler.ClassIndex{},
-		maxWait:            map[string]time.Duration{},
-		effects:            map[string]invariant.Effect{},
-		hasSecondStep:      map[string]bool{},
-		objectives:         map[string]time.Duration{},
-		zones:              map[string]scheduler.ZoneIndex{},
-		tenants:            map[string]scheduler.TenantIndex{},
+		loop:       eventloop.New(),
+		deployment: d,
+		log:        logger,
+		limitedLog: limitedLog{log: logger},
+		counts:     Counts{Refused: map[invariant.Reason]int{}},
+
 		queries:            map[scheduler.RequestID]*queryState{},
 		queriesByRequestID: map[string]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
-		list:               list{boots: incarnation.New()},
-		counts:             Counts{Refused: map[invariant.Reason]int{}},
 
+		list:        list{boots: incarnation.New()},
 		stopReading: func() {},
 	}
-	c.admission.start(d.Limits.Cores, to)
-	if err := d.validate(); err != nil {
-		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
-	}
-	if err := c.configure(d); err != nil {
+	c.admission.start(d.Limits.Cores, logger)
+	if err := c.configure(); err != nil {
 		return nil, err
 	}
-	for n, name := range d.names("zones") {
-		c.zones[name] = scheduler.ZoneIndex(n)
-	}
-	for n, name := range d.names("orgs") {
-		c.tenants[name] = scheduler.TenantIndex(n)
-	}
-	var err, bad error
-	c.shards, err = d.wholeNumber("familyInfo.ranges", 0)
-	if c.shards == 0 {
-		err = errors.New("setting familyInfo.ranges is missing")
-	}
-	bad = errors.Join(bad, err)
-	c.maxOpen, err = d.wholeNumber("bounds.maxOpen", math.MaxInt32)
-	bad = errors.Join(bad, err)
-	c.maxAttempts = c.config.MaxAttempts
-	if bad = errors.Join(bad, c.fleet.begin(c, d), c.twoPhase.begin(d, &c.config)); bad != nil {
-		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
-	}
-	unused := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
-	for _, name := range slices.Sorted(maps.Keys(unused)) {
-		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
-	}
-	if err := d.checkPeersAndSizes(c.fleet.installation); err != nil {
-		return nil, err
-	}
-	return c, c.begin()
+	return c, c.startScheduler()
 }
 
-// configure reads the typed configuration that queries are served and decided with.
-func (c *Coordinator) configure(d *Deployment) (err error) {
-	if c.config, c.shadow, err = d.schedulerConfigs(); err != nil {
-		return err
-	}
-	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
-	for n, class := range c.config.Classes {
-		c.hasSecondStep[class.Name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
-		c.classes[class.Name] = scheduler.ClassIndex(n)
-		c.maxWait[class.Name] = longestWaits * class.Deadline
-		c.objectives[class.Name] = class.Objective
-		c.effects[class.Name] = class.Effect
-	}
-	return nil
-}
-
-// begin starts the module from nothing but the list as it was last held.
-func (c *Coordinator) begin() error {
-	module, err := scheduler.New(c, c.deployment.seed(), c.config)
+// startScheduler starts a scheduler that knows nothing but its configuration.
+func (c *Coordinator) startScheduler() error {
+	started, err := scheduler.New(c, c.deployment.seed(), c.config)
 	if err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	if c.shadow != nil {
-		if err := module.EnableShadow(*c.shadow); err != nil {
+		if err := started.EnableShadow(*c.shadow); err != nil {
 			return fmt.Errorf("installation: watch.settings: %w", err)
 		}
 	}
-	c.scheduler = module
+	c.scheduler = started
 	return nil
 }
 
-// Serve serves until the context ends, then answers what is open and returns nil.
+// Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot serve.
 func (c *Coordinator) Serve(ctx context.Context) error {
 	listener, err := listen(c.deployment.Listen)
 	if err != nil {
@@ -178,25 +125,26 @@
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
 	context.AfterFunc(ctx, func() { c.loop.Post(c.beginShutdown) })
 	c.loop.Run(c.endIteration, c.recoverFromPanic, c.finished)
-	c.list.stop()
-	c.fleet.stop()
-	c.gossip.close()
-	c.drivers.Wait()
+	c.stopDrivers()
 	c.log.Printf("event=ended %s", c.countersLine())
 	return nil
 }
 
-// listen opens the listener. One that has ended a moment ago may still have the address, and the machine may lack
-// something for a moment.
-func listen(addr string) (l net.Listener, err error) {
-	for end := time.Now().Add(bindWait); ; time.Sleep(bindWait / 20) {
-		l, err = net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) && !netconn.IsShortage(err) || time.Now().After(end) {
-			return l, err
+// listen opens the listener. A process that has ended a moment ago may still hold the address, and the machine may be
+// short of something for a moment.
+func listen(addr string) (net.Listener, error) {
+	end := time.Now().Add(bindTimeout)
+	for {
+		listener, err := net.Listen("tcp", addr)
+		passing := errors.Is(err, syscall.EADDRINUSE) || netconn.IsShortage(err)
+		if !passing || time.Now().After(end) {
+			return listener, err
 		}
+		time.Sleep(bindRetryInterval)
 	}
 }
 
+// endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
 	c.fleet.flush()
@@ -205,47 +153,38 @@
 	}
 }
 
-// recoverFromPanic starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
-// that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
-// forgets what it has learned; what the rules count, it keeps.
-func (c *Coordinator) recoverFromPanic(cause string) {
-	c.counts.Panics++
-	c.log.Printf("event=broken cause=%q", cause)
-	if k := c.arriving; k != nil {
-		c.arriving = nil
-		k.answer(plainly(http.StatusInternalServerError, "scrapped"))
-	}
-	for _, q := range c.queriesInOrder() {
-		for _, p := range q.subqueries {
-			for n := range p.attempts {
-				c.CancelAttempt(p.id, scheduler.AttemptNumber(n))
-			}
-		}
-		c.Fail(q.id)
-	}
-	told := c.loop.TakeNextIteration()
-	counted := c.scheduler.Ledger()
-	if err := c.begin(); err != nil {
-		c.log.Printf("event=broken cause=%q", err)
-	}
-	c.scheduler.Resume(counted)
-	for _, do := range told { // the new module knows none of them; what holds their places lets go
-		do()
-	}
-	clear(c.subqueries)
-	c.list.retell()
-}
-
-// beginShutdown begins the end: clients are asked to go elsewhere, and those that still come are served.
+// beginShutdown is called at SIGTERM. The process goes on for a while: clients that still connect are served, idle ones
+// are asked to go, and each query that is open or still comes gets its answer. Then finished ends the loop.
 func (c *Coordinator) beginShutdown() {
-	c.log.Printf("event=leaving %s", c.countersLine())
+	c.log.Printf("event=shutting_down %s", c.countersLine())
 	c.shutdownAt.Store(int64(c.loop.Since(time.Now())))
 	c.shuttingDown.Store(true)
 	c.front.leave(func() { c.loop.Post(func() { c.clientsGone = true }) })
 }
 
+// finished reports whether the loop may end: no query is open and none can come.
 func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }
 
+// stopDrivers ends all goroutines but those of clients, which have ended.
+func (c *Coordinator) stopDrivers() {
+	c.list.stop()
+	c.fleet.stop()
+	c.gossip.close()
+	c.drivers.Wait()
+}
+
+// ScheduleWakeup implements scheduler.Host.
+func (c *Coordinator) ScheduleWakeup(name string, delay time.Duration) {
+	c.loop.After(delay, name, func() { c.scheduler.Wakeup(c.loop.Now(), name) })
+}
+
+// PollEndpoints implements scheduler.Host: it asks discovery for the endpoint list and its changes.
+func (c *Coordinator) PollEndpoints() { c.list.follow() }
+
+// Log implements scheduler.Host.
+func (c *Coordinator) Log(text string) { c.log.Printf("event=scheduler message=%q", text) }
+
+// trace logs a line of -trace.
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
 		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
@@ -256,14 +195,3 @@
 func (c *Coordinator) logLimited(format string, args ...any) {
 	c.limitedLog.printf(c.loop.Now(), format, args...)
 }
-
-// Log is the module's word for the log.
-func (c *Coordinator) Log(text string) { c.log.Printf("event=decided words=%q", text) }
-
-// ScheduleWakeup tells the module when a time has passed.
-func (c *Coordinator) ScheduleWakeup(name string, in time.Duration) {
-	c.loop.After(in, name, func() { c.scheduler.Wakeup(c.loop.Now(), name) })
-}
-
-// PollEndpoints asks discovery to tell of changes.
-func (c *Coordinator) PollEndpoints() { c.list.follow() }
--- a/coordinator/peers_test.go
+++ b/coordinator/gossip_test.go
@@ -123,10 +123,10 @@
 		if c.config.Gossip != named || slices.ContainsFunc(c.config.Classes, fetch) || c.config.Coordinators != 3 {
 			t.Errorf("named %t: the module is told %+v", named, c.config)
 		}
-		if got := strings.Contains(said.String(), `setting=bounds.peers value="true" holds="false"`); got == named {
+		if got := strings.Contains(said.String(), `setting=bounds.peers value="true" effective="false"`); got == named {
 			t.Errorf("named %t: it is said: %s", named, said.String())
 		}
-		if !strings.Contains(said.String(), `setting=familyInfo.classFetch value="0,2" holds="0"`) {
+		if !strings.Contains(said.String(), `setting=familyInfo.classFetch value="0,2" effective="0"`) {
 			t.Errorf("the second step is not said: %s", said.String())
 		}
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&config.Config{}, "std-2c") != 0 {
+	if in.SizeOf("slow-2c") != 1.5 || in.SizeOf("std-2c") != 2 || (&config.Config{}).SizeOf("std-2c") != 0 {
 		t.Error("a model has another's size")
 	}
 }
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -79,7 +79,7 @@
 func (c *Coordinator) checkStart(attempt *attemptState, earlier []*attemptState) invariant.Reason {
 	snapshot := attempt.snapshot(c.loop.Now())
 	snapshot.Effect = c.effectOf(attempt.subquery.query)
-	snapshot.MaxAttempts = c.maxAttempts
+	snapshot.MaxAttempts = c.config.MaxAttempts
 	for _, before := range earlier {
 		snapshot.Earlier = append(snapshot.Earlier, before.evidence())
 	}
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -295,7 +295,7 @@
 		zone = at
 	}
 	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{ID: r.id, State: lives[t.State], Started: started, Cell: cell, Zone: zone,
-		Size: size(c.fleet.installation, t.Model)})
+		Size: c.fleet.installation.SizeOf(t.Model)})
 }
 
 // change applies changes to the list that is held.
--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -48,7 +48,7 @@
 		if twoPhase := c.twoPhase.classes[name]; twoPhase != nil {
 			fmt.Fprintf(&page, "questions of track=%s %s\n", name, twoPhase)
 		}
-		estimate := estimates[c.classes[name]]
+		estimate := estimates[c.classes[name].index]
 		fmt.Fprintf(&page, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name,
 			estimate.SubqueryWork, estimate.WorkPerHint, estimate.LatenessFactor, estimate.ProbeLimit)
 	}
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -103,7 +103,7 @@
 
 // effectOf is what running a query's subqueries twice would do.
 func (c *Coordinator) effectOf(query *queryState) invariant.Effect {
-	return c.effects[query.request.Class]
+	return c.classes[query.request.Class].effect
 }
 
 // anyWrittenWhole reports whether any attempt of a query was written to its last byte.
--- /dev/null
+++ b/coordinator/recovery.go
@@ -0,0 +1,55 @@
+package coordinator
+
+import (
+	"net/http"
+
+	"terntray/scheduler"
+)
+
+// recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it. The state
+// of the scheduler can then not be trusted, and without more each further iteration might panic as well. So every client
+// that waits gets an answer (500), every attempt that is out is abandoned, and a new scheduler starts with the endpoint
+// list as it is known.
+//
+// The new scheduler has learned nothing. What limits count (attempts against the retry budget, work sent to starting
+// replicas) goes on, as what was sent before counts for the same limits.
+func (c *Coordinator) recoverFromPanic(cause string) {
+	c.counts.Panics++
+	c.log.Printf("event=loop_panic cause=%q", cause)
+	c.answerArriving()
+	c.failAllQueries()
+	notifications := c.loop.TakeNextIteration()
+	ledger := c.scheduler.Ledger()
+	if err := c.startScheduler(); err != nil {
+		c.log.Printf("event=loop_panic cause=%q", err)
+	}
+	c.scheduler.Resume(ledger)
+	// The ends of attempts that the old scheduler was still to be notified of. The new one knows none of these attempts;
+	// the notifications release what the drivers hold for them.
+	for _, notify := range notifications {
+		notify()
+	}
+	clear(c.subqueries)
+	c.list.retell()
+}
+
+// answerArriving answers the request that was looked at when the panic came and was not open yet.
+func (c *Coordinator) answerArriving() {
+	if c.arriving == nil {
+		return
+	}
+	from := c.arriving
+	c.arriving = nil
+	from.answer(plainly(http.StatusInternalServerError, failedText))
+}
+
+func (c *Coordinator) failAllQueries() {
+	for _, query := range c.queriesInOrder() {
+		for _, subquery := range query.subqueries {
+			for number := range subquery.attempts {
+				c.CancelAttempt(subquery.id, scheduler.AttemptNumber(number))
+			}
+		}
+		c.Fail(query.id)
+	}
+}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -8,12 +8,15 @@
 )
 
 const (
-	rereadAfter = 250 * time.Millisecond // a file that cannot be used may be half written
-	rereads     = 40                     // times; then the old configuration stays until the next word
+	rereadInterval = 250 * time.Millisecond // between attempts to read a file that may be half written
+	maxRereads     = 40                     // then the old configuration stays until the next reload
 )
 
-// Reload reads the configuration file anew and takes up what can change while the service runs: where discovery
-// is. It may be called from any goroutine and at any time; of several calls the last counts.
+var errNoDiscovery = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
+
+// Reload is called at SIGHUP. It reads the configuration file anew and takes up what can change while the service runs:
+// the address of discovery, and the certificates. It may be called from any goroutine and at any time; of several calls
+// the last counts.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
 		c.drivers.Go(c.rereadTLS)
@@ -21,18 +24,15 @@
 		ctx, stop := context.WithCancel(c.fleet.context)
 		c.stopReading = stop
 		path := c.deployment.path
-		c.drivers.Go(func() { c.reread(ctx, path) })
+		c.drivers.Go(func() { c.readUntilUsable(ctx, path) })
 	})
 }
 
-// reread reads the file until it can be used. Guards against: a file that is replaced while it is read. Should
-// also cover: one that comes late. Could hurt: never, the old configuration stays meanwhile.
-func (c *Coordinator) reread(ctx context.Context, path string) {
-	for n := range rereads {
-		d, err := readFile(path)
-		if err == nil && d.Discovery == "" {
-			err = errors.New("ROUTER_CONFIG: no address of discovery")
-		}
+// readUntilUsable reads the file until it can be used, as it may be replaced just now. Until then the old configuration
+// stays.
+func (c *Coordinator) readUntilUsable(ctx context.Context, path string) {
+	for attempt := range maxRereads {
+		d, err := readReloaded(path)
 		if err == nil {
 			c.loop.Post(func() {
 				if ctx.Err() == nil {
@@ -41,27 +41,39 @@
 			})
 			return
 		}
-		if n == 0 {
+		if attempt == 0 {
 			c.log.Printf("event=reload_failed cause=%q", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rereadAfter):
+		case <-time.After(rereadInterval):
 		}
 	}
 }
 
-// reconfigure takes up a new configuration. The list in it may be old and is no news.
+func readReloaded(path string) (*Deployment, error) {
+	d, err := readFile(path)
+	if err != nil {
+		return nil, err
+	}
+	if d.Discovery == "" {
+		return nil, errNoDiscovery
+	}
+	return d, nil
+}
+
+// reconfigure takes up a new configuration. Its endpoint list is not used: it may be older than the one that is known. An
+// address of discovery that the file states as before changes nothing, as the environment may have replaced it.
 func (c *Coordinator) reconfigure(d *Deployment) {
 	c.counts.Reloads++
-	old := c.deployment
+	current := c.deployment
 	c.log.Printf("event=reloaded discovery=%s", d.Discovery)
-	if d.Limits != old.Limits || !maps.Equal(d.settings, old.settings) {
-		c.log.Printf("event=not_taken_up words=%q", "limits and settings hold from the start on; restart for them")
+	if d.Limits != current.Limits || !maps.Equal(d.settings, current.settings) {
+		c.log.Printf("event=restart_needed reason=%q", "limits and settings have changed; they hold from the start on")
 	}
-	if d.discoveryInFile != old.discoveryInFile { // else what the environment said at the start holds
-		old.discoveryInFile = d.discoveryInFile
+	if d.discoveryInFile != current.discoveryInFile {
+		current.discoveryInFile = d.discoveryInFile
 		c.list.move(d.discoveryInFile)
 	}
 }
--- /dev/null
+++ b/coordinator/settings.go
@@ -0,0 +1,314 @@
+package coordinator
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"terntray/config"
+	"terntray/invariant"
+	"terntray/scheduler"
+)
+
+// maxTimeoutFactor bounds the time that a client may say it waits, in deadlines of its class: a larger one is a mistake,
+// and would be remembered for as long.
+const maxTimeoutFactor = 10
+
+// class is what the coordinator itself has to know of a class of queries.
+type class struct {
+	index         scheduler.ClassIndex
+	objective     time.Duration    // latency objective
+	effect        invariant.Effect // of running a subquery twice
+	hasSecondStep bool             // which the protocol lacks: its queries are answered 501
+}
+
+// configure reads the whole configuration; nothing of it changes afterwards.
+func (c *Coordinator) configure() error {
+	d := c.deployment
+	if err := d.validate(); err != nil {
+		return fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	var err error
+	c.config, c.shadow, err = d.schedulerConfigs()
+	if err != nil {
+		return err
+	}
+	c.configureClasses()
+	c.configureNames()
+	shardsErr := c.configureLimits()
+	fleetErr := c.fleet.begin(c, d)
+	twoPhaseErr := c.twoPhase.begin(d, &c.config)
+	if err := errors.Join(shardsErr, fleetErr, twoPhaseErr); err != nil {
+		return fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	c.logUnsupportedSettings()
+	return d.validateInstallation(c.fleet.installation)
+}
+
+func (c *Coordinator) configureClasses() {
+	c.classes = map[string]class{}
+	c.maxTimeouts = map[string]time.Duration{}
+	fetches := strings.Split(c.deployment.settings["familyInfo.classFetch"], ",")
+	for index, settings := range c.config.Classes {
+		c.classes[settings.Name] = class{
+			index:         scheduler.ClassIndex(index),
+			objective:     settings.Objective,
+			effect:        settings.Effect,
+			hasSecondStep: index < len(fetches) && !isZero(fetches[index]),
+		}
+		c.maxTimeouts[settings.Name] = maxTimeoutFactor * settings.Deadline
+	}
+}
+
+func (c *Coordinator) configureNames() {
+	c.zones = map[string]scheduler.ZoneIndex{}
+	for index, name := range c.deployment.names("zones") {
+		c.zones[name] = scheduler.ZoneIndex(index)
+	}
+	c.tenants = map[string]scheduler.TenantIndex{}
+	for index, name := range c.deployment.names("orgs") {
+		c.tenants[name] = scheduler.TenantIndex(index)
+	}
+}
+
+func (c *Coordinator) configureLimits() error {
+	var shardsErr, maxOpenErr error
+	c.shards, shardsErr = c.deployment.wholeNumber("familyInfo.ranges", 0)
+	if shardsErr == nil && c.shards == 0 {
+		shardsErr = &scheduler.SettingError{Key: "familyInfo.ranges", Found: "nothing", Wanted: "the number of shards"}
+	}
+	c.maxOpen, maxOpenErr = c.deployment.wholeNumber("bounds.maxOpen", math.MaxInt32)
+	return errors.Join(shardsErr, maxOpenErr)
+}
+
+func (c *Coordinator) logUnsupportedSettings() {
+	d := c.deployment
+	unsupported := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
+	for _, key := range slices.Sorted(maps.Keys(unsupported)) {
+		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q", key, d.settings[key], unsupported[key])
+	}
+}
+
+// Flatten gives nested settings the form that the simulator gives them: a path for each value; a list of plain values is
+// joined with commas, a list of objects has its length under .count.
+func Flatten(nested []byte) (map[string]string, error) {
+	decoder := json.NewDecoder(bytes.NewReader(nested))
+	decoder.UseNumber()
+	var tree map[string]any
+	if err := decoder.Decode(&tree); err != nil {
+		return nil, err
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, errMoreThanOneObject
+	}
+	flat := map[string]string{}
+	flatten(flat, "", tree)
+	return flat, nil
+}
+
+var errMoreThanOneObject = errors.New("found more than one object, wanted one")
+
+// flatten adds a value and all that it holds to flat, under its path.
+func flatten(flat map[string]string, path string, value any) {
+	switch value := value.(type) {
+	case map[string]any:
+		for name, member := range value {
+			flatten(flat, joinPath(path, name), member)
+		}
+	case []any:
+		flattenList(flat, path, value)
+	default:
+		flat[path] = scalarText(value)
+	}
+}
+
+func flattenList(flat map[string]string, path string, list []any) {
+	scalars := make([]string, 0, len(list))
+	for index, element := range list {
+		if _, isObject := element.(map[string]any); isObject {
+			flat[joinPath(path, "count")] = strconv.Itoa(len(list))
+			flatten(flat, joinPath(path, strconv.Itoa(index)), element)
+		} else {
+			scalars = append(scalars, scalarText(element))
+		}
+	}
+	if len(scalars) == len(list) {
+		flat[path] = strings.Join(scalars, ",")
+	}
+}
+
+func joinPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
+
+// nameCharacters replaces what separates settings and their values in the simulator's form.
+var nameCharacters = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
+
+func scalarText(value any) string {
+	if value == nil {
+		return absentValue
+	}
+	return nameCharacters.Replace(fmt.Sprint(value))
+}
+
+const absentValue = "-" // a setting of null
+
+func isAbsent(value string) bool { return value == "" || value == absentValue }
+
+// isZero reports whether a number, or a list of numbers, is 0 or absent.
+func isZero(value string) bool { return strings.Trim(value, "0,.-") == "" }
+
+// names are the names in a list of the settings, which holds either names or objects with names.
+func (d *Deployment) names(list string) []string {
+	if count, err := strconv.Atoi(d.settings[list+".count"]); err == nil {
+		names := make([]string, count)
+		for index := range names {
+			names[index] = d.settings[fmt.Sprintf("%s.%d.name", list, index)]
+		}
+		return names
+	}
+	if d.settings[list] == "" {
+		return nil
+	}
+	return strings.Split(d.settings[list], ",")
+}
+
+const maxNumber = 1e15 // largest number that a setting can mean
+
+// wholeNumber reads a setting that counts something, rounded down.
+func (d *Deployment) wholeNumber(key string, absent int) (int, error) {
+	value := d.settings[key]
+	if isAbsent(value) {
+		return absent, nil
+	}
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || number < 0 || number > maxNumber {
+		return 0, numberError(key, value, "a number from 0", maxNumber)
+	}
+	return int(number), nil
+}
+
+// duration reads a setting in microseconds.
+func (d *Deployment) duration(key string, absent time.Duration) (time.Duration, error) {
+	microseconds, err := d.wholeNumber(key, int(absent.Microseconds()))
+	return time.Duration(microseconds) * time.Microsecond, err
+}
+
+func numberError(key, found, wanted string, largest float64) error {
+	return &scheduler.SettingError{Key: key, Found: strconv.Quote(found), Wanted: fmt.Sprintf("%s to %g", wanted, largest)}
+}
+
+// aboveZero are settings that, where they are stated, have to be above 0, with the largest that can be meant.
+var aboveZero = []struct {
+	key     string
+	largest float64
+}{
+	{"familyInfo.cells", 1e6},
+	{"familyInfo.span", 1e6},
+	{"familyInfo.ranges", 1e9},
+	{"bounds.connectTimeout", maxNumber},
+	{"bounds.maxOpen", maxNumber},
+	{"bounds.multiplex", maxNumber},
+	{"bounds.maxAttempts", maxNumber},
+	{"guarantees.askEvery", maxNumber},
+}
+
+// validate names a setting with which nothing could be served although it can be read, as a *scheduler.SettingError. A
+// process with it would start and then reject every query, call no replica or panic.
+func (d *Deployment) validate() error {
+	for _, setting := range aboveZero {
+		value := d.settings[setting.key]
+		if isAbsent(value) {
+			continue
+		}
+		number, err := strconv.ParseFloat(value, 64)
+		inRange := err == nil && number > 0 && number <= setting.largest
+		if !inRange {
+			return numberError(setting.key, value, "a number above 0 and up", setting.largest)
+		}
+	}
+	return d.validateClassNames()
+}
+
+// validateClassNames names a class that clients could not name: its name is an element of a request's path.
+func (d *Deployment) validateClassNames() error {
+	seen := map[string]bool{}
+	for index, name := range d.names("lanes") {
+		if name == "" || strings.ContainsAny(name, "/? ") || seen[name] {
+			return &scheduler.SettingError{
+				Key:    fmt.Sprintf("lanes.%d.name", index),
+				Found:  strconv.Quote(name),
+				Wanted: "a name of its own without slash, question mark or space",
+			}
+		}
+		seen[name] = true
+	}
+	return nil
+}
+
+// validateInstallation refuses what the installation file says of co-ordinators and sizes if it does not fit the settings.
+func (d *Deployment) validateInstallation(installation *config.Config) error {
+	var peersErr, sizesErr error
+	if len(installation.Gossip.Peers) > 0 && d.settings["bounds.peers"] != "true" {
+		peersErr = errPeersForbidden
+	}
+	weightKind := d.settings["weightKind"]
+	sizesCount := weightKind == "nominal" || weightKind == "rough" || installation.Shadow.Settings["weightKind"] != ""
+	if len(installation.Sizes) > 0 && !sizesCount {
+		sizesErr = fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weightKind)
+	}
+	return errors.Join(peersErr, sizesErr)
+}
+
+var errPeersForbidden = errors.New(
+	"installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
+
+// schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the installation
+// file asks for; nil: none.
+func (d *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
+	installation := d.Installation
+	if installation == nil {
+		installation = &config.Config{}
+	}
+	settings := d.supportedSettings(len(installation.Gossip.Peers) > 0)
+	effective, err = scheduler.ParseConfig(settings)
+	if err != nil {
+		return effective, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	if len(installation.Shadow.Settings) == 0 {
+		return effective, nil, nil
+	}
+	maps.Copy(settings, installation.Shadow.Settings)
+	evaluated, err := scheduler.ParseConfig(settings)
+	if err != nil {
+		return effective, nil, fmt.Errorf("installation: watch.settings: %w", err)
+	}
+	return effective, &evaluated, nil
+}
+
+// supportedSettings are the settings with unsupported ones replaced by what holds in their place. Settings of another
+// deployment that are valid must not keep this one from starting.
+func (d *Deployment) supportedSettings(hasPeers bool) map[string]string {
+	settings := maps.Clone(d.settings)
+	maps.Copy(settings, d.unsupportedSettings(hasPeers))
+	return settings
+}
+
+// unsupportedSettings are the settings that cannot be carried out, with the values that hold in their place: messages
+// between co-ordinators where no other one is named, and second steps, which the protocol lacks.
+func (d *Deployment) unsupportedSettings(hasPeers bool) map[string]string {
+	effective := map[string]string{}
+	if d.settings["bounds.peers"] == "true" && !hasPeers {
+		effective["bounds.peers"] = "false"
+	}
+	if !isZero(d.settings["familyInfo.classFetch"]) {
+		effective["familyInfo.classFetch"] = "0"
+	}
+	return effective
+}
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -88,7 +88,7 @@
 		hints[shard] = asked.Hint
 	}
 	class := c.twoPhase.classes[query.request.Class]
-	objective := min(query.arrived+c.objectives[query.request.Class], query.deadline)
+	objective := min(query.arrived+c.classes[query.request.Class].objective, query.deadline)
 	run, err := class.Begin(c.loop.Now(), options, shards, objective, query.deadline, c.twoPhase.maxAttempts)
 	if err != nil {
 		return err
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -198,12 +198,12 @@
 const loopMargin = 10 * time.Millisecond
 
 // Words of a program's log that are finds of their own.
-var findsInLogs = []string{"event=violation", "event=broken", "event=client_broken", "panic:", "DATA RACE", "fatal error"}
+var findsInLogs = []string{"event=violation", "event=loop_panic", "event=client_broken", "event=client_panic", "panic:", "DATA RACE", "fatal error"}
 
 func (s *Soak) readLog(c *coordinator, l *life) {
 	log := l.program.Log()
 	for _, words := range findsInLogs {
-		if at := strings.Index(log, words); at >= 0 && !(s.options.Panics && words == "event=broken") {
+		if at := strings.Index(log, words); at >= 0 && !(s.options.Panics && words == "event=loop_panic") {
 			s.found("log", "", "%s says %s", c.name, lastLines(log[at:min(len(log), at+600)], 30))
 		}
 	}
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -150,7 +150,7 @@
 	if keep {
 		os.WriteFile("http2.log", []byte(log), 0o600)
 	}
-	if strings.Contains(log, "event=broken") || strings.Contains(log, "event=overdue") || strings.Contains(log, "lines_dropped") {
+	if strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=overdue") || strings.Contains(log, "lines_dropped") {
 		v.words = append(v.words, "the program broke, or its log has lost lines")
 		v.over++
 	}
