--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -8,6 +8,7 @@
 	"terntray/internal/wire"
 	"terntray/invariant"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 // finalResult is how a query ends with an answer.
@@ -34,7 +35,7 @@
 	}
 	c.countAnswer(query, result)
 	c.closeQuery(query)
-	query.client.answer(func(last bool) []byte { return render(query, last) })
+	query.client.Respond(func(last bool) []byte { return render(query, last) })
 }
 
 // renderAnswer makes the bytes of an answer.
@@ -94,17 +95,13 @@
 func (c *Coordinator) Fail(id scheduler.RequestID) {
 	c.answer(id, failed, func(query *queryState, last bool) []byte {
 		c.trace("query_failed=%s after=%v", query.request.ID, c.age(query))
-		return refusal(http.StatusInternalServerError, failedText, last)
+		return server.Text(http.StatusInternalServerError, failedText)(last)
 	})
 }
 
 // failedText is the body of answers to queries that failed.
 const failedText = "scrapped"
 
-func refusal(status int, words string, last bool) []byte {
-	return wire.Respond(status, "text/plain", []byte(words+"\n"), 0, last)
-}
-
 // deadlinePassed fails a query that the scheduler has left open until its deadline, which is a fault of the scheduler
 // unless this process stood still. Without it the client would get no answer.
 func (c *Coordinator) deadlinePassed(query *queryState) {
@@ -118,8 +115,8 @@
 }
 
 // clientDisconnected closes the query of a client that is gone, if it has one open.
-func (c *Coordinator) clientDisconnected(from *client) {
-	query := from.open
+func (c *Coordinator) clientDisconnected(from client) {
+	query := c.queriesByClient[from]
 	if query == nil {
 		return
 	}
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -7,17 +7,18 @@
 
 	"terntray/internal/wire"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 // queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at once,
 // or is open from then on; its client gets exactly one answer.
 //
 // While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see recoverFromPanic.
-func (c *Coordinator) queryArrives(from *client, request *wire.Query, receivedAt time.Duration) {
+func (c *Coordinator) queryArrives(from client, request *wire.Query, receivedAt time.Duration) {
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.hasDisconnected(c.loop.Now()): // while the query waited for the loop
+	case from.HasGone(c.loop.Now()): // while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
@@ -39,7 +40,7 @@
 
 // isFull reports whether so much is open that nothing more is accepted.
 func (c *Coordinator) isFull() bool {
-	return c.openWork >= c.maxOpen || c.front.crowded(len(c.queries))
+	return c.openWork >= c.maxOpen || c.server.IsCrowded(len(c.queries))
 }
 
 // unknownShard finds a shard that a query asks for and that does not exist.
@@ -53,21 +54,21 @@
 }
 
 // rejectArrival answers a query that is not accepted; its client may send it again.
-func (c *Coordinator) rejectArrival(from *client, reason string) {
+func (c *Coordinator) rejectArrival(from client, reason string) {
 	c.counts.Queries++
 	c.counts.Rejected++
-	from.answer(turnedBack(reason))
+	from.Respond(server.Rejection(reason))
 }
 
 // rejectMalformed answers what is no query and ends its client's connection.
-func (c *Coordinator) rejectMalformed(from *client, status int, reason string) {
+func (c *Coordinator) rejectMalformed(from client, status int, reason string) {
 	c.counts.Malformed++
-	from.ends.Store(true)
-	from.answer(plainly(status, reason))
+	from.CloseAfterResponse()
+	from.Respond(server.Text(status, reason))
 }
 
 // acceptQuery opens a query and tells the scheduler of it.
-func (c *Coordinator) acceptQuery(from *client, request *wire.Query, receivedAt time.Duration) {
+func (c *Coordinator) acceptQuery(from client, request *wire.Query, receivedAt time.Duration) {
 	arrived := c.loop.EarliestArrival(receivedAt)
 	query := &queryState{
 		id:       c.newRequestID(),
@@ -101,7 +102,7 @@
 func (c *Coordinator) openQuery(query *queryState) {
 	c.queries[query.id] = query
 	c.queriesByRequestID[query.request.ID] = query
-	query.client.open = query
+	c.queriesByClient[query.client] = query
 	c.arriving = nil
 	c.openWork++
 	timeLeft := c.timeLeft(query)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -2,25 +2,18 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log"
-	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
+	"terntray/discovery"
 	"terntray/eventloop"
 	"terntray/incarnation"
-	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/scheduler"
-)
-
-const (
-	bindTimeout       = 2 * time.Second // for an address that is taken, or a shortage of the machine
-	bindRetryInterval = bindTimeout / 20
+	"terntray/server"
 )
 
 // Coordinator is one co-ordinator. Its fields belong to the event loop, except those that say otherwise.
@@ -31,14 +24,13 @@
 	Trace      bool // a line for each query and attempt; set before Serve
 
 	// Configuration, read once by New and not changed.
-	config      scheduler.Config
-	shadow      *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	classes     map[string]class  // by name
-	maxTimeouts map[string]time.Duration
-	zones       map[string]scheduler.ZoneIndex
-	tenants     map[string]scheduler.TenantIndex
-	shards      int
-	maxOpen     int // of openWork
+	config  scheduler.Config
+	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes map[string]class  // by name
+	zones   map[string]scheduler.ZoneIndex
+	tenants map[string]scheduler.TenantIndex
+	shards  int
+	maxOpen int // of openWork
 
 	scheduler  *scheduler.Scheduler // a new one after a panic
 	admission  admission
@@ -48,26 +40,26 @@
 
 	// What is open.
 	queries            map[scheduler.RequestID]*queryState
-	queriesByRequestID map[string]*queryState                 // the same by their clients' ids
+	queriesByRequestID map[string]*queryState                 // the same by the ids that clients gave them
+	queriesByClient    map[client]*queryState                 // and by client
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
-	arriving           *client                                // whose request is looked at and not open yet; else nil
+	arriving           client                                 // whose request is looked at and not open yet; else nil
 	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
 
 	// Drivers. Their goroutines notify the loop by posting to it.
-	front         front
+	server        *server.Server
 	fleet         fleet
-	list          list
+	discovery     *discovery.Watcher
 	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
 	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
 	drivers       sync.WaitGroup
 
-	ready        atomic.Bool  // queries can be served; read by any goroutine
-	shuttingDown atomic.Bool  // read by any goroutine
-	shutdownAt   atomic.Int64 // loop time; set before shuttingDown
-	clientsGone  bool         // shutting down, and no client can connect any more
+	incarnations  *incarnation.Tracker
+	ready         atomic.Bool // queries can be served; read by any goroutine
+	clientsClosed bool        // no client is connected and none can connect any more
 }
 
 // New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
@@ -81,15 +73,18 @@
 
 		queries:            map[scheduler.RequestID]*queryState{},
 		queriesByRequestID: map[string]*queryState{},
+		queriesByClient:    map[client]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
 
-		list:        list{boots: incarnation.New()},
-		stopReading: func() {},
+		incarnations: incarnation.New(),
+		stopReading:  func() {},
 	}
 	c.admission.start(d.Limits.Cores, logger)
 	if err := c.configure(); err != nil {
 		return nil, err
 	}
+	c.discovery = discovery.New(c.discoveryConfig(), endpointHandler{c}, c.loop, logger)
+	c.server = server.New(c.serverConfig(), clientHandler{c}, c.loop, logger)
 	return c, c.startScheduler()
 }
 
@@ -110,7 +105,7 @@
 
 // Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot serve.
 func (c *Coordinator) Serve(ctx context.Context) error {
-	listener, err := listen(c.deployment.Listen)
+	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
@@ -118,32 +113,18 @@
 		_ = listener.Close()
 		return err
 	}
-	c.list.start(c)
-	c.front.start(c, listener)
+	c.discovery.Start()
+	c.server.Start(listener)
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
-	context.AfterFunc(ctx, func() { c.loop.Post(c.beginShutdown) })
-	c.loop.Run(c.endIteration, c.recoverFromPanic, c.finished)
+	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
+	c.loop.Run(c.endIteration, c.recoverFromPanic, c.isShutDown)
 	c.stopDrivers()
 	c.log.Printf("event=ended %s", c.countersLine())
 	return nil
 }
 
-// listen opens the listener. A process that has ended a moment ago may still hold the address, and the machine may be
-// short of something for a moment.
-func listen(addr string) (net.Listener, error) {
-	end := time.Now().Add(bindTimeout)
-	for {
-		listener, err := net.Listen("tcp", addr)
-		passing := errors.Is(err, syscall.EADDRINUSE) || netconn.IsShortage(err)
-		if !passing || time.Now().After(end) {
-			return listener, err
-		}
-		time.Sleep(bindRetryInterval)
-	}
-}
-
 // endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
@@ -153,21 +134,9 @@
 	}
 }
 
-// beginShutdown is called at SIGTERM. The process goes on for a while: clients that still connect are served, idle ones
-// are asked to go, and each query that is open or still comes gets its answer. Then finished ends the loop.
-func (c *Coordinator) beginShutdown() {
-	c.log.Printf("event=shutting_down %s", c.countersLine())
-	c.shutdownAt.Store(int64(c.loop.Since(time.Now())))
-	c.shuttingDown.Store(true)
-	c.front.leave(func() { c.loop.Post(func() { c.clientsGone = true }) })
-}
-
-// finished reports whether the loop may end: no query is open and none can come.
-func (c *Coordinator) finished() bool { return c.clientsGone && len(c.queries) == 0 }
-
 // stopDrivers ends all goroutines but those of clients, which have ended.
 func (c *Coordinator) stopDrivers() {
-	c.list.stop()
+	c.discovery.Stop()
 	c.fleet.stop()
 	c.gossip.close()
 	c.drivers.Wait()
@@ -179,7 +148,7 @@
 }
 
 // PollEndpoints implements scheduler.Host: it asks discovery for the endpoint list and its changes.
-func (c *Coordinator) PollEndpoints() { c.list.follow() }
+func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
 
 // Log implements scheduler.Host.
 func (c *Coordinator) Log(text string) { c.log.Printf("event=scheduler message=%q", text) }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -77,13 +77,11 @@
 	}
 }
 
-// client tells the module the list that the deployment knows and gives a client whose answers nobody reads.
-func (c *Coordinator) client(t *testing.T) *client {
-	c.list.c, c.list.held = c, c.deployment.Known
-	c.list.retell()
-	near, far := net.Pipe()
-	t.Cleanup(func() { far.Close() })
-	return newClient(c, near)
+// client tells the module the list that the deployment knows and gives a client of which the test decides what it does.
+func (c *Coordinator) client(t *testing.T) *fakeClient {
+	t.Helper()
+	c.discovery.Repeat()
+	return newFakeClient()
 }
 
 // A client that asks to wait for a day and leaves must not be remembered for as long.
@@ -102,7 +100,7 @@
 	if _, last := c.loop.Timers(); last > time.Minute {
 		t.Errorf("a timer is left that is due at %v", last)
 	}
-	if len(c.queries)+len(c.queriesByRequestID)+len(c.subqueries)+c.openWork > 0 || c.counts.Disconnected != 1 {
+	if len(c.queries)+len(c.queriesByRequestID)+len(c.queriesByClient)+len(c.subqueries)+c.openWork > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("left: %d retrievals, %d ids, %d parts, %d held, counts %+v", len(c.queries), len(c.queriesByRequestID), len(c.subqueries), c.openWork, c.counts)
 	}
 }
@@ -111,28 +109,24 @@
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := made(t)
 	defer c.fleet.stop()
-	c.list.c = c
 	cell, sizes := 0, ""
 	for n := range 3000 {
 		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
 		next := wire.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
-		near, far := net.Pipe()
-		k := newClient(c, near)
+		k := newFakeClient()
 		query := &wire.Query{ID: fmt.Sprint("q", n), Class: "look", Deadline: time.Second,
 			Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.RunIteration(func() {
-			c.list.tell(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}}, false)
+			endpointHandler{c}.EndpointsReceived(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}})
 			c.queryArrives(k, query, c.loop.Now())
 		}, c.endIteration)
 		c.loop.RunIteration(func() { c.clientDisconnected(k) }, c.endIteration)
 		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
 			c.loop.RunIteration(c.loop.Receive(), c.endIteration)
 		}
-		near.Close()
-		far.Close()
 		if n%1000 == 999 {
 			timers, _ := c.loop.Timers()
-			now := fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.subqueries), len(c.list.held.Targets), timers < 10, c.openWork)
+			now := fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.queriesByClient), len(c.subqueries), timers < 10, c.openWork)
 			if sizes == "" {
 				sizes = now
 			}
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -6,6 +6,7 @@
 
 	"terntray/invariant"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 // Counts counts what was received, sent and answered since the start. It belongs to the event loop.
@@ -59,7 +60,7 @@
 	Reloads              int
 	Gossip               int // messages received
 	MalformedGossip      int
-	ClientConnsClosed    closeCounts
+	ClientConnsClosed    server.CloseCounts
 }
 
 // outcomeKeys are the keys of Counts.Outcomes, by scheduler.Outcome. Trace lines use the same words.
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -7,10 +7,10 @@
 // needs a lock. Sockets belong to drivers with goroutines of their own. These decide nothing; what they read they post to
 // the loop, and what the loop wants sent they write:
 //
-//   - the listener and the client connections read requests and write answers;
-//   - the replica connections, as package connpool wants them, write calls and read replies;
+//   - server reads clients' requests and writes the answers;
+//   - replicaconn writes calls to replicas and reads their replies, on connections as connpool wants them;
 //   - discovery follows the endpoint list;
-//   - gossip exchanges messages with the other co-ordinators.
+//   - gossip (gossip.go) exchanges messages with the other co-ordinators.
 //
 // Decisions are made by packages that do no I/O, have no clock and start no goroutine: scheduler (which query is admitted,
 // which replica gets which attempt, what is retried, hedged or given up), twophase (what a two-phase query asks for),
@@ -20,7 +20,7 @@
 //
 // # The way of a query
 //
-//	client connection           event loop                             replica connection
+//	server                      event loop                             replicaconn
 //	reads the request
 //	checks admission ---------> queryArrives, acceptQuery
 //	                            scheduler.QueryArrives
@@ -53,9 +53,9 @@
 //
 // # Shutdown
 //
-// At SIGTERM, beginShutdown lets clients connect for a while yet, as they may not have heard of it, and asks idle ones to
+// At SIGTERM, package server lets clients connect for a while yet, as they may not have heard of it, and asks idle ones to
 // go. Each query that is open or still comes is answered by its deadline. When no client is left, the loop ends and the
-// drivers with it.
+// drivers with it. See shutdown.go.
 //
 // # Failures of the process itself
 //
@@ -65,7 +65,8 @@
 //
 // # Where to look
 //
-//   - coordinator.go: the parts, start, iteration, shutdown
+//   - coordinator.go: the parts, start, iteration; shutdown.go: the end
+//   - clients.go, endpoints.go: what server and discovery notify of
 //   - arrival.go, query.go, answer.go: a query from its arrival to its answer
 //   - attempt.go: attempts from start to end
 //   - twophase.go: queries that ask can-match first
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -4,7 +4,6 @@
 	"sync"
 	"time"
 
-	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/scheduler"
 )
@@ -13,10 +12,6 @@
 // first byte is about to go, when a query is answered and when a client's connection is closed. Between the first two a
 // connection may come up late, a client disconnect or the process stand still.
 
-// clientSeenFresh is how old the knowledge that a client is connected may be when an attempt is written. An attempt may
-// begin 0.1 s after its client has disconnected at the latest, and the process may be held up in between.
-const clientSeenFresh = 40 * time.Millisecond
-
 // refusedWrites are attempts that their connections' writers refused; the event loop has yet to be notified. Writers may
 // use it from any goroutine.
 type refusedWrites struct {
@@ -55,7 +50,7 @@
 func (attempt *attemptState) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    attempt.deadline - now,
-		ClientGone:  attempt.subquery.query.client.hasDisconnected(now),
+		ClientGone:  attempt.subquery.query.client.HasGone(now),
 		QueryClosed: attempt.subquery.unwanted(),
 		Endpoint:    invariant.EndpointState(attempt.endpoint.state.Load()),
 	}
@@ -137,20 +132,3 @@
 	c.counts.Violations++
 	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.fleet.uid(to), reason)
 }
-
-// hasDisconnected tells whether the client is gone. It asks the kernel where that was last done a while ago, as the
-// connection's reader may not have been able to tell yet. It may be called from any goroutine.
-func (k *client) hasDisconnected(now time.Duration) bool {
-	if k.gone.Load() {
-		return true
-	}
-	if now-time.Duration(k.seenAt.Load()) < clientSeenFresh {
-		return false
-	}
-	if netconn.HasHungUp(k.conn) {
-		k.gone.Store(true)
-		return true
-	}
-	k.seenAt.Store(int64(now))
-	return false
-}
--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -9,13 +9,14 @@
 
 // countersLine is the page of the counters and the last line of the log.
 func (c *Coordinator) countersLine() string {
+	clients := c.server.Counts()
 	line := &counterLine{}
-	line.add("accepted", c.front.accepted.Load())
-	line.add("evicted", c.front.evicted.Load())
-	line.add("accept_failed", c.front.failed.Load())
+	line.add("accepted", clients.Accepted)
+	line.add("evicted", clients.Evicted)
+	line.add("accept_failed", clients.AcceptFailures)
 	line.add("busy", c.admission.shed.Load())
 	line.add("share", fmt.Sprintf("%.2f", c.admission.controller.Share()))
-	line.add("wall_clock_distrusted", c.list.boots.Distrusted())
+	line.add("wall_clock_distrusted", c.incarnations.Distrusted())
 	if c.gossip != nil {
 		line.add("stranger_peer_messages", c.gossip.strangers.Load())
 	}
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -21,7 +21,7 @@
 type queryState struct {
 	id            scheduler.RequestID   // towards the scheduler; may be used again once the query is closed
 	number        scheduler.QueryNumber // the same, never used again
-	client        *client               // gets the one answer
+	client        client                // gets the one answer
 	request       *wire.Query
 	arrived       time.Duration // when its last byte may have arrived at the earliest
 	deadline      time.Duration // when its client stops waiting
@@ -116,7 +116,7 @@
 // closeQuery ends a query: from now on nothing of it is sent. The caller has answered it, or its client is gone.
 func (c *Coordinator) closeQuery(query *queryState) {
 	query.closed.Store(true)
-	query.client.open = nil
+	delete(c.queriesByClient, query.client)
 	c.loop.Cancel(query.deadlineTimer)
 	delete(c.queries, query.id)
 	delete(c.queriesByRequestID, query.request.ID)
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 // recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it. The state
@@ -30,7 +31,7 @@
 		notify()
 	}
 	clear(c.subqueries)
-	c.list.retell()
+	c.discovery.Repeat()
 }
 
 // answerArriving answers the request that was looked at when the panic came and was not open yet.
@@ -40,7 +41,7 @@
 	}
 	from := c.arriving
 	c.arriving = nil
-	from.answer(plainly(http.StatusInternalServerError, failedText))
+	from.Respond(server.Text(http.StatusInternalServerError, failedText))
 }
 
 func (c *Coordinator) failAllQueries() {
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -74,6 +74,6 @@
 	}
 	if d.discoveryInFile != current.discoveryInFile {
 		current.discoveryInFile = d.discoveryInFile
-		c.list.move(d.discoveryInFile)
+		c.discovery.MoveTo(d.discoveryInFile)
 	}
 }
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -18,16 +18,11 @@
 	"terntray/scheduler"
 )
 
-// maxTimeoutFactor bounds the time that a client may say it waits, in deadlines of its class: a larger one is a mistake,
-// and would be remembered for as long.
-const maxTimeoutFactor = 10
-
 // class is what the coordinator itself has to know of a class of queries.
 type class struct {
-	index         scheduler.ClassIndex
-	objective     time.Duration    // latency objective
-	effect        invariant.Effect // of running a subquery twice
-	hasSecondStep bool             // which the protocol lacks: its queries are answered 501
+	index     scheduler.ClassIndex
+	objective time.Duration    // latency objective
+	effect    invariant.Effect // of running a subquery twice
 }
 
 // configure reads the whole configuration; nothing of it changes afterwards.
@@ -55,16 +50,12 @@
 
 func (c *Coordinator) configureClasses() {
 	c.classes = map[string]class{}
-	c.maxTimeouts = map[string]time.Duration{}
-	fetches := strings.Split(c.deployment.settings["familyInfo.classFetch"], ",")
 	for index, settings := range c.config.Classes {
 		c.classes[settings.Name] = class{
-			index:         scheduler.ClassIndex(index),
-			objective:     settings.Objective,
-			effect:        settings.Effect,
-			hasSecondStep: index < len(fetches) && !isZero(fetches[index]),
+			index:     scheduler.ClassIndex(index),
+			objective: settings.Objective,
+			effect:    settings.Effect,
 		}
-		c.maxTimeouts[settings.Name] = maxTimeoutFactor * settings.Deadline
 	}
 }
 
