--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -41,8 +41,8 @@
 
 // A client's driver panics while a query is open. The query ends as if its client had left.
 func TestPanicOfAClientsDriverEndsItsQuery(t *testing.T) {
-	c := fronted(t)
-	near, far := pair(t)
+	c := newServing(t)
+	near, far := connPair(t)
 	conn := &panickingConn{near, make(chan struct{})}
 	connection := c.server.NewConn(conn)
 	served := make(chan struct{})
@@ -58,7 +58,7 @@
 	close(conn.now)
 	near.SetReadDeadline(time.Unix(1, 0)) // its reading begins anew
 	<-served
-	if c.turnWith(); len(c.queries) > 0 || c.counts.Disconnected != 1 {
+	if c.runPosted(); len(c.queries) > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("%d queries, counts %+v", len(c.queries), c.counts)
 	}
 }
--- a/coordinator/counters_test.go
+++ b/coordinator/counters_test.go
@@ -20,7 +20,7 @@
 		"closed_last_answer closed_by_client closed_unwritable closed_bad_request closed_slow_request closed_idle closed_evicted " +
 		"closed_shutdown closed_broken " +
 		"accepted evicted accept_failed busy share wall_clock_distrusted"
-	c := made(t)
+	c := newCoordinator(t)
 	c.counts.Refused[invariant.ClientGone] = 7
 	var keys []string
 	for _, pair := range strings.Fields(c.countersLine()) {
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"terntray/internal/fake"
-	"terntray/internal/wire"
 )
 
 // A process starts anew with the endpoint list of its last incarnation. It serves nobody by that list as long as
@@ -20,8 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cell := 0
-		d := deployment(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
+		d := newDeployment(t, readyReplica("s-a", unreachable))
 		d.Discovery = a.Listener.Addr().String()
 		c, err := New(d, log.New(io.Discard, "", 0))
 		if err != nil {
--- /dev/null
+++ b/coordinator/installation_test.go
@@ -0,0 +1,145 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"io"
+	"log"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"terntray/config"
+	"terntray/internal/wire"
+	"terntray/scheduler"
+)
+
+// newInstalled makes a coordinator with some settings replaced and with an installation file, whose text may be empty.
+func newInstalled(t *testing.T, settings map[string]string, file string, known ...wire.Target) (*Coordinator, error) {
+	t.Helper()
+	d := newDeployment(t, known...)
+	maps.Copy(d.settings, settings)
+	if file != "" {
+		installation, err := config.Parse([]byte(file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.Installation = installation
+	}
+	return New(d, log.New(io.Discard, "", 0))
+}
+
+// peersFile is the text of an installation file that names other co-ordinators.
+func peersFile(listen string, peers ...string) string {
+	text, _ := json.Marshal(map[string]any{"peers": map[string]any{"listen": listen, "others": peers}})
+	return string(text)
+}
+
+// The settings of another deployment allow messages between co-ordinators where none is named, and a second step, which the
+// protocol lacks. They are valid, so the process starts; it logs what is not supported and decides without it.
+func TestUnsupportedSettingsAreLoggedAndNotUsed(t *testing.T) {
+	for _, hasPeers := range []bool{false, true} {
+		d := newDeployment(t)
+		d.settings["bounds.peers"] = "true"
+		d.settings["familyInfo.classFetch"] = "0,2"
+		if hasPeers {
+			d.Installation, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
+		}
+		var logged strings.Builder
+		c, err := New(d, log.New(&logged, "", 0))
+		if err != nil {
+			t.Fatalf("peers %t: %v", hasPeers, err)
+		}
+		c.fleet.stop()
+		hasSecondStep := func(class scheduler.ClassConfig) bool { return class.FetchSubqueries != 0 }
+		if c.config.Gossip != hasPeers || slices.ContainsFunc(c.config.Classes, hasSecondStep) || c.config.Coordinators != 3 {
+			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.config)
+		}
+		if got := strings.Contains(logged.String(), `setting=bounds.peers value="true" effective="false"`); got == hasPeers {
+			t.Errorf("peers %t: it is logged: %s", hasPeers, logged.String())
+		}
+		if !strings.Contains(logged.String(), `setting=familyInfo.classFetch value="0,2" effective="0"`) {
+			t.Errorf("the second step is not logged: %s", logged.String())
+		}
+	}
+}
+
+func TestWithoutPeersNoSocketIsOpened(t *testing.T) {
+	c, err := newInstalled(t, nil, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil || c.gossip != nil {
+		t.Errorf("%v, gossip %v", err, c.gossip)
+	}
+	c.Broadcast([]byte{1}) // goes nowhere
+}
+
+func TestInstallationThatDoesNotFitTheSettingsIsNamed(t *testing.T) {
+	for file, want := range map[string]string{
+		peersFile("127.0.0.1:0", "127.0.0.1:9"):              "peers.others: setting bounds.peers allows no messages",
+		`{"sizes":[{"model":"slow-*","size":0.75}]}`:         `sizes: setting weightKind is "", wanted nominal or rough`,
+		`{"watch":{"settings":{"lanes.count":"1"}}}`:         "watch.settings: the settings to watch tell of other tracks",
+		`{"watch":{"settings":{"balancers":"many"}}}`:        "watch.settings: setting balancers: found \"many\", wanted a finite number",
+		`{"watch":{"settings":{"familyInfo.cells":"1000"}}}`: "watch.settings: the settings to watch tell of other tracks or shards",
+	} {
+		if _, err := newInstalled(t, nil, file); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", file, err, want)
+		}
+	}
+}
+
+func TestFirstSizeThatFitsAModelHolds(t *testing.T) {
+	installation, err := config.Parse([]byte(`{"sizes":[{"model":"slow-*","size":1.5},{"model":"*","size":2}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	slow, standard, none := installation.SizeOf("slow-2c"), installation.SizeOf("std-2c"), (&config.Config{}).SizeOf("std-2c")
+	if slow != 1.5 || standard != 2 || none != 0 {
+		t.Errorf("sizes %v, %v, %v", slow, standard, none)
+	}
+}
+
+// Under shadow evaluation the process decides as without it: the same attempts go, and the counters tell what would have
+// differed. Among 900 co-ordinators that are silent attempts would have longer timeouts, as no hedges may go here.
+func TestShadowEvaluationCountsAndDecidesAsBefore(t *testing.T) {
+	run := func(file string) (attempts int, line string) {
+		var replicas []wire.Target
+		for n, model := range []string{"slow", "slow", "std", "std"} {
+			cell := n % 2
+			replica := readyReplica("s-"+string(rune('a'+n)), unreachable)
+			replica.Model = model
+			replica.Cell = &cell
+			replicas = append(replicas, replica)
+		}
+		c, err := newInstalled(t, nil, file, replicas...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.fleet.stop()
+		c.receive(c.newClient(), newQuery("q", 5*time.Second, 0, 1, 2, 3), 0)
+		return c.counts.Attempts, c.countersLine()
+	}
+	attempts, line := run("")
+	same, counted := run(`{"sizes":[{"model":"slow","size":0.1}],"watch":{"settings":{"balancers":"900","weightKind":"nominal"}}}`)
+	if attempts == 0 || attempts != same {
+		t.Errorf("%d attempts, %d under shadow evaluation", attempts, same)
+	}
+	if strings.Contains(line, "watched") {
+		t.Errorf("without shadow evaluation: %s", line)
+	}
+	for _, want := range []string{
+		" watched=1 ",
+		" watched_legs=4 would_time_out_otherwise=4 would_not_copy=0 would_copy=0",
+	} {
+		if !strings.Contains(counted, want) {
+			t.Errorf("%s, want %q", counted, want)
+		}
+	}
+	if strings.Contains(counted, "would_turn_back=0 ") && strings.Contains(counted, "would_go_elsewhere=0") {
+		t.Errorf("nothing would differ: %s", counted)
+	}
+}
+
+var _ scheduler.Host = (*Coordinator)(nil)
--- /dev/null
+++ b/coordinator/recovery_test.go
@@ -0,0 +1,209 @@
+package coordinator
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"terntray/eventloop"
+	"terntray/internal/wire"
+	"terntray/scheduler"
+)
+
+// The loop panics while a query is open. Its client gets a 500, and the process serves on.
+func TestPanicFailsOpenQueriesAndNothingElse(t *testing.T) {
+	replica, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer replica.Close()
+	d := newDeployment(t, readyReplica("s-a", replica.Addr().String()))
+	lines := make(chan string, 100)
+	c, err := New(d, log.New(writerFunc(func(line []byte) { lines <- string(line) }), "", 0))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error)
+	go func() { ended <- c.Serve(ctx) }()
+	conn, err := net.Dial("tcp", listenAddress(lines))
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	io.WriteString(conn, strings.Replace(queryRequest("q1"), "Req-Deadline: 2", "Req-Deadline: 9", 1))
+	if _, err := replica.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	c.loop.Post(func() { panic("as if") })
+	status := make([]byte, 12)
+	if _, err := io.ReadFull(conn, status); err != nil || string(status) != "HTTP/1.1 500" {
+		t.Errorf("%q, %v", status, err)
+	}
+	conn.Close()
+	stop()
+	if err := <-ended; err != nil || c.counts.Panics != 1 || c.counts.Failed != 1 || !c.ready.Load() {
+		t.Errorf("ended with %v, counts %+v", err, c.counts)
+	}
+}
+
+// listenAddress reads the log until it says where clients are served.
+func listenAddress(lines <-chan string) string {
+	for {
+		_, after, found := strings.Cut(<-lines, "listen=")
+		if found {
+			address, _, _ := strings.Cut(after, " ")
+			return address
+		}
+	}
+}
+
+// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the subqueries.
+func TestPanicReleasesAttempts(t *testing.T) {
+	replica, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer replica.Close()
+	c := newCoordinator(t, readyReplica("s-a", replica.Addr().String()))
+	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
+	c.runIteration(c.loop.Receive()) // the connection is up
+	if len(c.fleet.attempts) != 1 {
+		t.Fatalf("%d attempts are out", len(c.fleet.attempts))
+	}
+	c.recoverFromPanic("as if")
+	c.runPosted()
+	c.checkNothingIsOpen(t)
+}
+
+// checkNothingIsOpen checks that no query, subquery or attempt is known.
+func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
+	t.Helper()
+	if len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
+	}
+}
+
+// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only one; so
+// does the next.
+func TestRequestAtWhichTheLoopPanicsIsAnswered(t *testing.T) {
+	c := newServing(t)
+	from := c.newClient()
+	query := newQuery("q", time.Minute, 0)
+	query.TwoPhase = &wire.TwoPhaseQuery{} // which its class does not allow, so that nothing is ready for it
+	cause := eventloop.Recover(func() { c.receive(from, query, 0) })
+	if cause == "" {
+		t.Fatal("nothing panics")
+	}
+	c.recoverFromPanic(cause)
+	if len(from.responses) != 1 || !strings.Contains(string(<-from.responses), " 500 ") {
+		t.Error("it is not answered")
+	}
+	query.TwoPhase = nil
+	c.receive(from, query, 0)
+	c.recoverFromPanic("as if, later")
+	if len(from.responses) != 1 {
+		t.Errorf("the next has %d answers", len(from.responses))
+	}
+}
+
+// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to that. What
+// the attempt holds is released all the same.
+func TestPanicLosesNoEndOfAnAttempt(t *testing.T) {
+	c := newServing(t)
+	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
+	for _, attempt := range c.fleet.attempts {
+		c.loop.NextIteration(func() { panic("as if") })
+		c.abandonAttempt(attempt, scheduler.TimedOut)
+	}
+	cause := eventloop.Recover(c.runPosted)
+	if cause == "" || len(c.fleet.attempts) != 1 {
+		t.Fatalf("it panics by %q with %d attempts", cause, len(c.fleet.attempts))
+	}
+	c.recoverFromPanic("as if")
+	c.runPosted()
+	c.checkNothingIsOpen(t)
+}
+
+// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget for them
+// is the process', not the scheduler's that was lost.
+func TestRetryBudgetOutlivesAPanic(t *testing.T) {
+	settings := map[string]string{
+		"guarantees.ratioSpan":  "10000000",
+		"guarantees.extraRatio": "0.0001",
+		"guarantees.minExtra":   "2",
+		"bounds.maxAttempts":    "3",
+		"bounds.secondCopies":   "true",
+	}
+	c := newCoordinatorWith(t, settings, twoReplicas()...)
+	retries := 0
+	for n := range 4 {
+		id := fmt.Sprint("q", n)
+		c.receive(c.newClient(), newQuery(id, 5*time.Second, 0), 0)
+		query := c.queriesByRequestID[id]
+		if query == nil {
+			continue
+		}
+		subquery := query.subqueries[0]
+		for range 3 {
+			c.failAttempts(subquery)
+		}
+		retries += len(subquery.attempts) - 1
+		c.recoverFromPanic("as if")
+		c.runPosted()
+	}
+	if retries > 2 {
+		t.Errorf("%d retries, 2 are allowed", retries)
+	}
+	if retries == 0 {
+		t.Error("no retry: nothing is shown")
+	}
+}
+
+// failAttempts ends the attempts that are out as if they had run and failed, and waits until a retry may go.
+func (c *Coordinator) failAttempts(subquery *subqueryState) {
+	for _, attempt := range subquery.attempts {
+		if !attempt.ended {
+			c.abandonAttempt(attempt, scheduler.Failed)
+		}
+	}
+	time.Sleep(220 * time.Millisecond) // longer than a retry waits after an error
+	c.runPosted()
+}
+
+// The loop panics again and again while a replica starts slowly. What was sent to it counts on against slow start.
+func TestSlowStartOutlivesAPanic(t *testing.T) {
+	settings := map[string]string{
+		"guarantees.tipMultiple":   "2.0",
+		"guarantees.overloadFor":   "1500000",
+		"guarantees.startCapacity": "0.1",
+		"guarantees.warmAfter":     "20000000",
+		"balancers":                "1",
+		"bounds.maxOpen":           "1000",
+		"lanes.0.aim":              "300000",
+	}
+	attempts := func(panics bool) int {
+		starting := readyReplica("s-a", unreachable)
+		starting.BootMS = time.Now().UnixMilli()
+		c := newCoordinatorWith(t, settings, starting)
+		for n := range 60 {
+			c.receive(c.newClient(), newQuery(fmt.Sprint("q", n), 5*time.Second, 0), 0)
+			if panics && n%10 == 9 {
+				c.recoverFromPanic("as if")
+				c.runPosted()
+			}
+		}
+		return c.counts.Attempts
+	}
+	without := attempts(false)
+	with := attempts(true)
+	t.Logf("%d attempts, %d with panics between", without, with)
+	if without == 0 || with > without+1 {
+		t.Errorf("%d attempts at a starting replica, %d with panics between", without, with)
+	}
+}
