--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -265,7 +265,7 @@
 	for n := range 8 { // all but one may wait
 		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
-	until(t, "they wait", func() bool { return strings.Count(program.logged(), "retrieval=waits") >= 7 })
+	until(t, "they wait", func() bool { return strings.Count(program.logged(), "query_arrived=waits") >= 7 })
 	for n := range 9 {
 		client := program.connect()
 		began := time.Now()
