--- a/coordinator/link.go
+++ b/coordinator/link.go
@@ -56,7 +56,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ended = true
-	k.session.Goodbye()
+	k.session.AnnounceClose()
 	k.more.Signal()
 	switch {
 	case k.conn == nil:
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -1,5 +1,5 @@
-// Package frames is the dialect of frames (docs/sockets.md): calls with a length, a letter and a line for each part;
-// replies in any order that name the part.
+// Package frames is the protocol of frames (docs/sockets.md): a call has a length, a letter and a line for each of its
+// subqueries; replies come in any order and name their subquery.
 package frames
 
 import (
@@ -10,132 +10,141 @@
 	"terntray/internal/wire"
 )
 
-// Session is one connection's.
+// Session is the state machine of one connection.
 type Session struct {
-	batch   int
-	replies wire.ReplyReader
-	queue   []item
-	ends    []end // of the calls in the last output
+	maxCalls   int // of one group in a frame
+	replies    wire.ReplyReader
+	queue      []message
+	outputEnds []replicaproto.OutputEnd // of the calls in the last output, in order
 }
 
-// item is what waits to be written: a call, or the word that a part is given up.
-type item struct {
-	call   *replicaproto.Call
-	giveUp string
+// message is what waits to be written: a call, or that a subquery is abandoned.
+type message struct {
+	call      *replicaproto.Call // nil: abandoned is set
+	abandoned string             // the subquery's id
 }
 
-type end struct {
-	call *replicaproto.Call
-	at   int // bytes of the output up to the call's last
-}
-
-// New makes a session that puts so many parts of a group into one call at the most; sizes may be nil.
-func New(batch int, sizes *wire.ValueSizes) *Session {
-	return &Session{batch: max(1, batch), replies: wire.ReplyReader{Sizes: sizes}}
+// New makes a session that puts up to maxCalls of one group into a frame. The sizes of values, which tell how much to
+// expect of a reply, may be nil.
+func New(maxCalls int, sizes *wire.ValueSizes) *Session {
+	return &Session{maxCalls: max(1, maxCalls), replies: wire.ReplyReader{Sizes: sizes}}
 }
 
 var _ replicaproto.Session = (*Session)(nil)
 
 // Queue has a call wait to be written.
-func (s *Session) Queue(c *replicaproto.Call) { s.queue = append(s.queue, item{call: c}) }
+func (session *Session) Queue(call *replicaproto.Call) {
+	session.queue = append(session.queue, message{call: call})
+}
 
 // Withdraw takes back a call of which no byte was written.
-func (s *Session) Withdraw(c *replicaproto.Call) bool {
-	if !c.Revocable() {
+func (session *Session) Withdraw(call *replicaproto.Call) bool {
+	if !call.Revocable() {
 		return false
 	}
-	s.queue = slices.DeleteFunc(s.queue, func(i item) bool { return i.call == c })
+	isCall := func(waiting message) bool { return waiting.call == call }
+	session.queue = slices.DeleteFunc(session.queue, isCall)
 	return true
 }
 
-// Abandon has the replica told that a part is given up.
-func (s *Session) Abandon(c *replicaproto.Call) {
-	s.queue = append(s.queue, item{giveUp: c.SubqueryID})
+// Abandon has the replica told that a subquery is abandoned.
+func (session *Session) Abandon(call *replicaproto.Call) {
+	session.queue = append(session.queue, message{abandoned: call.SubqueryID})
 }
 
-// Ping does nothing: there is none.
-func (s *Session) Ping() {}
+// Ping does nothing: the protocol has none.
+func (session *Session) Ping() {}
 
-// Goodbye does nothing: the connection's end says it.
-func (s *Session) Goodbye() {}
+// AnnounceClose does nothing: the protocol has no message for it.
+func (session *Session) AnnounceClose() {}
 
-// Output appends what waits, about most bytes of it where that is above 0: what is not begun can still be taken back.
-func (s *Session) Output(b []byte, most int, now time.Duration) []byte {
-	s.ends = s.ends[:0]
-	from := len(b)
-	for len(s.queue) > 0 && (most <= 0 || len(b)-from < most) {
-		first := s.queue[0]
+// Output appends the messages that wait, up to about maxBytes if that is above 0. What is beyond can still be
+// withdrawn.
+func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
+	session.outputEnds = session.outputEnds[:0]
+	start := len(buffer)
+	for len(session.queue) > 0 && (maxBytes <= 0 || len(buffer)-start < maxBytes) {
+		first := session.queue[0]
 		if first.call == nil {
-			b = wire.AppendAbandon(b, first.giveUp)
-			s.queue = s.queue[1:]
+			buffer = wire.AppendAbandon(buffer, first.abandoned)
+			session.queue = session.queue[1:]
 			continue
 		}
-		parts, begun := s.frame(now)
-		if len(parts) == 0 {
+		subqueries, begun := session.nextFrame(now)
+		if len(subqueries) == 0 {
 			continue
 		}
-		b = wire.AppendCall(b, parts...)
+		buffer = wire.AppendCall(buffer, subqueries...)
 		for _, call := range begun {
-			s.ends = append(s.ends, end{call, len(b) - from})
+			end := replicaproto.OutputEnd{Call: call, Size: len(buffer) - start}
+			session.outputEnds = append(session.outputEnds, end)
 		}
 	}
-	if len(s.queue) == 0 {
-		s.queue = nil
+	if len(session.queue) == 0 {
+		session.queue = nil // gives its memory back
 	}
-	return b
+	return buffer
 }
 
-// frame takes the calls of the next frame off the queue: those of the first one's group, up to the batch. What is not
-// permitted any more is left out.
-func (s *Session) frame(now time.Duration) (parts []wire.SubqueryCall, begun []*replicaproto.Call) {
-	group := s.queue[0].call.Group
-	for len(s.queue) > 0 && len(parts) < s.batch {
-		call := s.queue[0].call
+// nextFrame takes the calls of the next frame off the queue: those of the first one's group, up to maxCalls. What is
+// not permitted any more is left out.
+func (session *Session) nextFrame(now time.Duration) (subqueries []wire.SubqueryCall, begun []*replicaproto.Call) {
+	group := session.queue[0].call.Group
+	for len(session.queue) > 0 && len(subqueries) < session.maxCalls {
+		call := session.queue[0].call
 		if call == nil || call.Group != group {
 			break
 		}
-		s.queue = s.queue[1:]
+		session.queue = session.queue[1:]
 		waitMS, permitted := call.Begin(now)
 		if !permitted {
 			continue
 		}
-		parts = append(parts, wire.SubqueryCall{ID: call.SubqueryID, Shard: call.Shard, WaitMS: waitMS, Text: call.Text})
+		subqueries = append(subqueries, wire.SubqueryCall{
+			ID: call.SubqueryID, Shard: call.Shard, WaitMS: waitMS, Text: call.Text,
+		})
 		begun = append(begun, call)
 	}
-	return parts, begun
+	return subqueries, begun
 }
 
-// Wrote tells how many bytes of the last output went; where none did, its calls can still be taken back.
-func (s *Session) Wrote(n int) {
-	for _, e := range s.ends {
+// Wrote tells how many bytes of the last output were taken. If none were, its calls can still be withdrawn.
+func (session *Session) Wrote(bytes int) {
+	for _, end := range session.outputEnds {
 		switch {
-		case e.at <= n:
-			e.call.Stage = replicaproto.Written
-		case n == 0:
-			e.call.Stage = replicaproto.Waiting
+		case end.Size <= bytes:
+			end.Call.Stage = replicaproto.Written
+		case bytes == 0:
+			end.Call.Stage = replicaproto.Waiting
 		}
 	}
-	s.ends = s.ends[:0]
+	session.outputEnds = session.outputEnds[:0]
 }
 
-// ReadBuffer gives space for what comes next.
-func (s *Session) ReadBuffer() []byte { return s.replies.Free() }
+// ReadBuffer gives space for what is read next.
+func (session *Session) ReadBuffer() []byte { return session.replies.Free() }
 
-// Filled tells how many bytes came into it.
-func (s *Session) Filled(n int) { s.replies.Filled(n) }
+// Filled tells how many bytes were read into it.
+func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
 
-var ends = map[wire.End]replicaproto.End{
-	wire.OK: replicaproto.OK, wire.ProtocolError: replicaproto.Error, wire.Rejected: replicaproto.Rejected,
+// endOf maps the ends of a subquery on the wire.
+var endOf = map[wire.End]replicaproto.End{
+	wire.OK:            replicaproto.OK,
+	wire.ProtocolError: replicaproto.Error,
+	wire.Rejected:      replicaproto.Rejected,
 }
 
 // Next gives the next reply.
-func (s *Session) Next() (e replicaproto.Event, ok bool, err error) {
-	r, err := s.replies.Next()
-	if r == nil || err != nil {
-		return e, false, err
+func (session *Session) Next() (event replicaproto.Event, ok bool, err error) {
+	reply, err := session.replies.Next()
+	if reply == nil || err != nil {
+		return event, false, err
+	}
+	event = replicaproto.Event{
+		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.End], Value: reply.Value, Busy: reply.Busy,
 	}
-	return replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
+	return event, true, nil
 }
 
 // MidMessage tells whether a frame has begun to come that is not whole.
-func (s *Session) MidMessage() bool { return s.replies.Buffered() > 0 }
+func (session *Session) MidMessage() bool { return session.replies.Buffered() > 0 }
--- a/internal/replicaproto/frames/session_test.go
+++ b/internal/replicaproto/frames/session_test.go
@@ -8,68 +8,82 @@
 	"terntray/internal/wire"
 )
 
-// Of several calls in one write, those whose last byte went may have run; the others never did.
-func TestCallsCutOffNeverRan(t *testing.T) {
-	one := len(wire.AppendCall(nil, wire.SubqueryCall{ID: "q.0", WaitMS: 1000, Text: []byte("text")}))
-	for room, want := range map[int]int{0: 0, one - 1: 0, one: 1, 2*one + 3: 2, 3 * one: 3} {
-		s := New(1, nil)
+// newCall makes a call that has a second left.
+func newCall(subquery string, text []byte) *replicaproto.Call {
+	return &replicaproto.Call{Group: 1, SubqueryID: subquery, Text: text, Deadline: time.Second}
+}
+
+// A write of several calls is taken only in part. Those whose last byte was taken may have run; the others never did.
+// If no byte was taken all can be withdrawn.
+func TestCallsThatWereNotWrittenWholeNeverRan(t *testing.T) {
+	text := []byte("text")
+	size := len(wire.AppendCall(nil, wire.SubqueryCall{ID: "q.0", WaitMS: 1000, Text: text}))
+	for taken, want := range map[int]int{0: 0, size - 1: 0, size: 1, 2*size + 3: 2, 3 * size: 3} {
+		session := New(1, nil)
 		var calls []*replicaproto.Call
-		for n := range 3 {
-			c := &replicaproto.Call{SubqueryID: wire.SubqueryID("q", n), Shard: n, Text: []byte("text"), Deadline: time.Second}
-			calls = append(calls, c)
-			s.Queue(c)
+		for shard := range 3 {
+			call := newCall(wire.SubqueryID("q", shard), text)
+			call.Shard = shard
+			calls = append(calls, call)
+			session.Queue(call)
 		}
-		if out := s.Output(nil, 0, 0); len(out) != 3*one {
-			t.Fatalf("%d bytes", len(out))
+		if output := session.Output(nil, 0, 0); len(output) != 3*size {
+			t.Fatalf("%d bytes", len(output))
 		}
-		s.Wrote(room)
-		got := 0
-		for _, c := range calls {
-			if c.Stage == replicaproto.Written {
-				got++
+		session.Wrote(taken)
+		written := 0
+		for _, call := range calls {
+			if call.Stage == replicaproto.Written {
+				written++
 			}
-			if back := s.Withdraw(c); back != (room == 0) {
-				t.Errorf("room for %d bytes: taken back %t", room, back)
+			if withdrawn := session.Withdraw(call); withdrawn != (taken == 0) {
+				t.Errorf("%d bytes taken: withdrawn %t", taken, withdrawn)
 			}
 		}
-		if got != want {
-			t.Errorf("room for %d bytes: %d calls went, want %d", room, got, want)
+		if written != want {
+			t.Errorf("%d bytes taken: %d calls are written, want %d", taken, written, want)
 		}
 	}
 }
 
-func TestCallThatWasNotBegunIsTakenBack(t *testing.T) {
-	s := New(4, nil)
-	a, b := &replicaproto.Call{Group: 1, SubqueryID: "q.1", Deadline: time.Second}, &replicaproto.Call{Group: 1, SubqueryID: "q.2", Deadline: time.Second}
-	s.Queue(a)
-	s.Queue(b)
-	if !s.Withdraw(a) {
-		t.Error("it is not")
+// A call that is withdrawn before its write leaves the frame that it would have shared. One that is abandoned after its
+// write has a frame of its own that says so.
+func TestCallThatWasNotBegunIsWithdrawn(t *testing.T) {
+	session := New(4, nil)
+	withdrawn, written := newCall("q.1", nil), newCall("q.2", nil)
+	session.Queue(withdrawn)
+	session.Queue(written)
+	if !session.Withdraw(withdrawn) {
+		t.Error("it is not withdrawn")
 	}
-	alone := wire.AppendCall(nil, wire.SubqueryCall{ID: "q.2", WaitMS: 1000})
-	if out := s.Output(nil, 0, 0); string(out) != string(alone) {
-		t.Errorf("%q", out)
+	want := wire.AppendCall(nil, wire.SubqueryCall{ID: "q.2", WaitMS: 1000})
+	if output := session.Output(nil, 0, 0); string(output) != string(want) {
+		t.Errorf("%q", output)
 	}
-	s.Wrote(len(alone))
-	if s.Abandon(b); string(s.Output(nil, 0, 0)) != string(wire.AppendAbandon(nil, "q.2")) {
-		t.Error("the word that a part is given up is not written")
+	session.Wrote(len(want))
+	session.Abandon(written)
+	if output := session.Output(nil, 0, 0); string(output) != string(wire.AppendAbandon(nil, "q.2")) {
+		t.Errorf("the replica is not told that it is abandoned: %q", output)
 	}
 }
 
-// What does not go into one write can still be taken back. Guards against: parts that leave from behind a connection that
-// takes nothing, long after their client has.
-func TestCallsBeyondOneWriteCanBeTakenBack(t *testing.T) {
-	s := New(1, nil)
+// A replica reads nothing, so that calls wait behind a write that is not taken. What is not part of that write can
+// still be withdrawn, or it would go out long after its client has left.
+func TestCallsBeyondOneWriteCanBeWithdrawn(t *testing.T) {
+	session := New(1, nil)
 	var calls []*replicaproto.Call
-	for n := range 3 {
-		calls = append(calls, &replicaproto.Call{SubqueryID: wire.SubqueryID("q", n), Shard: n, Text: make([]byte, 100), Deadline: time.Second})
-		s.Queue(calls[n])
+	for shard := range 3 {
+		call := newCall(wire.SubqueryID("q", shard), make([]byte, 100))
+		call.Shard = shard
+		calls = append(calls, call)
+		session.Queue(call)
 	}
-	one := len(s.Output(nil, 90, 0))
-	if s.Wrote(one); s.Withdraw(calls[0]) || !s.Withdraw(calls[1]) {
-		t.Errorf("of a write of %d bytes: stages %v, %v", one, calls[0].Stage, calls[1].Stage)
+	size := len(session.Output(nil, 90, 0))
+	session.Wrote(size)
+	if session.Withdraw(calls[0]) || !session.Withdraw(calls[1]) {
+		t.Errorf("of a write of %d bytes: stages %v, %v", size, calls[0].Stage, calls[1].Stage)
 	}
-	if rest := s.Output(nil, 90, 0); len(rest) != one {
+	if rest := session.Output(nil, 90, 0); len(rest) != size {
 		t.Errorf("then %d bytes", len(rest))
 	}
 }
--- /dev/null
+++ b/internal/replicaproto/http2/errors_test.go
@@ -0,0 +1,103 @@
+package http2
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"golang.org/x/net/http2"
+)
+
+// A replica breaks the rules of the connection, or floods it. Our GOAWAY names the error that RFC 9113 has for it.
+func TestErrorsOfTheConnection(t *testing.T) {
+	for name, test := range map[string]struct {
+		send func(replica *fakeReplica)
+		code http2.ErrCode
+	}{
+		"no stream": {func(replica *fakeReplica) {
+			replica.framer.WriteData(9, true, []byte("x"))
+		}, http2.ErrCodeProtocol},
+		"an even stream": {func(replica *fakeReplica) {
+			replica.head(2, true, ":status", "200")
+		}, http2.ErrCodeProtocol},
+		"a push": {func(replica *fakeReplica) {
+			replica.framer.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, EndHeaders: true})
+		}, http2.ErrCodeProtocol},
+		"pushes on": {func(replica *fakeReplica) {
+			replica.framer.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 1})
+		}, http2.ErrCodeProtocol},
+		"a window too large": {func(replica *fakeReplica) {
+			replica.framer.WriteWindowUpdate(0, maxWindow)
+		}, http2.ErrCodeFlowControl},
+		"a window of settings too large": {func(replica *fakeReplica) {
+			replica.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 31})
+		}, http2.ErrCodeFlowControl},
+		"a window grown by nothing": {func(replica *fakeReplica) {
+			replica.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4))
+		}, http2.ErrCodeProtocol},
+		"a huge frame": {func(replica *fakeReplica) {
+			replica.framer.WriteRawFrame(http2.FrameData, 0, 1, make([]byte, maxFrameSize+1))
+		}, http2.ErrCodeFrameSize},
+		"a continuation of nothing": {func(replica *fakeReplica) {
+			replica.framer.WriteContinuation(1, true, nil)
+		}, http2.ErrCodeProtocol},
+		"a head that is broken into": {func(replica *fakeReplica) {
+			replica.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+			replica.framer.WritePing(false, [8]byte{})
+		}, http2.ErrCodeProtocol},
+		"garbage in a head": {func(replica *fakeReplica) {
+			replica.framer.WriteHeaders(http2.HeadersFrameParam{
+				StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true,
+			})
+		}, http2.ErrCodeCompression},
+		"a head without end": {func(replica *fakeReplica) {
+			replica.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+			for range 4 {
+				replica.framer.WriteContinuation(1, false, bytes.Repeat([]byte{0x88}, maxFrameSize-1))
+			}
+		}, http2.ErrCodeEnhanceYourCalm},
+		"a flood of settings": {func(replica *fakeReplica) {
+			for range 2 * maxIdleFrames {
+				replica.framer.WriteSettings()
+			}
+		}, http2.ErrCodeEnhanceYourCalm},
+		"a flood of pings": {func(replica *fakeReplica) {
+			for range 2 * maxIdleFrames {
+				replica.framer.WritePing(false, [8]byte{})
+			}
+		}, http2.ErrCodeEnhanceYourCalm},
+		"a flood of resets": {func(replica *fakeReplica) {
+			for range 2 * maxIdleFrames {
+				replica.framer.WriteRSTStream(1, http2.ErrCodeCancel)
+			}
+		}, http2.ErrCodeEnhanceYourCalm},
+		"a flood of empty frames": {func(replica *fakeReplica) {
+			replica.head(1, false, ":status", "200")
+			for range 2 * maxIdleFrames {
+				replica.framer.WriteData(1, false, nil)
+			}
+		}, http2.ErrCodeEnhanceYourCalm},
+		"more than its window": {func(replica *fakeReplica) {
+			replica.session.receiveWindow.left = 10 // as if it had used it up
+			replica.framer.WriteData(1, false, make([]byte, 11))
+		}, http2.ErrCodeFlowControl},
+	} {
+		replica := newFakeReplica(t)
+		replica.call(0, 1)
+		replica.frames()
+		test.send(replica)
+		replica.feed()
+		replica.session.AnnounceClose()
+		got := replica.frames()
+		want := fmt.Sprint("goaway ", test.code)
+		if replica.err == nil || len(got) == 0 || got[len(got)-1] != want {
+			t.Errorf("%s: error %v, last frames %q, want %q", name, replica.err, got, want)
+		}
+	}
+	replica := &fakeReplica{t: t, session: New("http", "a:1")}
+	replica.framer = http2.NewFramer(&replica.toSession, &replica.fromSession)
+	replica.framer.WritePing(false, [8]byte{})
+	if replica.feed(); replica.err == nil {
+		t.Error("a first frame that is no settings passes")
+	}
+}
--- /dev/null
+++ b/internal/replicaproto/http2/fakereplica_test.go
@@ -0,0 +1,158 @@
+package http2
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+
+	"terntray/internal/replicaproto"
+)
+
+// fakeReplica is the replica that a session talks to, made of the library's framer alone.
+type fakeReplica struct {
+	t           *testing.T
+	session     *Session
+	fromSession bytes.Buffer // what the session has written
+	toSession   bytes.Buffer // what goes to it
+	framer      *http2.Framer
+	decoder     *hpack.Decoder
+	block       bytes.Buffer
+	encoder     *hpack.Encoder
+	calls       []*replicaproto.Call
+	events      []replicaproto.Event
+	err         error
+}
+
+func newFakeReplica(t *testing.T, settings ...http2.Setting) *fakeReplica {
+	replica := &fakeReplica{t: t, session: New("http", "a:1"), decoder: hpack.NewDecoder(4096, nil)}
+	replica.framer = http2.NewFramer(&replica.toSession, &replica.fromSession)
+	replica.framer.AllowIllegalWrites = true
+	replica.encoder = hpack.NewEncoder(&replica.block)
+	replica.collectOutput()
+	if got := string(replica.fromSession.Next(len(http2.ClientPreface))); got != http2.ClientPreface {
+		t.Fatalf("preface %q", got)
+	}
+	replica.framer.WriteSettings(settings...)
+	replica.feed()
+	return replica
+}
+
+// collectOutput has the session write all that it has now.
+func (replica *fakeReplica) collectOutput() {
+	for {
+		b := replica.session.Output(nil, 1<<20, 0)
+		if replica.fromSession.Write(b); len(b) == 0 {
+			return
+		}
+		replica.session.Wrote(len(b))
+	}
+}
+
+// feed gives the session what was written to it, one byte after the other, and takes its events.
+func (replica *fakeReplica) feed() {
+	for _, b := range replica.toSession.Bytes() {
+		replica.session.ReadBuffer()[0] = b
+		replica.session.Filled(1)
+		for replica.err == nil {
+			e, ok, err := replica.session.Next()
+			if replica.err = err; !ok {
+				break
+			}
+			replica.events = append(replica.events, e)
+		}
+	}
+	replica.toSession.Reset()
+}
+
+func (replica *fakeReplica) call(shard, size int) *replicaproto.Call {
+	call := &replicaproto.Call{
+		Attempt:    uint64(len(replica.calls) + 1),
+		SubqueryID: fmt.Sprint("q.", shard),
+		Shard:      shard,
+		Deadline:   time.Second,
+		Text:       bytes.Repeat([]byte("x"), size),
+	}
+	replica.calls = append(replica.calls, call)
+	replica.session.Queue(call)
+	return call
+}
+
+// frames reads the frames that the session wrote, as words.
+func (replica *fakeReplica) frames() (all []string) {
+	replica.collectOutput()
+	for replica.fromSession.Len() > 0 {
+		f, err := replica.framer.ReadFrame()
+		if err != nil {
+			replica.t.Fatal(err)
+		}
+		switch f := f.(type) {
+		case *http2.HeadersFrame:
+			fields, err := replica.decoder.DecodeFull(f.HeaderBlockFragment())
+			if err != nil {
+				replica.t.Fatal(err)
+			}
+			all = append(all, fmt.Sprint("head ", f.StreamID, " ", fields[3].Value))
+		case *http2.DataFrame:
+			all = append(all, fmt.Sprintf("data %d %d %t", f.StreamID, len(f.Data()), f.StreamEnded()))
+		case *http2.RSTStreamFrame:
+			all = append(all, fmt.Sprint("reset ", f.StreamID, " ", f.ErrCode))
+		case *http2.GoAwayFrame:
+			all = append(all, fmt.Sprint("goaway ", f.ErrCode))
+		case *http2.WindowUpdateFrame:
+			all = append(all, fmt.Sprint("window ", f.StreamID, " ", f.Increment))
+		default:
+			all = append(all, strings.ToLower(f.Header().Type.String()))
+		}
+	}
+	return all
+}
+
+func (replica *fakeReplica) head(stream uint32, ends bool, fields ...string) {
+	replica.block.Reset()
+	for n := 0; n < len(fields); n += 2 {
+		replica.encoder.WriteField(hpack.HeaderField{Name: fields[n], Value: fields[n+1]})
+	}
+	replica.framer.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: stream, BlockFragment: replica.block.Bytes(), EndStream: ends, EndHeaders: true,
+	})
+}
+
+func (replica *fakeReplica) respond(stream uint32, value string) {
+	replica.head(stream, false, ":status", "200", headerEnd, endOK)
+	replica.framer.WriteData(stream, true, []byte(value))
+}
+
+// otherEvents are the words of expect for events that concern no call.
+var otherEvents = map[replicaproto.Kind]string{
+	replicaproto.GoingAway: "going away", replicaproto.PingAnswered: "alive", replicaproto.Ready: "ready",
+}
+
+// expect feeds what was written and checks the events since the last look.
+func (replica *fakeReplica) expect(want ...string) {
+	replica.t.Helper()
+	replica.feed()
+	var got []string
+	for _, e := range replica.events {
+		switch e.Kind {
+		case replicaproto.Reply:
+			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.End, e.Value))
+		case replicaproto.NeverRan:
+			got = append(got, fmt.Sprintf("never %d %s", e.Attempt, e.Evidence))
+		case replicaproto.MayHaveRun:
+			got = append(got, fmt.Sprintf("may %d", e.Attempt))
+		case replicaproto.CallLimit:
+			got = append(got, fmt.Sprintf("room %d", e.MaxCalls))
+		default:
+			got = append(got, otherEvents[e.Kind])
+		}
+	}
+	if replica.events = nil; !slices.Equal(got, want) {
+		replica.t.Errorf("events %q, want %q (error %v)", got, want, replica.err)
+	}
+}
--- /dev/null
+++ b/internal/replicaproto/http2/frames_in.go
@@ -0,0 +1,271 @@
+package http2
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"golang.org/x/net/http2"
+
+	"terntray/internal/replicaproto"
+)
+
+// frameHeaderSize is the bytes of a frame before its payload (RFC 9113, 4.1).
+const frameHeaderSize = 9
+
+// Next gives the next event.
+func (session *Session) Next() (event replicaproto.Event, ok bool, err error) {
+	for {
+		if len(session.events) > 0 {
+			event = session.events[0]
+			session.events = session.events[1:]
+			return event, true, nil
+		}
+		frame, err := session.nextFrame()
+		if frame == nil && err == nil {
+			return event, false, nil
+		}
+		if err == nil {
+			err = session.onFrame(frame)
+		}
+		if err = session.handleError(err); err != nil {
+			return event, false, err
+		}
+	}
+}
+
+// nextFrame cuts the next frame out of what was read; nil where it is not whole.
+func (session *Session) nextFrame() (http2.Frame, error) {
+	input := session.input.Bytes()
+	if len(input) < frameHeaderSize {
+		return nil, nil
+	}
+	payload := int(input[0])<<16 | int(input[1])<<8 | int(input[2])
+	if payload > maxFrameSize {
+		return nil, http2.ConnectionError(http2.ErrCodeFrameSize)
+	}
+	size := frameHeaderSize + payload
+	if len(input) < size {
+		return nil, nil
+	}
+	session.frameInput.Reset(input[:size])
+	frame, err := session.framer.ReadFrame()
+	session.input.Consume(size)
+	return frame, err
+}
+
+// onFrame takes a frame.
+func (session *Session) onFrame(frame http2.Frame) error {
+	_, isSettings := frame.(*http2.SettingsFrame)
+	if !session.settingsReceived && !isSettings {
+		return http2.ConnectionError(http2.ErrCodeProtocol) // the replica's preface is its settings (RFC 9113, 3.4)
+	}
+	session.idleFrames++ // reset by those that bring something
+	switch frame := frame.(type) {
+	case *http2.SettingsFrame:
+		return session.onSettings(frame)
+	case *http2.HeadersFrame:
+		session.headers.begin(frame.StreamID, frame.StreamEnded())
+		return session.onHeaderBlock(frame.HeaderBlockFragment(), frame.HeadersEnded())
+	case *http2.ContinuationFrame: // the framer checks that it continues the header list
+		return session.onHeaderBlock(frame.HeaderBlockFragment(), frame.HeadersEnded())
+	case *http2.DataFrame:
+		return session.onData(frame)
+	case *http2.RSTStreamFrame:
+		return session.onReset(frame)
+	case *http2.GoAwayFrame:
+		session.onGoAway(frame)
+	case *http2.PingFrame:
+		session.onPing(frame)
+	case *http2.WindowUpdateFrame:
+		return session.onWindowUpdate(frame)
+	case *http2.PushPromiseFrame:
+		return http2.ConnectionError(http2.ErrCodeProtocol) // our settings refuse pushes (RFC 9113, 8.4)
+	}
+	return nil // priorities and unknown types are ignored (RFC 9113, 5.5)
+}
+
+func (session *Session) onPing(frame *http2.PingFrame) {
+	if frame.IsAck() {
+		session.emit(replicaproto.Event{Kind: replicaproto.PingAnswered})
+		return
+	}
+	data := frame.Data
+	session.writeControl(func() error { return session.framer.WritePing(true, data) })
+}
+
+// onSettings takes the replica's settings, or its acknowledgement of ours.
+func (session *Session) onSettings(frame *http2.SettingsFrame) error {
+	if frame.IsAck() {
+		if !session.settingsReceived {
+			return http2.ConnectionError(http2.ErrCodeProtocol)
+		}
+		return nil
+	}
+	if err := frame.ForeachSetting(session.applySetting); err != nil {
+		return err
+	}
+	session.writeControl(session.framer.WriteSettingsAck)
+	if !session.settingsReceived {
+		session.settingsReceived = true
+		session.emit(replicaproto.Event{Kind: replicaproto.Ready})
+	}
+	return nil
+}
+
+func (session *Session) applySetting(setting http2.Setting) error {
+	if err := setting.Valid(); err != nil {
+		return err
+	}
+	switch setting.ID {
+	case http2.SettingEnablePush:
+		if setting.Val != 0 {
+			return http2.ConnectionError(http2.ErrCodeProtocol) // RFC 9113, 6.5.2
+		}
+	case http2.SettingMaxConcurrentStreams:
+		session.maxStreams = int64(setting.Val)
+		maxCalls := int(min(setting.Val, maxWindow))
+		session.emit(replicaproto.Event{Kind: replicaproto.CallLimit, MaxCalls: maxCalls})
+	case http2.SettingInitialWindowSize:
+		return session.changeInitialWindow(int64(setting.Val))
+	case http2.SettingMaxFrameSize:
+		session.maxFrameSize = int(min(setting.Val, maxFrameSize)) // larger ones would keep other calls waiting
+	case http2.SettingHeaderTableSize:
+		session.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, headerTableSize))
+	}
+	return nil
+}
+
+// changeInitialWindow changes the window of new streams, and those of open ones by the same difference. They may fall
+// below zero (RFC 9113, 6.9.2).
+func (session *Session) changeInitialWindow(size int64) error {
+	change := size - session.streamSendWindow
+	session.streamSendWindow = size
+	for _, stream := range session.streamsInOrder() {
+		stream.sendWindow += change
+		if stream.sendWindow > maxWindow {
+			return http2.ConnectionError(http2.ErrCodeFlowControl)
+		}
+	}
+	return nil
+}
+
+// onWindowUpdate takes how much more the replica takes, on the connection or a stream.
+func (session *Session) onWindowUpdate(frame *http2.WindowUpdateFrame) error {
+	increment := int64(frame.Increment)
+	if frame.StreamID == 0 {
+		session.sendWindow += increment
+		if session.sendWindow > maxWindow {
+			return http2.ConnectionError(http2.ErrCodeFlowControl)
+		}
+		return nil
+	}
+	stream := session.streams[frame.StreamID]
+	if stream == nil {
+		return session.checkWasOpened(frame.StreamID)
+	}
+	stream.sendWindow += increment
+	if stream.sendWindow > maxWindow {
+		return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeFlowControl}
+	}
+	return nil
+}
+
+// onGoAway takes the replica's message that it takes no new stream. Streams above its last one never ran, except one
+// that has had its response already, which contradicts the message. A later message may name a lower stream (RFC 9113,
+// 6.8).
+func (session *Session) onGoAway(frame *http2.GoAwayFrame) {
+	if session.goingAway && frame.LastStreamID >= session.lastAccepted {
+		return
+	}
+	session.lastAccepted = frame.LastStreamID
+	if !session.goingAway {
+		session.goingAway = true
+		session.emit(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: frame.ErrCode.String()})
+	}
+	for _, stream := range session.streamsInOrder() {
+		if stream.id <= session.lastAccepted {
+			continue
+		}
+		session.forget(stream)
+		if stream.responded {
+			session.emit(mayHaveRunEvent(stream, ""))
+		} else {
+			session.emit(neverRanEvent(stream, replicaproto.AboveLast))
+		}
+	}
+}
+
+// onReset takes the replica's end of a stream. A refused one never ran (RFC 9113, 8.7), unless it has had its response.
+func (session *Session) onReset(frame *http2.RSTStreamFrame) error {
+	stream := session.streams[frame.StreamID]
+	if stream == nil { // its response was complete, or we have reset it
+		return session.checkWasOpened(frame.StreamID)
+	}
+	session.forget(stream)
+	if frame.ErrCode == http2.ErrCodeRefusedStream && !stream.responded {
+		session.emit(neverRanEvent(stream, replicaproto.Refused))
+	} else {
+		session.emit(mayHaveRunEvent(stream, frame.ErrCode.String()))
+	}
+	return nil
+}
+
+// handleError ends the stream that an error is about, if it is about one alone; otherwise it returns the error that
+// ends the connection. So it does for floods of frames that bring nothing, or that need answers faster than they are
+// written.
+func (session *Session) handleError(err error) error {
+	var ofStream http2.StreamError
+	if errors.As(err, &ofStream) {
+		err = session.endStream(ofStream)
+	}
+	if err != nil {
+		return session.connectionFailed(err)
+	}
+	if session.idleFrames > maxIdleFrames || len(session.control) > maxControl {
+		return session.connectionFailed(http2.ConnectionError(http2.ErrCodeEnhanceYourCalm))
+	}
+	return nil
+}
+
+// endStream resets the stream that an error is about.
+func (session *Session) endStream(cause http2.StreamError) error {
+	stream := session.streams[cause.StreamID]
+	if stream == nil {
+		return session.checkWasOpened(cause.StreamID)
+	}
+	session.emit(mayHaveRunEvent(stream, cause.Error()))
+	session.reset(stream, cause.Code)
+	return nil
+}
+
+// connectionFailed notes the code that our last message names.
+func (session *Session) connectionFailed(err error) error {
+	session.closeCode = http2.ErrCodeProtocol
+	var ofConnection http2.ConnectionError
+	if errors.As(err, &ofConnection) {
+		session.closeCode = http2.ErrCode(ofConnection)
+	}
+	if detail := session.framer.ErrorDetail(); detail != nil {
+		return fmt.Errorf("%w: %w", err, detail)
+	}
+	return err
+}
+
+// checkWasOpened allows what comes for a stream that is over; for one that was never opened it is an error of the
+// connection (RFC 9113, 5.1).
+func (session *Session) checkWasOpened(id uint32) error {
+	isOurs := id%2 == 1
+	if !isOurs || id > session.lastStreamID {
+		return http2.ConnectionError(http2.ErrCodeProtocol)
+	}
+	return nil
+}
+
+// streamsInOrder lists the open streams by their ids.
+func (session *Session) streamsInOrder() []*stream {
+	byID := func(a, b *stream) int { return cmp.Compare(a.id, b.id) }
+	return slices.SortedFunc(maps.Values(session.streams), byID)
+}
--- /dev/null
+++ b/internal/replicaproto/http2/response.go
@@ -0,0 +1,210 @@
+package http2
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+
+	"terntray/internal/wire"
+)
+
+// fieldOverhead is how many bytes a field counts in a header list beside its own (RFC 7541, 4.1).
+const fieldOverhead = 32
+
+// headerList gathers the fields of a header list that is coming: of an interim response, a response or its trailers.
+type headerList struct {
+	stream     uint32
+	open       bool // more of it has to come
+	endsStream bool
+	blockSize  int  // compressed bytes so far
+	listSize   int  // bytes of the fields so far, as the limit counts them
+	malformed  bool // RFC 9113, 8.2 and 8.3; or too large
+	hasFields  bool // a field that is no pseudo-field has come
+
+	status        string
+	end           string  // the mapping's headerEnd
+	busy          float64 // the load report; below 0: none
+	contentLength int64   // below 0: none
+}
+
+// begin starts the header list of a stream.
+func (list *headerList) begin(stream uint32, endsStream bool) {
+	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, busy: -1}
+}
+
+// add takes one field.
+func (list *headerList) add(field hpack.HeaderField) {
+	list.listSize += len(field.Name) + len(field.Value) + fieldOverhead
+	if list.listSize > maxHeaderList {
+		list.malformed = true
+		return
+	}
+	if strings.HasPrefix(field.Name, ":") {
+		if field.Name != ":status" || list.hasFields || list.status != "" {
+			list.malformed = true
+		}
+		list.status = field.Value
+		return
+	}
+	list.hasFields = true
+	if !isValidName(field.Name) || !isValidValue(field.Value) {
+		list.malformed = true
+	}
+	list.interpret(field)
+}
+
+// interpret takes what a field says.
+func (list *headerList) interpret(field hpack.HeaderField) {
+	switch field.Name {
+	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
+		list.malformed = true // RFC 9113, 8.2.2
+	case "content-length":
+		length, err := strconv.ParseUint(field.Value, 10, 62)
+		if err != nil || list.contentLength >= 0 && list.contentLength != int64(length) {
+			list.malformed = true
+		}
+		list.contentLength = int64(length)
+	case headerEnd:
+		if list.end != "" {
+			list.malformed = true
+		}
+		list.end = field.Value
+	case headerLoad:
+		list.busy = wire.LoadReported(field.Value, "=")
+	}
+}
+
+// isValidName tells whether a field's name holds only what it may (RFC 9113, 8.2.1).
+func isValidName(name string) bool {
+	return name != "" && !strings.ContainsFunc(name, isInvalidInName)
+}
+
+func isInvalidInName(char rune) bool {
+	isUpper := char >= 'A' && char <= 'Z'
+	return char <= ' ' || char >= 0x7f || isUpper || char == ':'
+}
+
+// isValidValue tells the same of its value.
+func isValidValue(value string) bool {
+	return !strings.ContainsAny(value, "\x00\r\n") && value == strings.Trim(value, " \t")
+}
+
+// onHeaderBlock takes a fragment of a header list. All are decoded, also those of streams that are over, as the state
+// of the compression depends on it.
+func (session *Session) onHeaderBlock(fragment []byte, isLast bool) error {
+	list := &session.headers
+	list.blockSize += len(fragment)
+	if list.blockSize > maxHeaderBlock {
+		return http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
+	}
+	if _, err := session.decoder.Write(fragment); err != nil {
+		return http2.ConnectionError(http2.ErrCodeCompression)
+	}
+	if !isLast {
+		return nil
+	}
+	if err := session.decoder.Close(); err != nil {
+		return http2.ConnectionError(http2.ErrCodeCompression)
+	}
+	list.open = false
+	stream := session.streams[list.stream]
+	switch {
+	case stream == nil:
+		return session.checkWasOpened(list.stream)
+	case stream.responded:
+		return session.onTrailers(stream)
+	}
+	return session.onResponse(stream)
+}
+
+// onTrailers takes what follows a response's body. They end the stream and have no pseudo-fields (RFC 9113, 8.1).
+func (session *Session) onTrailers(stream *stream) error {
+	list := &session.headers
+	if list.malformed || !list.endsStream || list.status != "" {
+		return malformedResponse(stream)
+	}
+	if list.busy >= 0 {
+		stream.busy = list.busy
+	}
+	return session.onResponseEnd(stream)
+}
+
+// onResponse takes the header list of a response, or of an interim one, of which nothing is needed.
+func (session *Session) onResponse(stream *stream) error {
+	list := &session.headers
+	if list.malformed || len(list.status) != 3 {
+		return malformedResponse(stream)
+	}
+	status, err := strconv.Atoi(list.status)
+	if err != nil || status < http.StatusContinue || status == http.StatusSwitchingProtocols {
+		return malformedResponse(stream)
+	}
+	if isInterim := status < http.StatusOK; isInterim {
+		if list.endsStream {
+			return malformedResponse(stream)
+		}
+		return nil
+	}
+	session.idleFrames = 0
+	stream.responded = true
+	stream.end = endOf(status, list.end)
+	stream.contentLength = list.contentLength
+	stream.busy = list.busy
+	if list.endsStream {
+		return session.onResponseEnd(stream)
+	}
+	return nil
+}
+
+func malformedResponse(stream *stream) error {
+	return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeProtocol}
+}
+
+// onData takes a piece of a response's body. What it took of the connection's window is given back also for streams
+// that are over.
+func (session *Session) onData(frame *http2.DataFrame) error {
+	size := int64(frame.Header().Length) // padding included (RFC 9113, 6.1)
+	if !session.receiveWindow.take(size) {
+		return http2.ConnectionError(http2.ErrCodeFlowControl)
+	}
+	session.sendWindowUpdate(0, session.receiveWindow.giveBack(size, connWindow/2))
+	stream := session.streams[frame.StreamID]
+	if stream == nil {
+		return session.checkWasOpened(frame.StreamID)
+	}
+	if !stream.responded {
+		return malformedResponse(stream)
+	}
+	if !stream.receiveWindow.take(size) {
+		return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeFlowControl}
+	}
+	if len(frame.Data()) > 0 {
+		session.idleFrames = 0
+	}
+	stream.value = append(stream.value, frame.Data()...)
+	if len(stream.value) > maxValue {
+		return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeCancel}
+	}
+	if frame.StreamEnded() {
+		return session.onResponseEnd(stream)
+	}
+	session.sendWindowUpdate(stream.id, stream.receiveWindow.giveBack(size, initialWindow/2))
+	return nil
+}
+
+// onResponseEnd ends a stream whose response is complete.
+func (session *Session) onResponseEnd(stream *stream) error {
+	if stream.contentLength >= 0 && stream.contentLength != int64(len(stream.value)) {
+		return malformedResponse(stream) // RFC 9113, 8.1.1
+	}
+	session.idleFrames = 0
+	if !stream.sent { // the replica needs no more of the call
+		session.reset(stream, http2.ErrCodeNo)
+	}
+	session.forget(stream)
+	session.emit(replyEvent(stream))
+	return nil
+}
--- /dev/null
+++ b/internal/replicaproto/http2/stream.go
@@ -0,0 +1,61 @@
+package http2
+
+import (
+	"terntray/internal/replicaproto"
+)
+
+// stream carries one call and its response.
+type stream struct {
+	id            uint32
+	call          *replicaproto.Call
+	body          []byte // not yet sent
+	sent          bool   // its last byte is in an output
+	sendWindow    int64  // bytes that the replica takes; below 0 after it has made its windows smaller
+	receiveWindow receiveWindow
+
+	responded     bool // the header list of its response has come
+	end           replicaproto.End
+	contentLength int64 // as that says; below 0: it does not
+	value         []byte
+	busy          float64 // the load report of the header list or the trailers; below 0: none
+}
+
+// receiveWindow is how much the replica may send ahead, on a connection or a stream (RFC 9113, 5.2).
+type receiveWindow struct {
+	left     int64 // bytes that it may send
+	consumed int64 // bytes that have come and are not given back yet
+}
+
+// take notes bytes that came, and tells whether they were within the window.
+func (window *receiveWindow) take(size int64) bool {
+	window.left -= size
+	return window.left >= 0
+}
+
+// giveBack notes bytes that were consumed. It returns how many bytes to give back to the replica: all, once there are
+// as many as the threshold, else 0.
+func (window *receiveWindow) giveBack(size, threshold int64) int64 {
+	window.consumed += size
+	if window.consumed < threshold {
+		return 0
+	}
+	increment := window.consumed
+	window.left += increment
+	window.consumed = 0
+	return increment
+}
+
+func replyEvent(stream *stream) replicaproto.Event {
+	return replicaproto.Event{
+		Kind: replicaproto.Reply, Attempt: stream.call.Attempt, SubqueryID: stream.call.SubqueryID,
+		End: stream.end, Value: stream.value, Busy: stream.busy,
+	}
+}
+
+func neverRanEvent(stream *stream, evidence replicaproto.Evidence) replicaproto.Event {
+	return replicaproto.Event{Kind: replicaproto.NeverRan, Attempt: stream.call.Attempt, Evidence: evidence}
+}
+
+func mayHaveRunEvent(stream *stream, detail string) replicaproto.Event {
+	return replicaproto.Event{Kind: replicaproto.MayHaveRun, Attempt: stream.call.Attempt, Detail: detail}
+}
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -11,7 +11,7 @@
 	patches    map[string][2]string // by file: what stands there once, and what replaces it
 }{
 	{"told_time", "told_time", map[string][2]string{
-		"internal/replicaproto/replicaproto.go": {"waitMS = (c.Deadline - now).Milliseconds()", "waitMS = (c.Deadline - now).Milliseconds() + 400"},
+		"internal/replicaproto/call.go": {"waitMS = (call.Deadline - now).Milliseconds()", "waitMS = (call.Deadline - now).Milliseconds() + 400"},
 	}},
 	{"lost_answer", "answer", map[string][2]string{
 		"coordinator/client.go": {"	if !k.write(a.bytes) {\n", "	if k.asked%23 == 7 {\n		return false\n	}\n	if !k.write(a.bytes) {\n"},
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -56,7 +56,7 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.closing = true
-	conn.session.Goodbye()
+	conn.session.AnnounceClose()
 	conn.outputReady.Signal()
 	switch {
 	case conn.socket == nil:
