--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -147,18 +147,18 @@
 	var classes []class
 	for index, config := range configs {
 		classes = append(classes, class{
-			index:    index,
-			agreed:   config.Objective,
-			cutOff:   config.Deadline,
-			window:   config.KeyWindow,
-			stretch:  config.ObjectivePerHint,
-			need:     config.CompleteShare,
-			floor:    config.LeastShare,
-			effect:   config.Effect,
-			fetch:    config.FetchSubqueries,
-			unit:     scale(config.Objective, initialUnitShare),
-			hintUnit: 1,
-			longer:   1,
+			index:            index,
+			objective:        config.Objective,
+			deadline:         config.Deadline,
+			keyWindow:        config.KeyWindow,
+			objectivePerHint: config.ObjectivePerHint,
+			completeWeight:   config.CompleteShare,
+			minimumWeight:    config.LeastShare,
+			effect:           config.Effect,
+			fetchSubqueries:  config.FetchSubqueries,
+			subqueryWork:     scale(config.Objective, initialUnitShare),
+			workPerHint:      1,
+			latenessFactor:   1,
 		})
 	}
 	return classes
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -39,7 +39,7 @@
 
 func (m *model) aside(id ReplicaID) bool { return m.index(id).ejectedForAll() }
 
-func (m *model) index(id ReplicaID) *replicaState { return m.c.replicasByID[id] }
+func (m *model) index(id ReplicaID) *replicaState { return m.c.replicas.byID[id] }
 
 func TestPartsLeaveInOrderOfArrival(t *testing.T) {
 	m := newModel(t, 0)
@@ -188,8 +188,8 @@
 		m.c.ClientDisconnects(m.now, q.id)
 		m.turn()
 	}
-	if m.turnedBack > 0 || m.c.classes[0].longer > 1 {
-		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.classes[0].longer)
+	if m.turnedBack > 0 || m.c.classes[0].latenessFactor > 1 {
+		t.Errorf("%d turned back, expected to take %v times as long", m.turnedBack, m.c.classes[0].latenessFactor)
 	}
 }
 
@@ -210,8 +210,8 @@
 		delete(m.replicas, id)
 		m.turn()
 	}
-	if n := len(m.c.replicas); n > len(m.order)+30 || len(m.c.replicasByID) > n || m.index(102).slowdown == 1 {
-		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.replicasByID), len(m.order), m.index(102).slowdown)
+	if n := len(m.c.replicas.all); n > len(m.order)+30 || len(m.c.replicas.byID) > n || m.index(102).slowdown == 1 {
+		t.Errorf("%d places, %d ids for %d replicas, pace %v", n, len(m.c.replicas.byID), len(m.order), m.index(102).slowdown)
 	}
 }
 
@@ -359,14 +359,14 @@
 func TestOnlyMissingPartIsCopiedWithoutEarning(t *testing.T) {
 	for missing, want := range map[int]int{1: 2, 2: 1} {
 		m := newModel(t, 0)
-		m.c.copies = 0
+		m.c.hedgeCredit = 0
 		q := m.ask(0, 8, 3*time.Second)
 		m.turn()
 		m.pass(50 * ms)
 		for _, p := range q.parts[missing:] {
 			m.end(p, 0, Succeeded)
 		}
-		m.c.copies = 0
+		m.c.hedgeCredit = 0
 		m.turn()
 		if m.pass(800 * ms); len(q.parts[0].attempts) != want {
 			t.Errorf("%d legs with %d parts missing, want %d", len(q.parts[0].attempts), missing, want)
@@ -381,8 +381,8 @@
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.pass(1100 * ms)
-	if m.c.classes[0].longer < 1.5 || q.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.classes[0].longer, q.ended)
+	if m.c.classes[0].latenessFactor < 1.5 || q.ended {
+		t.Errorf("%.2f times the expected after a late one, ended %v", m.c.classes[0].latenessFactor, q.ended)
 	}
 }
 
@@ -400,7 +400,7 @@
 			m.end(o.p, o.n, Succeeded)
 		}
 		var slowdowns []float64
-		for _, replica := range m.c.replicas {
+		for _, replica := range m.c.replicas.all {
 			slowdowns = append(slowdowns, replica.slowdown)
 		}
 		if got := slices.Max(slowdowns) > 1.1; got != slow {
@@ -463,7 +463,7 @@
 	}
 	over := 0
 	for _, q := range m.c.open {
-		if q.overShare {
+		if q.overQuota {
 			over++
 		}
 	}
@@ -471,7 +471,7 @@
 		t.Errorf("%d of 12 at once past a share of 2 a second", over)
 	}
 	m.many(40, 0) // whose share would be under one query
-	if m.ask(0, 1, 3*time.Second); m.c.open[0].overShare {
+	if m.ask(0, 1, 3*time.Second); m.c.open[0].overQuota {
 		t.Error("the first retrieval of a tenant counts as past its share")
 	}
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -38,7 +38,7 @@
 	for back := range c.cellsPerShard {
 		asked += c.asked[(int(r.cell)-back+c.cells)%c.cells]
 	}
-	return c.draw(uint64(p.id), uint64(r.id))*asked < allowed
+	return c.random.of(uint64(p.id), uint64(r.id))*asked < allowed
 }
 
 // countSent notes that a subquery's work goes to a replica.
@@ -58,6 +58,6 @@
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
 func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
-	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.lanes, coldLanes) / float64(c.coordinators)
+	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.parallelism, coldLanes) / float64(c.coordinators)
 	return scale(work, 1/share)
 }
