--- /dev/null
+++ b/invariant/reason.go
@@ -0,0 +1,52 @@
+package invariant
+
+// Reason says why an action must not happen.
+type Reason int
+
+// The reasons. Each names the rule of the protocol that the action would break.
+const (
+	Allowed          Reason = iota
+	DeadlinePassed          // the client, or the attempt, waits no longer
+	ClientGone              // the client has closed its connection or cancelled
+	QueryClosed             // the query has had its final response
+	EndpointDraining        // the endpoint list says that the replica drains
+	EndpointRemoved         // ... or that it is gone
+	MayHaveRun              // an earlier attempt of a non-idempotent subquery may have run
+	AttemptRunning          // an earlier attempt of a non-idempotent subquery has no outcome yet
+	TooManyAttempts         // the settings allow no further attempt of this subquery
+	Answered                // the request has had its final response
+	NotAnswered             // the request was read whole and has had none
+	reasonCount
+)
+
+// reasonNames are the reasons as they stand in the log and the counters.
+var reasonNames = [reasonCount]string{
+	Allowed:          "allowed",
+	DeadlinePassed:   "deadline_passed",
+	ClientGone:       "client_gone",
+	QueryClosed:      "query_closed",
+	EndpointDraining: "endpoint_draining",
+	EndpointRemoved:  "endpoint_removed",
+	MayHaveRun:       "may_have_run",
+	AttemptRunning:   "attempt_running",
+	TooManyAttempts:  "too_many_attempts",
+	Answered:         "answered",
+	NotAnswered:      "not_answered",
+}
+
+// String is the reason as it stands in the log and the counters.
+func (reason Reason) String() string {
+	if reason < 0 || reason >= reasonCount {
+		return "unknown"
+	}
+	return reasonNames[reason]
+}
+
+// Reasons lists all reasons but Allowed.
+func Reasons() []Reason {
+	all := make([]Reason, 0, reasonCount-1)
+	for reason := Allowed + 1; reason < reasonCount; reason++ {
+		all = append(all, reason)
+	}
+	return all
+}
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -31,7 +31,7 @@
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first < 0 || t.effect == invariant.Idempotent ||", "(true ||"},
-		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
+		"invariant/invariant.go": {"	if attempt.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
 		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
