--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -2,12 +2,10 @@
 
 import (
 	"fmt"
-	"math"
 	"strings"
 	"time"
 
 	"terntray/invariant"
-	"terntray/overload"
 	"terntray/server"
 )
 
@@ -41,8 +39,8 @@
 	for n, class := range c.config.Classes {
 		classes[class.Name] = server.Class{
 			MaxTimeout: maxTimeoutFactor * class.Deadline,
-			TwoPhase:   c.questions.takes[class.Name],
-			TwoStep:    n < len(secondSteps) && strings.Trim(secondSteps[n], "0.-") != "",
+			TwoPhase:   c.twoPhase.allowed[class.Name],
+			TwoStep:    n < len(secondSteps) && !isZero(secondSteps[n]),
 			Effect:     class.Effect,
 		}
 	}
@@ -52,42 +50,34 @@
 // Ready tells whether queries can be served: the endpoint list is known.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
-// IsSheddingLoad tells whether this process' core is short, so that only a share of the arrivals is admitted.
-func (handler clientHandler) IsSheddingLoad() bool { return handler.c.admittedShare() < 1 }
+// IsSheddingLoad tells whether this process is short of CPU, so that only a share of the arrivals is admitted.
+func (handler clientHandler) IsSheddingLoad() bool { return handler.c.admission.isShedding() }
 
 // Admit counts one arrival and tells whether it is admitted.
-func (handler clientHandler) Admit() bool {
-	c := handler.c
-	if overload.Admits(c.asked.Add(1), c.admittedShare()) {
-		return true
-	}
-	c.busied.Add(1)
-	return false
-}
-
-// admittedShare is the share of the arrivals to admit. Any goroutine may call it.
-func (c *Coordinator) admittedShare() float64 { return math.Float64frombits(c.share.Load()) }
+func (handler clientHandler) Admit() bool { return handler.c.admission.admit() }
 
 // QueryArrived takes a query in. The time that it waited for the loop shows whether this process' core is short.
 func (handler clientHandler) QueryArrived(arrival server.Arrival) {
 	c := handler.c
 	now := c.loop.Now()
-	c.gate.QueueDelay(now, now-arrival.ParsedAt)
-	c.arrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
+	c.admission.queueDelay(now, now-arrival.ParsedAt)
+	c.queryArrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
 }
 
 // ClientLeft ends what the client has open.
-func (handler clientHandler) ClientLeft(client *server.ClientConn) { handler.c.clientLeaves(client) }
+func (handler clientHandler) ClientLeft(client *server.ClientConn) {
+	handler.c.clientDisconnected(client)
+}
 
 // RequestRefused counts a request that was none.
-func (handler clientHandler) RequestRefused() { handler.c.counts.Bad++ }
+func (handler clientHandler) RequestRefused() { handler.c.counts.Malformed++ }
 
 // ConnClosed counts the end of a client's connection.
 func (handler clientHandler) ConnClosed(closed server.ConnClosed) {
 	c := handler.c
-	c.counts.Closed[closed.Reason]++
+	c.counts.ClientConnsClosed[closed.Reason]++
 	if closed.Violation != invariant.Allowed {
-		c.violated(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), 0)
+		c.reportViolation(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), 0)
 	}
 }
 
@@ -95,4 +85,4 @@
 func (handler clientHandler) CountersText() string { return handler.c.countersLine() }
 
 // EstimatesText is what the scheduler has learned, for a person to read.
-func (handler clientHandler) EstimatesText() string { return handler.c.beliefs() }
+func (handler clientHandler) EstimatesText() string { return handler.c.estimatesPage() }
--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -52,13 +52,13 @@
 	}()
 	io.WriteString(far, queryRequest("q"))
 	c.loop.Receive()()
-	if c.byQuery["q"] == nil {
+	if c.queriesByRequestID["q"] == nil {
 		t.Fatal("it is not taken in")
 	}
 	close(conn.now)
 	near.SetReadDeadline(time.Unix(1, 0)) // its reading begins anew
 	<-served
-	if c.turnWith(); len(c.queries) > 0 || c.counts.Left != 1 {
+	if c.turnWith(); len(c.queries) > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("%d queries, counts %+v", len(c.queries), c.counts)
 	}
 }
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -51,7 +51,7 @@
 }
 
 // turnWith takes a turn with all that waits; nothing else is under way.
-func (c *Coordinator) turnWith() { c.loop.RunIteration(func() {}, c.endTurn) }
+func (c *Coordinator) turnWith() { c.loop.RunIteration(func() {}, c.endIteration) }
 
 // A client's leaving is known to the turns before its word has come through the inbox: nothing of it is sent.
 // Guards against: a word that waits behind a full inbox while the query goes on.
@@ -62,12 +62,12 @@
 		return &wire.Query{ID: id, Class: "look", Deadline: time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	}
 	k.gone.Store(true)
-	c.loop.RunIteration(func() { c.arrives(k, query("q"), c.loop.Now()) }, c.endTurn)
-	if c.counts.Attempts > 0 || c.counts.Left != 1 {
+	c.loop.RunIteration(func() { c.queryArrives(k, query("q"), c.loop.Now()) }, c.endIteration)
+	if c.counts.Attempts > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("not begun: counts %+v", c.counts)
 	}
 	d := c.client(t)
-	c.loop.RunIteration(func() { c.arrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endTurn)
+	c.loop.RunIteration(func() { c.queryArrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endIteration)
 	c.turnWith()
 	if len(c.fleet.links) > 0 {
 		t.Errorf("taken in, then left: %d connections for its parts", len(c.fleet.links))
@@ -85,8 +85,8 @@
 		}
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 		c.loop.AdvanceClock(10 * time.Second)
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()-waited) }, c.endTurn)
-		if c.counts.Left == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()-waited) }, c.endIteration)
+		if c.counts.Disconnected == 0 && waited > 0 || c.counts.Attempts > 0 && waited > 0 {
 			t.Errorf("it waited for %v: counts %+v", waited, c.counts)
 		}
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/gossip_test.go
@@ -42,7 +42,7 @@
 func (c *Coordinator) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if c.loop.RunIteration(func() {}, c.endTurn); holds() {
+		if c.loop.RunIteration(func() {}, c.endIteration); holds() {
 			return
 		}
 	}
@@ -66,19 +66,19 @@
 	}
 	for _, c := range []*Coordinator{a, b} {
 		defer c.fleet.stop()
-		if err := c.meet(c.fleet.installation.Gossip); err != nil {
+		if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
 			t.Fatal(err)
 		}
 		defer c.drivers.Wait()
-		defer c.peers.close()
+		defer c.gossip.close()
 		c.client(t)
 	}
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
-	a.loop.RunIteration(func() { a.arrives(a.client(t), query, a.loop.Now()) }, a.endTurn)
+	a.loop.RunIteration(func() { a.queryArrives(a.client(t), query, a.loop.Now()) }, a.endIteration)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d legs", a.counts.Attempts)
 	}
-	b.until(t, "the other hears of the leg", func() bool { return b.counts.PeerMessages == 1 })
+	b.until(t, "the other hears of the leg", func() bool { return b.counts.Gossip == 1 })
 	from, err := net.ResolveUDPAddr("udp4", stranger)
 	if err != nil {
 		t.Fatal(err)
@@ -88,18 +88,18 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	to := b.peers.socket.LocalAddr().(*net.UDPAddr)
+	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
 	if _, err := s.WriteToUDP([]byte("who am I"), to); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range [][]byte{{}, []byte("x"), make([]byte, 2000)} {
-		if _, err := a.peers.socket.WriteToUDP(bad, to); err != nil {
+		if _, err := a.gossip.socket.WriteToUDP(bad, to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.until(t, "three bad messages are counted", func() bool { return b.counts.BadPeerMessages == 3 })
-	if b.counts.PeerMessages != 1 {
-		t.Errorf("%d messages taken", b.counts.PeerMessages)
+	b.until(t, "three bad messages are counted", func() bool { return b.counts.MalformedGossip == 3 })
+	if b.counts.Gossip != 1 {
+		t.Errorf("%d messages taken", b.counts.Gossip)
 	}
 }
 
@@ -123,10 +123,10 @@
 		if c.config.Gossip != named || slices.ContainsFunc(c.config.Classes, fetch) || c.config.Coordinators != 3 {
 			t.Errorf("named %t: the module is told %+v", named, c.config)
 		}
-		if got := strings.Contains(said.String(), `setting=bounds.peers value="true" holds="false"`); got == named {
+		if got := strings.Contains(said.String(), `setting=bounds.peers value="true" effective="false"`); got == named {
 			t.Errorf("named %t: it is said: %s", named, said.String())
 		}
-		if !strings.Contains(said.String(), `setting=familyInfo.classFetch value="0,2" holds="0"`) {
+		if !strings.Contains(said.String(), `setting=familyInfo.classFetch value="0,2" effective="0"`) {
 			t.Errorf("the second step is not said: %s", said.String())
 		}
 	}
@@ -134,8 +134,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.meet(c.fleet.installation.Gossip); err != nil || c.peers != nil {
-		t.Errorf("%v, peers %v", err, c.peers)
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil || c.gossip != nil {
+		t.Errorf("%v, peers %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
 }
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if size(in, "slow-2c") != 1.5 || size(in, "std-2c") != 2 || size(&config.Config{}, "std-2c") != 0 {
+	if in.SizeOf("slow-2c") != 1.5 || in.SizeOf("std-2c") != 2 || (&config.Config{}).SizeOf("std-2c") != 0 {
 		t.Error("a model has another's size")
 	}
 }
@@ -184,7 +184,7 @@
 		for shard := range 4 {
 			query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: shard, Weight: 0.25})
 		}
-		c.loop.RunIteration(func() { c.arrives(k, query, c.loop.Now()) }, c.endTurn)
+		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 		return c.counts.Attempts, c.countersLine()
 	}
 	attempts, line := run("")
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -37,7 +37,7 @@
 		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
 	}},
 	{"honest", "honest", map[string][2]string{
-		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
+		"coordinator/answer.go": {"Payload: string(subquery.value)}", "Payload: string(subquery.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
 		"scheduler/retry.go": {"	return c.retryBudgetSpan == 0 || float64", "	return true || float64"},
