--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -11,7 +11,7 @@
 	patches    map[string][2]string // by file: what stands there once, and what replaces it
 }{
 	{"told_time", "told_time", map[string][2]string{
-		"internal/replicaproto/replicaproto.go": {"waitMS = (c.Deadline - now).Milliseconds()", "waitMS = (c.Deadline - now).Milliseconds() + 400"},
+		"internal/replicaproto/call.go": {"waitMS = (call.Deadline - now).Milliseconds()", "waitMS = (call.Deadline - now).Milliseconds() + 400"},
 	}},
 	{"lost_answer", "answer", map[string][2]string{
 		"server/response.go": {"	if !client.write(response.bytes) {\n", "	if client.requestCount%23 == 7 {\n		return false\n	}\n	if !client.write(response.bytes) {\n"},
@@ -31,7 +31,7 @@
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first < 0 || t.effect == invariant.Idempotent ||", "(true ||"},
-		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
+		"invariant/invariant.go": {"	if attempt.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
 		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
