--- /dev/null
+++ b/coordinator/gossip_test.go
@@ -0,0 +1,82 @@
+package coordinator
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"terntray/internal/fake"
+)
+
+// waitUntil runs iterations until something holds.
+func (c *Coordinator) waitUntil(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		c.runPosted()
+		if holds() {
+			return
+		}
+	}
+	t.Fatalf("never: %s", what)
+}
+
+// newGossiping makes a coordinator with its gossip open; both end with the test.
+func newGossiping(t *testing.T, listen, peer string) *Coordinator {
+	t.Helper()
+	settings := map[string]string{"bounds.peers": "true", "balancers": "40"}
+	c, err := newInstalled(t, settings, peersFile(listen, peer), readyReplica("s-a", unreachable))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.fleet.stop)
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		c.gossip.close()
+		c.drivers.Wait()
+	})
+	c.discovery.Repeat()
+	return c
+}
+
+// What one co-ordinator sends to replicas is told to the other. A stranger's message is not taken, and a peer's that cannot
+// be read is counted.
+func TestCoordinatorsGossipOnLoopback(t *testing.T) {
+	addressA, addressB := fake.FreePort("udp4"), fake.FreePort("udp4")
+	a := newGossiping(t, addressA, addressB)
+	b := newGossiping(t, addressB, addressA)
+	a.receive(a.newClient(), newQuery("q", 5*time.Second, 0), 0)
+	if a.counts.Attempts != 1 {
+		t.Fatalf("%d attempts", a.counts.Attempts)
+	}
+	b.waitUntil(t, "the other hears of the attempt", func() bool { return b.counts.Gossip == 1 })
+	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
+	stranger := listenUDP(t, fake.FreePort("udp4"))
+	if _, err := stranger.WriteToUDP([]byte("who am I"), to); err != nil {
+		t.Fatal(err)
+	}
+	for _, malformed := range [][]byte{{}, []byte("x"), make([]byte, 2000)} {
+		if _, err := a.gossip.socket.WriteToUDP(malformed, to); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b.waitUntil(t, "three malformed messages are counted", func() bool { return b.counts.MalformedGossip == 3 })
+	if b.counts.Gossip != 1 {
+		t.Errorf("%d messages taken", b.counts.Gossip)
+	}
+}
+
+func listenUDP(t *testing.T, address string) *net.UDPConn {
+	t.Helper()
+	resolved, err := net.ResolveUDPAddr("udp4", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	socket, err := net.ListenUDP("udp4", resolved)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { socket.Close() })
+	return socket
+}
