--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -61,7 +61,7 @@
 	for _, p := range q.subqueries {
 		if l := p.lastInFlight(); l != nil && !q.ended && !q.suspectedDeadly() {
 			best := c.hedgeTarget(q, p, l)
-			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.hedgeTarget(q, p, l)) })
+			c.shadowHedge(l, best)
 			if best != nil {
 				c.hedgeCredit = max(0, c.hedgeCredit-1)
 				c.startAttempt(p, best)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -52,7 +52,7 @@
 	if !q.admitted {
 		q.admitted = true
 		slices.SortStableFunc(q.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
-		c.look(func(as *Scheduler) { c.watched.comes(c, as, q, mine) })
+		c.shadowQuery(q, mine)
 		c.admit(q, mine)
 	}
 }
@@ -177,5 +177,5 @@
 	}
 	c.slowStart.attemptStarted(r, p.work, c.parallelism, c.now)
 	c.host.StartAttempt(p.id, r.id, c.attemptTimeout(l))
-	c.look(func(as *Scheduler) { c.watched.attempt(c.attemptTimeout(l), as.attemptTimeout(l)) })
+	c.shadowAttempt(l)
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -1,106 +1,132 @@
 package scheduler
 
-import (
-	"fmt"
-	"time"
-)
+import "errors"
 
-// What other settings would decide, counted beside what is decided. Nothing here decides: the choices are those of
-// this package, asked under other settings and not acted on.
+// Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
+// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
+// configuration, and only the difference is counted. What would follow from a different decision is not played out.
 
-// ShadowCounts counts queries and attempts and, by kind, where the other settings would have decided otherwise.
+// ErrShadowMismatch says that a configuration cannot be compared with the one that decides.
+var ErrShadowMismatch = errors.New("the shadow configuration has other classes, cells or cells of a shard than the one that decides")
+
+// ShadowCounts counts queries and attempts and, by kind, where the other configuration would have decided otherwise.
 type ShadowCounts struct {
-	Queries               int // looked at, as they came
-	WouldReject           int // let in by their estimate, and by the other settings' not
+	Queries               int // placed
+	WouldReject           int // of them, those admitted that would have been rejected
 	WouldAdmit            int // the other way round
 	Subqueries            int // of those queries
-	WouldPlaceElsewhere   int // parts whose fastest holder would have been another
-	Attempts              int // sent
+	WouldPlaceElsewhere   int // of them, those whose fastest holder would have been another
+	Attempts              int // started
 	WouldTimeOutOtherwise int // of them, those that would have had another time-out, or none where they have one
-	WouldNotHedge         int // copies that went and would not have
-	WouldHedge            int // attempts that got no copy at a time when they would have
+	WouldNotHedge         int // hedges that would not have been started
+	WouldHedge            int // attempts without a hedge at a time when one would have been started
 }
 
-type watcher struct {
-	under  *Scheduler
-	counts ShadowCounts
+// shadow is the other configuration and what was counted.
+type shadow struct {
+	parameters parameters
+	slowStart  slowStartSettings
+	classes    []class
+	counts     ShadowCounts
 }
 
-// EnableShadow counts from now on what other settings would have decided. It fails if they are
-// not valid, or tell of other classes or other shards, as then nothing could be compared.
+// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid, or
+// with ErrShadowMismatch.
 func (c *Scheduler) EnableShadow(config Config) error {
-	under, err := New(c.host, c.random.seed, config)
-	if err != nil {
+	if err := config.Validate(); err != nil {
 		return err
 	}
-	if len(under.classes) != len(c.classes) || under.cells != c.cells || under.cellsPerShard != c.cellsPerShard {
-		return fmt.Errorf("the settings to watch tell of other tracks or shards")
+	if len(config.Classes) != len(c.classes) || config.Cells != c.cells || config.CellsPerShard != c.cellsPerShard {
+		return ErrShadowMismatch
+	}
+	c.shadow = &shadow{
+		parameters: newParameters(&config),
+		slowStart:  newSlowStart(&config).settings,
+		classes:    newClasses(config.Classes),
 	}
-	c.watched = &watcher{under: under}
 	return nil
 }
 
-// ShadowCounts tells the counts so far; ok is false while nothing is watched.
-func (c *Scheduler) ShadowCounts() (counts ShadowCounts, ok bool) {
-	if c.watched == nil {
+// ShadowCounts tells the counts so far; enabled is false if there is no other configuration.
+func (c *Scheduler) ShadowCounts() (counts ShadowCounts, enabled bool) {
+	if c.shadow == nil {
 		return ShadowCounts{}, false
 	}
-	return c.watched.counts, true
+	return c.shadow.counts, true
 }
 
-// look asks what the other settings would decide, if any are watched: by a copy of this co-ordinator that knows and holds the
-// same. Nothing may be changed through it.
-func (c *Scheduler) look(ask func(as *Scheduler)) {
-	if c.watched == nil {
-		return
+// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with it,
+// so nothing may be changed through it.
+func (s *shadow) scheduler(decides *Scheduler) *Scheduler {
+	other := *decides
+	other.parameters = s.parameters
+	other.slowStart.settings = s.slowStart
+	if other.gossipEnabled {
+		other.gossip.heardAt = decides.now // as if peers told what they send
 	}
-	as := *c
-	as.parameters = c.watched.under.parameters
-	as.slowStart.settings = c.watched.under.slowStart.settings
-	if as.gossipEnabled {
-		as.gossip.heardAt = c.now // as if the others told
-	}
-	ask(&as)
+	return &other
 }
 
-// attempt counts one that has just been sent.
-func (w *watcher) attempt(limit, other time.Duration) {
-	if w.counts.Attempts++; limit != other {
-		w.counts.WouldTimeOutOtherwise++
+// shadowAttempt compares the time-out of an attempt that was just started.
+func (c *Scheduler) shadowAttempt(started *attempt) {
+	if c.shadow == nil {
+		return
+	}
+	c.shadow.counts.Attempts++
+	if c.attemptTimeout(started) != c.shadow.scheduler(c).attemptTimeout(started) {
+		c.shadow.counts.WouldTimeOutOtherwise++
 	}
 }
 
-// copies counts where a copy of an attempt goes, and would go; each attempt once for a copy that it did not get.
-func (w *watcher) copies(l *attempt, to, other *replicaState) {
+// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge that
+// it did not get.
+func (c *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
+	if c.shadow == nil {
+		return
+	}
+	other := c.shadow.scheduler(c).hedgeTarget(straggler.subquery.query, straggler.subquery, straggler)
 	switch {
-	case to != nil && other == nil:
-		w.counts.WouldNotHedge++
-	case to == nil && other != nil && !l.shadowCounted:
-		l.shadowCounted = true
-		w.counts.WouldHedge++
+	case target != nil && other == nil:
+		c.shadow.counts.WouldNotHedge++
+	case target == nil && other != nil && !straggler.shadowCounted:
+		straggler.shadowCounted = true
+		c.shadow.counts.WouldHedge++
 	}
 }
 
-// comes compares the decisions on a query that has just been placed.
-func (w *watcher) comes(c, as *Scheduler, q *query, mine []*subquery) {
-	t := *q
-	t.class = &w.under.classes[q.class.index]
-	learned := *q.class
-	learned.objective, learned.deadline, learned.fetchSubqueries = t.class.objective, t.class.deadline, t.class.fetchSubqueries
-	t.class, t.objectiveAt = &learned, q.objectiveAt+learned.objective-q.class.objective
-	now, _ := c.expectedExcess(q)
-	then, _ := as.expectedExcess(&t)
-	w.counts.Queries++
-	w.counts.Subqueries += len(mine)
-	if now <= 0 && then > 0 {
-		w.counts.WouldReject++
+// shadowQuery compares the admission of a query that was just placed, and the placement of its subqueries.
+func (c *Scheduler) shadowQuery(q *query, placed []*subquery) {
+	if c.shadow == nil {
+		return
 	}
-	if now > 0 && then <= 0 {
-		w.counts.WouldAdmit++
+	other := c.shadow.scheduler(c)
+	counts := &c.shadow.counts
+	counts.Queries++
+	counts.Subqueries += len(placed)
+	excess, _ := c.expectedExcess(q)
+	otherExcess, _ := other.expectedExcess(c.shadow.query(q))
+	switch {
+	case excess <= 0 && otherExcess > 0:
+		counts.WouldReject++
+	case excess > 0 && otherExcess <= 0:
+		counts.WouldAdmit++
 	}
-	for _, p := range mine {
-		if c.fastest(p) != as.fastest(p) {
-			w.counts.WouldPlaceElsewhere++
+	for _, p := range placed {
+		if c.fastest(p) != other.fastest(p) {
+			counts.WouldPlaceElsewhere++
 		}
 	}
 }
+
+// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of it.
+func (s *shadow) query(q *query) *query {
+	configured := &s.classes[q.class.index]
+	class := *q.class
+	class.objective = configured.objective
+	class.deadline = configured.deadline
+	class.fetchSubqueries = configured.fetchSubqueries
+	other := *q
+	other.class = &class
+	other.objectiveAt += class.objective - q.class.objective
+	return &other
+}
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -1,22 +1,20 @@
 package scheduler
 
 import (
+	"errors"
 	"maps"
 	"slices"
 	"testing"
 	"time"
 )
 
-// What other settings would decide is counted and nothing else changes.
-func TestWatchingDecidesNothing(t *testing.T) {
-	run := func(watch bool) (sent []RequestID, w ShadowCounts) {
+// What another configuration would decide is counted, and nothing else changes.
+func TestShadowDecidesNothing(t *testing.T) {
+	run := func(enabled bool) (sent []RequestID, counts ShadowCounts) {
 		m := newModel(t, 0)
 		m.many(3, 0)
-		if watch {
-			other := map[string]string{}
-			for k, v := range m.settings {
-				other[k] = v
-			}
+		if enabled {
+			other := maps.Clone(m.settings)
 			other["balancers"], other["weightKind"] = "400", "nominal"
 			if err := m.c.EnableShadow(configOf(t, other)); err != nil {
 				t.Fatal(err)
@@ -24,7 +22,8 @@
 		}
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
+			m.c.EndpointListed(m.now, Endpoint{
+				ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
 		}
 		m.turn()
 		for _, id := range m.order {
@@ -36,55 +35,79 @@
 			m.turn()
 			m.pass(10 * ms)
 		}
-		w, _ = m.c.ShadowCounts()
-		return m.sent, w
+		counts, _ = m.c.ShadowCounts()
+		return m.sent, counts
+	}
+	sentAlone, none := run(false)
+	sent, counts := run(true)
+	if len(sentAlone) == 0 || !slices.Equal(sentAlone, sent) {
+		t.Errorf("%d attempts, %d beside a shadow", len(sentAlone), len(sent))
 	}
-	as, none := run(false)
-	watched, w := run(true)
-	if len(as) == 0 || !slices.Equal(as, watched) {
-		t.Errorf("%d legs, %d while watching", len(as), len(watched))
+	if none != (ShadowCounts{}) {
+		t.Errorf("counted without a shadow: %+v", none)
 	}
-	if none.Queries != 0 || w.Queries != 40 || w.WouldReject == 0 || w.WouldPlaceElsewhere == 0 || w.WouldPlaceElsewhere > w.Subqueries {
-		t.Errorf("not watching %+v, watching %+v", none, w)
+	if counts.Queries != 40 || counts.WouldReject == 0 ||
+		counts.WouldPlaceElsewhere == 0 || counts.WouldPlaceElsewhere > counts.Subqueries {
+		t.Errorf("counted %+v", counts)
 	}
+}
+
+func TestShadowIsRefusedWhereNothingCanBeCompared(t *testing.T) {
 	m := newModel(t, 0)
-	if err := m.c.EnableShadow(Config{Coordinators: 3}); err == nil {
-		t.Error("settings that lack most are watched")
+	var invalid *SettingError
+	if err := m.c.EnableShadow(Config{Coordinators: 3}); !errors.As(err, &invalid) {
+		t.Errorf("settings that lack most: %v", err)
+	}
+	for _, other := range []func(*Config){
+		func(config *Config) { config.Classes = config.Classes[1:] },
+		func(config *Config) { config.Cells++ },
+		func(config *Config) { config.CellsPerShard++ },
+	} {
+		config := configOf(t, m.settings)
+		other(&config)
+		if err := m.c.EnableShadow(config); !errors.Is(err, ErrShadowMismatch) {
+			t.Errorf("%+v: %v", config, err)
+		}
+	}
+	if _, enabled := m.c.ShadowCounts(); enabled {
+		t.Error("a refused shadow counts")
 	}
 }
 
-// Each kind of decision that second copies reach is counted where it differs, and not where it does not.
-func TestWatchingCountsTimeOutsAndCopies(t *testing.T) {
-	run := func(allowed bool, watched string) (w ShadowCounts, attempts int) {
+// Each kind of decision that hedges reach is counted where it differs, and not where it does not.
+func TestShadowCountsTimeOutsAndHedges(t *testing.T) {
+	run := func(allowed bool, shadow string) (counts ShadowCounts, attempts int) {
 		bits := 0
 		if !allowed {
 			bits = 1
 		}
 		m := newModel(t, bits)
 		other := maps.Clone(m.settings)
-		other["bounds.secondCopies"] = watched
+		other["bounds.secondCopies"] = shadow
 		if err := m.c.EnableShadow(configOf(t, other)); err != nil {
 			t.Fatal(err)
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
 		m.pass(2500 * ms)
-		w, _ = m.c.ShadowCounts()
-		return w, len(q.parts[0].attempts)
+		counts, _ = m.c.ShadowCounts()
+		return counts, len(q.parts[0].attempts)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		allowed                               bool
-		watched                               string
-		attempts, timeOuts, notCopied, copied int
+		shadow                                string
+		attempts, timeOuts, notHedged, hedged int
 	}{
 		{true, "true", 3, 0, 0, 0},
 		{true, "false", 3, 1, 2, 0}, // the last attempt has no time-out under either
 		{false, "false", 1, 0, 0, 0},
 		{false, "true", 1, 1, 0, 1},
 	} {
-		w, attempts := run(c.allowed, c.watched)
-		if attempts != c.attempts || w.Attempts != attempts || w.WouldTimeOutOtherwise != c.timeOuts || w.WouldNotHedge != c.notCopied || w.WouldHedge != c.copied {
-			t.Errorf("copies allowed %v, watched %s: %d legs, %+v", c.allowed, c.watched, attempts, w)
+		counts, attempts := run(test.allowed, test.shadow)
+		want := ShadowCounts{Queries: counts.Queries, Subqueries: counts.Subqueries, Attempts: test.attempts,
+			WouldTimeOutOtherwise: test.timeOuts, WouldNotHedge: test.notHedged, WouldHedge: test.hedged}
+		if attempts != test.attempts || counts != want {
+			t.Errorf("hedges allowed %t, by the shadow %s: %d attempts, %+v", test.allowed, test.shadow, attempts, counts)
 		}
 	}
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -19,7 +19,7 @@
 	now, lastTickAt, wakeupAt, stalled, lastRejectedAt time.Duration // shedAt: the last turning back
 	readDelay, lastLoadReportAt                        time.Duration // own core's lateness, as told; last load report
 	meanUtilization                                    float64       // learned from reports: share of the replicas' cores in use
-	watched                                            *watcher      // counts what other settings would decide; nil: off
+	shadow                                             *shadow       // another configuration to compare with; nil: none
 	gossip                                             gossip        // exchange with the other co-ordinators
 	typicalSize                                        float64       // the mean size of those in use
 	deadlineShares                                     []float64     // of their cut-offs that queries came with of late
