--- a/internal/faultbuild/shortage_test.go
+++ b/internal/faultbuild/shortage_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%s fails for 0.3 s: answered %d", name, status)
 			}
 		}
-		if log := p.Log(); strings.Contains(log, "is set aside") {
+		if log := p.Log(); strings.Contains(log, " ejected: ") {
 			t.Errorf("%s fails for 0.3 s: the replica is ejected", name)
 		}
 	}
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -30,7 +30,7 @@
 		"coordinator/list.go": {"	r := c.fleet.named(t.UID)\n	r.state.Store", "	if t.State == protocol.Draining {\n		t.State = protocol.Ready\n	}\n	r := c.fleet.named(t.UID)\n	r.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"scheduler/retry.go":     {"(first < 0 || t.effect == invariant.Idempotent ||", "(true ||"},
+		"scheduler/retry.go":     {"(first < 0 || class.effect == invariant.Idempotent ||", "(true ||"},
 		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
@@ -40,7 +40,7 @@
 		"coordinator/queries.go": {"Payload: string(p.value)}", "Payload: string(p.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
-		"scheduler/retry.go": {"	return c.retryBudgetSpan == 0 || float64", "	return true || float64"},
+		"scheduler/retry.go": {"	return b.parameters.retryBudgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
 		"coordinator/coordinator.go": {"func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }", "func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,6 +1,14 @@
 package scheduler
 
-// Admission: which queries are turned back because they cannot be expected to make their target latency.
+// Admission: which queries are rejected on arrival because they cannot be expected to meet their latency objective.
+//
+// A new query that has just been placed is expected to take the mean of its replicas' expected finish, times what the slowest of
+// so many takes. It is rejected if that is more than the time to its objective, over the class's lateness factor: a
+// factor that grows with each query that ends late and shrinks with each in time, so that about one in twenty is late.
+// A tenant above its quota gets a share of that time only. The client is told to retry after the excess.
+//
+// Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is admitted
+// against the estimate, as a probe of it.
 
 import (
 	"math"
@@ -9,112 +17,190 @@
 )
 
 const (
-	lateShare   = 0.05 // share of queries to end after their agreed time before fewer are let in
-	longerStep  = 0.1  // logarithm; least step of the estimate that this moves
-	longerPace  = 0.2  // the same for each second since the track's last query was judged
-	longerMost  = 0.7  // logarithm; its largest step
-	longerFades = 8.0  // seconds in which the rest of that estimate over 1 fades to a third
-	mostLonger  = 6.0  // times the expected time; its upper bound
-
-	letFirst  = 500 * time.Millisecond // from turning back to the first that is let in all the same
-	letMost   = 2 * time.Second        // longest wait for the next after a late one
-	letRarest = 60.0                   // times these, among many: about a minute to the next at the most
-	mostLet   = 64.0                   // queries let in so at a time; from then on enough is learned
-	shedQuiet = 5 * time.Second        // without turning back or load reports, after which that counts as ended
-
-	overShare  = 0.3 // of the agreed time that traffic past its share may expect
-	shareBurst = 2.0 // seconds of its quota that a tenant may send in one go
-	leastBurst = 2.0 // queries; the least of it
+	targetLateShare = 0.05 // share of queries to end after their objective
+
+	// Lateness factor. The steps are of its logarithm; one with a longer time behind it is larger, as a co-ordinator that sees few
+	// queries of a class would notice a jam only once it is over.
+	minLatenessStep       = 0.1
+	latenessStepPerSecond = 0.2 // for each second since a query of the class was last judged
+	maxLatenessStep       = 0.7
+	latenessFade          = 8.0 // seconds in which what it is over 1 fades to a third
+	maxLatenessFactor     = 6.0
+
+	// Probes of the estimate.
+	firstAdmissionProbe = 500 * time.Millisecond // from the first rejection to the first probe
+	maxAdmissionProbe   = 2 * time.Second        // longest wait for the next after a late one
+	rarestProbes        = 60.0                   // times these, among many co-ordinators: about a minute
+	maxProbeLimit       = 64.0                   // probes in flight; from then on enough is learned
+
+	sheddingQuiet = 5 * time.Second // without a rejection, after which shedding counts as ended
+
+	overQuotaShare = 0.3 // of the time to the objective that a query beyond its tenant's quota may expect
 )
 
-// recordOutcome books whether a query is fulfilled in time, as soon as that is known. The fewer of a track this
-// co-ordinator sees, the more each counts, or it would notice a jam only once it is over.
-func (c *Scheduler) recordOutcome(q *query, kept bool) {
-	if q.judged {
-		return
+// admissionController decides whether a new query is admitted. Its state for each class is in class.
+type admissionController struct {
+	parameters     *parameters
+	estimates      *latencyEstimator
+	replicas       *replicaSet
+	outliers       *outlierDetector
+	lastRejectedAt time.Duration // 0: never
+}
+
+// admissionDecision says what becomes of a new query.
+type admissionDecision struct {
+	rejected     bool
+	retryAfter   time.Duration // the client may retry then; 0: no time is told
+	beginsToShed bool          // it is the first rejection after a quiet time
+}
+
+// decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for what silent
+// peers may have sent.
+func (a *admissionController) decide(now time.Duration, query *query, placed []*subquery, unseenLoad float64) admissionDecision {
+	excess, bound := a.expectedExcess(now, query, unseenLoad)
+	if excess <= 0 || a.admitAsProbe(now, query, placed, bound) {
+		return admissionDecision{}
+	}
+	begins := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuiet
+	a.lastRejectedAt = now
+	return admissionDecision{
+		rejected:     true,
+		retryAfter:   min(excess, a.parameters.maxRetryAfter),
+		beginsToShed: begins,
+	}
+}
+
+// expectedExcess is by how much a query is expected to miss the bound that its objective sets to its expected time; 0 or less: it meets
+// it. It changes nothing.
+func (a *admissionController) expectedExcess(now time.Duration, query *query, unseenLoad float64) (excess, bound time.Duration) {
+	left := query.objectiveAt - query.arrivedAt
+	fetchFactor := 0.0
+	if query.class.fetchSubqueries > 0 && query.phase == 0 {
+		// The second phase's subqueries take as long as the first's.
+		fetchFactor = a.estimates.slowestFactor(query.class.fetchSubqueries)
+		left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
 	}
-	t, late := q.class, 1-lateShare
-	if kept {
-		late = -lateShare
+	bound = scale(left, 1/(query.class.latenessFactor*unseenLoad))
+	if query.overQuota {
+		bound = scale(bound, overQuotaShare)
 	}
-	switch {
-	case !q.admittedAsProbe:
-	case kept:
-		t.probeLimit, t.probeInterval = min(mostLet, 2*t.probeLimit), scale(letFirst, c.probeIntervalFactor(q))
-	default:
-		t.probeLimit, t.nextProbeAt, t.probeInterval = 1, c.now+t.probeInterval, min(scale(letMost, c.probeIntervalFactor(q)), 2*t.probeInterval)
+	replicas, sum := a.expectedSum(now, query)
+	factor := fetchFactor + a.estimates.slowestFactor(len(replicas))
+	excess = scale(sum, factor/(unseenLoad*float64(max(1, len(replicas))))) - bound
+	inTime := func(subquery *subquery) bool {
+		return subquery.replica == nil || a.finish(now, subquery.replica) <= bound
 	}
-	if q.judged = true; c.now > q.arrivedAt && (kept || !q.admittedAsProbe) { // turned back on arrival, or let in in doubt
-		step := max(longerStep, min(longerMost, longerPace*(c.now-t.lastJudgedAt).Seconds()))
-		t.latenessFactor, t.lastJudgedAt = max(1, min(mostLonger, t.latenessFactor*math.Exp(step*late))), c.now
+	if !query.reachesMinimum(inTime) {
+		for _, replica := range replicas {
+			excess = max(excess, a.finish(now, replica)-bound)
+		}
 	}
+	return excess, bound
 }
 
-// expectedExcess is by how much a query is expected to miss the bound that its agreed time sets.
-func (c *Scheduler) expectedExcess(q *query) (over, bound time.Duration) {
-	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.objectiveAt-q.arrivedAt, 0.0
-	if q.class.fetchSubqueries > 0 && q.phase == 0 { // what follows takes as long as these do
-		steps = c.slowestFactor(q.class.fetchSubqueries)
-		left -= scale(q.class.subqueryWork, c.unseenLoad()*steps)
+// expectedSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes. Subqueries at
+// one replica end together.
+func (a *admissionController) expectedSum(now time.Duration, query *query) (replicas []*replicaState, sum time.Duration) {
+	for _, subquery := range query.subqueries {
+		replica := subquery.replica
+		if replica != nil && !slices.Contains(replicas, replica) {
+			replicas = append(replicas, replica)
+			sum += a.finish(now, replica)
+		}
 	}
-	bound = scale(left, 1/(q.class.latenessFactor*c.unseenLoad()))
-	if q.overQuota {
-		bound = scale(bound, overShare)
+	return replicas, sum
+}
+
+func (a *admissionController) finish(now time.Duration, replica *replicaState) time.Duration {
+	return a.estimates.expectedFinish(now, replica, 0)
+}
+
+// admitAsProbe admits a query that would be rejected, to learn whether the replicas that speak against it are as slow as is
+// estimated, or as a replica that it could probe is long due for that. While such a query is in flight at
+// a replica no other goes; each that ends in time doubles how many may, a late one begins anew after a wait.
+func (a *admissionController) admitAsProbe(now time.Duration, query *query, placed []*subquery, bound time.Duration) bool {
+	class := query.class
+	if class.lastRejectedAt == 0 || now > class.lastRejectedAt+sheddingQuiet {
+		wait := scale(firstAdmissionProbe, a.probeIntervalFactor(query))
+		class.probeLimit = 1
+		class.probeInterval = wait
+		class.nextProbeAt = now + wait
 	}
-	for _, p := range q.subqueries { // those at one replica end together
-		if p.replica != nil && !at[p.replica] {
-			at[p.replica], mean = true, mean+c.expectedFinish(p.replica, 0)
-		}
+	class.lastRejectedAt = now
+	bound = scale(bound, class.latenessFactor) // the lateness factor fades by itself and needs no probe
+	tooSlow := func(subquery *subquery) bool {
+		return subquery.replica != nil && a.finish(now, subquery.replica) > bound
 	}
-	over = scale(mean, (steps+c.slowestFactor(len(at)))/(c.unseenLoad()*float64(max(1, len(at))))) - bound
-	if !q.reachesMinimum(func(p *subquery) bool { return p.replica == nil || c.expectedFinish(p.replica, 0) <= bound }) {
-		for r := range at {
-			over = max(over, c.expectedFinish(r, 0)-bound)
+	worthProbing := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
+	probed := func(subquery *subquery) bool {
+		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= class.probeLimit
+	}
+	query.admittedAsProbe = now >= class.nextProbeAt &&
+		slices.ContainsFunc(placed, worthProbing) && !slices.ContainsFunc(placed, probed)
+	return query.admittedAsProbe
+}
+
+// probeOverdue tells whether an ejected holder of a subquery's shard has long been due for a probe, which a query brings.
+func (a *admissionController) probeOverdue(now time.Duration, subquery *subquery) bool {
+	for _, replica := range a.replicas.holders(subquery.shard) {
+		if a.outliers.probeOverdue(now, replica, subquery.query.class) {
+			return true
 		}
 	}
-	return over, bound
+	return false
 }
 
-// admit turns a new query back that cannot be expected to make its agreed time. Guards against: overload.
-// Could hurt: if the expected times are far too long.
-func (c *Scheduler) admit(q *query, mine []*subquery) {
-	over, bound := c.expectedExcess(q)
-	if over <= 0 || c.admitAsProbe(q, mine, bound) {
+// probeIntervalFactor multiplies the times between probes of the estimate: other co-ordinators admit some as well, and
+// all of them load the same replicas; large queries load them more.
+func (a *admissionController) probeIntervalFactor(query *query) float64 {
+	crowd := max(1, float64(a.parameters.coordinators)/fewCoordinators)
+	size := max(1, float64(len(query.subqueries))/canaryThreshold)
+	return a.parameters.timeScale * min(rarestProbes, crowd*math.Pow(size, 2))
+}
+
+// judge counts whether a query met its objective, once, as soon as that is known.
+func (a *admissionController) judge(now time.Duration, query *query, inTime bool) {
+	if query.judged {
 		return
 	}
-	if c.lastRejectedAt == 0 || c.now > c.lastRejectedAt+shedQuiet {
-		c.host.Log("turning retrievals back: too much work is waiting")
+	query.judged = true
+	if query.admittedAsProbe {
+		a.judgeProbe(now, query, inTime)
+	}
+	rejectedOnArrival := now <= query.arrivedAt
+	lateProbe := query.admittedAsProbe && !inTime
+	if !rejectedOnArrival && !lateProbe {
+		query.class.moveLatenessFactor(now, inTime)
 	}
-	c.lastRejectedAt = c.now
-	c.host.Reject(q.id, min(over, c.maxRetryAfter))
-	c.end(q, false)
 }
 
-// probeIntervalFactor is how many times the times between those that are let in so: others let some in as well, and what
-// each lets in weighs on all; large ones cost more.
-func (c *Scheduler) probeIntervalFactor(q *query) float64 {
-	crowd := max(1, float64(c.coordinators)/fewCoordinators)
-	return c.timeScale * min(letRarest, crowd*math.Pow(max(1, float64(len(q.subqueries))/scoutsMany), 2))
+// judgeProbe lets more probes go after one in time; after a late one it waits, longer each time.
+func (a *admissionController) judgeProbe(now time.Duration, query *query, inTime bool) {
+	class := query.class
+	factor := a.probeIntervalFactor(query)
+	if inTime {
+		class.probeLimit = min(maxProbeLimit, 2*class.probeLimit)
+		class.probeInterval = scale(firstAdmissionProbe, factor)
+		return
+	}
+	class.probeLimit = 1
+	class.nextProbeAt = now + class.probeInterval
+	class.probeInterval = min(scale(maxAdmissionProbe, factor), 2*class.probeInterval)
+}
+
+// moveLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
+// targetLateShare.
+func (c *class) moveLatenessFactor(now time.Duration, inTime bool) {
+	direction := 1 - targetLateShare
+	if inTime {
+		direction = -targetLateShare
+	}
+	step := max(minLatenessStep, min(maxLatenessStep, latenessStepPerSecond*(now-c.lastJudgedAt).Seconds()))
+	c.latenessFactor = max(1, min(maxLatenessFactor, c.latenessFactor*math.Exp(step*direction)))
+	c.lastJudgedAt = now
 }
 
-// admitAsProbe lets a query in that would be turned back, if nothing is out that could show whether the replicas
-// against it are so slow; twice as much may be out there after each in time; a late one begins anew after a
-// wait. Guards against: beliefs that keep all work away for good. Could hurt: by one in that wait.
-func (c *Scheduler) admitAsProbe(q *query, mine []*subquery, bound time.Duration) bool {
-	t := q.class
-	if t.lastRejectedAt == 0 || c.now > t.lastRejectedAt+shedQuiet {
-		t.probeLimit, t.probeInterval, t.nextProbeAt = 1, scale(letFirst, c.probeIntervalFactor(q)), c.now+scale(letFirst, c.probeIntervalFactor(q))
-	}
-	t.lastRejectedAt = c.now
-	bound = scale(bound, t.latenessFactor) // tightening fades by itself
-	waits := func(r *replicaState) bool {  // no trial otherwise
-		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(maxProbeInterval, c.timeScale)
-	}
-	over := slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.replicas.holders(p.shard), waits)
-	})
-	q.admittedAsProbe = over && c.now >= t.nextProbeAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.probeLimit && c.expectedFinish(p.replica, 0) > bound
-	})
-	return q.admittedAsProbe
+// fadeLatenessFactor lets the factor return to 1 as seconds pass.
+func (c *class) fadeLatenessFactor(seconds float64) {
+	c.latenessFactor = 1 + (c.latenessFactor-1)*math.Exp(-seconds/latenessFade)
 }
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -1,6 +1,9 @@
 package scheduler
 
-// Queries of death: how few subqueries of a query go ahead of the others, and when it is given up as deadly.
+// Canary attempts: large queries start with few subqueries, and a query under which replicas seem to crash goes on only
+// where it has been, until enough answers speak for it; at a second crash it ends. A query that crashes each replica that works
+// on it would else take down all holders of its shards. Inputs are connections that were reset under an attempt,
+// and answers.
 
 import (
 	"math"
@@ -8,22 +11,49 @@
 )
 
 const (
-	scoutsMany   = 12                    // parts; a query of more sends one ahead in any case
-	scoutStep    = 60 * time.Millisecond // to the next parts; what kills mostly does so in one
-	scoutGrow    = 8.0                   // times as many parts are out after each step
-	answersDeath = 2.0                   // answers that a query must have for each death under it
+	canaryThreshold = 12                    // subqueries; a query of more sends one ahead
+	canaryStep      = 60 * time.Millisecond // to the next ones; most crashes show within it
+	canaryGrowth    = 8.0                   // times as many subqueries are in flight after each step
+	answersPerCrash = 2.0                   // answers that a query must have for each crash under it
+
+	// staleConnection is the time within which a reset shows that the connection was lost before the attempt used it.
+	staleConnection = 6 * time.Millisecond
 )
 
-// suspectedDeadly tells whether a query may kill what works on it: at a second death it ends; after one it goes
-// on only where it has been. Guards against: deadly queries. Could hurt: those caught early in a crash.
+// suspectedDeadly tells whether a query may crash the replicas that work on it.
 func (q *query) suspectedDeadly() bool {
-	return q.suspectedCrashes > 0 && q.answered < answersDeath*q.suspectedCrashes
+	return q.suspectedCrashes > 0 && q.answered < answersPerCrash*q.suspectedCrashes
+}
+
+// connectionReset takes that a connection was reset under an attempt that took so long. Several at one replica at one
+// time count as one crash.
+func (q *query) connectionReset(now time.Duration, replica *replicaState, took time.Duration) {
+	counted := q.suspectedCrashAt == now && q.suspectedReplica == replica
+	if took < staleConnection || counted {
+		return
+	}
+	q.suspectedCrashes++
+	q.suspectedCrashAt = now
+	q.suspectedReplica = replica
+}
+
+// answeredBy takes that a replica has answered an attempt. If it is the one that seemed to crash before the attempt was sent, it
+// lives: the connection alone was lost.
+func (q *query) answeredBy(attempt *attempt) {
+	if attempt.replica == q.suspectedReplica && attempt.sentAt > q.suspectedCrashAt {
+		q.suspectedCrashes = 0
+	}
 }
 
-// canaryHoldsBack tells whether a large query's next part waits: until an answer is in one goes, then eight
-// times as many in each step. Guards against: deadly queries, where one of many co-ordinators sees too few
-// deaths to be warned. Could hurt: by some steps while replicas are busy.
-func (c *Scheduler) canaryHoldsBack(q *query) bool {
-	return q.answered < 1+2*q.suspectedCrashes && len(q.subqueries) > scoutsMany && c.unseenLoadFactor > 1 && q.attemptsSent > 0 &&
-		q.attemptsSent >= math.Pow(scoutGrow, math.Floor(float64(c.now-q.arrivedAt)/float64(scoutStep)))
+// waitsForCanaries tells whether the next subquery of a large query waits for an answer to those ahead of it, or for the next step. It is only of use
+// among many co-ordinators, where each sees too few crashes to be warned by them.
+func (q *query) waitsForCanaries(now time.Duration, manyCoordinators bool) bool {
+	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
+		return false
+	}
+	if q.answered >= 1+2*q.suspectedCrashes {
+		return false
+	}
+	steps := math.Floor(float64(now-q.arrivedAt) / float64(canaryStep))
+	return q.attemptsSent >= math.Pow(canaryGrowth, steps)
 }
--- /dev/null
+++ b/scheduler/deadline.go
@@ -0,0 +1,194 @@
+package scheduler
+
+// Deadlines: until when a query is to be answered, and which final outcome it has. Each query gets exactly one: complete, an
+// incomplete answer, failed, or rejected (admission.go). It is answered as soon as the subqueries answered weigh enough;
+// shortly before its deadline, or once no answer can come any more, it is given up, with what there is if the class allows that.
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	answerMargin = 20 * time.Millisecond // a final outcome leaves this long before the deadline: two ticks
+
+	sameDeadlineShare = 0.01 // of the class's deadline; first tries differ by less on their way
+	keptDeadlines     = 16   // queries; the last ones, which tell with what deadlines first tries come
+)
+
+// clientRetryDetector tells clients' retries from first tries by the time that they have left: first tries of a client
+// come with one deadline, a retry with less. A retry has lost the time that the first try took; without this, work would be
+// done for objectives that are over.
+type clientRetryDetector struct {
+	shares []float64 // of their class's deadline that the last queries came with
+}
+
+// isRetry takes the share of its class's deadline that a query has left. It is a retry if most came with more of late, and
+// it alone with this.
+func (d *clientRetryDetector) isRetry(share float64) bool {
+	usual, more := false, false
+	for index, other := range d.shares {
+		usual = usual || alikeShares(other, share)
+		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool { return alikeShares(earlier, other) })
+		more = more || other > share && repeated
+	}
+	d.shares = append(d.shares, share)
+	if len(d.shares) > keptDeadlines {
+		d.shares = d.shares[1:]
+	}
+	return more && !usual
+}
+
+func alikeShares(a, b float64) bool { return math.Abs(a-b) < sameDeadlineShare }
+
+// setDeadlines sets the times by which a new query is to be answered. A client's retry whose objective is over already is
+// not judged by it.
+func (q *query) setDeadlines(left, workHint time.Duration, clientRetry bool) {
+	class := q.class
+	objective := class.objective + scale(workHint, class.objectivePerHint)
+	q.deadlineAt = q.arrivedAt + left
+	q.objectiveAt = q.arrivedAt + min(objective, class.deadline, left)
+	if !clientRetry {
+		return
+	}
+	passed := class.deadline - left
+	q.objectiveAt = min(q.objectiveAt, q.arrivedAt+objective-passed)
+	if q.objectiveAt <= q.arrivedAt {
+		q.objectiveAt = q.deadlineAt
+		q.judged = true
+		q.objectivePassed = true
+	}
+}
+
+// outcome is what is to become of an open query now.
+type outcome int
+
+const (
+	goesOn outcome = iota
+	answersNow
+	givesUpNow
+)
+
+// outcome decides it.
+func (q *query) outcome(now time.Duration) outcome {
+	timeIsOver := now >= q.deadlineAt-answerMargin
+	if q.awaitsSubqueries() {
+		if timeIsOver && !q.ended {
+			return givesUpNow
+		}
+		return goesOn
+	}
+	complete, _ := q.requiredWeights()
+	switch {
+	case q.answeredWeight >= complete:
+		return answersNow
+	case timeIsOver || q.isDeadly():
+		return givesUpNow
+	}
+	return goesOn
+}
+
+// isDeadly tells whether a query that is suspected of crashing replicas must end: at a second crash, or as the replica
+// that seemed to crash is not in use.
+func (q *query) isDeadly() bool {
+	return q.suspectedDeadly() && (q.suspectedCrashes > 1 || !q.suspectedReplica.inUse(q.class))
+}
+
+// settle ends a query, or its phase, if that is due.
+func (c *Scheduler) settle(query *query) {
+	next := query.outcome(c.now)
+	if !query.awaitsSubqueries() && c.now > query.objectiveAt {
+		c.admission.judge(c.now, query, false)
+	}
+	switch next {
+	case answersNow:
+		c.complete(query, query.phase == 0 || query.firstPhaseComplete)
+	case givesUpNow:
+		c.giveUp(query)
+	case goesOn:
+	}
+}
+
+// complete answers the present phase of a query; without a next phase that ends it.
+func (c *Scheduler) complete(query *query, complete bool) {
+	c.host.Complete(query.id, complete)
+	switch {
+	case query.callerEndsPhases:
+		query.expectedSubqueries = math.MaxInt // StartNextPhase comes in the next iteration
+	case query.class.fetchSubqueries == 0 || query.phase > 0:
+		c.end(query, c.now <= query.objectiveAt)
+	default:
+		query.firstPhaseComplete = complete
+		c.startPhase(query, query.class.fetchSubqueries)
+	}
+}
+
+// giveUp ends a query with an incomplete answer if there is enough for one, else as failed.
+func (c *Scheduler) giveUp(query *query) {
+	_, minimum := query.requiredWeights()
+	lastPhase := query.class.fetchSubqueries == 0 || query.phase > 0
+	if lastPhase && query.answeredWeight >= minimum {
+		c.host.Complete(query.id, false)
+	} else {
+		c.host.Fail(query.id)
+	}
+	c.end(query, false)
+}
+
+// giveUpIfHopeless ends a query if too many of its subqueries are abandoned for any answer.
+func (c *Scheduler) giveUpIfHopeless(query *query) {
+	if query.ended || query.reservesAttempt && query.phase == 0 {
+		return
+	}
+	if !query.reachesMinimum(func(subquery *subquery) bool { return subquery.answered || !subquery.abandoned }) {
+		c.giveUp(query)
+	}
+}
+
+// end closes a query that has its final outcome; inTime tells whether it met its objective.
+func (c *Scheduler) end(query *query, inTime bool) {
+	query.ended = true
+	c.admission.judge(c.now, query, inTime)
+	for _, subquery := range query.subqueries {
+		c.abandon(subquery)
+	}
+	delete(c.queriesByID, query.id)
+	delete(c.queriesByNumber, query.number)
+}
+
+// startPhase ends the present phase of a query and awaits the subqueries of the next.
+func (c *Scheduler) startPhase(query *query, subqueries int) {
+	if query.attemptsUsed == nil {
+		query.attemptsUsed = map[ShardNumber]int{}
+	}
+	for _, subquery := range query.subqueries {
+		c.abandon(subquery)
+		if query.callerEndsPhases {
+			query.attemptsUsed[subquery.shard] += len(subquery.attempts)
+		}
+	}
+	query.phase++
+	query.expectedSubqueries = subqueries
+	query.subqueries = nil
+	query.touched = true
+	query.answeredWeight = 0
+	query.answered = 0
+	query.latenessSum = 0
+	query.attemptsSent = 0
+	query.suspectedCrashes = 0
+}
+
+// abandon sends nothing more for a subquery, and cancels what is in flight for it.
+func (c *Scheduler) abandon(subquery *subquery) {
+	subquery.unqueue()
+	subquery.abandoned = subquery.abandoned || !subquery.answered
+	for number, attempt := range subquery.attempts {
+		if !attempt.ended && c.cancelAllowed {
+			c.host.CancelAttempt(subquery.id, AttemptNumber(number))
+		}
+	}
+	if !subquery.inFlight() {
+		delete(c.subqueries, subquery.id)
+	}
+}
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -39,17 +39,17 @@
 	if !known {
 		r = c.replicas.newState(now, c.oldestArrival())
 		c.replicas.byID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
-		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, startCap
-		r.retryCredit, r.limitCeiling = startCredit, maxCap
+		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, initialLimit
+		r.retryCredit, r.limitCeiling = initialRetryCredit, maxLimit
 		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
 		r.slowStartUsedUntil = c.coldBefore[id]
 		delete(c.coldBefore, id)
-		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+		c.outliers.forget(r)
 	}
 	r.state, r.cell, r.zone, r.size = endpoint.State, endpoint.Cell, endpoint.Zone, cmp.Or(max(0, endpoint.Size), 1)
 	if started > r.startedAt {
-		r.startedAt, r.limit = started, startCap
-		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+		r.startedAt, r.limit = started, initialLimit
+		c.outliers.forget(r)
 		if c.coldFor(r) { // slow at first
 			r.slowdown, r.usualLatency = 1/math.Sqrt(c.warmth(r)), 1
 			c.host.Log(fmt.Sprintf("replica %d is cold: easing it in", r.id))
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -1,6 +1,9 @@
 package scheduler
 
-// Estimates: how long a subquery takes at a replica, learned from replies.
+// Estimates: how long a subquery takes at a replica. Inputs are each reply's time beside the time that was expected of
+// it, and what peers tell (gossip.go). Learned are the work of a class's subqueries, how many times longer than others a
+// replica takes (slowdown) and how many subqueries replicas work on side by side. Expected times are work in front of a
+// subquery and its own, divided by the parallelism, times the slowdown.
 
 import (
 	"math"
@@ -8,106 +11,142 @@
 )
 
 const (
-	jitter      = 4 * time.Millisecond // that latency may grow by without a climb: the machines' own
-	recentShare = 0.3                  // weight of a reply in the recent latency: about three replies
-	usualFalls  = 0.1                  // weight of a quicker reply in the usual latency: about ten replies
-	usualRises  = 0.004                // weight of a slower one: a jam must not become usual while it lasts
-
-	startLanes  = 1.0              // parts a replica is taken to work on side by side before more was seen
-	mostLanes   = 8.0              // parts; more would hide any queue
-	lanesStep   = 0.05             // share of a queued attempt's surprise that this takes up
-	leastWork   = time.Millisecond // least work of a part that latencies can tell from none
-	paceStep    = 0.2              // share of a reply's surprise (in logarithms) that its replica is blamed for
-	unitStep    = 0.02             // share of it that the track's expected work takes up
-	ownShare    = 3                // times what comes may wait unread: out, back and told
-	pacePull    = 0.01             // pull of a replica's pace towards 1 at each reply
-	maxSurprise = 2.0              // logarithm; one reply counts for no more than this (7 times)
-
-	toldFresh = 2 * time.Second // that a replica's own word tells more than what all say: some parts' time
-
-	paceFades = 10.0 // seconds in which the pace of an idle replica goes back to a third
-
-	flowFades = 10.0 // seconds in which what went to warm ones is forgotten to a third
+	// latencyJitter is added to latencies that are compared: so much they vary by without a cause in the replica.
+	latencyJitter = 4 * time.Millisecond
+
+	recentLatencyStep = 0.3   // weight of a reply in the recent latency: about three replies
+	usualLatencyFall  = 0.1   // weight of a quicker reply in the usual latency: about ten replies
+	usualLatencyRise  = 0.004 // weight of a slower one; small, as a jam must not become usual while it lasts
+
+	initialParallelism = 1.0  // subqueries side by side, before anything was seen
+	maxParallelism     = 8.0  // the same; more would hide any queue
+	parallelismStep    = 0.05 // share of a queued attempt's surprise that moves the parallelism
+
+	minWork      = time.Millisecond // least work of a subquery that latencies can tell from none
+	slowdownStep = 0.2              // share of a reply's surprise (a logarithm) that moves its replica's slowdown
+	workStep     = 0.02             // share of it that moves the class's work
+	readDelays   = 3                // times the read delay that a reply may have waited here: sent, received and handed on
+	slowdownPull = 0.01             // pull of a replica's slowdown towards 1 with each reply
+	maxSurprise  = 2.0              // logarithm; one reply counts for no more: about 7 times
+
+	// reportFresh is the time for which a replica's own report tells more than the mean of all.
+	reportFresh = 2 * time.Second
+
+	slowdownFade = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
 )
 
-func (c *Scheduler) answered(r *replicaState, t *class, l *attempt, took time.Duration) {
-	r.lastReplyAt, r.forClass(t).lastReplyAt, r.forClass(t).consecutiveErrors = c.now, c.now, 0
-	c.countAnswered(r)
-	for _, o := range r.outstanding {
-		if o.sentAt < l.sentAt {
-			o.overtaken++
-		}
+// latencyEstimator expects times, and learns them from replies.
+type latencyEstimator struct {
+	parameters  *parameters
+	parallelism float64 // subqueries that a replica works on side by side
+	typicalSize float64 // mean size of the replicas that are ready
+}
+
+// observedReply is a reply as the estimator is told of it.
+type observedReply struct {
+	attempt   *attempt
+	took      time.Duration // from its start to its end, or to when its reply was read
+	paused    time.Duration // for which this co-ordinator stood still meanwhile
+	readDelay time.Duration // for which replies may wait here unread; 0: not known to wait
+	warmingUp bool          // the replica is in slow start
+}
+
+// expectedFinish is the time until a replica has done all that is in flight and queued there and so much work more.
+func (e *latencyEstimator) expectedFinish(now time.Duration, replica *replicaState, more time.Duration) time.Duration {
+	work := replica.outstandingWork + replica.queuedWork + replica.peerBacklog(now) + more
+	finish := scale(scale(work, 1/e.parallelism), e.timePerWork(replica))
+	if now < replica.fullUntil {
+		finish += e.parameters.longestDeadline
 	}
-	r.retryCredit = min(maxCredit, r.retryCredit+creditReply)
-	r.limitCeiling = min(maxCap, r.limitCeiling+ceilingReply)
-	c.hedgeCredit = min(maxCopies*c.hedgeScale, c.hedgeCredit+copyReply*c.hedgeScale*c.hedgeRoom(r))
-	here, expected := c.stalled, scale(l.expected, r.slowdown)
-	if c.readDelay > 0 { // the reply itself waited here for so long; what that explains says the replica is sound
-		here, expected = here+ownShare*max(c.readDelay, c.now-l.sentAt-took), min(expected, l.expected)
+	if replica.zone != e.parameters.ownZone {
+		finish += e.parameters.crossZoneDelay
 	}
-	own := c.readDelay > 0 && took-here <= expected
-	took = max(min(took, expected), took-here)
-	surprise := math.Log(float64(took+time.Millisecond) / float64(l.expected+time.Millisecond))
-	off := max(-maxSurprise, min(maxSurprise, surprise-math.Log(r.slowdown)))
-	r.slowdown *= math.Exp(paceStep * off)
-	if !c.coldFor(r) {
-		queued := 1 - float64(l.work)/float64(l.expected)
-		c.parallelism = max(startLanes, min(mostLanes, c.parallelism*math.Exp(-lanesStep*queued*off)))
+	return finish
+}
+
+// expectedLatency is the time that an attempt that starts now takes at a replica of slowdown 1.
+func (e *latencyEstimator) expectedLatency(now time.Duration, replica *replicaState, work time.Duration) time.Duration {
+	before := scale(replica.outstandingWork+replica.peerBacklog(now), 1/e.parallelism)
+	return scale(work+before, e.timePerWork(replica)/replica.slowdown)
+}
+
+// timePerWork is how many times a subquery's work a replica takes for it.
+func (e *latencyEstimator) timePerWork(replica *replicaState) float64 {
+	if !e.parameters.listedSizes {
+		return replica.slowdown
 	}
-	r.slowdown = math.Pow(r.slowdown, 1-pacePull)
-	if c.parallelism >= 0.5*mostLanes { // more side by side than is counted on: the queue was less, not the work
-		alone := math.Log(float64(took+time.Millisecond) / float64(l.work+time.Millisecond))
-		surprise = max(surprise, min(0, alone))
+	return replica.slowdown * e.typicalSize / replica.size
+}
+
+// slowestFactor is how many times one subquery's time the slowest of so many is expected to take.
+func (e *latencyEstimator) slowestFactor(subqueries int) float64 {
+	return 1 + e.parameters.fanoutSpread*math.Log(float64(max(1, subqueries)))
+}
+
+// learn corrects the estimates by a reply.
+func (e *latencyEstimator) learn(now time.Duration, reply observedReply) {
+	attempt := reply.attempt
+	replica, class := attempt.replica, attempt.subquery.query.class
+	took, delayedHere := reply.withoutOwnDelay(now)
+	surprise := surpriseOf(took, attempt.expected)
+	deviation := max(-maxSurprise, min(maxSurprise, surprise-math.Log(replica.slowdown)))
+	replica.slowdown *= math.Exp(slowdownStep * deviation)
+	if !reply.warmingUp {
+		queuedShare := 1 - float64(attempt.work)/float64(attempt.expected)
+		parallelism := e.parallelism * math.Exp(-parallelismStep*queuedShare*deviation)
+		e.parallelism = max(initialParallelism, min(maxParallelism, parallelism))
 	}
-	t.learn(surprise + math.Log(l.subquery.workPerHint/t.workPerHint))
-	ratio := float64(took+jitter) / float64(l.work+jitter)
-	if own {
-		ratio = min(ratio, r.usualLatency)
+	replica.slowdown = math.Pow(replica.slowdown, 1-slowdownPull)
+	if e.parallelism >= 0.5*maxParallelism {
+		// Replicas may do more side by side than is counted on: then the queue was shorter, not the work less.
+		surprise = max(surprise, min(0, surpriseOf(took, attempt.work)))
 	}
-	r.recentLatency += recentShare * (ratio - r.recentLatency)
-	rise := ratio - r.usualLatency
-	r.usualLatency += usualFalls*min(0, rise) + usualRises*max(0, min(rise, r.usualLatency))
-	switch {
-	case r.forClass(t).ejected:
-		c.reinstate(r, t)
-	case r.recentLatency > climbed*max(1, r.usualLatency):
-		c.halve(r)
-	case r.recovering:
-		r.limit *= 2
-		r.recovering = r.limit < startCap
-	default:
-		r.limit = min(r.limitCeiling, r.limit+1)
+	class.learnWork(surprise + math.Log(attempt.subquery.workPerHint/class.workPerHint))
+	replica.learnLatency(took, attempt.work, delayedHere)
+}
+
+// withoutOwnDelay is the time that the replica took, without what this co-ordinator's own delay explains; delayedHere
+// tells that this leaves no more than was expected. Without it a short pause here looks like slow replicas.
+func (r observedReply) withoutOwnDelay(now time.Duration) (took time.Duration, delayedHere bool) {
+	attempt := r.attempt
+	own, expected := r.paused, scale(attempt.expected, attempt.replica.slowdown)
+	if r.readDelay > 0 {
+		own += readDelays * max(r.readDelay, now-attempt.sentAt-r.took)
+		expected = min(expected, attempt.expected)
 	}
+	delayedHere = r.readDelay > 0 && r.took-own <= expected
+	return max(min(r.took, expected), r.took-own), delayedHere
 }
 
-// learn takes up a part of a reply's surprise, told against what the track's work is taken for now. Guards
-// against: replies in crowds, each of which corrects the same old error again. Could hurt: by learning later.
-func (t *class) learn(surprise float64) {
-	grow := math.Exp(unitStep * max(-1, min(1, surprise)))
-	grow = max(float64(leastWork), min(float64(t.deadline), float64(t.subqueryWork)*grow)) / float64(t.subqueryWork)
-	t.subqueryWork, t.workPerHint = scale(t.subqueryWork, grow), t.workPerHint*grow
+// surpriseOf is the logarithm of a time over the expected one.
+func surpriseOf(took, expected time.Duration) float64 {
+	return math.Log(float64(took+time.Millisecond) / float64(expected+time.Millisecond))
 }
 
-func (c *Scheduler) expectedFinish(r *replicaState, more time.Duration) time.Duration {
-	d := scale(scale(r.outstandingWork+r.queuedWork+c.peerBacklog(r)+more, 1/c.parallelism), c.timePerWork(r))
-	if c.now < r.fullUntil {
-		d += c.longestDeadline
-	}
-	if r.zone != c.ownZone {
-		d += c.crossZoneDelay
+// learnLatency moves the recent and the usual latency over work.
+func (r *replicaState) learnLatency(took, work time.Duration, delayedHere bool) {
+	ratio := float64(took+latencyJitter) / float64(work+latencyJitter)
+	if delayedHere {
+		ratio = min(ratio, r.usualLatency)
 	}
-	return d
+	r.recentLatency += recentLatencyStep * (ratio - r.recentLatency)
+	rise := ratio - r.usualLatency
+	r.usualLatency += usualLatencyFall*min(0, rise) + usualLatencyRise*max(0, min(rise, r.usualLatency))
 }
 
-// timePerWork is how many times a part's work its replica timePerWork for it.
-func (c *Scheduler) timePerWork(r *replicaState) float64 {
-	if !c.listedSizes {
-		return r.slowdown
-	}
-	return r.slowdown * c.typicalSize / r.size
+// learnWork moves the class's work by a share of a reply's surprise, measured against what the work is taken for now and
+// not when the attempt was sent: else each of many replies to attempts of one time would correct the same error again.
+func (c *class) learnWork(surprise float64) {
+	growth := math.Exp(workStep * max(-1, min(1, surprise)))
+	work := max(float64(minWork), min(float64(c.deadline), float64(c.subqueryWork)*growth))
+	growth = work / float64(c.subqueryWork)
+	c.subqueryWork = scale(c.subqueryWork, growth)
+	c.workPerHint *= growth
 }
 
-// slowestFactor is how many times the time of one part the slowest of so many is expected to take.
-func (c *Scheduler) slowestFactor(parts int) float64 {
-	return 1 + c.fanoutSpread*math.Log(float64(max(1, parts)))
+// fadeSlowdown lets the slowdown of a replica with nothing in flight return to 1 as seconds pass.
+func (r *replicaState) fadeSlowdown(seconds float64) {
+	if len(r.outstanding) == 0 {
+		r.slowdown = math.Pow(r.slowdown, math.Exp(-seconds/slowdownFade))
+	}
 }
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -29,7 +29,7 @@
 // DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
 func (c *Scheduler) DescribeReplicas() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.parallelism, c.hedgeCredit, len(c.extras), len(c.taken),
+	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.estimates.parallelism, c.hedges.credit, len(c.retries.extras), len(c.retries.arrivals),
 		len(c.open))
 	for _, r := range c.replicas.all {
 		if r.state == Removed {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -183,7 +183,7 @@
 	for range 100 {
 		m.c.LoadReported(m.now, 0, 0.95)
 	}
-	m.pass(shedQuiet + 10*ms)
+	m.pass(loadReportsTimeout + 10*ms)
 	if m.copiesOfThree() == 0 {
 		t.Error("no copy of a straggler, long after the last report")
 	}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -65,7 +65,7 @@
 		due := tally.since + gossipDelay
 		switch {
 		case event == attemptsSent || c.now >= due:
-			for _, message := range tally.take(event, c.cells, c.parallelism) {
+			for _, message := range tally.take(event, c.cells, c.estimates.parallelism) {
 				c.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
@@ -83,9 +83,7 @@
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
 	for _, tenant := range decoded.tenants {
-		if int(tenant) < len(c.tenantQuotas) {
-			c.allowance[tenant] = max(0, c.allowance[tenant]-1)
-		}
+		c.quotas.peerTook(tenant)
 	}
 	for _, told := range decoded.cells {
 		for _, replica := range c.replicas.holders(ShardNumber(told.cell)) {
@@ -102,15 +100,14 @@
 func (c *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
-		c.parallelism = min(mostLanes, c.parallelism*math.Pow(message.parallelism/c.parallelism, lanesStep))
+		c.estimates.parallelism = min(maxParallelism, c.estimates.parallelism*math.Pow(message.parallelism/c.estimates.parallelism, parallelismStep))
 	}
 	if message.event != attemptsSent {
 		work = -work
 		c.takePeerLatency(replica, message, attempts)
 	}
-	most := scale(c.shortestObjective, c.parallelism)
-	replica.peerWork = max(0, min(most, c.
-		peerBacklog(replica)+work))
+	most := scale(c.shortestObjective, c.estimates.parallelism)
+	replica.peerWork = max(0, min(most, replica.peerBacklog(c.now)+work))
 	replica.peerWorkAt = c.now
 }
 
@@ -121,14 +118,14 @@
 		return
 	}
 	bounded := max(-maxSurprise, min(maxSurprise, surprise))
-	replica.slowdown *= math.Exp(paceStep * float64(attempts) * bounded)
+	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
 // peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the message
 // of an attempt's end may be lost.
-func (c *Scheduler) peerBacklog(replica *replicaState) time.Duration {
-	age := c.now - replica.peerWorkAt
-	return scale(replica.peerWork, math.Exp(-float64(age)/float64(toldFresh)))
+func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
+	age := now - r.peerWorkAt
+	return scale(r.peerWork, math.Exp(-float64(age)/float64(reportFresh)))
 }
 
 // unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -159,17 +159,17 @@
 		m := newModel(t, 32)
 		m.settings["bounds.peers"] = "true"
 		m.many(40, 0)
-		allowance := m.c.allowance[0]
+		allowance := m.c.quotas.tokens[0]
 		var fault *GossipError
 		if err := m.c.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
 			t.Errorf("a message %s: %v, want a fault in %s", name, err, test.field)
 		}
 		for _, replica := range m.c.replicas.all {
-			if m.c.peerBacklog(replica) != 0 || replica.slowdown != 1 {
+			if replica.peerBacklog(m.c.now) != 0 || replica.slowdown != 1 {
 				t.Errorf("a message %s is believed of replica %d", name, replica.id)
 			}
 		}
-		if m.c.gossip.heard(m.c.now) || m.c.allowance[0] != allowance {
+		if m.c.gossip.heard(m.c.now) || m.c.quotas.tokens[0] != allowance {
 			t.Errorf("a message %s is believed", name)
 		}
 	}
@@ -193,9 +193,9 @@
 		if (err == nil) != (m.c.gossip.heardAt != before) {
 			t.Errorf("%v, and heard at %v", err, m.c.gossip.heardAt)
 		}
-		most := scale(m.c.shortestObjective, m.c.parallelism)
+		most := scale(m.c.shortestObjective, m.c.estimates.parallelism)
 		for _, replica := range m.c.replicas.all {
-			backlog := m.c.peerBacklog(replica)
+			backlog := replica.peerBacklog(m.c.now)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
 				t.Errorf("%v in flight after %v", backlog, err)
 			}
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -34,7 +34,7 @@
 	m.replicas[105].cell = busy.cell + 1 // both hold the shard of that cell
 	m.tell(false, false, 105)
 	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
-	backlog := m.c.peerBacklog(m.index(102))
+	backlog := m.index(102).peerBacklog(m.c.now)
 	m.shard = busy.cell
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
@@ -45,7 +45,7 @@
 		t.Errorf("%d messages tell of its attempt", len(m.told))
 	}
 	m.pass(6 * time.Second)
-	if m.turn(); m.c.peerBacklog(m.index(102)) > backlog/10 {
+	if m.turn(); m.index(102).peerBacklog(m.c.now) > backlog/10 {
 		t.Error("work whose end nobody tells is in flight for good")
 	}
 }
@@ -87,15 +87,15 @@
 	replica, cell := m.index(102), CellNumber(m.replicas[102].cell)
 	attempts := []CellNumber{cell, cell}
 	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
-	if got := m.c.peerBacklog(replica); got != 200*ms {
+	if got := replica.peerBacklog(m.c.now); got != 200*ms {
 		t.Errorf("%v in flight", got)
 	}
-	if m.pass(500 * ms); m.c.peerBacklog(replica) < 150*ms {
-		t.Errorf("%v in flight after half a second, though nobody tells of an end", m.c.peerBacklog(replica))
+	if m.pass(500 * ms); replica.peerBacklog(m.c.now) < 150*ms {
+		t.Errorf("%v in flight after half a second, though nobody tells of an end", replica.peerBacklog(m.c.now))
 	}
 	m.hear(gossipOf(attemptsEnded, attempts, 100*ms, 1, nil, 3)...)
-	if m.c.peerBacklog(replica) != 0 || replica.slowdown != 1 {
-		t.Errorf("%v in flight after both ended, slowdown %.2f", m.c.peerBacklog(replica), replica.slowdown)
+	if replica.peerBacklog(m.c.now) != 0 || replica.slowdown != 1 {
+		t.Errorf("%v in flight after both ended, slowdown %.2f", replica.peerBacklog(m.c.now), replica.slowdown)
 	}
 }
 
@@ -132,11 +132,11 @@
 		}
 		m.hear(tally.take(attemptsEnded, 3, parallelism)...)
 	}
-	if hundredEnded(4); m.c.parallelism < 3.5 || m.c.parallelism > 4 {
-		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.parallelism)
+	if hundredEnded(4); m.c.estimates.parallelism < 3.5 || m.c.estimates.parallelism > 4 {
+		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.estimates.parallelism)
 	}
-	if hundredEnded(15); m.c.parallelism > mostLanes {
-		t.Errorf("%.2f, more than the most", m.c.parallelism)
+	if hundredEnded(15); m.c.estimates.parallelism > maxParallelism {
+		t.Errorf("%.2f, more than the most", m.c.estimates.parallelism)
 	}
 }
 
@@ -195,7 +195,7 @@
 		}
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
-		return m.c.attemptTimeout(m.c.subqueries[q.parts[0].id].attempts[0])
+		return m.c.retries.attemptTimeout(m.c.subqueries[q.parts[0].id].attempts[0], m.c.unseenLoad())
 	}
 	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
 	if silent < few*18/10 || heard > few {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -1,6 +1,9 @@
 package scheduler
 
-// Hedged attempts: when a second copy of a straggling subquery goes.
+// Hedges: when a second attempt of a straggling subquery goes to another replica while the first is in flight. A
+// straggler takes several times the expected time while most of its query is answered, or hangs. Inputs are the attempt's
+// age, the time left to the objective, the retry budget and credit (retry.go), the replicas' reported utilization and the
+// credit that replies earn for hedges. The attempt in flight goes on; the first answer counts.
 
 import (
 	"math"
@@ -8,87 +11,142 @@
 )
 
 const (
-	mostIn     = 0.8  // share of a query's other parts that must be in before an attempt is a straggler
-	fewParts   = 12.0 // parts; a query of more has more stragglers: less patience, more room for copies
-	leastTimes = 2.5  // times the expected time; an attempt is a straggler no sooner
-	patience   = 6.0  // times the expected time after which a further attempt is thought of
-	copyRoom   = 2.5  // times a copy's expected time; while more is left, the first attempt is waited for
-
-	copyReply = 0.3  // second copies of stragglers earned by an answer, wherever it came from
-	lastParts = 1.5  // parts; the copy of a query's only missing part is always worth it
-	lastTimes = 1.5  // times the expected time of a sound replica; what these wait
-	lastShare = 12.0 // so are those of its last twelfth: each saves eleven others
-	busyFrom  = 0.4  // share of the replicas' cores in use; up to it copies cost nobody
-	busyMost  = 0.7  // the same; beyond, a queue forms at some and each copy makes it longer
-	busyStep  = 0.05 // weight of a report in what that is taken for
-	maxCopies = 24.0 // second copies; the most that may be saved up
+	answeredForHedge = 0.8  // share of a query's other subqueries that must be answered before one is a straggler
+	manySubqueries   = 12.0 // subqueries; a query of more has more stragglers: less patience, and more room for a hedge
+	minStragglerAge  = 2.5  // times the expected time; an attempt is a straggler no sooner
+	hedgePatience    = 6.0  // times the expected time after which a hedge is thought of
+	hedgeRoomTimes   = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
+
+	hedgeCreditReply   = 0.3  // hedges that a reply earns, from whichever replica
+	maxHedgeCredit     = 24.0 // hedges that may be saved up
+	lastSubqueries     = 1.5  // subqueries; a hedge of a query's only missing one needs no credit
+	lastStragglerAge   = 1.5  // times the expected time at a sound replica; what these wait
+	lastShare          = 12.0 // nor does a hedge of its last twelfth: each saves eleven others
+	idleUtilization    = 0.4  // share of the replicas' cores in use up to which hedges cost nobody anything
+	busyUtilization    = 0.7  // from here a queue forms, and each hedge makes it longer
+	utilizationStep    = 0.05 // weight of a load report in the mean utilization
+	loadReportsTimeout = 5 * time.Second
 )
 
-// hedgeRoom is how much room a replica has for second copies, from 0 to 1, as it told of late, else as all did.
-// Guards against: copies that make a jam unseen by one of many. Could hurt: stragglers of a busy fleet wait.
-func (c *Scheduler) hedgeRoom(r *replicaState) float64 {
-	busy := c.meanUtilization
-	if r.utilizationAt > 0 && c.now-r.utilizationAt < toldFresh {
-		busy = r.utilization
-	}
-	return max(0, min(1, (busyMost-busy)/(busyMost-busyFrom)))
+// hedgePolicy decides on hedges.
+type hedgePolicy struct {
+	parameters *parameters
+	estimates  *latencyEstimator
+	limits     *concurrencyLimiter
+	outliers   *outlierDetector
+	retries    *retryBudget
+	placement  *placement
+
+	credit           float64 // hedges that replies have earned
+	meanUtilization  float64 // share of the replicas' cores in use, by their reports
+	lastLoadReportAt time.Duration
 }
 
-// stragglerAfter is how long an attempt may take before it is a straggler among its query's; while most others are out,
-// any time. Guards against: copies of heavy queries, or in a jam. Could hurt: where most replicas hang.
-func (c *Scheduler) stragglerAfter(l *attempt, times float64) time.Duration {
-	q := l.subquery.query
-	many := float64(len(q.subqueries)) / fewParts
-	if q.answered < mostIn*min(1, many)*float64(len(q.subqueries)-1) {
-		return math.MaxInt64
+// loadReported takes a replica's report of the share of its cores in use; replica is nil if it is not known.
+func (h *hedgePolicy) loadReported(now time.Duration, replica *replicaState, utilization float64) {
+	h.meanUtilization += utilizationStep * (utilization - h.meanUtilization)
+	h.lastLoadReportAt = now
+	if replica != nil {
+		replica.utilization = utilization
+		replica.utilizationAt = now
 	}
-	pace := l.replica.slowdown
-	if times = max(leastTimes, times/max(1, many)); q.unanswered() <= float64(len(q.subqueries))/lastShare {
-		times, pace = lastTimes, min(1, pace)
+}
+
+// forgetLoad lets replicas count as idle once nobody has reported for a while.
+func (h *hedgePolicy) forgetLoad(now time.Duration) {
+	if now > h.lastLoadReportAt+loadReportsTimeout {
+		h.meanUtilization = 0
 	}
-	return scale(l.expected, times*pace*max(1, (1+q.latenessSum)/(1+q.answered)))
 }
 
-// hung tells whether an attempt can be given up for dead: later ones are answered there, or its track is set
-// aside. Guards against: connections that fall silent, lost parts. Could hurt: by copies of heavy parts.
-func (c *Scheduler) hung(l *attempt) bool {
-	return l.replica.forClass(l.subquery.query.class).ejected ||
-		l.overtaken >= hungPassed && c.now-l.sentAt > scale(l.expected+jitter, hungTimes*l.replica.slowdown)
+// earn credits a reply.
+func (h *hedgePolicy) earn(now time.Duration, replica *replicaState) {
+	earned := hedgeCreditReply * h.parameters.hedgeScale * h.room(now, replica)
+	h.credit = min(maxHedgeCredit*h.parameters.hedgeScale, h.credit+earned)
 }
 
-// hedge sends a second copy of a part whose attempt takes much longer than expected, where there is credit.
-func (c *Scheduler) hedge(q *query) {
-	for _, p := range q.subqueries {
-		if l := p.lastInFlight(); l != nil && !q.ended && !q.suspectedDeadly() {
-			best := c.hedgeTarget(q, p, l)
-			c.look(func(as *Scheduler) { c.watched.copies(l, best, as.hedgeTarget(q, p, l)) })
-			if best != nil {
-				c.hedgeCredit = max(0, c.hedgeCredit-1)
-				c.startAttempt(p, best)
-			}
-		}
+// spend books a hedge.
+func (h *hedgePolicy) spend() { h.credit = max(0, h.credit-1) }
+
+// room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean of
+// all. One of many co-ordinators does not see by itself that hedges make a jam.
+func (h *hedgePolicy) room(now time.Duration, replica *replicaState) float64 {
+	utilization := h.meanUtilization
+	if replica.utilizationAt > 0 && now-replica.utilizationAt < reportFresh {
+		utilization = replica.utilization
 	}
+	return max(0, min(1, (busyUtilization-utilization)/(busyUtilization-idleUtilization)))
 }
 
-// hedgeTarget is where a copy beside a part's last attempt is to go now, or nil.
-func (c *Scheduler) hedgeTarget(q *query, p *subquery, l *attempt) *replicaState {
-	age, many := c.now-l.sentAt, float64(len(q.subqueries))/fewParts
-	if !c.hedgeAllowed || p.answered || p.abandoned || p.queued || !c.mayRetry(p) || !c.withinRetryBudget() ||
-		age < c.stragglerAfter(l, patience) && !c.hung(l) {
+// target is where a hedge beside a subquery's last attempt is to go now; nil: nowhere.
+func (h *hedgePolicy) target(now time.Duration, attempt *attempt) *replicaState {
+	if !h.wanted(now, attempt) {
 		return nil
 	}
-	best := c.choose(p, func(r *replicaState) time.Duration {
-		d := c.expectedFinish(r, p.work)
-		if p.triedAt(r, true) || r.retryCredit < 1 || float64(len(r.outstanding)) >= r.limit ||
-			c.backsOff(r, q.class, false) || d >= min(q.deadlineAt-c.now, max(age, 2*l.expected)) ||
-			(!c.hung(l) || c.hedgeRoom(r) == 0) && c.now+scale(d, copyRoom*max(1, many)) <= q.objectiveAt {
-			return -1
-		}
-		return d
+	best := h.placement.cheapest(attempt.subquery, func(replica *replicaState) time.Duration {
+		return h.cost(now, attempt, replica)
 	})
-	last := q.unanswered() <= max(lastParts, float64(len(q.subqueries))/lastShare)
-	if best == nil || last || c.hedgeCredit*c.hedgeRoom(best) >= 1 {
+	if best == nil || attempt.subquery.query.nearlyAnswered(lastSubqueries) || h.credit*h.room(now, best) >= 1 {
 		return best
 	}
 	return nil
 }
+
+// wanted tells whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
+func (h *hedgePolicy) wanted(now time.Duration, attempt *attempt) bool {
+	subquery := attempt.subquery
+	settled := subquery.answered || subquery.abandoned || subquery.queued
+	if !h.parameters.hedgeAllowed || settled || !h.retries.allowsRepeat(now, subquery) || !h.retries.hasRoom() {
+		return false
+	}
+	return now-attempt.sentAt >= attempt.stragglerAge(hedgePatience) || h.outliers.hangs(now, attempt)
+}
+
+// cost is the expected time of a hedge at a replica; below 0: it must not go there, or the first attempt is better waited
+// for.
+func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
+	const forbidden = -1
+	subquery := attempt.subquery
+	query := subquery.query
+	if subquery.triedAt(replica, true) || !h.retries.hasCredit(replica) || h.limits.atLimit(replica) ||
+		h.retries.backsOff(now, replica, subquery, false) {
+		return forbidden
+	}
+	age := now - attempt.sentAt
+	finish := h.estimates.expectedFinish(now, replica, subquery.work)
+	if finish >= min(query.deadlineAt-now, max(age, 2*attempt.expected)) {
+		return forbidden
+	}
+	urgent := h.outliers.hangs(now, attempt) && h.room(now, replica) > 0
+	if !urgent && now+scale(finish, hedgeRoomTimes*max(1, query.fanout())) <= query.objectiveAt {
+		return forbidden
+	}
+	return finish
+}
+
+// fanout is the number of the query's subqueries over manySubqueries.
+func (q *query) fanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
+
+// nearlyAnswered tells whether no more than the last twelfth of a query, or than so many subqueries, are missing.
+func (q *query) nearlyAnswered(subqueries float64) bool {
+	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShare)
+}
+
+// stragglerAge is the age from which an attempt is a straggler among its query's: so many times the time that the query's
+// other subqueries took over theirs, fewer with many subqueries. While most others are unanswered there is none, as the query
+// is heavy or the replicas are in a jam.
+func (a *attempt) stragglerAge(times float64) time.Duration {
+	query := a.subquery.query
+	fanout := query.fanout()
+	if query.answered < answeredForHedge*min(1, fanout)*float64(len(query.subqueries)-1) {
+		return math.MaxInt64
+	}
+	slowdown := a.replica.slowdown
+	times = max(minStragglerAge, times/max(1, fanout))
+	if query.nearlyAnswered(0) {
+		times = lastStragglerAge
+		slowdown = min(1, slowdown)
+	}
+	lateness := max(1, (1+query.latenessSum)/(1+query.answered))
+	return scale(a.expected, times*slowdown*lateness)
+}
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -18,7 +18,7 @@
 
 // Ledger is a copy of what has been counted so far.
 func (c *Scheduler) Ledger() Ledger {
-	l := Ledger{taken: slices.Clone(c.taken), extras: slices.Clone(c.extras), coldUntil: maps.Clone(c.coldBefore),
+	l := Ledger{taken: slices.Clone(c.retries.arrivals), extras: slices.Clone(c.retries.extras), coldUntil: maps.Clone(c.coldBefore),
 		flow: c.flow, warm: c.warm, blank: c.blank, asked: slices.Clone(c.asked)}
 	if l.coldUntil == nil {
 		l.coldUntil = map[ReplicaID]time.Duration{}
@@ -32,7 +32,7 @@
 // Resume has a Coordinator that was just made go on with another's ledger, of the same settings and process. It is to be
 // called before anything else.
 func (c *Scheduler) Resume(l Ledger) {
-	c.taken, c.extras = l.taken, l.extras
+	c.retries.arrivals, c.retries.extras = l.taken, l.extras
 	c.coldBefore = l.coldUntil
 	c.flow, c.warm, c.blank = l.flow, l.warm, l.blank
 	copy(c.asked, l.asked)
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -105,7 +105,7 @@
 		m.turn()
 		m.ask(0, 1, 3*time.Second)
 		m.turn()
-		small, large := m.c.timePerWork(m.index(m.order[0])), m.c.timePerWork(m.index(m.order[1]))
+		small, large := m.c.estimates.timePerWork(m.index(m.order[0])), m.c.estimates.timePerWork(m.index(m.order[1]))
 		if got := small > 1.9*large; got != want {
 			t.Errorf("%s: a part takes %.2f and %.2f", kind, small, large)
 		}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -1,98 +1,222 @@
 package scheduler
 
-// Outlier ejection: replicas that are taken out of ordinary use, probes of them by live requests, and reinstatement.
+// Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound again. A
+// replica is ejected when it cannot be reached, when several attempts in a row bring no answer, when it is silent with
+// attempts in flight, or when it answers other classes only. Subqueries queued for it are placed anew. While it is ejected
+// it gets a probe now and then: a live attempt. Its next answer reinstates it, with a concurrency limit of one. Inputs are
+// the ends of attempts and the time since replies; the last usable holder of a shard is never ejected for silence.
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"terntray/invariant"
 )
 
 const (
-	hungAfter          = 800 * time.Millisecond // silence with attempts out; longer than ordinary pauses
-	hungTimes          = 4.0                    // times the expected time: nor is a slow replica a silent one
-	hungPassed         = 4                      // answers to later attempts; heavy parts let few by
-	errorLimit         = 3                      // replies in a row that bring no answer set a replica aside
-	firstProbeInterval = 1 * time.Second        // from setting aside to the first trial
-	maxProbeInterval   = 4 * time.Second        // longest time between trials
+	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
+	silentTimes        = 4.0                    // times the straggler's age too: a slow replica is not a silent one
+	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost; a heavy one lets few by
+	errorLimit         = 3                      // attempts in a row that bring no answer
+	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
+	maxProbeInterval   = 4 * time.Second        // longest time between probes
 )
 
-// eject takes a replica out of the ordinary path, or one track there; what is held for it is placed anew.
-// Guards against: replicas that hang, are gone or err. Could hurt: when all holders seem dead; trials go on.
-func (c *Scheduler) eject(r *replicaState, only *class, why string) {
-	if !r.ejectedForAny() {
-		r.nextProbeAt = c.now + r.probeInterval
-		c.host.Log(fmt.Sprintf("replica %d is set aside: it %s", r.id, why))
+// ejectionReason is why a replica is ejected, as the log tells it.
+type ejectionReason string
+
+const (
+	ejectedUnreachable ejectionReason = "cannot be reached"
+	ejectedErrors      ejectionReason = "brings errors only"
+	ejectedOneClass    ejectionReason = "answers other classes only"
+	ejectedSilent      ejectionReason = "has gone silent"
+)
+
+// outlierDetector ejects and reinstates replicas. Which are ejected is in replicaState.
+type outlierDetector struct {
+	parameters *parameters
+	replicas   *replicaSet
+	classes    int
+	limits     *concurrencyLimiter
+	hasRoom    func(*replicaState, *subquery) bool // within its slow-start budget
+	log        func(string)
+}
+
+// eject takes a replica out of ordinary use for one class; for all if that is nil.
+func (d *outlierDetector) eject(now time.Duration, replica *replicaState, only *class, reason ejectionReason) {
+	if !replica.ejectedForAny() {
+		replica.nextProbeAt = now + replica.probeInterval
+		d.log(fmt.Sprintf("replica %d ejected: %s", replica.id, reason))
 	}
-	for n := range c.classes {
-		r.classes[n].ejected = r.classes[n].ejected || only == nil || only.index == n
+	for index := range replica.classes {
+		if only == nil || only.index == index {
+			replica.classes[index].ejected = true
+		}
 	}
 }
 
-// reinstate takes a replica back, all of it by a trickle that doubles with each good answer.
-func (c *Scheduler) reinstate(r *replicaState, t *class) {
-	if r.ejectedForAll() {
-		r.recovering, r.limit = true, 1
-		r.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+// reinstate takes a replica back into use for a class that it has answered.
+func (d *outlierDetector) reinstate(replica *replicaState, class *class) {
+	if replica.ejectedForAll() {
+		d.limits.restart(replica)
+		d.forget(replica)
 	}
-	r.forClass(t).ejected = false
-	r.probeInterval, r.recentLatency = scale(firstProbeInterval, c.timeScale), min(r.recentLatency, r.usualLatency)
-	c.host.Log(fmt.Sprintf("replica %d answers again: a trickle goes to it", r.id))
+	replica.forClass(class).ejected = false
+	replica.probeInterval = d.initialInterval()
+	replica.recentLatency = min(replica.recentLatency, replica.usualLatency)
+	d.log(fmt.Sprintf("replica %d reinstated: answers again", replica.id))
+}
+
+// forget drops all that speaks against a replica: its errors and its ejection for any class.
+func (d *outlierDetector) forget(replica *replicaState) {
+	replica.classes = make([]replicaClassState, d.classes)
+	replica.probeInterval = d.initialInterval()
 }
 
-// detectOutlier sets a replica aside that has attempts out and has long been silent, or a track that alone gets no
-// answers there, if it can be spared. Could hurt: heavy parts of a rare track, until an answer.
-func (c *Scheduler) detectOutlier(r *replicaState) {
-	for n, l := range r.outstanding {
-		t, silent := l.subquery.query.class, c.now-max(l.sentAt, r.lastReplyAt)
+func (d *outlierDetector) initialInterval() time.Duration {
+	return scale(firstProbeInterval, d.parameters.timeScale)
+}
+
+func (d *outlierDetector) maxInterval() time.Duration {
+	return scale(maxProbeInterval, d.parameters.timeScale)
+}
+
+// replied takes that a replica has answered an attempt. Attempts that it was sent before that one are overtaken.
+func (d *outlierDetector) replied(now time.Duration, answered *attempt) {
+	replica := answered.replica
+	state := replica.forClass(answered.subquery.query.class)
+	replica.lastReplyAt = now
+	state.lastReplyAt = now
+	state.consecutiveErrors = 0
+	for _, other := range replica.outstanding {
+		if other.sentAt < answered.sentAt {
+			other.overtaken++
+		}
+	}
+}
+
+// failed takes that an attempt of a class ended at a replica without an answer. Those that end at one time count once.
+func (d *outlierDetector) failed(now time.Duration, replica *replicaState, class *class) {
+	state := replica.forClass(class)
+	if replica.lastErrorAt != now {
+		state.consecutiveErrors++
+	}
+	replica.lastErrorAt = now
+	if state.consecutiveErrors >= errorLimit {
+		d.eject(now, replica, class, ejectedErrors)
+	}
+}
+
+// detect ejects a replica that has attempts in flight and is silent, or does not answer one class, if others can do its
+// work.
+func (d *outlierDetector) detect(now time.Duration, replica *replicaState) {
+	for index, attempt := range replica.outstanding {
+		class := attempt.subquery.query.class
+		state := replica.forClass(class)
 		switch {
-		case r.forClass(t).ejected:
-		case c.hung(l) && r.forClass(t).lastReplyAt < l.sentAt && c.canSpare(r, t):
-			c.eject(r, t, "answers other tracks only")
-		case n == 0 && silent > scale(hungAfter, c.timeScale) && silent > c.stragglerAfter(l, hungTimes) && c.canSpare(r, t):
-			c.eject(r, nil, "has gone silent")
+		case state.ejected:
+		case d.hangs(now, attempt) && state.lastReplyAt < attempt.sentAt && d.canSpare(replica, class):
+			d.eject(now, replica, class, ejectedOneClass)
+		case index == 0 && d.silent(now, attempt) && d.canSpare(replica, class):
+			d.eject(now, replica, nil, ejectedSilent)
 		}
 	}
 }
 
-func (c *Scheduler) canSpare(r *replicaState, t *class) bool {
-	for back := range c.cellsPerShard {
-		others := c.replicas.holders(ShardNumber(int(r.cell) - back + c.cells))
-		if !slices.ContainsFunc(others, func(o *replicaState) bool { return o != r && c.sendable(o, t, nil) }) {
+// silent tells whether a replica has been silent since an attempt, for longer than a slow one is.
+func (d *outlierDetector) silent(now time.Duration, attempt *attempt) bool {
+	silence := now - max(attempt.sentAt, attempt.replica.lastReplyAt)
+	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentTimes)
+}
+
+// hangs tells whether an attempt can be given up for lost: its replica is ejected for its class, or has answered several
+// later ones. Connections may fall silent, and replicas lose single attempts.
+func (d *outlierDetector) hangs(now time.Duration, attempt *attempt) bool {
+	if attempt.replica.forClass(attempt.subquery.query.class).ejected {
+		return true
+	}
+	patience := scale(attempt.expected+latencyJitter, silentTimes*attempt.replica.slowdown)
+	return attempt.overtaken >= overtakenLimit && now-attempt.sentAt > patience
+}
+
+// releaseLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place under
+// its limit until their deadlines.
+func (d *outlierDetector) releaseLost(now time.Duration, replica *replicaState) {
+	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
+}
+
+// canSpare tells whether each shard that a replica holds has another holder in use. The last one may be silent
+// only because it carries the load of the others.
+func (d *outlierDetector) canSpare(replica *replicaState, class *class) bool {
+	for back := range d.replicas.cellsPerShard {
+		shard := ShardNumber(int(replica.cell) - back + d.replicas.cells)
+		if !d.hasOtherHolder(shard, replica, class) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Scheduler) sendable(r *replicaState, t *class, p *subquery) bool {
-	return r.state == Ready && !r.forClass(t).ejected && c.coldRoom(r, p)
+func (d *outlierDetector) hasOtherHolder(shard ShardNumber, replica *replicaState, class *class) bool {
+	for _, other := range d.replicas.holders(shard) {
+		if other != replica && other.inUse(class) {
+			return true
+		}
+	}
+	return false
+}
+
+// inUse tells whether a replica may get ordinary attempts of a class.
+func (r *replicaState) inUse(class *class) bool {
+	return r.state == Ready && !r.forClass(class).ejected
 }
 
-// probe sends a copy of a part to a holder that is set aside, if one is due there; where no copy may go, or
-// none has for a while, the part itself.
-func (c *Scheduler) probe(p *subquery) bool {
-	copied := len(p.attempts) > 0
-	mayCopy := p.query.class.effect == invariant.Idempotent && c.hedgeAllowed && !c.onLastAttempt(p)
-	tooOld := c.now-p.query.arrivedAt > (p.query.deadlineAt-p.query.arrivedAt)/2 // its answer would tell too late
-	if (copied || p.isRetry) && !c.withinRetryBudget() || p.inFlight() && !mayCopy || p.query.suspectedDeadly() || tooOld {
+// mayProbe tells whether an attempt of a subquery may go as a probe. A query with less than half of its time left would end
+// before the probe's answer came.
+func (d *outlierDetector) mayProbe(now time.Duration, subquery *subquery, retries *retryBudget) bool {
+	query := subquery.query
+	tooOld := now-query.arrivedAt > (query.deadlineAt-query.arrivedAt)/2
+	if tooOld || query.suspectedDeadly() {
 		return false
 	}
-	for _, r := range c.replicas.holders(p.shard) {
-		due := r.nextProbeAt
-		if !copied && p.replica != nil && c.hedgeAllowed {
-			due += scale(maxProbeInterval, c.timeScale)
+	further := len(subquery.attempts) > 0 || subquery.isRetry
+	if further && !retries.hasRoom() {
+		return false
+	}
+	hedge := query.class.effect == invariant.Idempotent && d.parameters.hedgeAllowed && !retries.onLastAttempt(subquery)
+	return hedge || !subquery.inFlight()
+}
+
+// takeProbe gives the holder that a subquery is to probe now, and sets its next probe; nil: none is due. A subquery that can
+// go elsewhere is sent as a probe itself, in place of a copy of it, only once a probe is long overdue.
+func (d *outlierDetector) takeProbe(now time.Duration, subquery *subquery) *replicaState {
+	class := subquery.query.class
+	elsewhere := subquery.replica != nil
+	for _, replica := range d.replicas.holders(subquery.shard) {
+		due := replica.nextProbeAt
+		if len(subquery.attempts) == 0 && elsewhere && d.parameters.hedgeAllowed {
+			due += d.maxInterval()
 		}
-		if r.forClass(p.query.class).ejected && !p.triedAt(r, true) && c.now >= due && c.coldRoom(r, p) {
-			r.nextProbeAt = c.now + r.probeInterval
-			if r.probeInterval = min(scale(maxProbeInterval, c.timeScale), 2*r.probeInterval); p.replica == nil {
-				r.probeInterval = scale(firstProbeInterval, c.timeScale) // no other holder is in use
-			}
-			c.startAttempt(p, r)
-			return true
+		if !replica.forClass(class).ejected || subquery.triedAt(replica, true) || now < due ||
+			!d.hasRoom(replica, subquery) {
+			continue
 		}
+		d.probeSent(now, replica, elsewhere)
+		return replica
 	}
-	return false
+	return nil
+}
+
+// probeSent sets a replica's next probe: later each time, but soon while no holder is in use.
+func (d *outlierDetector) probeSent(now time.Duration, replica *replicaState, otherInUse bool) {
+	replica.nextProbeAt = now + replica.probeInterval
+	replica.probeInterval = min(d.maxInterval(), 2*replica.probeInterval)
+	if !otherInUse {
+		replica.probeInterval = d.initialInterval()
+	}
+}
+
+// probeOverdue tells whether a replica that is ejected for a class has long been due for a probe.
+func (d *outlierDetector) probeOverdue(now time.Duration, replica *replicaState, class *class) bool {
+	return replica.forClass(class).ejected && now >= replica.nextProbeAt+d.maxInterval()
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,181 +1,141 @@
 package scheduler
 
-// Placement and release order: which replica a subquery goes to, and when it leaves.
+// Placement: which holder of its shard each subquery goes to. Each new one takes its fastest holder; then a greedy moves
+// subqueries of the query off the replica with the largest expected finish, while that lowers the largest finish. Inputs are expected
+// times (estimate.go), which replicas are in use (outlier.go) and what slow start allows.
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
-const (
-	movesPart = 2 // moves of the greedy for each part of a query (the design's k)
-)
+// movesPerSubquery bounds the greedy: moves for each subquery of a query.
+const movesPerSubquery = 2
+
+// placement chooses replicas. It has no state of its own.
+type placement struct {
+	parameters *parameters
+	replicas   *replicaSet
+	estimates  *latencyEstimator
+	hasRoom    func(*replicaState, *subquery) bool // within its slow-start budget
+}
+
+// usable tells whether a subquery may get an ordinary attempt at a replica.
+func (p *placement) usable(replica *replicaState, subquery *subquery) bool {
+	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
+}
 
-// choose picks the holder of a part's shard with the least cost, in time; below 0 it is out of the question.
-func (c *Scheduler) choose(p *subquery, cost func(*replicaState) time.Duration) *replicaState {
+// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One whose cost is
+// below 0 is out of the question. nil: there is none.
+func (p *placement) cheapest(subquery *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
 	least := time.Duration(math.MaxInt64)
-	for _, r := range c.replicas.holders(p.shard) {
-		if d := cost(r); d >= 0 && d < least && c.sendable(r, p.query.class, p) {
-			best, least = r, d
+	for _, replica := range p.replicas.holders(subquery.shard) {
+		its := cost(replica)
+		if its >= 0 && its < least && p.usable(replica, subquery) {
+			best = replica
+			least = its
 		}
 	}
 	return best
 }
 
-func (c *Scheduler) fastest(p *subquery) *replicaState {
-	return c.choose(p, func(r *replicaState) time.Duration {
-		if p.triedAt(r, false) != p.query.suspectedDeadly() {
-			return p.query.class.deadline // only where no other holder is left
+// fastest is the holder where a subquery would take the least time if nothing else were to be done. One where it had an attempt
+// already is taken only if there is no other; if its query is suspected of crashing replicas, it is the other way round.
+func (p *placement) fastest(subquery *subquery) *replicaState {
+	return p.cheapest(subquery, func(replica *replicaState) time.Duration {
+		if subquery.triedAt(replica, false) != subquery.query.suspectedDeadly() {
+			return subquery.query.class.deadline
 		}
-		return scale(p.work, c.timePerWork(r))
+		return scale(subquery.work, p.estimates.timePerWork(replica))
 	})
 }
 
-// place gives each part that has none a holder: the fastest, then what spread finds, or nobody.
-func (c *Scheduler) place(q *query) {
-	if q.awaitsSubqueries() {
-		return
+// needsReplica tells whether a subquery waits for an attempt and is queued for no replica that it can go to.
+func (p *placement) needsReplica(subquery *subquery) bool {
+	if subquery.answered || subquery.abandoned {
+		return false
 	}
-	var mine []*subquery
-	for _, p := range q.subqueries {
-		stays := p.queued && p.replica != nil && c.sendable(p.replica, q.class, p)
-		if p.answered || p.abandoned || stays || !p.queued && len(p.attempts) > 0 {
-			continue
-		}
-		p.queueFor(c.fastest(p))
-		mine = append(mine, p)
+	if !subquery.queued {
+		return len(subquery.attempts) == 0
 	}
-	c.rebalance(mine)
-	if !q.admitted {
-		q.admitted = true
-		slices.SortStableFunc(q.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
-		c.look(func(as *Scheduler) { c.watched.comes(c, as, q, mine) })
-		c.admit(q, mine)
+	return subquery.replica == nil || !p.usable(subquery.replica, subquery)
+}
+
+// place queues those subqueries of a query that need a replica, and lists them.
+func (p *placement) place(now time.Duration, query *query) (placed []*subquery) {
+	for _, subquery := range query.subqueries {
+		if p.needsReplica(subquery) {
+			subquery.queueFor(p.fastest(subquery))
+			placed = append(placed, subquery)
+		}
 	}
+	p.rebalance(now, placed)
+	return placed
 }
 
-// rebalance moves parts off the replica with the largest expected finish, each to where it is done first, while
-// that lowers it, then the next.
-func (c *Scheduler) rebalance(mine []*subquery) {
+// rebalance moves subqueries off the replica with the largest expected finish, each to where it lowers that most. A replica
+// off which nothing can be moved is settled; then the next is looked at.
+func (p *placement) rebalance(now time.Duration, placed []*subquery) {
 	settled := map[*replicaState]bool{nil: true}
-	for moves := movesPart * len(mine); moves > 0; moves-- {
-		var worst *replicaState
-		most := time.Duration(-1)
-		for _, p := range mine {
-			if !settled[p.replica] && c.expectedFinish(p.replica, 0) > most {
-				worst, most = p.replica, c.expectedFinish(p.replica, 0)
-			}
-		}
-		if worst == nil {
+	for range movesPerSubquery * len(placed) {
+		slowest := p.slowest(now, placed, settled)
+		if slowest == nil {
 			return
 		}
-		var moved, last *subquery
-		var to *replicaState
-		least, soonest := most-time.Millisecond, time.Duration(0)
-		for _, p := range mine {
-			if p.replica != worst || p.query.suspectedDeadly() || last != nil && p.interchangeable(last, c.cells) {
-				continue
-			}
-			last = p
-			left := c.expectedFinish(worst, -p.work)
-			for _, r := range c.replicas.holders(p.shard) {
-				there := c.expectedFinish(r, p.work)
-				d := max(left, there)
-				if r != worst && (d < least || d == least && moved != nil && there < soonest) &&
-					c.sendable(r, p.query.class, p) && !p.triedAt(r, false) {
-					moved, to, least, soonest = p, r, d, there
-				}
-			}
-		}
-		if settled[worst] = moved == nil; moved != nil {
-			moved.queueFor(to)
+		moved, to := p.bestMove(now, placed, slowest)
+		if moved == nil {
+			settled[slowest] = true
+			continue
 		}
+		moved.queueFor(to)
 	}
 }
 
-// release sends held parts in order of their queries' arrival, as caps allow, and drops what is too late;
-// unless all is looked at, only where there is room.
-func (c *Scheduler) release(all bool) {
-	blocked, ahead := make([]bool, len(c.replicas.all)), make([]time.Duration, len(c.replicas.all))
-	free := 0
-	for _, r := range c.replicas.all {
-		if blocked[r.index] = !all && (r.queuedWork == 0 || c.full(r)); !blocked[r.index] {
-			free++
+// slowest is the replica of the subqueries, settled ones aside, with the largest expected finish; nil: all are settled.
+func (p *placement) slowest(now time.Duration, placed []*subquery, settled map[*replicaState]bool) *replicaState {
+	var slowest *replicaState
+	most := time.Duration(-1)
+	for _, subquery := range placed {
+		if settled[subquery.replica] {
+			continue
+		}
+		if finish := p.estimates.expectedFinish(now, subquery.replica, 0); finish > most {
+			slowest = subquery.replica
+			most = finish
 		}
 	}
-	for _, q := range c.open {
-		if q.awaitsSubqueries() {
+	return slowest
+}
+
+// bestMove is the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at least
+// a millisecond; of equal ones, the one to the replica that is done first. nil: there is none.
+func (p *placement) bestMove(now time.Duration, placed []*subquery, from *replicaState) (moved *subquery, to *replicaState) {
+	least := p.estimates.expectedFinish(now, from, 0) - time.Millisecond
+	soonest := time.Duration(0)
+	var last *subquery
+	for _, subquery := range placed {
+		if subquery.replica != from || subquery.query.suspectedDeadly() {
 			continue
 		}
-		if free == 0 && !all {
-			return
+		if last != nil && subquery.interchangeable(last, p.parameters.cells) {
+			continue
 		}
-		for _, p := range q.subqueries {
-			if !all && (!p.queued || p.replica == nil || blocked[p.replica.index]) {
+		last = subquery
+		remaining := p.estimates.expectedFinish(now, from, -subquery.work)
+		for _, replica := range p.replicas.holders(subquery.shard) {
+			if replica == from {
 				continue
 			}
-			if q.ended || !p.queued || c.canaryHoldsBack(q) || q.suspectedDeadly() && len(p.attempts) == 0 {
-				continue
-			}
-			r := p.replica
-			switch first := len(p.attempts) == 0; {
-			case c.tooLate(q, p, ahead) || (!first || p.isRetry) && !c.mayRetry(p):
-				c.abandon(p)
-				c.failIfHopeless(q)
-			case (first || r == nil) && c.probe(p) || r == nil:
-			case blocked[r.index] || c.full(r) || !c.coldRoom(r, p) ||
-				(p.isRetry || !first) && !c.withinRetryBudget() ||
-				!first && (r.retryCredit < 1 && len(r.outstanding) > 0 || c.backsOff(r, q.class, c.onLastAttempt(p))):
-				if first && !blocked[r.index] {
-					blocked[r.index] = true
-					free--
-				}
-				ahead[r.index] += p.work
-			default:
-				c.startAttempt(p, r)
-				c.probe(p)
+			there := p.estimates.expectedFinish(now, replica, subquery.work)
+			larger := max(remaining, there)
+			better := larger < least || larger == least && moved != nil && there < soonest
+			if better && p.usable(replica, subquery) && !subquery.triedAt(replica, false) {
+				moved, to = subquery, replica
+				least = larger
+				soonest = there
 			}
 		}
 	}
-}
-
-func (c *Scheduler) tooLate(q *query, p *subquery, ahead []time.Duration) bool {
-	left := q.deadlineAt - c.now
-	if q.admittedAsProbe {
-		return c.now >= q.objectiveAt // what is expected is in doubt
-	}
-	if p.replica == nil {
-		return p.work > left
-	}
-	if float64(len(p.replica.outstanding)) >= p.replica.limit && q.phase == 0 {
-		left = min(left, q.objectiveAt-c.now)
-	}
-	return scale(p.work+scale(p.replica.outstandingWork+ahead[p.replica.index], 1/c.parallelism), c.timePerWork(p.replica)) > left
-}
-
-func (c *Scheduler) startAttempt(p *subquery, r *replicaState) {
-	p.unqueue()
-	base := scale(p.work+scale(r.outstandingWork+c.peerBacklog(r), 1/c.parallelism), c.timePerWork(r)/r.slowdown)
-	if c.gossipEnabled {
-		c.gossip.attemptSent(c.now, r.cell, p.work)
-		if p.query.attemptsSent == 0 && len(c.tenantQuotas) > 0 {
-			c.gossip.queryAdmitted(p.query.tenant)
-		}
-	}
-	l := &attempt{subquery: p, replica: r, sentAt: c.now, expected: base, work: p.work}
-	p.attempts, r.outstanding = append(p.attempts, l), append(r.outstanding, l)
-	p.query.attemptsSent++
-	r.outstandingWork += p.work
-	if len(p.attempts) > 1 || p.isRetry {
-		c.extras = append(c.extras, c.now)
-	}
-	if len(p.attempts) > 1 {
-		r.retryCredit--
-	}
-	c.countSent(r, p.work)
-	c.host.StartAttempt(p.id, r.id, c.attemptTimeout(l))
-	c.look(func(as *Scheduler) { c.watched.attempt(c.attemptTimeout(l), as.attemptTimeout(l)) })
+	return moved, to
 }
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -59,9 +59,9 @@
 		t.Errorf("work of %v after replies in %v, from %v", got, start/4, start)
 	}
 	for range 4000 {
-		m.c.classes[0].learn(-1)
+		m.c.classes[0].learnWork(-1)
 	}
-	if u := m.c.classes[0].subqueryWork; u < leastWork || math.IsNaN(m.c.classes[0].workPerHint) {
+	if u := m.c.classes[0].subqueryWork; u < minWork || math.IsNaN(m.c.classes[0].workPerHint) {
 		t.Errorf("work of %v, hint %v after endless surprises", u, m.c.classes[0].workPerHint)
 	}
 }
@@ -94,7 +94,7 @@
 func TestTrialGoesWithAYoungRetrieval(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.c.eject(m.index(102), nil, "test")
+	m.c.outliers.eject(m.now, m.index(102), nil, "test")
 	old := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.index(102).nextProbeAt = m.now + 2*time.Second // due when the first has a third of its time left
@@ -243,11 +243,11 @@
 func TestTurningBackLetsTrialsGo(t *testing.T) {
 	m := newModel(t, 0)
 	for _, id := range m.holdersOf(0)[1:] {
-		m.c.eject(m.index(id), nil, "test")
+		m.c.outliers.eject(m.now, m.index(id), nil, "test")
 	}
 	trials := 0
 	for range 100 {
-		m.shard, m.c.classes[0].latenessFactor, m.c.classes[0].subqueryWork = 0, mostLonger, 300*ms // tightened, but sound work
+		m.shard, m.c.classes[0].latenessFactor, m.c.classes[0].subqueryWork = 0, maxLatenessFactor, 300*ms // tightened, but sound work
 		q := m.ask(0, 1, 3*time.Second)
 		m.turn()
 		for _, p := range q.parts {
--- /dev/null
+++ b/scheduler/release.go
@@ -0,0 +1,168 @@
+package scheduler
+
+// Release: when queued subqueries are sent, in order of their queries' arrival. Each goes once its replica has room under
+// its concurrency limit and its slow-start budget, and a further attempt once the retry budget has room. One that can no longer be
+// answered in time is abandoned.
+
+import "time"
+
+// releaseRound is what one pass over the queued subqueries finds.
+type releaseRound struct {
+	all         bool            // all are looked at, not only those whose replica has room
+	blocked     []bool          // by replica: nothing more is to be sent there in this pass
+	queuedAhead []time.Duration // by replica: work of the subqueries that were passed over
+	open        int             // replicas that are not blocked
+}
+
+func (c *Scheduler) newReleaseRound(all bool) *releaseRound {
+	count := len(c.replicas.all)
+	round := &releaseRound{all: all, blocked: make([]bool, count), queuedAhead: make([]time.Duration, count)}
+	for _, replica := range c.replicas.all {
+		blocked := !all && (replica.queuedWork == 0 || c.limits.full(c.now, replica))
+		round.blocked[replica.index] = blocked
+		if !blocked {
+			round.open++
+		}
+	}
+	return round
+}
+
+// passOver notes that a subquery stays queued for its replica. A first attempt that waits keeps later ones from passing it.
+func (r *releaseRound) passOver(subquery *subquery) {
+	index := subquery.replica.index
+	if len(subquery.attempts) == 0 && !r.blocked[index] {
+		r.blocked[index] = true
+		r.open--
+	}
+	r.queuedAhead[index] += subquery.work
+}
+
+// skips tells whether a pass that does not look at all need not look at a subquery.
+func (r *releaseRound) skips(subquery *subquery) bool {
+	if r.all {
+		return false
+	}
+	return !subquery.queued || subquery.replica == nil || r.blocked[subquery.replica.index]
+}
+
+// release sends queued subqueries; unless all are looked at, only those for replicas that have room.
+func (c *Scheduler) release(all bool) {
+	round := c.newReleaseRound(all)
+	for _, query := range c.open {
+		if query.awaitsSubqueries() {
+			continue
+		}
+		if round.open == 0 && !all {
+			return
+		}
+		for _, subquery := range query.subqueries {
+			if !round.skips(subquery) && c.isReleasable(subquery) {
+				c.releaseOne(round, subquery)
+			}
+		}
+	}
+}
+
+// isReleasable tells whether a subquery is queued and its query's canaries do not hold it back.
+func (c *Scheduler) isReleasable(subquery *subquery) bool {
+	query := subquery.query
+	if query.ended || !subquery.queued || query.waitsForCanaries(c.now, c.unseenLoadFactor > 1) {
+		return false
+	}
+	return !query.suspectedDeadly() || len(subquery.attempts) > 0
+}
+
+// releaseOne abandons, probes with, passes over or sends a queued subquery.
+func (c *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
+	replica := subquery.replica
+	first := len(subquery.attempts) == 0
+	further := !first || subquery.isRetry
+	switch {
+	case c.tooLate(subquery, round.queuedAhead) || further && !c.retries.allowsRepeat(c.now, subquery):
+		c.abandon(subquery)
+		c.giveUpIfHopeless(subquery.query)
+	case (first || replica == nil) && c.probe(subquery):
+	case replica == nil:
+	case round.blocked[replica.index] || c.mustWait(subquery, replica):
+		round.passOver(subquery)
+	default:
+		c.startAttempt(subquery, replica)
+		c.probe(subquery)
+	}
+}
+
+// mustWait tells whether a queued subquery cannot be sent to its replica now.
+func (c *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
+	if c.limits.full(c.now, replica) || !c.coldRoom(replica, subquery) {
+		return true
+	}
+	retry := len(subquery.attempts) > 0
+	if (retry || subquery.isRetry) && !c.retries.hasRoom() {
+		return true
+	}
+	if !retry {
+		return false
+	}
+	// One without credit goes once nothing is in flight there: else nothing would ever earn any.
+	noCredit := !c.retries.hasCredit(replica) && len(replica.outstanding) > 0
+	return noCredit || c.retries.backsOff(c.now, replica, subquery, c.retries.onLastAttempt(subquery))
+}
+
+// tooLate tells whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
+// the first phase, that is the query's objective, else its deadline.
+func (c *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
+	query, replica := subquery.query, subquery.replica
+	left := query.deadlineAt - c.now
+	if query.admittedAsProbe {
+		return c.now >= query.objectiveAt // what is expected is in doubt
+	}
+	if replica == nil {
+		return subquery.work > left
+	}
+	if c.limits.atLimit(replica) && query.phase == 0 {
+		left = min(left, query.objectiveAt-c.now)
+	}
+	ahead := scale(replica.outstandingWork+queuedAhead[replica.index], 1/c.estimates.parallelism)
+	return scale(subquery.work+ahead, c.estimates.timePerWork(replica)) > left
+}
+
+// probe sends an attempt of a subquery to an ejected holder that is due for one, if any, and tells whether it did.
+func (c *Scheduler) probe(subquery *subquery) bool {
+	if !c.outliers.mayProbe(c.now, subquery, &c.retries) {
+		return false
+	}
+	replica := c.outliers.takeProbe(c.now, subquery)
+	if replica == nil {
+		return false
+	}
+	c.startAttempt(subquery, replica)
+	return true
+}
+
+// startAttempt sends an attempt of a subquery to a replica.
+func (c *Scheduler) startAttempt(subquery *subquery, replica *replicaState) {
+	subquery.unqueue()
+	query := subquery.query
+	started := &attempt{
+		subquery: subquery,
+		replica:  replica,
+		sentAt:   c.now,
+		work:     subquery.work,
+		expected: c.estimates.expectedLatency(c.now, replica, subquery.work),
+	}
+	if c.gossipEnabled {
+		c.gossip.attemptSent(c.now, replica.cell, subquery.work)
+		if query.attemptsSent == 0 && len(c.tenantQuotas) > 0 {
+			c.gossip.queryAdmitted(query.tenant)
+		}
+	}
+	subquery.attempts = append(subquery.attempts, started)
+	query.attemptsSent++
+	replica.outstanding = append(replica.outstanding, started)
+	replica.outstandingWork += subquery.work
+	c.retries.sent(c.now, subquery, replica)
+	c.countSent(replica, subquery.work)
+	timeout := c.retries.attemptTimeout(started, c.unseenLoad())
+	c.host.StartAttempt(subquery.id, replica.id, timeout)
+	c.look(func(as *Scheduler) { c.watched.attempt(timeout, as.retries.attemptTimeout(started, as.unseenLoad())) })
+}
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -73,19 +73,13 @@
 	return !slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return !state.ejected })
 }
 
-// reinstateAll forgets the errors of the replica and its ejection for any class.
-func (r *replicaState) reinstateAll(classes int, firstProbe time.Duration) {
-	r.classes = make([]replicaClassState, classes)
-	r.probeInterval = firstProbe
-}
-
 // unload takes attempts off the replica's load. Those that have not ended yet count as overtaken from then on.
 func (r *replicaState) unload(off func(*attempt) bool) {
 	r.outstanding = slices.DeleteFunc(r.outstanding, func(other *attempt) bool {
 		gone := off(other)
 		if gone {
 			r.outstandingWork -= other.work
-			other.overtaken = max(other.overtaken, hungPassed)
+			other.overtaken = max(other.overtaken, overtakenLimit)
 		}
 		return gone
 	})
@@ -145,3 +139,18 @@
 
 // listChanged says that the state or cell of a replica changes.
 func (s *replicaSet) listChanged() { clear(s.holdersByCell) }
+
+// meanSize is the mean size of the replicas that are ready; if there is none, the one before.
+func (s *replicaSet) meanSize(before float64) float64 {
+	sum, ready := 0.0, 0.0
+	for _, replica := range s.all {
+		if replica.state == Ready {
+			sum += replica.size
+			ready++
+		}
+	}
+	if ready == 0 {
+		return before
+	}
+	return sum / ready
+}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,6 +1,9 @@
 package scheduler
 
-// Retries: when a subquery may be sent again, and within which budgets.
+// Retries: whether a subquery may be sent again, and within which budgets. A further attempt of an idempotent subquery
+// may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no earlier attempt can have
+// run. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment (a share of the
+// subqueries that came within a span of time) and by the credit that each replica earns with its replies.
 
 import (
 	"slices"
@@ -10,42 +13,94 @@
 )
 
 const (
-	startCredit = 4.0  // further attempts a replica may be sent before it has answered any
-	creditReply = 0.25 // further attempts earned by an answer
-	maxCredit   = 10.0 // further attempts; bounds a rush of them when many attempts fail at once
+	initialRetryCredit = 4.0  // further attempts that a replica may be sent before it has answered any
+	retryCreditReply   = 0.25 // further attempts that a reply earns
+	maxRetryCredit     = 10.0 // further attempts; bounds a rush of them when many attempts fail at once
 
-	errorWait = 200 * time.Millisecond // from an attempt without an answer to a further attempt there
-
-	staleTook = 6 * time.Millisecond // a connection that drops within it was of no use from the first
+	errorBackoff = 200 * time.Millisecond // from an attempt that failed at a replica to a further attempt there
 )
 
-// mayRetry tells whether the rules let a further attempt of a part be sent now.
-func (c *Scheduler) mayRetry(p *subquery) bool {
-	first := slices.IndexFunc(p.attempts, func(l *attempt) bool { return l.mayHaveRun || !l.ended })
-	t := p.query.class
-	return len(p.attempts)+p.attemptsUsed < c.maxAttempts && (first < 0 || t.effect == invariant.Idempotent ||
-		t.effect == invariant.Keyed && c.now < p.attempts[first].sentAt+t.keyWindow)
+// retryBudget counts arrivals and further attempts, and tells what may be sent again.
+type retryBudget struct {
+	parameters *parameters
+	arrivals   []time.Duration // queries and subqueries that came within the budget's span, in order
+	extras     []time.Duration // retries and hedges that were sent within it, in order
 }
 
-// backsOff tells whether a further attempt waits: the replica's last brought no answer, just now or, for the last
-// attempt of a part, ever. Guards against: all attempts gone at once where holders err.
-func (c *Scheduler) backsOff(r *replicaState, t *class, last bool) bool {
-	return r.forClass(t).consecutiveErrors > 0 && (last || c.now-r.lastErrorAt < scale(errorWait, c.timeScale))
+// subqueryArrived counts an arrival towards the budget; queries count as well.
+func (b *retryBudget) subqueryArrived(now time.Duration) { b.arrivals = append(b.arrivals, now) }
+
+// sent counts an attempt that has just been sent, if it is a further one.
+func (b *retryBudget) sent(now time.Duration, subquery *subquery, replica *replicaState) {
+	further := len(subquery.attempts) > 1
+	if further || subquery.isRetry {
+		b.extras = append(b.extras, now)
+	}
+	if further {
+		replica.retryCredit--
+	}
 }
 
-func (c *Scheduler) onLastAttempt(p *subquery) bool {
-	return len(p.attempts)+p.attemptsUsed >= c.maxAttempts-1
+// earn credits a replica for a reply.
+func (b *retryBudget) earn(replica *replicaState) {
+	replica.retryCredit = min(maxRetryCredit, replica.retryCredit+retryCreditReply)
 }
 
-// withinRetryBudget tells whether the attempt budget holds a further attempt.
-func (c *Scheduler) withinRetryBudget() bool {
-	return c.retryBudgetSpan == 0 || float64(len(c.extras)+1) <= c.retryBudgetFree+c.retryBudgetShare*float64(len(c.taken))
+// expire forgets what is older than the budget's span.
+func (b *retryBudget) expire(now time.Duration) {
+	span := b.parameters.retryBudgetSpan
+	b.arrivals = notBefore(b.arrivals, now-span+1)
+	b.extras = notBefore(b.extras, now-span)
 }
 
-// attemptTimeout is when an attempt ends by itself so that another can follow, where no copy may go beside it; 0: never.
-func (c *Scheduler) attemptTimeout(l *attempt) time.Duration {
-	if c.hedgeAllowed || c.onLastAttempt(l.subquery) || l.subquery.query.class.effect == invariant.NonIdempotent {
+// hasRoom tells whether the budget allows a further attempt now.
+func (b *retryBudget) hasRoom() bool {
+	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
+	return b.parameters.retryBudgetSpan == 0 || float64(len(b.extras)+1) <= allowed
+}
+
+// allowsRepeat tells whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
+// of attempts that are allowed.
+func (b *retryBudget) allowsRepeat(now time.Duration, subquery *subquery) bool {
+	first := slices.IndexFunc(subquery.attempts, func(attempt *attempt) bool { return attempt.mayHaveRun || !attempt.ended })
+	class := subquery.query.class
+	return len(subquery.attempts)+subquery.attemptsUsed < b.parameters.maxAttempts &&
+		(first < 0 || class.effect == invariant.Idempotent ||
+			class.effect == invariant.Keyed && now < subquery.attempts[first].sentAt+class.keyWindow)
+}
+
+// onLastAttempt tells whether no more than one attempt of the subquery is left.
+func (b *retryBudget) onLastAttempt(subquery *subquery) bool {
+	return len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts-1
+}
+
+// backsOff tells whether a further attempt at a replica waits, as the last one there failed a short while ago. The last
+// attempt of a subquery waits until the replica has answered: else all attempts are gone at once where all holders fail.
+func (b *retryBudget) backsOff(now time.Duration, replica *replicaState, subquery *subquery, last bool) bool {
+	if replica.forClass(subquery.query.class).consecutiveErrors == 0 {
+		return false
+	}
+	return last || now-replica.lastErrorAt < scale(errorBackoff, b.parameters.timeScale)
+}
+
+// hasCredit tells whether a replica has earned a further attempt.
+func (b *retryBudget) hasCredit(replica *replicaState) bool { return replica.retryCredit >= 1 }
+
+// attemptTimeout is the time after which an attempt is to end by itself so that a retry can follow, where no hedge may go
+// beside it; 0: when the client gives up. unseenLoad multiplies expected times, for what silent peers may have sent.
+func (b *retryBudget) attemptTimeout(attempt *attempt, unseenLoad float64) time.Duration {
+	subquery := attempt.subquery
+	if b.parameters.hedgeAllowed || b.onLastAttempt(subquery) || subquery.query.class.effect == invariant.NonIdempotent {
 		return 0
 	}
-	return scale(max(l.work, scale(l.expected, l.replica.slowdown)), patience*c.unseenLoad())
+	expected := max(attempt.work, scale(attempt.expected, attempt.replica.slowdown))
+	return scale(expected, hedgePatience*unseenLoad)
+}
+
+// notBefore drops the times before one from a list in order.
+func notBefore(times []time.Duration, at time.Duration) []time.Duration {
+	for len(times) > 0 && times[0] < at {
+		times = times[1:]
+	}
+	return times
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -56,6 +56,7 @@
 	}
 	as := *c
 	as.parameters = c.watched.under.parameters
+	as.connectPolicies()
 	if as.gossipEnabled {
 		as.gossip.heardAt = c.now // as if the others told
 	}
@@ -87,8 +88,8 @@
 	learned := *q.class
 	learned.objective, learned.deadline, learned.fetchSubqueries = t.class.objective, t.class.deadline, t.class.fetchSubqueries
 	t.class, t.objectiveAt = &learned, q.objectiveAt+learned.objective-q.class.objective
-	now, _ := c.expectedExcess(q)
-	then, _ := as.expectedExcess(&t)
+	now, _ := c.admission.expectedExcess(c.now, q, c.unseenLoad())
+	then, _ := as.admission.expectedExcess(as.now, &t, as.unseenLoad())
 	w.counts.Queries++
 	w.counts.Subqueries += len(mine)
 	if now <= 0 && then > 0 {
@@ -98,7 +99,7 @@
 		w.counts.WouldAdmit++
 	}
 	for _, p := range mine {
-		if c.fastest(p) != as.fastest(p) {
+		if c.placement.fastest(p) != as.placement.fastest(p) {
 			w.counts.WouldPlaceElsewhere++
 		}
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -3,14 +3,16 @@
 // Slow start: how much a cold replica is sent, all co-ordinators together.
 
 import (
+	"math"
 	"time"
 )
 
 const (
-	coldLanes  = 2.0 // parts side by side that a cold budget counts on
-	coldSafety = 0.8 // share of this instance's part of the cold budget that it uses
-	coldMany   = 2.0 // its divisor where it is less than a part
-	coldFlow   = 0.5 // share of the multiple that topples, of what warm ones get
+	coldLanes  = 2.0  // parts side by side that a cold budget counts on
+	coldSafety = 0.8  // share of this instance's part of the cold budget that it uses
+	coldMany   = 2.0  // its divisor where it is less than a part
+	flowFades  = 10.0 // seconds in which what was counted fades to a third
+	coldFlow   = 0.5  // share of the multiple that topples, of what warm ones get
 )
 
 func (c *Scheduler) coldFor(r *replicaState) bool {
@@ -58,6 +60,22 @@
 
 // coldTakes is the time in which the share allows for so much work; warm, a replica does what others do.
 func (c *Scheduler) coldTakes(r *replicaState, work time.Duration) time.Duration {
-	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.parallelism, coldLanes) / float64(c.coordinators)
+	share := coldSafety * c.overloadMultiple * c.warmth(r) * min(c.estimates.parallelism, coldLanes) / float64(c.coordinators)
 	return scale(work, 1/share)
 }
+
+// fadeSlowStart lets what was counted fade as seconds pass, and counts the warm replicas anew.
+func (c *Scheduler) fadeSlowStart(seconds float64) {
+	fade := math.Exp(-seconds / flowFades)
+	c.flow *= fade
+	c.blank *= fade
+	for cell := range c.asked {
+		c.asked[cell] *= fade
+	}
+	c.warm = 0
+	for _, replica := range c.replicas.all {
+		if replica.state == Ready && !c.coldFor(replica) {
+			c.warm++
+		}
+	}
+}
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -39,7 +39,7 @@
 		c.EndpointListBegins(0, true, false)
 		c.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
 		c.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: time.Minute, Size: 1})
-		c.parallelism, c.warm, c.blank = crowdLanes, 1, 1
+		c.estimates.parallelism, c.warm, c.blank = crowdLanes, 1, 1
 		crowd.cold, crowd.warm = c.replicas.byID[2], c.replicas.byID[1]
 		crowd.members = append(crowd.members, c)
 	}
