--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -7,28 +7,24 @@
 	"log"
 	"maps"
 	"math"
-	"net"
 	"net/http"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
+	"terntray/discovery"
 	"terntray/eventloop"
 	"terntray/incarnation"
-	"terntray/internal/netconn"
 	"terntray/invariant"
 	"terntray/overload"
 	"terntray/scheduler"
+	"terntray/server"
 )
 
 const (
-	bindWait     = 2 * time.Second // for an address that is taken, or a shortage of the machine
-	busyLines    = 5 * time.Second // between lines that say that the core is short
-	seldomLines  = 10              // in a second, of what replicas bring about
-	longestWaits = 10              // cut-offs of a track; a client that says it waits for longer cannot mean it
+	busyLines   = 5 * time.Second // between lines that say that the core is short
+	seldomLines = 10              // in a second, of what replicas bring about
 )
 
 // Coordinator is one co-ordinator. Its fields belong to the goroutine that takes the turns, but for those
@@ -47,9 +43,7 @@
 	zones       map[string]scheduler.ZoneIndex
 	tenants     map[string]scheduler.TenantIndex
 	shards      int
-	longest     map[string]time.Duration    // by track: what a client may say that it waits
 	effects     map[string]invariant.Effect // by track: what a repeat would do
-	stepped     map[string]bool             // tracks with a second step, which the protocol has not: nothing of them can be answered
 	agreed      map[string]time.Duration    // times, by track
 	maxOpen     int
 	maxAttempts int // of a subquery; 0: any number
@@ -62,22 +56,22 @@
 
 	queries    map[scheduler.RequestID]*openQuery // open ones
 	byQuery    map[string]*openQuery              // the same by the client's id
+	byClient   map[client]*openQuery              // and by the client
 	parts      map[scheduler.RequestID]*part      // of open queries, or with attempts out
-	arriving   *client                            // whose request is looked at in this turn and is not among them yet
+	arriving   client                             // whose request is looked at in this turn and is not among them yet
 	held       int                                // open queries, and parts of theirs that are not in
 	lastID     scheduler.RequestID
 	lastNumber scheduler.QueryNumber
 
-	questions questions
-	fleet     fleet
-	list      list
-	front     front
-	withheld  withheld
-	ready     atomic.Bool  // queries can be served; read by all
-	leaving   atomic.Bool  // told to end; read by all
-	leftAt    atomic.Int64 // when, as time since the process' start; set before
-	gone      bool         // and no client can come any more
-	drivers   sync.WaitGroup
+	questions     questions
+	fleet         fleet
+	discovery     *discovery.Watcher
+	incarnations  *incarnation.Tracker
+	server        *server.Server
+	withheld      withheld
+	ready         atomic.Bool // queries can be served; read by all
+	clientsClosed bool        // no client is connected and none can connect any more
+	drivers       sync.WaitGroup
 
 	busyAt      time.Duration      // the last line about it
 	stopReading context.CancelFunc // of a configuration that is read anew
@@ -90,18 +84,17 @@
 func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:  map[string]scheduler.ClassIndex{},
-		longest: map[string]time.Duration{},
-		effects: map[string]invariant.Effect{},
-		stepped: map[string]bool{},
-		agreed:  map[string]time.Duration{},
-		zones:   map[string]scheduler.ZoneIndex{},
-		tenants: map[string]scheduler.TenantIndex{},
-		queries: map[scheduler.RequestID]*openQuery{},
-		byQuery: map[string]*openQuery{},
-		parts:   map[scheduler.RequestID]*part{},
-		list:    list{boots: incarnation.New()},
-		counts:  Counts{Withheld: map[invariant.Reason]int{}},
+		tracks:       map[string]scheduler.ClassIndex{},
+		effects:      map[string]invariant.Effect{},
+		agreed:       map[string]time.Duration{},
+		zones:        map[string]scheduler.ZoneIndex{},
+		tenants:      map[string]scheduler.TenantIndex{},
+		queries:      map[scheduler.RequestID]*openQuery{},
+		byQuery:      map[string]*openQuery{},
+		byClient:     map[client]*openQuery{},
+		parts:        map[scheduler.RequestID]*part{},
+		incarnations: incarnation.New(),
+		counts:       Counts{Withheld: map[invariant.Reason]int{}},
 
 		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
 	}
@@ -130,6 +123,8 @@
 	if bad = errors.Join(bad, c.fleet.begin(c, d), c.questions.begin(d, &c.config)); bad != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
 	}
+	c.discovery = discovery.New(c.discoveryConfig(), endpointHandler{c}, c.loop, to)
+	c.server = server.New(c.serverConfig(), clientHandler{c}, c.loop, to)
 	unused := d.notUsed(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, name := range slices.Sorted(maps.Keys(unused)) {
 		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
@@ -145,11 +140,8 @@
 	if c.config, c.shadow, err = d.schedulerConfigs(); err != nil {
 		return err
 	}
-	fetches := strings.Split(d.settings["familyInfo.classFetch"], ",")
 	for n, class := range c.config.Classes {
-		c.stepped[class.Name] = n < len(fetches) && strings.Trim(fetches[n], "0.-") != ""
 		c.tracks[class.Name] = scheduler.ClassIndex(n)
-		c.longest[class.Name] = longestWaits * class.Deadline
 		c.agreed[class.Name] = class.Objective
 		c.effects[class.Name] = class.Effect
 	}
@@ -173,7 +165,7 @@
 
 // Serve serves until the context ends, then answers what is open and returns nil.
 func (c *Coordinator) Serve(ctx context.Context) error {
-	listener, err := listen(c.deployment.Listen)
+	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
@@ -181,14 +173,14 @@
 		_ = listener.Close()
 		return err
 	}
-	c.list.start(c)
-	c.front.start(c, listener)
+	c.discovery.Start()
+	c.server.Start(listener)
 	c.watchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
-	context.AfterFunc(ctx, func() { c.loop.Post(c.leave) })
-	c.loop.Run(c.endTurn, c.broken, c.over)
-	c.list.stop()
+	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
+	c.loop.Run(c.endTurn, c.broken, c.isShutDown)
+	c.discovery.Stop()
 	c.fleet.stop()
 	c.peers.close()
 	c.drivers.Wait()
@@ -196,17 +188,6 @@
 	return nil
 }
 
-// listen opens the listener. One that has ended a moment ago may still have the address, and the machine may lack
-// something for a moment.
-func listen(addr string) (l net.Listener, err error) {
-	for end := time.Now().Add(bindWait); ; time.Sleep(bindWait / 20) {
-		l, err = net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) && !netconn.IsShortage(err) || time.Now().After(end) {
-			return l, err
-		}
-	}
-}
-
 func (c *Coordinator) endTurn() {
 	c.module.Decide(c.loop.Now())
 	c.fleet.flush()
@@ -223,15 +204,6 @@
 	}
 }
 
-// lets tells whether one more arrival is let in. It is called by clients' goroutines.
-func (c *Coordinator) lets() bool {
-	if overload.Admits(c.asked.Add(1), math.Float64frombits(c.share.Load())) {
-		return true
-	}
-	c.busied.Add(1)
-	return false
-}
-
 // broken starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
 // that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
 // forgets what it has learned; what the rules count, it keeps.
@@ -240,7 +212,7 @@
 	c.log.Printf("event=broken cause=%q", cause)
 	if k := c.arriving; k != nil {
 		c.arriving = nil
-		k.answer(plainly(http.StatusInternalServerError, "scrapped"))
+		k.Respond(server.Text(http.StatusInternalServerError, "scrapped"))
 	}
 	for _, q := range c.inOrder() {
 		for _, p := range q.parts {
@@ -260,21 +232,14 @@
 		do()
 	}
 	clear(c.parts)
-	c.list.retell()
-}
-
-// leave begins the end: clients are asked to go elsewhere, and those that still come are served.
-func (c *Coordinator) leave() {
-	c.log.Printf("event=leaving %s", c.countersLine())
-	c.leftAt.Store(int64(c.loop.Since(time.Now())))
-	c.leaving.Store(true)
-	c.front.leave(func() { c.loop.Post(func() { c.gone = true }) })
+	c.discovery.Repeat()
 }
 
 func (c *Coordinator) countersLine() string {
+	clients := c.server.Counts()
 	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
-		c.front.accepted.Load(), c.front.evicted.Load(), c.front.failed.Load(), c.busied.Load(), c.gate.Share())
-	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.list.boots.Distrusted())
+		clients.Accepted, clients.Evicted, clients.AcceptFailures, c.busied.Load(), c.gate.Share())
+	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.incarnations.Distrusted())
 	if c.peers != nil {
 		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
 	}
@@ -287,8 +252,6 @@
 	return line
 }
 
-func (c *Coordinator) over() bool { return c.gone && len(c.queries) == 0 }
-
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
 		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
@@ -319,4 +282,4 @@
 }
 
 // PollEndpoints asks discovery to tell of changes.
-func (c *Coordinator) PollEndpoints() { c.list.follow() }
+func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
