--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -30,7 +30,7 @@
 		"coordinator/endpoints.go": {"	replica := c.fleet.named(target.UID)\n	replica.state.Store", "	if target.State == wire.Draining {\n		target.State = wire.Ready\n	}\n	replica := c.fleet.named(target.UID)\n	replica.state.Store"},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"scheduler/retry.go":     {"(first < 0 || class.effect == invariant.Idempotent ||", "(true ||"},
+		"scheduler/retry.go":     {"(first == nil || class.effect == invariant.Idempotent ||", "(true ||"},
 		"invariant/invariant.go": {"	if a.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,10 +2,11 @@
 
 // Admission: which queries are rejected on arrival because they cannot be expected to meet their latency objective.
 //
-// A new query that has just been placed is expected to take the mean of its replicas' expected finish, times what the slowest of
-// so many takes. It is rejected if that is more than the time to its objective, over the class's lateness factor: a
-// factor that grows with each query that ends late and shrinks with each in time, so that about one in twenty is late.
-// A tenant above its quota gets a share of that time only. The client is told to retry after the excess.
+// A new query that has just been placed is expected to take the mean of its replicas' expected finish, times what the
+// slowest of so many takes. It is rejected if that is more than the time to its objective, over the class's lateness
+// factor: a factor that grows with each query that ends late and shrinks with each in time, so that about one in
+// twenty is late. A tenant above its quota gets a share of that time only. The client is told to retry after the
+// excess.
 //
 // Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is admitted
 // against the estimate, as a probe of it.
@@ -19,7 +20,7 @@
 const (
 	targetLateShare = 0.05 // share of queries to end after their objective
 
-	// Lateness factor. The steps are of its logarithm; one with a longer time behind it is larger, as a co-ordinator that sees few
+	// Steps of the lateness factor's logarithm. A step after a longer time is larger, as a co-ordinator that sees few
 	// queries of a class would notice a jam only once it is over.
 	minLatenessStep       = 0.1
 	latenessStepPerSecond = 0.2 // for each second since a query of the class was last judged
@@ -54,9 +55,11 @@
 	beginsToShed bool          // it is the first rejection after a quiet time
 }
 
-// decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for what silent
-// peers may have sent.
-func (a *admissionController) decide(now time.Duration, query *query, placed []*subquery, unseenLoad float64) admissionDecision {
+// decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for
+// what silent peers may have sent.
+func (a *admissionController) decide(
+	now time.Duration, query *query, placed []*subquery, unseenLoad float64,
+) admissionDecision {
 	excess, bound := a.expectedExcess(now, query, unseenLoad)
 	if excess <= 0 || a.admitAsProbe(now, query, placed, bound) {
 		return admissionDecision{}
@@ -70,9 +73,11 @@
 	}
 }
 
-// expectedExcess is by how much a query is expected to miss the bound that its objective sets to its expected time; 0 or less: it meets
-// it. It changes nothing.
-func (a *admissionController) expectedExcess(now time.Duration, query *query, unseenLoad float64) (excess, bound time.Duration) {
+// expectedExcess is by how much a query is expected to miss the bound that its objective sets to its expected time; 0
+// or less: it meets it. It changes nothing.
+func (a *admissionController) expectedExcess(
+	now time.Duration, query *query, unseenLoad float64,
+) (excess, bound time.Duration) {
 	left := query.objectiveAt - query.arrivedAt
 	fetchFactor := 0.0
 	if query.class.fetchSubqueries > 0 && query.phase == 0 {
@@ -98,9 +103,11 @@
 	return excess, bound
 }
 
-// expectedSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes. Subqueries at
-// one replica end together.
-func (a *admissionController) expectedSum(now time.Duration, query *query) (replicas []*replicaState, sum time.Duration) {
+// expectedSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes.
+// Subqueries at one replica end together.
+func (a *admissionController) expectedSum(
+	now time.Duration, query *query,
+) (replicas []*replicaState, sum time.Duration) {
 	for _, subquery := range query.subqueries {
 		replica := subquery.replica
 		if replica != nil && !slices.Contains(replicas, replica) {
@@ -115,10 +122,12 @@
 	return a.estimates.expectedFinish(now, replica, 0)
 }
 
-// admitAsProbe admits a query that would be rejected, to learn whether the replicas that speak against it are as slow as is
-// estimated, or as a replica that it could probe is long due for that. While such a query is in flight at
-// a replica no other goes; each that ends in time doubles how many may, a late one begins anew after a wait.
-func (a *admissionController) admitAsProbe(now time.Duration, query *query, placed []*subquery, bound time.Duration) bool {
+// admitAsProbe admits a query that would be rejected, to learn whether the replicas that speak against it are as slow
+// as is estimated, or as a replica that it could probe is long due for that. While such a query is in flight at a
+// replica no other goes; each that ends in time doubles how many may, a late one begins anew after a wait.
+func (a *admissionController) admitAsProbe(
+	now time.Duration, query *query, placed []*subquery, bound time.Duration,
+) bool {
 	class := query.class
 	if class.lastRejectedAt == 0 || now > class.lastRejectedAt+sheddingQuiet {
 		wait := scale(firstAdmissionProbe, a.probeIntervalFactor(query))
@@ -140,7 +149,8 @@
 	return query.admittedAsProbe
 }
 
-// probeOverdue tells whether an ejected holder of a subquery's shard has long been due for a probe, which a query brings.
+// probeOverdue tells whether an ejected holder of a subquery's shard has long been due for a probe, which a query
+// brings.
 func (a *admissionController) probeOverdue(now time.Duration, subquery *subquery) bool {
 	for _, replica := range a.replicas.holders(subquery.shard) {
 		if a.outliers.probeOverdue(now, replica, subquery.query.class) {
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -63,8 +63,8 @@
 	c.asked[int(arrived.shard)%c.cells]++
 }
 
-// UsePhases tells that a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves, the
-// first phase leaves each shard an attempt for the next.
+// UsePhases tells that a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
+// the first phase leaves each shard an attempt for the next.
 func (c *Scheduler) UsePhases(id RequestID, reserves bool) {
 	if query := c.queriesByID[id]; query != nil {
 		query.callerEndsPhases = true
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Canary attempts: large queries start with few subqueries, and a query under which replicas seem to crash goes on only
-// where it has been, until enough answers speak for it; at a second crash it ends. A query that crashes each replica that works
-// on it would else take down all holders of its shards. Inputs are connections that were reset under an attempt,
-// and answers.
+// Canary attempts: large queries start with few subqueries, and a query under which replicas seem to crash goes on
+// only where it has been, until enough answers speak for it; at a second crash it ends. A query that crashes each
+// replica that works on it would else take down all holders of its shards. Inputs are connections that were reset
+// under an attempt, and answers.
 
 import (
 	"math"
@@ -37,16 +37,16 @@
 	q.suspectedReplica = replica
 }
 
-// answeredBy takes that a replica has answered an attempt. If it is the one that seemed to crash before the attempt was sent, it
-// lives: the connection alone was lost.
+// answeredBy takes that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
+// was sent, it lives: the connection alone was lost.
 func (q *query) answeredBy(attempt *attempt) {
 	if attempt.replica == q.suspectedReplica && attempt.sentAt > q.suspectedCrashAt {
 		q.suspectedCrashes = 0
 	}
 }
 
-// waitsForCanaries tells whether the next subquery of a large query waits for an answer to those ahead of it, or for the next step. It is only of use
-// among many co-ordinators, where each sees too few crashes to be warned by them.
+// waitsForCanaries tells whether the next subquery of a large query waits for an answer to those ahead of it, or for
+// the next step. It is only of use among many co-ordinators, where each sees too few crashes to be warned by them.
 func (q *query) waitsForCanaries(now time.Duration, manyCoordinators bool) bool {
 	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
 		return false
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Concurrency limits: how many attempts may be in flight at a replica at a time. A limit grows by one with each reply in
-// about the usual time, and is halved when the replica rejects an attempt or its latency rises; below a ceiling that
-// remembers where the replica rejected attempts. Inputs are replies, rejections and the replica's recent and usual
-// latency; limits are counts of attempts.
+// Concurrency limits: how many attempts may be in flight at a replica at a time. A limit grows by one with each reply
+// in about the usual time, and is halved when the replica rejects an attempt or its latency rises; below a ceiling
+// that remembers where the replica rejected attempts. Inputs are replies, rejections and the replica's recent and
+// usual latency; limits are counts of attempts.
 
 import "time"
 
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -1,8 +1,9 @@
 package scheduler
 
-// Deadlines: until when a query is to be answered, and which final outcome it has. Each query gets exactly one: complete, an
-// incomplete answer, failed, or rejected (admission.go). It is answered as soon as the subqueries answered weigh enough;
-// shortly before its deadline, or once no answer can come any more, it is given up, with what there is if the class allows that.
+// Deadlines: until when a query is to be answered, and which final outcome it has. Each query gets exactly one:
+// complete, an incomplete answer, failed, or rejected (admission.go). It is answered as soon as the subqueries
+// answered weigh enough; shortly before its deadline, or once no answer can come any more, it is given up, with what
+// there is if the class allows that.
 
 import (
 	"math"
@@ -17,15 +18,15 @@
 	keptDeadlines     = 16   // queries; the last ones, which tell with what deadlines first tries come
 )
 
-// clientRetryDetector tells clients' retries from first tries by the time that they have left: first tries of a client
-// come with one deadline, a retry with less. A retry has lost the time that the first try took; without this, work would be
-// done for objectives that are over.
+// clientRetryDetector tells clients' retries from first tries by the time that they have left: first tries of a
+// client come with one deadline, a retry with less. A retry has lost the time that the first try took; without this,
+// work would be done for objectives that are over.
 type clientRetryDetector struct {
 	shares []float64 // of their class's deadline that the last queries came with
 }
 
-// isRetry takes the share of its class's deadline that a query has left. It is a retry if most came with more of late, and
-// it alone with this.
+// isRetry takes the share of its class's deadline that a query has left. It is a retry if most came with more of
+// late, and it alone with this.
 func (d *clientRetryDetector) isRetry(share float64) bool {
 	usual, more := false, false
 	for index, other := range d.shares {
@@ -42,8 +43,8 @@
 
 func alikeShares(a, b float64) bool { return math.Abs(a-b) < sameDeadlineShare }
 
-// setDeadlines sets the times by which a new query is to be answered. A client's retry whose objective is over already is
-// not judged by it.
+// setDeadlines sets the times by which a new query is to be answered. A client's retry whose objective is over
+// already is not judged by it.
 func (q *query) setDeadlines(left, workHint time.Duration, clientRetry bool) {
 	class := q.class
 	objective := class.objective + scale(workHint, class.objectivePerHint)
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -40,7 +40,7 @@
 		r = c.replicas.newState(now, c.oldestArrival())
 		c.replicas.byID[id], r.id, r.startedAt, r.recovering = r, id, StartUnknown, false
 		r.slowdown, r.recentLatency, r.usualLatency, r.limit = 1, 1, 1, initialLimit
-		r.retryCredit, r.limitCeiling = initialRetryCredit, maxLimit
+		r.retryTokens, r.limitCeiling = initialRetryTokens, maxLimit
 		r.utilizationAt, r.peerWork, r.fullUntil = 0, 0, 0
 		r.slowStartUsedUntil = c.coldBefore[id]
 		delete(c.coldBefore, id)
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Estimates: how long a subquery takes at a replica. Inputs are each reply's time beside the time that was expected of
-// it, and what peers tell (gossip.go). Learned are the work of a class's subqueries, how many times longer than others a
-// replica takes (slowdown) and how many subqueries replicas work on side by side. Expected times are work in front of a
-// subquery and its own, divided by the parallelism, times the slowdown.
+// Estimates: how long a subquery takes at a replica. Inputs are each reply's time beside the time that was expected
+// of it, and what peers tell (gossip.go). Learned are the work of a class's subqueries, how many times longer than
+// others a replica takes (slowdown) and how many subqueries replicas work on side by side. Expected times are work in
+// front of a subquery and its own, divided by the parallelism, times the slowdown.
 
 import (
 	"math"
@@ -134,8 +134,9 @@
 	r.usualLatency += usualLatencyFall*min(0, rise) + usualLatencyRise*max(0, min(rise, r.usualLatency))
 }
 
-// learnWork moves the class's work by a share of a reply's surprise, measured against what the work is taken for now and
-// not when the attempt was sent: else each of many replies to attempts of one time would correct the same error again.
+// learnWork moves the class's work by a share of a reply's surprise, measured against what the work is taken for now
+// and not when the attempt was sent: else each of many replies to attempts of one time would correct the same error
+// again.
 func (c *class) learnWork(surprise float64) {
 	growth := math.Exp(workStep * max(-1, min(1, surprise)))
 	work := max(float64(minWork), min(float64(c.deadline), float64(c.subqueryWork)*growth))
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -29,7 +29,7 @@
 // DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
 func (c *Scheduler) DescribeReplicas() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.estimates.parallelism, c.hedges.credit, len(c.retries.extras), len(c.retries.arrivals),
+	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.estimates.parallelism, c.hedges.tokens, len(c.retries.extras), len(c.retries.arrivals),
 		len(c.open))
 	for _, r := range c.replicas.all {
 		if r.state == Removed {
@@ -37,7 +37,7 @@
 		}
 		fmt.Fprintf(&s, "replica %d: pace %.3g cap %.0f out %d (%v) held %v aside %v credit %.1f recent %.3g usual %.3g cold %v trial in %v gap %v\n",
 			r.id, r.slowdown, r.limit, len(r.outstanding), r.outstandingWork, r.queuedWork,
-			r.ejectedForAny(), r.retryCredit, r.recentLatency, r.usualLatency, c.coldFor(r), r.nextProbeAt-c.now, r.probeInterval)
+			r.ejectedForAny(), r.retryTokens, r.recentLatency, r.usualLatency, c.coldFor(r), r.nextProbeAt-c.now, r.probeInterval)
 	}
 	return s.String()
 }
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -1,9 +1,9 @@
 package scheduler
 
 // Hedges: when a second attempt of a straggling subquery goes to another replica while the first is in flight. A
-// straggler takes several times the expected time while most of its query is answered, or hangs. Inputs are the attempt's
-// age, the time left to the objective, the retry budget and credit (retry.go), the replicas' reported utilization and the
-// credit that replies earn for hedges. The attempt in flight goes on; the first answer counts.
+// straggler takes several times the expected time while most of its query is answered, or hangs. Inputs are the
+// attempt's age, the time left to the objective, the retry budget and tokens (retry.go), the replicas' reported
+// utilization and the hedge tokens that replies earn. The attempt in flight goes on; the first answer counts.
 
 import (
 	"math"
@@ -17,15 +17,15 @@
 	hedgePatience    = 6.0  // times the expected time after which a hedge is thought of
 	hedgeRoomTimes   = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
 
-	hedgeCreditReply   = 0.3  // hedges that a reply earns, from whichever replica
-	maxHedgeCredit     = 24.0 // hedges that may be saved up
-	lastSubqueries     = 1.5  // subqueries; a hedge of a query's only missing one needs no credit
-	lastStragglerAge   = 1.5  // times the expected time at a sound replica; what these wait
-	lastShare          = 12.0 // nor does a hedge of its last twelfth: each saves eleven others
-	idleUtilization    = 0.4  // share of the replicas' cores in use up to which hedges cost nobody anything
-	busyUtilization    = 0.7  // from here a queue forms, and each hedge makes it longer
-	utilizationStep    = 0.05 // weight of a load report in the mean utilization
-	loadReportsTimeout = 5 * time.Second
+	hedgeTokensPerReply = 0.3  // hedges that a reply earns, from whichever replica
+	maxHedgeTokens      = 24.0 // hedges that may be saved up
+	lastSubqueries      = 1.5  // subqueries; a hedge of a query's only missing one needs no token
+	lastStragglerAge    = 1.5  // times the expected time at a sound replica; what these wait
+	lastShare           = 12.0 // nor does a hedge of its last twelfth: each saves eleven others
+	idleUtilization     = 0.4  // share of the replicas' cores in use up to which hedges cost nobody anything
+	busyUtilization     = 0.7  // from here a queue forms, and each hedge makes it longer
+	utilizationStep     = 0.05 // weight of a load report in the mean utilization
+	loadReportsTimeout  = 5 * time.Second
 )
 
 // hedgePolicy decides on hedges.
@@ -37,7 +37,7 @@
 	retries    *retryBudget
 	placement  *placement
 
-	credit           float64 // hedges that replies have earned
+	tokens           float64 // hedges that replies have earned
 	meanUtilization  float64 // share of the replicas' cores in use, by their reports
 	lastLoadReportAt time.Duration
 }
@@ -59,14 +59,14 @@
 	}
 }
 
-// earn credits a reply.
+// earn adds the tokens of a reply.
 func (h *hedgePolicy) earn(now time.Duration, replica *replicaState) {
-	earned := hedgeCreditReply * h.parameters.hedgeScale * h.room(now, replica)
-	h.credit = min(maxHedgeCredit*h.parameters.hedgeScale, h.credit+earned)
+	earned := hedgeTokensPerReply * h.parameters.hedgeScale * h.room(now, replica)
+	h.tokens = min(maxHedgeTokens*h.parameters.hedgeScale, h.tokens+earned)
 }
 
-// spend books a hedge.
-func (h *hedgePolicy) spend() { h.credit = max(0, h.credit-1) }
+// spend takes a token for a hedge that is sent.
+func (h *hedgePolicy) spend() { h.tokens = max(0, h.tokens-1) }
 
 // room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean of
 // all. One of many co-ordinators does not see by itself that hedges make a jam.
@@ -86,7 +86,7 @@
 	best := h.placement.cheapest(attempt.subquery, func(replica *replicaState) time.Duration {
 		return h.cost(now, attempt, replica)
 	})
-	if best == nil || attempt.subquery.query.nearlyAnswered(lastSubqueries) || h.credit*h.room(now, best) >= 1 {
+	if best == nil || attempt.subquery.query.nearlyAnswered(lastSubqueries) || h.tokens*h.room(now, best) >= 1 {
 		return best
 	}
 	return nil
@@ -102,13 +102,13 @@
 	return now-attempt.sentAt >= attempt.stragglerAge(hedgePatience) || h.outliers.hangs(now, attempt)
 }
 
-// cost is the expected time of a hedge at a replica; below 0: it must not go there, or the first attempt is better waited
-// for.
+// cost is the expected time of a hedge at a replica; below 0: it must not go there, or the first attempt is better
+// waited for.
 func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
 	const forbidden = -1
 	subquery := attempt.subquery
 	query := subquery.query
-	if subquery.triedAt(replica, true) || !h.retries.hasCredit(replica) || h.limits.atLimit(replica) ||
+	if subquery.triedAt(replica, true) || !h.retries.hasToken(replica) || h.limits.atLimit(replica) ||
 		h.retries.backsOff(now, replica, subquery, false) {
 		return forbidden
 	}
@@ -132,9 +132,9 @@
 	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShare)
 }
 
-// stragglerAge is the age from which an attempt is a straggler among its query's: so many times the time that the query's
-// other subqueries took over theirs, fewer with many subqueries. While most others are unanswered there is none, as the query
-// is heavy or the replicas are in a jam.
+// stragglerAge is the age from which an attempt is a straggler among its query's: so many times the time that the
+// query's other subqueries took over theirs, fewer with many subqueries. While most others are unanswered there is
+// none, as the query is heavy or the replicas are in a jam.
 func (a *attempt) stragglerAge(times float64) time.Duration {
 	query := a.subquery.query
 	fanout := query.fanout()
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -1,10 +1,11 @@
 package scheduler
 
-// Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound again. A
-// replica is ejected when it cannot be reached, when several attempts in a row bring no answer, when it is silent with
-// attempts in flight, or when it answers other classes only. Subqueries queued for it are placed anew. While it is ejected
-// it gets a probe now and then: a live attempt. Its next answer reinstates it, with a concurrency limit of one. Inputs are
-// the ends of attempts and the time since replies; the last usable holder of a shard is never ejected for silence.
+// Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound
+// again. A replica is ejected when it cannot be reached, when several attempts in a row bring no answer, when it is
+// silent with attempts in flight, or when it answers other classes only. Subqueries queued for it are placed anew.
+// While it is ejected it gets a probe now and then: a live attempt. Its next answer reinstates it, with a concurrency
+// limit of one. Inputs are the ends of attempts and the time since replies; the last usable holder of a shard is
+// never ejected for silence.
 
 import (
 	"fmt"
@@ -16,7 +17,7 @@
 const (
 	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
 	silentTimes        = 4.0                    // times the straggler's age too: a slow replica is not a silent one
-	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost; a heavy one lets few by
+	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost
 	errorLimit         = 3                      // attempts in a row that bring no answer
 	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
 	maxProbeInterval   = 4 * time.Second        // longest time between probes
@@ -129,8 +130,8 @@
 	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentTimes)
 }
 
-// hangs tells whether an attempt can be given up for lost: its replica is ejected for its class, or has answered several
-// later ones. Connections may fall silent, and replicas lose single attempts.
+// hangs tells whether an attempt can be given up for lost: its replica is ejected for its class, or has answered
+// several later ones. Connections may fall silent, and replicas lose single attempts.
 func (d *outlierDetector) hangs(now time.Duration, attempt *attempt) bool {
 	if attempt.replica.forClass(attempt.subquery.query.class).ejected {
 		return true
@@ -171,8 +172,8 @@
 	return r.state == Ready && !r.forClass(class).ejected
 }
 
-// mayProbe tells whether an attempt of a subquery may go as a probe. A query with less than half of its time left would end
-// before the probe's answer came.
+// mayProbe tells whether an attempt of a subquery may go as a probe. A query with less than half of its time left
+// would end before the probe's answer came.
 func (d *outlierDetector) mayProbe(now time.Duration, subquery *subquery, retries *retryBudget) bool {
 	query := subquery.query
 	tooOld := now-query.arrivedAt > (query.deadlineAt-query.arrivedAt)/2
@@ -187,8 +188,8 @@
 	return hedge || !subquery.inFlight()
 }
 
-// takeProbe gives the holder that a subquery is to probe now, and sets its next probe; nil: none is due. A subquery that can
-// go elsewhere is sent as a probe itself, in place of a copy of it, only once a probe is long overdue.
+// takeProbe gives the holder that a subquery is to probe now, and sets its next probe; nil: none is due. A subquery
+// that can go elsewhere is sent as a probe itself, in place of a copy of it, only once a probe is long overdue.
 func (d *outlierDetector) takeProbe(now time.Duration, subquery *subquery) *replicaState {
 	class := subquery.query.class
 	elsewhere := subquery.replica != nil
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Placement: which holder of its shard each subquery goes to. Each new one takes its fastest holder; then a greedy moves
-// subqueries of the query off the replica with the largest expected finish, while that lowers the largest finish. Inputs are expected
-// times (estimate.go), which replicas are in use (outlier.go) and what slow start allows.
+// Placement: which holder of its shard each subquery goes to. Each new one takes its fastest holder; then a greedy
+// moves subqueries of the query off the replica with the largest expected finish, while that lowers the largest
+// finish. Inputs are expected times (estimate.go), which replicas are in use (outlier.go) and what slow start allows.
 
 import (
 	"math"
@@ -25,8 +25,8 @@
 	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
 }
 
-// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One whose cost is
-// below 0 is out of the question. nil: there is none.
+// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One whose
+// cost is below 0 is out of the question. nil: there is none.
 func (p *placement) cheapest(subquery *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
 	least := time.Duration(math.MaxInt64)
@@ -40,8 +40,9 @@
 	return best
 }
 
-// fastest is the holder where a subquery would take the least time if nothing else were to be done. One where it had an attempt
-// already is taken only if there is no other; if its query is suspected of crashing replicas, it is the other way round.
+// fastest is the holder where a subquery would take the least time if nothing else were to be done. One where it had
+// an attempt already is taken only if there is no other; if its query is suspected of crashing replicas, it is the
+// other way round.
 func (p *placement) fastest(subquery *subquery) *replicaState {
 	return p.cheapest(subquery, func(replica *replicaState) time.Duration {
 		if subquery.triedAt(replica, false) != subquery.query.suspectedDeadly() {
@@ -74,8 +75,8 @@
 	return placed
 }
 
-// rebalance moves subqueries off the replica with the largest expected finish, each to where it lowers that most. A replica
-// off which nothing can be moved is settled; then the next is looked at.
+// rebalance moves subqueries off the replica with the largest expected finish, each to where it lowers that most. A
+// replica off which nothing can be moved is settled; then the next is looked at.
 func (p *placement) rebalance(now time.Duration, placed []*subquery) {
 	settled := map[*replicaState]bool{nil: true}
 	for range movesPerSubquery * len(placed) {
@@ -110,7 +111,9 @@
 
 // bestMove is the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at least
 // a millisecond; of equal ones, the one to the replica that is done first. nil: there is none.
-func (p *placement) bestMove(now time.Duration, placed []*subquery, from *replicaState) (moved *subquery, to *replicaState) {
+func (p *placement) bestMove(
+	now time.Duration, placed []*subquery, from *replicaState,
+) (moved *subquery, to *replicaState) {
 	least := p.estimates.expectedFinish(now, from, 0) - time.Millisecond
 	soonest := time.Duration(0)
 	var last *subquery
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -104,8 +104,8 @@
 	shadowCounted bool // shadow evaluation has counted that others would hedge it
 }
 
-// lastInFlight is the last attempt that has not ended; nil: there is none. An earlier one may be in flight while a hedge
-// of it has failed.
+// lastInFlight is the last attempt that has not ended; nil: there is none. An earlier one may be in flight while a
+// hedge of it has failed.
 func (s *subquery) lastInFlight() (last *attempt) {
 	for _, attempt := range s.attempts {
 		if !attempt.ended {
@@ -118,6 +118,16 @@
 // inFlight tells whether an attempt has not ended.
 func (s *subquery) inFlight() bool { return s.lastInFlight() != nil }
 
+// firstThatMayHaveRun is the first attempt that may have run at its replica; nil: each provably never ran.
+func (s *subquery) firstThatMayHaveRun() *attempt {
+	for _, attempt := range s.attempts {
+		if attempt.mayHaveRun || !attempt.ended {
+			return attempt
+		}
+	}
+	return nil
+}
+
 // triedAt tells whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
 func (s *subquery) triedAt(replica *replicaState, mayHaveRun bool) bool {
 	return slices.ContainsFunc(s.attempts, func(attempt *attempt) bool {
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -7,8 +7,8 @@
 	minQuotaBurst = 2.0 // queries; the least of it
 )
 
-// tenantQuotas counts what each tenant may still send within its quota. A query beyond it is not rejected for that alone:
-// admission gives it less of the time to its objective.
+// tenantQuotas counts what each tenant may still send within its quota. A query beyond it is not rejected for that
+// alone: admission gives it less of the time to its objective.
 type tenantQuotas struct {
 	rates  []float64 // queries a second, by tenant
 	tokens []float64 // queries that are left now, by tenant
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -111,7 +111,7 @@
 func TestIdleHolderWithoutCreditGetsOneFurtherLeg(t *testing.T) {
 	m := newModel(t, 0)
 	m.only(102)
-	m.index(102).retryCredit = 0
+	m.index(102).retryTokens = 0
 	q := m.ask(0, 1, 3*time.Second)
 	m.turn()
 	m.end(q.parts[0], 0, Failed)
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Release: when queued subqueries are sent, in order of their queries' arrival. Each goes once its replica has room under
-// its concurrency limit and its slow-start budget, and a further attempt once the retry budget has room. One that can no longer be
-// answered in time is abandoned.
+// Release: when queued subqueries are sent, in order of their queries' arrival. Each goes once its replica has room
+// under its concurrency limit and its slow-start budget, and a further attempt once the retry budget has room. One
+// that can no longer be answered in time is abandoned.
 
 import "time"
 
@@ -27,7 +27,8 @@
 	return round
 }
 
-// passOver notes that a subquery stays queued for its replica. A first attempt that waits keeps later ones from passing it.
+// passOver notes that a subquery stays queued for its replica. A first attempt that waits keeps later ones from
+// passing it.
 func (r *releaseRound) passOver(subquery *subquery) {
 	index := subquery.replica.index
 	if len(subquery.attempts) == 0 && !r.blocked[index] {
@@ -103,9 +104,9 @@
 	if !retry {
 		return false
 	}
-	// One without credit goes once nothing is in flight there: else nothing would ever earn any.
-	noCredit := !c.retries.hasCredit(replica) && len(replica.outstanding) > 0
-	return noCredit || c.retries.backsOff(c.now, replica, subquery, c.retries.onLastAttempt(subquery))
+	// One without a token goes once nothing is in flight there: else nothing would ever earn any.
+	noToken := !c.retries.hasToken(replica) && len(replica.outstanding) > 0
+	return noToken || c.retries.backsOff(c.now, replica, subquery, c.retries.onLastAttempt(subquery))
 }
 
 // tooLate tells whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// replicaState is all that is known of one replica. The scheduler keeps one for each replica in the endpoint list, in the
-// order in which they were first listed; the state of one that is long removed is used again for a new one.
+// replicaState is all that is known of one replica. The scheduler keeps one for each replica in the endpoint list, in
+// the order in which they were first listed; the state of one that is long removed is used again for a new one.
 type replicaState struct {
 	index int // place in Scheduler.replicas
 
@@ -41,7 +41,7 @@
 	recovering    bool          // reinstated from ejection for all classes: the limit doubles with each reply
 
 	// Retries.
-	retryCredit float64       // retries and hedges that it has earned
+	retryTokens float64       // retries and hedges that it has earned
 	lastErrorAt time.Duration // when an attempt last ended there without an answer
 
 	// Outlier ejection.
@@ -104,10 +104,10 @@
 	}
 }
 
-// newState gives a state for a replica that is listed for the first time. Its load and its times are zero or outdated;
-// the caller sets the others. It is the state of a replica that was removed before the oldest open query arrived, if there is
-// one, as nothing can refer to that any more: a long-lived co-ordinator does not hold a state for each
-// replica that was ever listed.
+// newState gives a state for a replica that is listed for the first time. Its load and its times are zero or
+// outdated; the caller sets the others. It is the state of a replica that was removed before the oldest open query
+// arrived, if there is one, as nothing can refer to that any more: a long-lived co-ordinator does not hold a state
+// for each replica that was ever listed.
 func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
 	for _, replica := range s.all {
 		unused := replica.state == Removed && len(replica.outstanding) == 0 && now-replica.lastListedAt > maxProbeInterval
@@ -121,8 +121,8 @@
 	return replica
 }
 
-// holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result holds
-// until listChanged.
+// holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result
+// holds until listChanged.
 func (s *replicaSet) holders(shard ShardNumber) []*replicaState {
 	cell := int(shard) % s.cells
 	if s.holdersByCell[cell] == nil {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,21 +1,21 @@
 package scheduler
 
-// Retries: whether a subquery may be sent again, and within which budgets. A further attempt of an idempotent subquery
-// may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no earlier attempt can have
-// run. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment (a share of the
-// subqueries that came within a span of time) and by the credit that each replica earns with its replies.
+// Retries: whether a subquery may be sent again, and within which budgets. A further attempt of an idempotent
+// subquery may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no earlier
+// attempt can have run. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment
+// (a share of the subqueries that came within a span of time) and by the tokens that each replica earns with its
+// replies.
 
 import (
-	"slices"
 	"time"
 
 	"terntray/invariant"
 )
 
 const (
-	initialRetryCredit = 4.0  // further attempts that a replica may be sent before it has answered any
-	retryCreditReply   = 0.25 // further attempts that a reply earns
-	maxRetryCredit     = 10.0 // further attempts; bounds a rush of them when many attempts fail at once
+	initialRetryTokens  = 4.0  // further attempts that a replica may be sent before it has answered any
+	retryTokensPerReply = 0.25 // further attempts that a reply earns
+	maxRetryTokens      = 10.0 // further attempts; bounds a rush of them when many attempts fail at once
 
 	errorBackoff = 200 * time.Millisecond // from an attempt that failed at a replica to a further attempt there
 )
@@ -37,13 +37,13 @@
 		b.extras = append(b.extras, now)
 	}
 	if further {
-		replica.retryCredit--
+		replica.retryTokens--
 	}
 }
 
-// earn credits a replica for a reply.
+// earn adds the tokens of a reply to its replica.
 func (b *retryBudget) earn(replica *replicaState) {
-	replica.retryCredit = min(maxRetryCredit, replica.retryCredit+retryCreditReply)
+	replica.retryTokens = min(maxRetryTokens, replica.retryTokens+retryTokensPerReply)
 }
 
 // expire forgets what is older than the budget's span.
@@ -62,11 +62,13 @@
 // allowsRepeat tells whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
 // of attempts that are allowed.
 func (b *retryBudget) allowsRepeat(now time.Duration, subquery *subquery) bool {
-	first := slices.IndexFunc(subquery.attempts, func(attempt *attempt) bool { return attempt.mayHaveRun || !attempt.ended })
+	if len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts {
+		return false
+	}
 	class := subquery.query.class
-	return len(subquery.attempts)+subquery.attemptsUsed < b.parameters.maxAttempts &&
-		(first < 0 || class.effect == invariant.Idempotent ||
-			class.effect == invariant.Keyed && now < subquery.attempts[first].sentAt+class.keyWindow)
+	first := subquery.firstThatMayHaveRun()
+	return (first == nil || class.effect == invariant.Idempotent ||
+		class.effect == invariant.Keyed && now < first.sentAt+class.keyWindow)
 }
 
 // onLastAttempt tells whether no more than one attempt of the subquery is left.
@@ -74,8 +76,9 @@
 	return len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts-1
 }
 
-// backsOff tells whether a further attempt at a replica waits, as the last one there failed a short while ago. The last
-// attempt of a subquery waits until the replica has answered: else all attempts are gone at once where all holders fail.
+// backsOff tells whether a further attempt at a replica waits, as the last one there failed a short while ago. The
+// last attempt of a subquery waits until the replica has answered: else all attempts are gone at once where all
+// holders fail.
 func (b *retryBudget) backsOff(now time.Duration, replica *replicaState, subquery *subquery, last bool) bool {
 	if replica.forClass(subquery.query.class).consecutiveErrors == 0 {
 		return false
@@ -83,11 +86,12 @@
 	return last || now-replica.lastErrorAt < scale(errorBackoff, b.parameters.timeScale)
 }
 
-// hasCredit tells whether a replica has earned a further attempt.
-func (b *retryBudget) hasCredit(replica *replicaState) bool { return replica.retryCredit >= 1 }
+// hasToken tells whether a replica has earned a further attempt.
+func (b *retryBudget) hasToken(replica *replicaState) bool { return replica.retryTokens >= 1 }
 
-// attemptTimeout is the time after which an attempt is to end by itself so that a retry can follow, where no hedge may go
-// beside it; 0: when the client gives up. unseenLoad multiplies expected times, for what silent peers may have sent.
+// attemptTimeout is the time after which an attempt is to end by itself so that a retry can follow, where no hedge
+// may go beside it; 0: when the client gives up. unseenLoad multiplies expected times, for what silent peers may have
+// sent.
 func (b *retryBudget) attemptTimeout(attempt *attempt, unseenLoad float64) time.Duration {
 	subquery := attempt.subquery
 	if b.parameters.hedgeAllowed || b.onLastAttempt(subquery) || subquery.query.class.effect == invariant.NonIdempotent {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,8 +19,8 @@
 )
 
 // Scheduler makes the decisions of one co-ordinator. It does no I/O, reads no clock and starts no goroutine: the same
-// events at the same times give the same decisions. Its methods are to be called from one goroutine, with times that do not
-// go back.
+// events at the same times give the same decisions. Its methods are to be called from one goroutine, with times that
+// do not go back.
 type Scheduler struct {
 	parameters
 	host   Host
@@ -89,14 +89,14 @@
 	}
 	c.estimates.parallelism = initialParallelism
 	c.estimates.typicalSize = 1
-	c.hedges.credit = maxHedgeCredit * c.hedgeScale
+	c.hedges.tokens = maxHedgeTokens * c.hedgeScale
 	c.quotas = newTenantQuotas(c.tenantQuotas)
 	c.connectPolicies()
 	return c, nil
 }
 
-// connectPolicies hands each policy what it asks: the parameters and other policies of this Scheduler. A copy of a Scheduler has
-// to be connected again.
+// connectPolicies hands each policy what it asks: the parameters and other policies of this Scheduler. A copy of a
+// Scheduler has to be connected again.
 func (c *Scheduler) connectPolicies() {
 	parameters := &c.parameters
 	c.estimates.parameters = parameters
@@ -128,8 +128,8 @@
 	c.admission.outliers = &c.outliers
 }
 
-// Decide decides, once all events of this time are told. All queries are looked at in each iteration while few are open,
-// else at each tick; between ticks those for which something came in.
+// Decide decides, once all events of this time are told. All queries are looked at in each iteration while few are
+// open, else at each tick; between ticks those for which something came in.
 func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
 	c.follow()
@@ -222,8 +222,8 @@
 	}
 }
 
-// clock takes the time, and for how long this co-ordinator stood still: a wakeup that it asked for is late. Without that a
-// pause of its own would look like slow replicas.
+// clock takes the time, and for how long this co-ordinator stood still: a wakeup that it asked for is late. Without
+// that a pause of its own would look like slow replicas.
 func (c *Scheduler) clock(now time.Duration) {
 	if now > c.now {
 		c.now = now
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -359,14 +359,14 @@
 func TestOnlyMissingPartIsCopiedWithoutEarning(t *testing.T) {
 	for missing, want := range map[int]int{1: 2, 2: 1} {
 		m := newModel(t, 0)
-		m.c.hedges.credit = 0
+		m.c.hedges.tokens = 0
 		q := m.ask(0, 8, 3*time.Second)
 		m.turn()
 		m.pass(50 * ms)
 		for _, p := range q.parts[missing:] {
 			m.end(p, 0, Succeeded)
 		}
-		m.c.hedges.credit = 0
+		m.c.hedges.tokens = 0
 		m.turn()
 		if m.pass(800 * ms); len(q.parts[0].attempts) != want {
 			t.Errorf("%d legs with %d parts missing, want %d", len(q.parts[0].attempts), missing, want)
