--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -60,7 +60,7 @@
 	}
 	query.subqueries = append(query.subqueries, arrived)
 	c.subqueries[arrived.id] = arrived
-	c.asked[int(arrived.shard)%c.cells]++
+	c.slowStart.subqueryArrived(arrived.shard)
 }
 
 // UsePhases tells that a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -94,7 +94,7 @@
 
 // mustWait tells whether a queued subquery cannot be sent to its replica now.
 func (c *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
-	if c.limits.full(c.now, replica) || !c.coldRoom(replica, subquery) {
+	if c.limits.full(c.now, replica) || !c.slowStartAdmits(replica, subquery) {
 		return true
 	}
 	retry := len(subquery.attempts) > 0
@@ -162,7 +162,7 @@
 	replica.outstanding = append(replica.outstanding, started)
 	replica.outstandingWork += subquery.work
 	c.retries.sent(c.now, subquery, replica)
-	c.countSent(replica, subquery.work)
+	c.slowStart.attemptStarted(replica, subquery.work, c.estimates.parallelism, c.now)
 	timeout := c.retries.attemptTimeout(started, c.unseenLoad())
 	c.host.StartAttempt(subquery.id, replica.id, timeout)
 	c.look(func(as *Scheduler) { c.watched.attempt(timeout, as.retries.attemptTimeout(started, as.unseenLoad())) })
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -41,7 +41,7 @@
 func (c *Scheduler) attemptSucceeded(ended *attempt, took time.Duration) {
 	replica, subquery := ended.replica, ended.subquery
 	query := subquery.query
-	c.countAnswered(replica)
+	c.slowStart.answered(replica, c.now)
 	c.outliers.replied(c.now, ended)
 	c.retries.earn(replica)
 	c.limits.raiseCeiling(replica)
@@ -51,7 +51,7 @@
 		took:      took,
 		paused:    c.stalled,
 		readDelay: c.readDelay,
-		warmingUp: c.coldFor(replica),
+		warmingUp: c.slowStart.warmingUp(replica, c.now),
 	})
 	if replica.forClass(query.class).ejected {
 		c.outliers.reinstate(replica, query.class)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -44,6 +44,7 @@
 	quotas        tenantQuotas
 	clientRetries clientRetryDetector
 	placement     placement
+	slowStart     slowStart
 	gossip        gossip
 
 	// Time.
@@ -58,13 +59,6 @@
 	askAt      time.Duration
 	askWait    time.Duration
 
-	// Slow start.
-	flow       float64                     // replies of warm replicas of late
-	warm       float64                     // warm replicas
-	blank      float64                     // share of that time before the start
-	asked      []float64                   // subqueries of late, by cell
-	coldBefore map[ReplicaID]time.Duration // slowStartUsedUntil of replicas not listed yet, from an earlier Scheduler
-
 	watched *watcher // shadow evaluation; nil: off
 }
 
@@ -84,8 +78,7 @@
 		subqueries:      map[RequestID]*subquery{},
 		wakeupAt:        math.MaxInt64,
 		askWait:         askFirst,
-		blank:           1,
-		asked:           make([]float64, config.Cells),
+		slowStart:       newSlowStart(&config),
 	}
 	c.estimates.parallelism = initialParallelism
 	c.estimates.typicalSize = 1
@@ -107,14 +100,14 @@
 		replicas:   &c.replicas,
 		classes:    len(c.classes),
 		limits:     &c.limits,
-		hasRoom:    c.coldRoom,
+		hasRoom:    c.slowStartAdmits,
 		log:        c.host.Log,
 	}
 	c.placement = placement{
 		parameters: parameters,
 		replicas:   &c.replicas,
 		estimates:  &c.estimates,
-		hasRoom:    c.coldRoom,
+		hasRoom:    c.slowStartAdmits,
 	}
 	c.hedges.parameters = parameters
 	c.hedges.estimates = &c.estimates
@@ -167,9 +160,12 @@
 	for index := range c.classes {
 		c.classes[index].fadeLatenessFactor(seconds)
 	}
-	c.fadeSlowStart(seconds)
+	c.slowStart.fade(seconds)
 	c.hedges.forgetLoad(c.now)
 	for _, replica := range c.replicas.all {
+		if replica.state == Ready {
+			c.slowStart.readyReplica(replica, c.now)
+		}
 		c.outliers.detect(c.now, replica)
 		c.outliers.releaseLost(c.now, replica)
 		replica.fadeSlowdown(seconds)
