--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -126,22 +126,22 @@
 	replica.slowdown = 1
 	replica.recentLatency = 1
 	replica.usualLatency = 1
-	replica.limit = startCap
-	replica.limitCeiling = maxCap
-	replica.retryCredit = startCredit
+	replica.limit = initialLimit
+	replica.limitCeiling = maxLimit
+	replica.retryTokens = initialRetryTokens
 	replica.utilizationAt = 0
 	replica.peerWork = 0
 	replica.fullUntil = 0
 	c.slowStart.listed(replica)
-	replica.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+	c.outliers.forget(replica)
 	return replica
 }
 
 // replicaStarted forgets what held for an earlier incarnation of a replica.
 func (c *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
 	replica.startedAt = startedAt
-	replica.limit = startCap
-	replica.reinstateAll(len(c.classes), scale(firstProbeInterval, c.timeScale))
+	replica.limit = initialLimit
+	c.outliers.forget(replica)
 	if c.slowStart.warmingUp(replica, c.now) {
 		replica.slowdown = 1 / math.Sqrt(c.slowStart.capacity(replica, c.now))
 		replica.usualLatency = 1
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -17,8 +17,8 @@
 // Ledger is a copy of what has been counted so far.
 func (c *Scheduler) Ledger() Ledger {
 	return Ledger{
-		arrivals:  slices.Clone(c.taken),
-		retries:   slices.Clone(c.extras),
+		arrivals:  slices.Clone(c.retries.arrivals),
+		retries:   slices.Clone(c.retries.extras),
 		slowStart: c.slowStart.snapshot(c.replicas.byID),
 	}
 }
@@ -26,7 +26,7 @@
 // Resume has a Scheduler that was just made go on with another's ledger, of the same configuration and process. It is
 // called before any event.
 func (c *Scheduler) Resume(ledger Ledger) {
-	c.taken = ledger.arrivals
-	c.extras = ledger.retries
+	c.retries.arrivals = ledger.arrivals
+	c.retries.extras = ledger.retries
 	c.slowStart.resume(ledger.slowStart)
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "errors"
+import (
+	"errors"
+	"time"
+)
 
 // Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
 // nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
@@ -64,16 +67,18 @@
 	if other.gossipEnabled {
 		other.gossip.heardAt = decides.now // as if peers told what they send
 	}
+	other.connectPolicies()
 	return &other
 }
 
 // shadowAttempt compares the time-out of an attempt that was just started.
-func (c *Scheduler) shadowAttempt(started *attempt) {
+func (c *Scheduler) shadowAttempt(started *attempt, timeout time.Duration) {
 	if c.shadow == nil {
 		return
 	}
 	c.shadow.counts.Attempts++
-	if c.attemptTimeout(started) != c.shadow.scheduler(c).attemptTimeout(started) {
+	other := c.shadow.scheduler(c)
+	if timeout != other.retries.attemptTimeout(started, other.unseenLoad()) {
 		c.shadow.counts.WouldTimeOutOtherwise++
 	}
 }
@@ -84,11 +89,12 @@
 	if c.shadow == nil {
 		return
 	}
-	other := c.shadow.scheduler(c).hedgeTarget(straggler.subquery.query, straggler.subquery, straggler)
+	other := c.shadow.scheduler(c)
+	otherTarget := other.hedges.target(other.now, straggler)
 	switch {
-	case target != nil && other == nil:
+	case target != nil && otherTarget == nil:
 		c.shadow.counts.WouldNotHedge++
-	case target == nil && other != nil && !straggler.shadowCounted:
+	case target == nil && otherTarget != nil && !straggler.shadowCounted:
 		straggler.shadowCounted = true
 		c.shadow.counts.WouldHedge++
 	}
@@ -103,8 +109,8 @@
 	counts := &c.shadow.counts
 	counts.Queries++
 	counts.Subqueries += len(placed)
-	excess, _ := c.expectedExcess(q)
-	otherExcess, _ := other.expectedExcess(c.shadow.query(q))
+	excess, _ := c.admission.expectedExcess(c.now, q, c.unseenLoad())
+	otherExcess, _ := other.admission.expectedExcess(other.now, c.shadow.query(q), other.unseenLoad())
 	switch {
 	case excess <= 0 && otherExcess > 0:
 		counts.WouldReject++
@@ -112,7 +118,7 @@
 		counts.WouldAdmit++
 	}
 	for _, p := range placed {
-		if c.fastest(p) != other.fastest(p) {
+		if c.placement.fastest(p) != other.placement.fastest(p) {
 			counts.WouldPlaceElsewhere++
 		}
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -198,5 +198,5 @@
 // slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any may
 // at some time.
 func (c *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
-	return p == nil || c.slowStart.admits(replica, p, c.parallelism, c.now, &c.random)
+	return p == nil || c.slowStart.admits(replica, p, c.estimates.parallelism, c.now, &c.random)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -46,7 +46,7 @@
 		member.EndpointListBegins(0, true, false)
 		member.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
 		member.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: crowdStart, Size: 1})
-		member.parallelism = crowdParallelism
+		member.estimates.parallelism = crowdParallelism
 		member.slowStart.warmReplicas = 1
 		crowd.warm, crowd.starting = member.replicas.byID[1], member.replicas.byID[2]
 		crowd.members = append(crowd.members, member)
@@ -72,10 +72,10 @@
 	if now < crowdStart || !member.slowStartAdmits(crowd.starting, arrived) {
 		crowd.freeAt = max(crowd.freeAt, now) + scale(crowdWork, 1/crowdParallelism)
 		crowd.answers = append(crowd.answers, warmAnswer{member, crowd.freeAt})
-		member.slowStart.attemptStarted(crowd.warm, arrived.work, member.parallelism, now)
+		member.slowStart.attemptStarted(crowd.warm, arrived.work, member.estimates.parallelism, now)
 		return
 	}
-	member.slowStart.attemptStarted(crowd.starting, arrived.work, member.parallelism, now)
+	member.slowStart.attemptStarted(crowd.starting, arrived.work, member.estimates.parallelism, now)
 	crowd.sent = append(crowd.sent, now)
 }
 
