--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -13,8 +13,8 @@
 	apply(to *instance, now time.Duration)
 }
 
-// decoders are the events that an instance with a scheduler takes. Each reads its fields in the order of the wire; the
-// event is void if the fields have a fault.
+// decoders are the events that an instance with a scheduler takes. Each reads its fields in the order of the wire;
+// the event is void if the fields have a fault.
 var decoders = map[string]func(*server, *fields) event{
 	endpointsChanged: (*server).decodeEndpointsChanged,
 	arrival:          decodeArrival,
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -2,8 +2,8 @@
 
 import "terntray/scheduler"
 
-// The simulator has names of its own theme for its messages and values. They stand here, beside the terms that the rest of
-// the program uses; names of fields stand in the decoders, where errors need them.
+// The simulator has names of its own theme for its messages and values. They stand here, beside the terms that the
+// rest of the program uses; names of fields stand in the decoders, where errors need them.
 
 // Messages from the simulator.
 const (
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,9 @@
 // Package simwire runs Schedulers in the simulator: it decodes each line of the simulator's wire into an event of a
 // Scheduler, and encodes what the Scheduler asks of its Host. It decides nothing.
 //
-// A line is a message: its name and its fields with tabs between them. Messages come in batches of one moment of the
-// simulation's clock. In a batch some go to instances, each one co-ordinator; when the batch ends, each instance that was
-// selected in it decides, and one reply has what all of them ask for.
+// A line is a message: its name and its fields with tabs between them. Messages come in batches of one moment of
+// the simulation's clock. In a batch some go to instances, each one co-ordinator; when the batch ends, each
+// instance that was selected in it decides, and one reply has what all of them ask for.
 package simwire
 
 import (
@@ -27,8 +27,8 @@
 	selected  *instance   // nil: none yet in this batch
 }
 
-// Serve answers batches until the input ends. It returns nil if that happens between batches, an *InputError for input that
-// cannot be read, and otherwise the error of reading or writing.
+// Serve answers batches until the input ends. It returns nil if that happens between batches, an *InputError for
+// input that cannot be read, and otherwise the error of reading or writing.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		in:        bufio.NewReaderSize(in, bufferSize),
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -7,8 +7,9 @@
 	"terntray/invariant"
 )
 
-// Config is what the deployment's settings tell a Scheduler. It does not change while the Scheduler lives. ParseConfig
-// reads it from the settings' keys; whoever builds one in code calls Validate. New takes valid ones only.
+// Config is what the deployment's settings tell a Scheduler. It does not change while the Scheduler lives.
+// ParseConfig reads it from the settings' keys; whoever builds one in code calls Validate. New takes valid ones
+// only.
 type Config struct {
 	// Coordinators is the number of co-ordinators that serve the same replicas, this one included. At least 1.
 	Coordinators int
@@ -62,7 +63,8 @@
 	// RetryBudget limits retries and hedged attempts; nil: nothing limits them but MaxAttempts.
 	RetryBudget *RetryBudgetConfig
 
-	// CrossZonePrice is what an attempt in another zone costs, as a share of the shortest latency objective. At least 0.
+	// CrossZonePrice is what an attempt in another zone costs, as a share of the shortest latency objective. At
+	// least 0.
 	CrossZonePrice float64
 
 	// WastePrice is what work costs whose answer nobody uses, as a share of a query's value. At least 0.
@@ -143,6 +145,7 @@
 	Wanted string // what would do
 }
 
+// Error names the key, what was found and what is wanted.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s: found %s, wanted %s", e.Key, e.Found, e.Wanted)
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when the
-// list is polled.
+// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides
+// when the list is polled.
 
 const (
 	// firstPollBackoff is the mean time from a failed poll to the next; it doubles with each failure in a row.
 	firstPollBackoff = 500 * time.Millisecond
 
-	// maxPollBackoff bounds that time. With its random half on top and a poll that hangs for two seconds, a change of the
-	// list is known within six seconds after discovery is back.
+	// maxPollBackoff bounds that time. With its random half on top and a poll that hangs for two seconds, a change
+	// of the list is known within six seconds after discovery is back.
 	maxPollBackoff = 2 * time.Second
 
 	// pollTimeout is the time after which a poll that has no answer counts as lost.
 	pollTimeout = 8 * time.Second
 )
 
-// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is followed by
-// all changes until a failure is reported.
+// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is
+// followed by all changes until a failure is reported.
 //
-// It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown, and
-// attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just back,
-// so they wait longer with each failure, and by chance.
+// It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown,
+// and attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is
+// just back, so they wait longer with each failure, and by chance.
 type endpointPoller struct {
 	mustPoll     bool          // changes come only after a poll
 	pollInterval time.Duration // longest time between two polls; math.MaxInt64: no limit
@@ -51,8 +51,8 @@
 	p.backoff = firstPollBackoff
 }
 
-// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads the
-// polls of many co-ordinators.
+// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads
+// the polls of many co-ordinators.
 func (p *endpointPoller) failed(now time.Duration, chance float64) {
 	p.following = false
 	p.nextPollAt = now + scale(p.backoff, 0.5+chance)
@@ -82,9 +82,9 @@
 	c.wakeBy(c.poller.nextPollAt)
 }
 
-// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in it
-// are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this Scheduler was
-// made; it is no news of discovery.
+// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not
+// in it are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this
+// Scheduler was made; it is no news of discovery.
 func (c *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
 	c.clock(now)
 	c.replicas.listChanged()
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -6,38 +6,49 @@
 	"time"
 )
 
-// What a co-ordinator believes, for those who watch it. Nothing here chooses anything.
-
-// ClassEstimate is what is believed of one track.
+// ClassEstimate is what the Scheduler expects of the queries of one class, for people and tests.
 type ClassEstimate struct {
-	SubqueryWork   time.Duration // of a part
-	WorkPerHint    float64       // work for each unit of hint
-	LatenessFactor float64       // times the expected time that its queries may take
-	ProbeLimit     float64       // let in against the belief at a time
+	SubqueryWork   time.Duration // of a subquery without a hint
+	WorkPerHint    float64       // work for each unit of a hint
+	LatenessFactor float64       // by which admission takes queries to be later than estimated; at least 1
+	ProbeLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a probe
 }
 
-// ClassEstimates tells what is believed of each track, in the order of the settings.
+// ClassEstimates are the present estimates, by class index.
 func (c *Scheduler) ClassEstimates() []ClassEstimate {
-	var all []ClassEstimate
-	for n := range c.classes {
-		t := &c.classes[n]
-		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.latenessFactor, ProbeLimit: t.probeLimit})
+	var estimates []ClassEstimate
+	for index := range c.classes {
+		class := &c.classes[index]
+		estimates = append(estimates, ClassEstimate{
+			SubqueryWork:   class.subqueryWork,
+			WorkPerHint:    class.workPerHint,
+			LatenessFactor: class.latenessFactor,
+			ProbeLimit:     class.probeLimit,
+		})
 	}
-	return all
+	return estimates
 }
 
-// DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
+// DescribeReplicas tells what the Scheduler knows of the replicas, for a person to read: a line of what concerns
+// all, then a line for each replica that is not removed. The words in it are those of the page that shows it, which
+// operators know.
 func (c *Scheduler) DescribeReplicas() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", c.estimates.parallelism, c.hedges.tokens, len(c.retries.extras), len(c.retries.arrivals),
-		len(c.open))
-	for _, r := range c.replicas.all {
-		if r.state == Removed {
-			continue
+	var text strings.Builder
+	fmt.Fprintf(&text, "lanes %.2f copies %.1f extras %d taken %d open %d\n",
+		c.estimates.parallelism, c.hedges.tokens, len(c.retries.extras), len(c.retries.arrivals), len(c.open))
+	for _, replica := range c.replicas.all {
+		if replica.state != Removed {
+			c.describeReplica(&text, replica)
 		}
-		fmt.Fprintf(&s, "replica %d: pace %.3g cap %.0f out %d (%v) held %v aside %v credit %.1f recent %.3g usual %.3g cold %v trial in %v gap %v\n",
-			r.id, r.slowdown, r.limit, len(r.outstanding), r.outstandingWork, r.queuedWork,
-			r.ejectedForAny(), r.retryTokens, r.recentLatency, r.usualLatency, c.slowStart.warmingUp(r, c.now), r.nextProbeAt-c.now, r.probeInterval)
 	}
-	return s.String()
+	return text.String()
+}
+
+func (c *Scheduler) describeReplica(text *strings.Builder, replica *replicaState) {
+	fmt.Fprintf(text, "replica %d: pace %.3g cap %.0f", replica.id, replica.slowdown, replica.limit)
+	fmt.Fprintf(text, " out %d (%v) held %v", len(replica.outstanding), replica.outstandingWork, replica.queuedWork)
+	fmt.Fprintf(text, " aside %v credit %.1f", replica.ejectedForAny(), replica.retryTokens)
+	fmt.Fprintf(text, " recent %.3g usual %.3g", replica.recentLatency, replica.usualLatency)
+	fmt.Fprintf(text, " cold %v", c.slowStart.warmingUp(replica, c.now))
+	fmt.Fprintf(text, " trial in %v gap %v\n", replica.nextProbeAt-c.now, replica.probeInterval)
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -1,6 +1,22 @@
 package scheduler
 
-import "time"
+import (
+	"math"
+	"time"
+)
+
+// Ids, each of its own type. They tell nothing but which one is meant.
+type (
+	RequestID     uint32 // a query or one of its subqueries
+	ReplicaID     uint32
+	QueryNumber   int64 // what a query and its subqueries have in common
+	AttemptNumber int   // of a subquery, from 0
+	ClassIndex    int   // in Config.Classes
+	TenantIndex   int   // in Config.TenantQuotas
+	ShardNumber   int
+	CellNumber    int
+	ZoneIndex     int
+)
 
 // QueryArrival is a client's query, or a client's retry of one, as it reaches the scheduler.
 type QueryArrival struct {
@@ -30,6 +46,22 @@
 	Took     time.Duration // from its start to its end, or to when its reply was read
 }
 
+// Outcome is how an attempt ended.
+type Outcome int
+
+// The outcomes. Overloaded, Unreachable and NeverSent prove that the attempt never ran.
+const (
+	Succeeded       Outcome = iota
+	Failed                  // the replica answered with an error
+	Overloaded              // the replica rejected it
+	TimedOut                // its timeout passed
+	Unreachable             // no connection to the replica could be opened
+	ConnectionReset         // the connection ended before the reply was complete
+	Cancelled               // as the Scheduler wanted
+	NeverSent               // it was cancelled or withheld before anything of it was written
+	MalformedReply          // what came for it cannot be used; the replica lives
+)
+
 // Endpoint is a replica as an endpoint list names it.
 type Endpoint struct {
 	ID      ReplicaID
@@ -39,3 +71,16 @@
 	Zone    ZoneIndex
 	Size    float64 // relative to the other replicas; 0: not told, counts as 1
 }
+
+// EndpointState is what the endpoint list says of a replica.
+type EndpointState int
+
+// The states.
+const (
+	Ready    EndpointState = iota
+	Draining               // takes no further attempts
+	Removed
+)
+
+// StartUnknown is the start of a replica of which no start is known.
+const StartUnknown = time.Duration(math.MinInt64 / 4)
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
-// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
-// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
-// doubled or late: what they tell fades with time. gossip_message.go has their form.
+// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees
+// by itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each
+// replica's peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may
+// be lost, doubled or late: what they tell fades with time. gossip_message.go has their form.
 
 const (
 	// peerTimeout is the time without any message after which the others count as silent.
@@ -18,8 +18,8 @@
 	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
 	lateAttempt = 2.0
 
-	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that were
-	// sent are told at once, as others may be about to choose the same replica.
+	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
+	// were sent are told at once, as others may be about to choose the same replica.
 	gossipDelay = 100 * time.Millisecond
 )
 
@@ -45,9 +45,9 @@
 	sent.tenants = append(sent.tenants, tenant)
 }
 
-// attemptEnded notes the end of an attempt that took so many times the expected time. A late one is told as late unless
-// this co-ordinator was late itself in reading the answer. A cancelled attempt is told only if it was late, as the
-// replica may go on with it.
+// attemptEnded notes the end of an attempt that took so many times the expected time. A late one is told as late
+// unless this co-ordinator was late itself in reading the answer. A cancelled attempt is told only if it was late,
+// as the replica may go on with it.
 func (g *gossip) attemptEnded(now time.Duration, ended *attempt, lateness float64, readLate, cancelled bool) {
 	cell := ended.replica.cell
 	switch {
@@ -121,8 +121,8 @@
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
-// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the message
-// of an attempt's end may be lost.
+// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the
+// message of an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
 	return scale(r.peerWork, math.Exp(-float64(age)/float64(reportFresh)))
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -62,6 +62,7 @@
 	Wanted string
 }
 
+// Error names the field, what was found and what is wanted.
 func (e *GossipError) Error() string {
 	return fmt.Sprintf("gossip message: %s: found %d, wanted %s", e.Field, e.Found, e.Wanted)
 }
@@ -88,7 +89,8 @@
 // decodeGossip reads a message whole or not at all. The error is a *GossipError.
 func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
 	if len(message) <= gossipHeader || len(message) > maxGossip {
-		return nil, &GossipError{"length", len(message), fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)}
+		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)
+		return nil, &GossipError{"length", len(message), wanted}
 	}
 	if message[0] != gossipMagic {
 		return nil, &GossipError{"first byte", int(message[0]), fmt.Sprint(gossipMagic)}
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -1,62 +1,37 @@
-// Package scheduler holds the decisions of a terntray co-ordinator: one file for each policy (placement, admission, retry and so on), this file
-// names the ids and the interface through which they act.
 package scheduler
 
-import (
-	"math"
-	"time"
-)
-
-// Ids, each of its own type. None of them tells anything but which one is meant.
-type (
-	RequestID     uint32 // a query or one of its parts
-	ReplicaID     uint32
-	QueryNumber   int64 // what a query and its parts have in common
-	AttemptNumber int   // counts the attempts of a part from 0
-	ClassIndex    int
-	TenantIndex   int
-	ShardNumber   int
-	CellNumber    int
-	ZoneIndex     int
-)
-
-// Outcome is how an attempt or a probe ended.
-type Outcome int
-
-// Turned away, unreachable and moot prove that an attempt never ran.
-const (
-	Succeeded Outcome = iota
-	Failed
-	Overloaded
-	TimedOut
-	Unreachable
-	ConnectionReset
-	Cancelled
-	NeverSent
-	MalformedReply // what came for it cannot be used; the replica lives
-)
-
-// EndpointState is what the list says of a replica.
-type EndpointState int
-
-const (
-	Ready EndpointState = iota
-	Draining
-	Removed
-)
-
-// StartUnknown is the start of a replica of which no start is known.
-const StartUnknown = time.Duration(math.MinInt64 / 4)
-
-// Host carries out what a Coordinator decides, at once and in the order of the calls.
+import "time"
+
+// Host carries out what a Scheduler decides, at once and in the order of the calls. It calls no method of the
+// Scheduler while one of its own runs.
 type Host interface {
-	StartAttempt(part RequestID, to ReplicaID, timeout time.Duration) // 0: until the client gives up
-	CancelAttempt(part RequestID, attempt AttemptNumber)
-	Complete(query RequestID, whole bool)
-	Reject(query RequestID, comeBack time.Duration) // 0: no time named
+	// StartAttempt sends a subquery to a replica. Attempts of a subquery count from 0 in the order of these calls.
+	// The attempt ends as TimedOut after the timeout; 0: it has none but the client's deadline.
+	StartAttempt(subquery RequestID, replica ReplicaID, timeout time.Duration)
+
+	// CancelAttempt says that an attempt's answer is of no use any more. Its end is told all the same.
+	CancelAttempt(subquery RequestID, attempt AttemptNumber)
+
+	// Complete answers a query with what its subqueries brought; complete is false if less than the class demands
+	// did.
+	Complete(query RequestID, complete bool)
+
+	// Reject answers that the query is not served now, and after which time to come again; 0: none is named.
+	Reject(query RequestID, retryAfter time.Duration)
+
+	// Fail answers that the query could not be served.
 	Fail(query RequestID)
+
+	// ScheduleWakeup asks for a call of Wakeup with this name after a time.
 	ScheduleWakeup(name string, in time.Duration)
+
+	// PollEndpoints asks discovery for the endpoint list and its changes. EndpointListBegins or EndpointPollFailed
+	// follows.
 	PollEndpoints()
-	Broadcast(message []byte) // to every other co-ordinator; it may be lost
+
+	// Broadcast sends a message to every other co-ordinator. It may be lost.
+	Broadcast(message []byte)
+
+	// Log writes a line for people.
 	Log(text string)
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -6,11 +6,13 @@
 )
 
 // Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
-// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
-// configuration, and only the difference is counted. What would follow from a different decision is not played out.
+// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the
+// other configuration, and only the difference is counted. What would follow from a different decision is not
+// played out.
 
 // ErrShadowMismatch says that a configuration cannot be compared with the one that decides.
-var ErrShadowMismatch = errors.New("the shadow configuration has other classes, cells or cells of a shard than the one that decides")
+var ErrShadowMismatch = errors.New(
+	"the shadow configuration has other classes, cells or cells of a shard than the one that decides")
 
 // ShadowCounts counts queries and attempts and, by kind, where the other configuration would have decided otherwise.
 type ShadowCounts struct {
@@ -33,8 +35,8 @@
 	counts     ShadowCounts
 }
 
-// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid, or
-// with ErrShadowMismatch.
+// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid,
+// or with ErrShadowMismatch.
 func (c *Scheduler) EnableShadow(config Config) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -58,8 +60,8 @@
 	return c.shadow.counts, true
 }
 
-// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with it,
-// so nothing may be changed through it.
+// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas
+// with it, so nothing may be changed through it.
 func (s *shadow) scheduler(decides *Scheduler) *Scheduler {
 	other := *decides
 	other.parameters = s.parameters
@@ -83,8 +85,8 @@
 	}
 }
 
-// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge that
-// it did not get.
+// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a
+// hedge that it did not get.
 func (c *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
 	if c.shadow == nil {
 		return
@@ -101,7 +103,7 @@
 }
 
 // shadowQuery compares the admission of a query that was just placed, and the placement of its subqueries.
-func (c *Scheduler) shadowQuery(q *query, placed []*subquery) {
+func (c *Scheduler) shadowQuery(placedQuery *query, placed []*subquery) {
 	if c.shadow == nil {
 		return
 	}
@@ -109,30 +111,31 @@
 	counts := &c.shadow.counts
 	counts.Queries++
 	counts.Subqueries += len(placed)
-	excess, _ := c.admission.expectedExcess(c.now, q, c.unseenLoad())
-	otherExcess, _ := other.admission.expectedExcess(other.now, c.shadow.query(q), other.unseenLoad())
+	excess, _ := c.admission.expectedExcess(c.now, placedQuery, c.unseenLoad())
+	otherExcess, _ := other.admission.expectedExcess(other.now, c.shadow.query(placedQuery), other.unseenLoad())
 	switch {
 	case excess <= 0 && otherExcess > 0:
 		counts.WouldReject++
 	case excess > 0 && otherExcess <= 0:
 		counts.WouldAdmit++
 	}
-	for _, p := range placed {
-		if c.placement.fastest(p) != other.placement.fastest(p) {
+	for _, subquery := range placed {
+		if c.placement.fastest(subquery) != other.placement.fastest(subquery) {
 			counts.WouldPlaceElsewhere++
 		}
 	}
 }
 
-// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of it.
-func (s *shadow) query(q *query) *query {
-	configured := &s.classes[q.class.index]
-	class := *q.class
+// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of
+// it.
+func (s *shadow) query(decided *query) *query {
+	configured := &s.classes[decided.class.index]
+	class := *decided.class
 	class.objective = configured.objective
 	class.deadline = configured.deadline
 	class.fetchSubqueries = configured.fetchSubqueries
-	other := *q
+	other := *decided
 	other.class = &class
-	other.objectiveAt += class.objective - q.class.objective
+	other.objectiveAt += class.objective - decided.class.objective
 	return &other
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its full
-// work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the replica's start,
-// the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a subquery may go
-// there now.
+// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of
+// its full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are
+// the replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is
+// whether a subquery may go there now.
 //
-// Each co-ordinator uses its part of the budget of all. Where that part holds some subqueries, they are spaced in time.
-// Where it is less than one, as among many co-ordinators, chance decides for each subquery, so that all together send
-// what the replica bears, and no more than in proportion to what warm replicas do.
+// Each co-ordinator uses its part of the budget of all. Where that part holds some subqueries, they are spaced in
+// time. Where it is less than one, as among many co-ordinators, chance decides for each subquery, so that all
+// together send what the replica bears, and no more than in proportion to what warm replicas do.
 
 const (
-	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on for.
+	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on
+	// for.
 	slowStartParallelism = 2.0
 
 	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
 	slowStartSafety = 0.8
 
-	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a time,
-	// as chance may let several go at once.
+	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
+	// time, as chance may let several go at once.
 	slowStartChanceDivisor = 2.0
 
-	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one is
-	// sent beside that.
+	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one
+	// is sent beside that.
 	slowStartFlowShare = 0.5
 
 	// slowStartMemory is the time in seconds in which answers and arrivals are forgotten to a third.
@@ -45,8 +46,8 @@
 	unobserved   float64   // share of the memory that lies before this co-ordinator's start: 1 at first
 	arrivals     []float64 // by cell: subqueries that came for it, as remembered
 
-	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of the
-	// process left it.
+	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of
+	// the process left it.
 	usedUntil map[ReplicaID]time.Duration
 }
 
@@ -87,23 +88,25 @@
 
 // admits tells whether a subquery may go to a replica now.
 //
-// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell never
-// recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
-func (s *slowStart) admits(replica *replicaState, p *subquery, parallelism float64, now time.Duration, random *random) bool {
+// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell
+// never recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
+func (s *slowStart) admits(
+	replica *replicaState, subquery *subquery, parallelism float64, now time.Duration, random *random,
+) bool {
 	if !s.warmingUp(replica, now) {
 		return true
 	}
-	takes := s.budgetTime(replica, p.work, parallelism, now)
+	takes := s.budgetTime(replica, subquery.work, parallelism, now)
 	burst := scale(s.settings.OverloadFor, 1/slowStartSafety-1)
 	if takes <= burst {
 		return now >= replica.slowStartUsedUntil+takes-burst
 	}
-	chance := random.of(uint64(p.id), uint64(replica.id))
+	chance := random.of(uint64(subquery.id), uint64(replica.id))
 	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
 }
 
-// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so long
-// a time of this co-ordinator's part.
+// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes
+// so long a time of this co-ordinator's part.
 func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
 	warmShare := slowStartFlowShare * s.settings.OverloadMultiple * s.capacity(replica, now)
 	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
@@ -122,7 +125,9 @@
 
 // budgetTime is the time for which so much work uses up this co-ordinator's part of a starting replica's budget. Once
 // warm, the replica is taken to do what others do.
-func (s *slowStart) budgetTime(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) time.Duration {
+func (s *slowStart) budgetTime(
+	replica *replicaState, work time.Duration, parallelism float64, now time.Duration,
+) time.Duration {
 	budget := slowStartSafety * s.settings.OverloadMultiple * s.capacity(replica, now)
 	part := budget * min(parallelism, slowStartParallelism) / s.settings.coordinators
 	return scale(work, 1/part)
@@ -132,23 +137,25 @@
 func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[int(shard)%s.settings.cells]++ }
 
 // attemptStarted notes that a subquery's work goes to a replica.
-func (s *slowStart) attemptStarted(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) {
+func (s *slowStart) attemptStarted(
+	replica *replicaState, work time.Duration, parallelism float64, now time.Duration,
+) {
 	if s.warmingUp(replica, now) {
 		takes := s.budgetTime(replica, work, parallelism, now)
 		replica.slowStartUsedUntil = max(replica.slowStartUsedUntil, now) + takes
 	}
 }
 
-// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as that
-// may be too much.
+// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it,
+// as that may be too much.
 func (s *slowStart) answered(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmAnswers++
 	}
 }
 
-// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica goes on
-// with.
+// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
+// goes on with.
 func (s *slowStart) fade(passed float64) {
 	left := math.Exp(-passed / slowStartMemory)
 	s.warmAnswers *= left
@@ -195,8 +202,8 @@
 	copy(s.arrivals, earlier.arrivals)
 }
 
-// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any may
-// at some time.
-func (c *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
-	return p == nil || c.slowStart.admits(replica, p, c.estimates.parallelism, c.now, &c.random)
+// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether
+// any may at some time.
+func (c *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
+	return subquery == nil || c.slowStart.admits(replica, subquery, c.estimates.parallelism, c.now, &c.random)
 }
