--- a/cmd/terntray/commands.go
+++ b/cmd/terntray/commands.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment.Installation, err = config.Read(configFile)
+	deployment.Config, err = config.Read(configFile)
 	return deployment, err
 }
 
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -11,9 +11,9 @@
 
 const sheddingLogInterval = 5 * time.Second // between two lines that say that load is shed
 
-// admission sheds load while this process itself is short of CPU, whatever its replicas can do. Package overload decides
-// which share of the arrivals is admitted; admission feeds it with measurements and publishes the share to the clients'
-// goroutines, which reject the others without reading them.
+// admission sheds load while this process itself is short of CPU, whatever its replicas can do. Package overload
+// decides which share of the arrivals is admitted; admission feeds it with measurements and publishes the share to
+// the clients' goroutines, which reject the others without reading them.
 //
 // Shedding for want of replicas is not decided here but in package scheduler.
 type admission struct {
@@ -55,8 +55,8 @@
 	admission.controller.QueueDelay(now, delay)
 }
 
-// update follows the process' CPU use; it is called at the end of each iteration. It reports whether a measurement was
-// due, which may have changed readDelay.
+// update follows the process' CPU use; it is called at the end of each iteration. It reports whether a measurement
+// was due, which may have changed readDelay.
 func (admission *admission) update(now time.Duration) (measured bool) {
 	measured = admission.cpu.measure(now)
 	if measured {
--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -20,9 +20,9 @@
 	failed
 )
 
-// answer gives a query its one answer and closes it. render makes the answer; last tells it whether the connection ends
-// with it. A query that has had an answer gets no second one, and one that is late gets it all the same; both count as
-// violations.
+// answer gives a query its one answer and closes it. render makes the answer; last tells it whether the connection
+// ends with it. A query that has had an answer gets no second one, and one that is late gets it all the same; both
+// count as violations.
 func (c *Coordinator) answer(id scheduler.RequestID, result finalResult, render renderAnswer) {
 	query := c.queries[id]
 	if query == nil {
@@ -60,8 +60,8 @@
 // age is for how long a query's client has waited.
 func (c *Coordinator) age(query *queryState) time.Duration { return c.loop.Now() - query.arrived }
 
-// Complete implements scheduler.Host: it answers with the subqueries' answers, which are all of them if complete. For a
-// query of two phases it means that a phase is over.
+// Complete implements scheduler.Host: it answers with the subqueries' answers, which are all of them if complete.
+// For a query of two phases it means that a phase is over.
 func (c *Coordinator) Complete(id scheduler.RequestID, complete bool) {
 	if query := c.queries[id]; query != nil && query.twoPhase != nil {
 		c.scheduleNextStep(query)
@@ -102,8 +102,8 @@
 // failedText is the body of answers to queries that failed.
 const failedText = "scrapped"
 
-// deadlinePassed fails a query that the scheduler has left open until its deadline, which is a fault of the scheduler
-// unless this process stood still. Without it the client would get no answer.
+// deadlinePassed fails a query that the scheduler has left open until its deadline, which is a fault of the
+// scheduler unless this process stood still. Without it the client would get no answer.
 func (c *Coordinator) deadlinePassed(query *queryState) {
 	if query.closed.Load() {
 		return
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -10,10 +10,11 @@
 	"terntray/server"
 )
 
-// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at once,
-// or is open from then on; its client gets exactly one answer.
+// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at
+// once, or is open from then on; its client gets exactly one answer.
 //
-// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see recoverFromPanic.
+// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see
+// recoverFromPanic.
 func (c *Coordinator) queryArrives(from client, request *wire.Query, receivedAt time.Duration) {
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
@@ -148,8 +149,8 @@
 	return max(0, query.deadline-c.loop.Now())
 }
 
-// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own; charging
-// it to another's would have that one's queries rejected.
+// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own;
+// charging it to another's would have that one's queries rejected.
 func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
 	if tenant, named := c.tenants[nameCharacters.Replace(request.Tenant)]; named {
 		return tenant
--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A client disconnects while its query waits for the loop, or in the iteration that accepts it; the notification of that
-// waits in a full inbox. Nothing of the query is sent.
+// A client disconnects while its query waits for the loop, or in the iteration that accepts it; the notification of
+// that waits in a full inbox. Nothing of the query is sent.
 func TestNothingIsSentForAClientWhoseDisconnectStillWaits(t *testing.T) {
 	c := newServing(t)
 	early := c.newClient()
@@ -43,8 +43,8 @@
 	}
 }
 
-// A client disconnects, and its end lies unread in the kernel while its query waits for the loop. Nothing of the query is
-// sent.
+// A client disconnects, and its end lies unread in the kernel while its query waits for the loop. Nothing of the
+// query is sent.
 func TestQueryThatWaitedIsNotSentForAClientThatHasDisconnected(t *testing.T) {
 	for _, waited := range []time.Duration{0, time.Second} {
 		c := newServing(t)
@@ -62,8 +62,8 @@
 	}
 }
 
-// One tenant asks for more than its quota. Its queries are rejected, and those of no other: each query is charged to the
-// tenant that it names, and to none if the settings do not name that one.
+// One tenant asks for more than its quota. Its queries are rejected, and those of no other: each query is charged
+// to the tenant that it names, and to none if the settings do not name that one.
 func TestQueriesAreChargedToTheirTenant(t *testing.T) {
 	c := newCoordinatorWith(t, map[string]string{
 		"orgs.count":       "2",
--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -10,8 +10,8 @@
 	"terntray/scheduler"
 )
 
-// StartAttempt implements scheduler.Host: it sends an attempt of a subquery to a replica. The scheduler is told in the
-// next iteration, not at once, where that cannot be: it is in the midst of deciding.
+// StartAttempt implements scheduler.Host: it sends an attempt of a subquery to a replica. The scheduler is told in
+// the next iteration, not at once, where that cannot be: it is in the midst of deciding.
 func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	subquery := c.subqueries[id]
 	if subquery == nil {
@@ -87,8 +87,8 @@
 	c.notifyEndedSoon(attempt, outcome)
 }
 
-// withdrawUnsent keeps attempts of a subquery that is no longer wanted from going out, as far as they have not begun to.
-// One that has begun ends by itself; should its connection break, it does not begin anew on another one.
+// withdrawUnsent keeps attempts of a subquery that is no longer wanted from going out, as far as they have not
+// begun to. One that has begun ends by itself; should its connection break, it does not begin anew on another one.
 func (c *Coordinator) withdrawUnsent(subquery *subqueryState) {
 	for _, attempt := range subquery.attempts {
 		if attempt.ended {
@@ -159,7 +159,9 @@
 }
 
 // takeReply takes the answer in a reply, if it has one, and tells how the attempt ended.
-func (c *Coordinator) takeReply(attempt *attemptState, reply *replicaproto.Event, took time.Duration) scheduler.Outcome {
+func (c *Coordinator) takeReply(
+	attempt *attemptState, reply *replicaproto.Event, took time.Duration,
+) scheduler.Outcome {
 	switch reply.End {
 	case replicaproto.Rejected:
 		return scheduler.Overloaded
--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -8,9 +8,9 @@
 	"terntray/internal/replicaproto"
 )
 
-// A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes on no
-// other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or for a client
-// that has disconnected.
+// A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes
+// on no other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or
+// for a client that has disconnected.
 func TestAttemptBegunWhenItsQueryEndedIsNotBegunAnew(t *testing.T) {
 	for _, disconnects := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
@@ -39,8 +39,8 @@
 	}
 }
 
-// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other goes on no
-// other connection, be it begun or not.
+// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other
+// goes on no other connection, be it begun or not.
 func TestOtherAttemptOfAnAnsweredSubqueryGoesNowhere(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
@@ -74,8 +74,8 @@
 	}
 }
 
-// connectAll has all connections count as up. A replica gets two attempts of one subquery on two of them: the first and the
-// last that were opened.
+// connectAll has all connections count as up. A replica gets two attempts of one subquery on two of them: the first
+// and the last that were opened.
 func (c *Coordinator) connectAll() (first, last *link) {
 	for id, conn := range c.fleet.links {
 		c.fleet.pool.ConnUp(c.loop.Now(), id)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -23,14 +23,8 @@
 	log        *log.Logger
 	Trace      bool // a line for each query and attempt; set before Serve
 
-	// Configuration, read once by New and not changed.
-	config  scheduler.Config
-	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	classes map[string]class  // by name
-	zones   map[string]scheduler.ZoneIndex
-	tenants map[string]scheduler.TenantIndex
-	shards  int
-	maxOpen int // of openWork
+	settings
+	openState
 
 	scheduler  *scheduler.Scheduler // a new one after a panic
 	admission  admission
@@ -38,16 +32,6 @@
 	counts     Counts
 	limitedLog limitedLog
 
-	// What is open.
-	queries            map[scheduler.RequestID]*queryState
-	queriesByRequestID map[string]*queryState                 // the same by the ids that clients gave them
-	queriesByClient    map[client]*queryState                 // and by client
-	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
-	arriving           client                                 // whose request is looked at and not open yet; else nil
-	openWork           int                                    // open queries and their unanswered subqueries
-	lastID             scheduler.RequestID
-	lastNumber         scheduler.QueryNumber
-
 	// Drivers. Their goroutines notify the loop by posting to it.
 	server        *server.Server
 	fleet         fleet
@@ -62,24 +46,51 @@
 	clientsClosed bool        // no client is connected and none can connect any more
 }
 
-// New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
-func New(d *Deployment, logger *log.Logger) (*Coordinator, error) {
-	c := &Coordinator{
-		loop:       eventloop.New(),
-		deployment: d,
-		log:        logger,
-		limitedLog: limitedLog{log: logger},
-		counts:     Counts{Refused: map[invariant.Reason]int{}},
+// settings are what configure reads from the deployment; they do not change.
+type settings struct {
+	config  scheduler.Config
+	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes map[string]class  // by name
+	zones   map[string]scheduler.ZoneIndex
+	tenants map[string]scheduler.TenantIndex
+	shards  int
+	maxOpen int // of openWork
+}
+
+// openState is what is open. It belongs to the event loop.
+type openState struct {
+	queries            map[scheduler.RequestID]*queryState
+	queriesByRequestID map[string]*queryState                 // the same by the ids that clients gave them
+	queriesByClient    map[client]*queryState                 // and by client
+	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
+	arriving           client                                 // whose request is looked at and not open yet; else nil
+	openWork           int                                    // open queries and their unanswered subqueries
+	lastID             scheduler.RequestID
+	lastNumber         scheduler.QueryNumber
+}
 
+func newOpenState() openState {
+	return openState{
 		queries:            map[scheduler.RequestID]*queryState{},
 		queriesByRequestID: map[string]*queryState{},
 		queriesByClient:    map[client]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
+	}
+}
 
+// New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
+func New(deployment *Deployment, logger *log.Logger) (*Coordinator, error) {
+	c := &Coordinator{
+		loop:         eventloop.New(),
+		deployment:   deployment,
+		log:          logger,
+		limitedLog:   limitedLog{log: logger},
+		openState:    newOpenState(),
 		incarnations: incarnation.New(),
 		stopReading:  func() {},
 	}
-	c.admission.start(d.Limits.Cores, logger)
+	c.counts.Refused = map[invariant.Reason]int{}
+	c.admission.start(deployment.Limits.Cores, logger)
 	if err := c.configure(); err != nil {
 		return nil, err
 	}
@@ -103,7 +114,8 @@
 	return nil
 }
 
-// Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot serve.
+// Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot
+// serve.
 func (c *Coordinator) Serve(ctx context.Context) error {
 	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -11,10 +11,18 @@
 
 // Counts counts what was received, sent and answered since the start. It belongs to the event loop.
 //
-// Queries is the sum of Succeeded, Rejected, Failed, Disconnected and the queries that are open. The keys under which
-// operators read these counters are older than the names here; see Counts.line.
+// Queries is the sum of Succeeded, Rejected, Failed, Disconnected and the queries that are open. The keys under
+// which operators read these counters are older than the names here; see Counts.line.
 type Counts struct {
-	// Queries.
+	QueryCounts
+	AttemptCounts
+	ReplicaConnCounts
+	TwoPhaseCounts
+	ProcessCounts
+}
+
+// QueryCounts counts queries.
+type QueryCounts struct {
 	Queries         int // received
 	Succeeded       int
 	Partial         int // of them, without some subqueries
@@ -25,8 +33,10 @@
 	Disconnected    int // ended as their clients disconnected
 	WaitedUnsent    int // rejected or failed after half of their time, with no attempt written whole
 	Malformed       int // requests that are no queries; not among Queries
+}
 
-	// Attempts.
+// AttemptCounts counts attempts.
+type AttemptCounts struct {
 	Attempts   int
 	Retries    int // of them, after another of the same subquery had ended
 	Hedges     int // of them, beside another of the same subquery
@@ -34,8 +44,10 @@
 	Refused    map[invariant.Reason]int // not written, as an invariant forbade it then
 	Violations int                      // actions decided against an invariant; above 0: a fault of this program
 	LateReply  int                      // replies to attempts that had ended
+}
 
-	// Connections to replicas.
+// ReplicaConnCounts counts connections to replicas.
+type ReplicaConnCounts struct {
 	ConnsOpened          int
 	ConnsFailed          int // did not come up
 	TLSFailed            int // of them, for their certificates or handshake
@@ -45,15 +57,19 @@
 	ConnsGoingAway       int // the replica took nothing new on them
 	StreamLimitReached   int // times that attempts waited for the replica's limit
 	CertificatesExpiring int // now
+}
 
-	// Two-phase queries.
+// TwoPhaseCounts counts two-phase queries.
+type TwoPhaseCounts struct {
 	TwoPhaseQueries    int // ended
 	CanMatchPhases     int // of them, with a can-match phase
 	ShardsPruned       int // not asked, as their can-match reply proved that they cannot matter
 	MalformedSummaries int // can-match replies that cannot be used
 	TwoPhaseRejected   int // no complete answer could come in time
+}
 
-	// The process.
+// ProcessCounts counts what concerns the process as a whole.
+type ProcessCounts struct {
 	EndpointLists        int
 	EndpointListFailures int
 	Panics               int // in the event loop
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -19,19 +19,19 @@
 	discoveryVariable = "ROUTER_DISCOVERY"
 )
 
-// Deployment is what a co-ordinator is told before it starts: the platform's configuration file, in which environment
-// variables may replace some values, and the project's own installation file.
+// Deployment is what a co-ordinator is told before it starts: the platform's configuration file, in which
+// environment variables may replace some values, and the project's own installation file.
 type Deployment struct {
-	Name      string            `json:"name"`
-	Listen    string            `json:"listen"`    // host:port for clients
-	Discovery string            `json:"discovery"` // host:port
-	Seed      string            `json:"seed"`      // of draws of chance
-	Limits    Limits            `json:"limits"`
-	Known     wire.EndpointList `json:"known"` // the endpoint list as it was last known; may be old
-	Nested    json.RawMessage   `json:"settings"`
+	Name           string            `json:"name"`
+	Listen         string            `json:"listen"`    // host:port for clients
+	Discovery      string            `json:"discovery"` // host:port
+	Seed           string            `json:"seed"`      // of draws of chance
+	Limits         Limits            `json:"limits"`
+	KnownEndpoints wire.EndpointList `json:"known"` // the endpoint list as it was last known; may be old
+	SettingsJSON   json.RawMessage   `json:"settings"`
 
-	// Installation is the project's own settings; nil: as without a file.
-	Installation *config.Config `json:"-"`
+	// Config is the project's own settings; nil: as without a file.
+	Config *config.Config `json:"-"`
 
 	settings        map[string]string // Nested, by path: see Flatten
 	path            string            // of the file
@@ -45,13 +45,14 @@
 	Sockets  int     `json:"sockets"` // descriptors
 }
 
-// MissingVariableError says that an environment variable is not set, and that the configuration file does not have what it
-// says either.
+// MissingVariableError says that an environment variable is not set, and that the configuration file does not have
+// what it says either.
 type MissingVariableError struct {
 	Variable string
 	Wanted   string // what it has to say
 }
 
+// Error names the variable and what it has to say.
 func (e *MissingVariableError) Error() string {
 	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Wanted)
 }
@@ -62,20 +63,20 @@
 	if path == "" {
 		return nil, &MissingVariableError{configVariable, "the file that describes the deployment"}
 	}
-	d, err := readFile(path)
+	deployment, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	replaceIfSet(&d.Name, env(nameVariable))
-	replaceIfSet(&d.Listen, env(listenVariable))
-	replaceIfSet(&d.Discovery, env(discoveryVariable))
-	if d.Listen == "" {
+	replaceIfSet(&deployment.Name, env(nameVariable))
+	replaceIfSet(&deployment.Listen, env(listenVariable))
+	replaceIfSet(&deployment.Discovery, env(discoveryVariable))
+	if deployment.Listen == "" {
 		return nil, &MissingVariableError{listenVariable, "the address that clients connect to"}
 	}
-	if d.Discovery == "" {
+	if deployment.Discovery == "" {
 		return nil, &MissingVariableError{discoveryVariable, "the address of discovery"}
 	}
-	return d, nil
+	return deployment, nil
 }
 
 func replaceIfSet(field *string, value string) {
@@ -90,24 +91,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	d := &Deployment{path: path}
-	if err := json.Unmarshal(text, d); err != nil {
+	deployment := &Deployment{path: path}
+	if err := json.Unmarshal(text, deployment); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %s: %w", path, err)
 	}
-	d.settings, err = Flatten(d.Nested)
+	deployment.settings, err = Flatten(deployment.SettingsJSON)
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %s: settings: %w", path, err)
 	}
-	d.discoveryInFile = d.Discovery
-	return d, nil
+	deployment.discoveryInFile = deployment.Discovery
+	return deployment, nil
 }
 
 // seed is the number that stands for Seed, which is hexadecimal or any other text.
-func (d *Deployment) seed() uint64 {
-	if number, err := strconv.ParseUint(d.Seed, 16, 64); err == nil {
+func (deployment *Deployment) seed() uint64 {
+	if number, err := strconv.ParseUint(deployment.Seed, 16, 64); err == nil {
 		return number
 	}
 	hash := fnv.New64a()
-	hash.Write([]byte(d.Seed))
+	hash.Write([]byte(deployment.Seed))
 	return hash.Sum64()
 }
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -31,7 +31,7 @@
 func (c *Coordinator) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:      c.deployment.Discovery,
-		Known:        c.deployment.Known,
+		Known:        c.deployment.KnownEndpoints,
 		OnDemand:     c.config.Discovery == scheduler.DiscoverySubscribe,
 		PollInterval: c.config.PollInterval,
 	}
@@ -49,7 +49,8 @@
 	}
 }
 
-// EndpointsKnown takes the list as it was last known. Nobody is served by it alone, as a newer one may come at once.
+// EndpointsKnown takes the list as it was last known. Nobody is served by it alone, as a newer one may come at
+// once.
 func (handler endpointHandler) EndpointsKnown(list *wire.EndpointList) {
 	handler.c.observeWallClock()
 	handler.c.applyEndpoints(list, true)
@@ -130,8 +131,8 @@
 	c.fleet.pool.ReplicaListed(c.loop.Now(), replica.id, replica.addr, protocol, isDraining)
 }
 
-// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the pool close the
-// connections from before that start: whatever is written to one of them is lost.
+// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the pool close
+// the connections from before that start: whatever is written to one of them is lost.
 func (c *Coordinator) startOf(replica *replica, target wire.Target) time.Duration {
 	if target.BootMS <= 0 {
 		return scheduler.StartUnknown
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -20,8 +20,9 @@
 	gossipNetwork    = "udp4"
 )
 
-// gossip carries the scheduler's messages between co-ordinators as datagrams. A message that cannot be sent, or comes while
-// too many wait, is lost; the scheduler expects that. Its methods may be called from any goroutine; a nil one sends nothing.
+// gossip carries the scheduler's messages between co-ordinators as datagrams. A message that cannot be sent, or
+// comes while too many wait, is lost; the scheduler expects that. Its methods may be called from any goroutine; a
+// nil one sends nothing.
 type gossip struct {
 	socket *net.UDPConn
 	peers  []netip.AddrPort // by scheduler.PeerIndex
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// What one co-ordinator sends to replicas is told to the other. A stranger's message is not taken, and a peer's that cannot
-// be read is counted.
+// What one co-ordinator sends to replicas is told to the other. A stranger's message is not taken, and a peer's
+// that cannot be read is counted.
 func TestCoordinatorsGossipOnLoopback(t *testing.T) {
 	addressA, addressB := fake.FreePort("udp4"), fake.FreePort("udp4")
 	a := newGossiping(t, addressA, addressB)
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -13,8 +13,8 @@
 	"terntray/internal/wire"
 )
 
-// settingsJSON are the settings of the tests' deployment as they stand in a configuration file: classes look and claim, 24
-// shards in two cells.
+// settingsJSON are the settings of the tests' deployment as they stand in a configuration file: classes look and
+// claim, 24 shards in two cells.
 const settingsJSON = `{"balancers":3,"bounds":{"connectTimeout":250000,"cpuUsPerRequest":0.0,"mayCancel":true,"retryAfter":false},
 "discovery":"automatic","familyInfo":{"cells":2,"classFetch":[0,0],"classNeed":[1.0,0.5],"ranges":24,"span":1},"kinds":["std 2core"],
 "lanes":[{"aim":2500000,"deadline":6000000,"effect":"pure","name":"look"},
@@ -42,13 +42,13 @@
 		t.Fatal(err)
 	}
 	return &Deployment{
-		Name:      "n0",
-		Listen:    "127.0.0.1:0",
-		Discovery: unreachable,
-		Seed:      "8c1f",
-		Nested:    json.RawMessage(settingsJSON),
-		Known:     wire.EndpointList{All: true, Targets: known},
-		settings:  settings,
+		Name:           "n0",
+		Listen:         "127.0.0.1:0",
+		Discovery:      unreachable,
+		Seed:           "8c1f",
+		SettingsJSON:   json.RawMessage(settingsJSON),
+		KnownEndpoints: wire.EndpointList{All: true, Targets: known},
+		settings:       settings,
 	}
 }
 
@@ -57,8 +57,8 @@
 	return newCoordinatorOf(t, newDeployment(t, known...))
 }
 
-// newCoordinatorWith makes one with some settings replaced, before one replica that nobody can reach unless others are
-// given.
+// newCoordinatorWith makes one with some settings replaced, before one replica that nobody can reach unless others
+// are given.
 func newCoordinatorWith(t *testing.T, settings map[string]string, known ...wire.Target) *Coordinator {
 	if known == nil {
 		known = []wire.Target{readyReplica("s-a", unreachable)}
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -15,7 +15,8 @@
 	"terntray/scheduler"
 )
 
-// newInstalled makes a coordinator with some settings replaced and with an installation file, whose text may be empty.
+// newInstalled makes a coordinator with some settings replaced and with an installation file, whose text may be
+// empty.
 func newInstalled(t *testing.T, settings map[string]string, file string, known ...wire.Target) (*Coordinator, error) {
 	t.Helper()
 	d := newDeployment(t, known...)
@@ -25,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Installation = installation
+		d.Config = installation
 	}
 	return New(d, log.New(io.Discard, "", 0))
 }
@@ -36,15 +37,16 @@
 	return string(text)
 }
 
-// The settings of another deployment allow messages between co-ordinators where none is named, and a second step, which the
-// protocol lacks. They are valid, so the process starts; it logs what is not supported and decides without it.
+// The settings of another deployment allow messages between co-ordinators where none is named, and a second step,
+// which the protocol lacks. They are valid, so the process starts; it logs what is not supported and decides
+// without it.
 func TestUnsupportedSettingsAreLoggedAndNotUsed(t *testing.T) {
 	for _, hasPeers := range []bool{false, true} {
 		d := newDeployment(t)
 		d.settings["bounds.peers"] = "true"
 		d.settings["familyInfo.classFetch"] = "0,2"
 		if hasPeers {
-			d.Installation, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
+			d.Config, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
 		}
 		var logged strings.Builder
 		c, err := New(d, log.New(&logged, "", 0))
@@ -101,8 +103,9 @@
 	}
 }
 
-// Under shadow evaluation the process decides as without it: the same attempts go, and the counters tell what would have
-// differed. Among 900 co-ordinators that are silent attempts would have longer timeouts, as no hedges may go here.
+// Under shadow evaluation the process decides as without it: the same attempts go, and the counters tell what would
+// have differed. Among 900 co-ordinators that are silent attempts would have longer timeouts, as no hedges may go
+// here.
 func TestShadowEvaluationCountsAndDecidesAsBefore(t *testing.T) {
 	run := func(file string) (attempts int, line string) {
 		var replicas []wire.Target
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -8,12 +8,12 @@
 	"terntray/scheduler"
 )
 
-// The invariants of package invariant are checked when an attempt is decided, again by its connection's writer as the
-// first byte is about to go, when a query is answered and when a client's connection is closed. Between the first two a
-// connection may come up late, a client disconnect or the process stand still.
+// The invariants of package invariant are checked when an attempt is decided, again by its connection's writer as
+// the first byte is about to go, when a query is answered and when a client's connection is closed. Between the
+// first two a connection may come up late, a client disconnect or the process stand still.
 
-// refusedWrites are attempts that their connections' writers refused; the event loop has yet to be notified. Writers may
-// use it from any goroutine.
+// refusedWrites are attempts that their connections' writers refused; the event loop has yet to be notified.
+// Writers may use it from any goroutine.
 type refusedWrites struct {
 	mu  sync.Mutex
 	all []refusedWrite
@@ -45,8 +45,8 @@
 	return all
 }
 
-// snapshot is what is known of an attempt at a loop time. It may be called from any goroutine; the earlier attempts of the
-// subquery belong to the event loop and are added there.
+// snapshot is what is known of an attempt at a loop time. It may be called from any goroutine; the earlier attempts
+// of the subquery belong to the event loop and are added there.
 func (attempt *attemptState) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    attempt.deadline - now,
@@ -69,8 +69,8 @@
 	}
 }
 
-// checkStart tells whether an attempt may be sent that the scheduler asks for. What the scheduler must know better is a
-// violation; of a deadline, a client that disconnects or a query that closes the loop may only hear later.
+// checkStart tells whether an attempt may be sent that the scheduler asks for. What the scheduler must know better
+// is a violation; of a deadline, a client that disconnects or a query that closes the loop may only hear later.
 func (c *Coordinator) checkStart(attempt *attemptState, earlier []*attemptState) invariant.Reason {
 	snapshot := attempt.snapshot(c.loop.Now())
 	snapshot.Effect = c.effectOf(attempt.subquery.query)
@@ -126,8 +126,8 @@
 		attempt.subquery.query.request.ID, attempt.name(), c.fleet.uid(attempt.replica), reason, when)
 }
 
-// reportViolation counts and logs an action that an invariant forbids and that was about to happen, or has happened. Each
-// is a fault of this program.
+// reportViolation counts and logs an action that an invariant forbids and that was about to happen, or has
+// happened. Each is a fault of this program.
 func (c *Coordinator) reportViolation(reason invariant.Reason, action, id string, to scheduler.ReplicaID) {
 	c.counts.Violations++
 	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.fleet.uid(to), reason)
--- a/coordinator/limitedlog.go
+++ b/coordinator/limitedlog.go
@@ -7,8 +7,8 @@
 
 const maxLinesPerSecond = 10 // that replicas, peers and clients may cause
 
-// limitedLog writes lines that others can cause as often as they like: some in each second, and then how many were left
-// out. It belongs to the event loop.
+// limitedLog writes lines that others can cause as often as they like: some in each second, and then how many were
+// left out. It belongs to the event loop.
 type limitedLog struct {
 	log         *log.Logger
 	secondBegan time.Duration // loop time
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -16,8 +16,8 @@
 	"terntray/scheduler"
 )
 
-// queryState is a query that a client has sent and that has had no answer. It exists from acceptQuery to closeQuery and
-// belongs to the event loop. Times are loop times.
+// queryState is a query that a client has sent and that has had no answer. It exists from acceptQuery to closeQuery
+// and belongs to the event loop. Times are loop times.
 type queryState struct {
 	id            scheduler.RequestID   // towards the scheduler; may be used again once the query is closed
 	number        scheduler.QueryNumber // the same, never used again
@@ -31,8 +31,8 @@
 	closed        atomic.Bool      // answered, or its client has disconnected; read by any goroutine
 }
 
-// subqueryState is the part of a query that one shard answers. It is kept until its query or phase is over and all its
-// attempts have ended. It belongs to the event loop.
+// subqueryState is the part of a query that one shard answers. It is kept until its query or phase is over and all
+// its attempts have ended. It belongs to the event loop.
 type subqueryState struct {
 	id        scheduler.RequestID
 	query     *queryState
@@ -45,8 +45,8 @@
 	abandoned atomic.Bool // its phase is over; read by any goroutine
 }
 
-// attemptState is one attempt to have a replica answer a subquery. It is kept with its subquery and belongs to the event
-// loop; its call belongs to the connection that carries it.
+// attemptState is one attempt to have a replica answer a subquery. It is kept with its subquery and belongs to the
+// event loop; its call belongs to the connection that carries it.
 type attemptState struct {
 	connpool.Attempt // no Call where there was no connection for it
 	call             replicaproto.Call
@@ -145,7 +145,8 @@
 	c.openWork--
 }
 
-// releaseSubquery lets go of a subquery whose query or phase is over, and of its attempts as far as they have ended.
+// releaseSubquery lets go of a subquery whose query or phase is over, and of its attempts as far as they have
+// ended.
 func (c *Coordinator) releaseSubquery(subquery *subqueryState) {
 	if !subquery.answered {
 		c.openWork--
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -31,7 +31,8 @@
 	return fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.queriesByClient), len(c.subqueries), c.openWork)
 }
 
-// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything behind.
+// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything
+// behind.
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -7,13 +7,13 @@
 	"terntray/server"
 )
 
-// recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it. The state
-// of the scheduler can then not be trusted, and without more each further iteration might panic as well. So every client
-// that waits gets an answer (500), every attempt that is out is abandoned, and a new scheduler starts with the endpoint
-// list as it is known.
+// recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it.
+// The state of the scheduler can then not be trusted, and without more each further iteration might panic as well.
+// So every client that waits gets an answer (500), every attempt that is out is abandoned, and a new scheduler
+// starts with the endpoint list as it is known.
 //
-// The new scheduler has learned nothing. What limits count (attempts against the retry budget, work sent to starting
-// replicas) goes on, as what was sent before counts for the same limits.
+// The new scheduler has learned nothing. What limits count (attempts against the retry budget, work sent to
+// starting replicas) goes on, as what was sent before counts for the same limits.
 func (c *Coordinator) recoverFromPanic(cause string) {
 	c.counts.Panics++
 	c.log.Printf("event=loop_panic cause=%q", cause)
@@ -25,8 +25,8 @@
 		c.log.Printf("event=loop_panic cause=%q", err)
 	}
 	c.scheduler.Resume(ledger)
-	// The ends of attempts that the old scheduler was still to be notified of. The new one knows none of these attempts;
-	// the notifications release what the drivers hold for them.
+	// The ends of attempts that the old scheduler was still to be notified of. The new one knows none of these
+	// attempts; the notifications release what the drivers hold for them.
 	for _, notify := range notifications {
 		notify()
 	}
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the subqueries.
+// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the
+// subqueries.
 func TestPanicReleasesAttempts(t *testing.T) {
 	replica, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,8 +90,8 @@
 	}
 }
 
-// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only one; so
-// does the next.
+// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only
+// one; so does the next.
 func TestRequestAtWhichTheLoopPanicsIsAnswered(t *testing.T) {
 	c := newServing(t)
 	from := c.newClient()
@@ -112,8 +113,8 @@
 	}
 }
 
-// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to that. What
-// the attempt holds is released all the same.
+// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to
+// that. What the attempt holds is released all the same.
 func TestPanicLosesNoEndOfAnAttempt(t *testing.T) {
 	c := newServing(t)
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
@@ -130,8 +131,8 @@
 	c.checkNothingIsOpen(t)
 }
 
-// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget for them
-// is the process', not the scheduler's that was lost.
+// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget
+// for them is the process', not the scheduler's that was lost.
 func TestRetryBudgetOutlivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.ratioSpan":  "10000000",
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -14,9 +14,9 @@
 
 var errNoDiscovery = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
 
-// Reload is called at SIGHUP. It reads the configuration file anew and takes up what can change while the service runs:
-// the address of discovery, and the certificates. It may be called from any goroutine and at any time; of several calls
-// the last counts.
+// Reload is called at SIGHUP. It reads the configuration file anew and takes up what can change while the service
+// runs: the address of discovery, and the certificates. It may be called from any goroutine and at any time; of
+// several calls the last counts.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
 		c.drivers.Go(c.rereadTLS)
@@ -28,15 +28,15 @@
 	})
 }
 
-// readUntilUsable reads the file until it can be used, as it may be replaced just now. Until then the old configuration
-// stays.
+// readUntilUsable reads the file until it can be used, as it may be replaced just now. Until then the old
+// configuration stays.
 func (c *Coordinator) readUntilUsable(ctx context.Context, path string) {
 	for attempt := range maxRereads {
-		d, err := readReloaded(path)
+		deployment, err := readReloaded(path)
 		if err == nil {
 			c.loop.Post(func() {
 				if ctx.Err() == nil {
-					c.reconfigure(d)
+					c.reconfigure(deployment)
 				}
 			})
 			return
@@ -53,27 +53,28 @@
 }
 
 func readReloaded(path string) (*Deployment, error) {
-	d, err := readFile(path)
+	deployment, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if d.Discovery == "" {
+	if deployment.Discovery == "" {
 		return nil, errNoDiscovery
 	}
-	return d, nil
+	return deployment, nil
 }
 
-// reconfigure takes up a new configuration. Its endpoint list is not used: it may be older than the one that is known. An
-// address of discovery that the file states as before changes nothing, as the environment may have replaced it.
-func (c *Coordinator) reconfigure(d *Deployment) {
+// reconfigure takes up a new configuration. Its endpoint list is not used: it may be older than the one that is
+// known. An address of discovery that the file states as before changes nothing, as the environment may have
+// replaced it.
+func (c *Coordinator) reconfigure(deployment *Deployment) {
 	c.counts.Reloads++
 	current := c.deployment
-	c.log.Printf("event=reloaded discovery=%s", d.Discovery)
-	if d.Limits != current.Limits || !maps.Equal(d.settings, current.settings) {
+	c.log.Printf("event=reloaded discovery=%s", deployment.Discovery)
+	if deployment.Limits != current.Limits || !maps.Equal(deployment.settings, current.settings) {
 		c.log.Printf("event=restart_needed reason=%q", "limits and settings have changed; they hold from the start on")
 	}
-	if d.discoveryInFile != current.discoveryInFile {
-		current.discoveryInFile = d.discoveryInFile
-		c.discovery.MoveTo(d.discoveryInFile)
+	if deployment.discoveryInFile != current.discoveryInFile {
+		current.discoveryInFile = deployment.discoveryInFile
+		c.discovery.MoveTo(deployment.discoveryInFile)
 	}
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -67,7 +67,7 @@
 	limits.MaxAttemptsPerConn, errs[2] = d.wholeNumber("bounds.multiplex", math.MaxInt32)
 	f.batch, errs[3] = d.wholeNumber("familyInfo.batch", 1)
 	limits.ConnectTimeout, f.batch = f.connectWithin, max(1, f.batch)
-	if f.installation = d.Installation; f.installation == nil {
+	if f.installation = d.Config; f.installation == nil {
 		f.installation, _ = config.Read("") // nothing is read
 	}
 	limits.MaxStreamsPerConn, limits.MaxSharedConns = f.installation.HTTP2.Streams, f.installation.HTTP2.Connections
--- a/coordinator/replicas_test.go
+++ b/coordinator/replicas_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A write that the far side does not take ends with its connection before a client of it can be gone for 0.3 s, however
-// long connections may take to come up. What was not begun by then can be taken back.
+// A write that the far side does not take ends with its connection before a client of it can be gone for 0.3 s,
+// however long connections may take to come up. What was not begun by then can be taken back.
 func TestWriteThatIsNotTakenEndsSoon(t *testing.T) {
 	c := newServing(t)
 	c.fleet.connectWithin = 10 * time.Second
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -27,25 +27,25 @@
 
 // configure reads the whole configuration; nothing of it changes afterwards.
 func (c *Coordinator) configure() error {
-	d := c.deployment
-	if err := d.validate(); err != nil {
+	deployment := c.deployment
+	if err := deployment.validate(); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	var err error
-	c.config, c.shadow, err = d.schedulerConfigs()
+	c.config, c.shadow, err = deployment.schedulerConfigs()
 	if err != nil {
 		return err
 	}
 	c.configureClasses()
 	c.configureNames()
 	shardsErr := c.configureLimits()
-	fleetErr := c.fleet.begin(c, d)
-	twoPhaseErr := c.twoPhase.begin(d, &c.config)
+	fleetErr := c.fleet.begin(c, deployment)
+	twoPhaseErr := c.twoPhase.begin(deployment, &c.config)
 	if err := errors.Join(shardsErr, fleetErr, twoPhaseErr); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	c.logUnsupportedSettings()
-	return d.validateInstallation(c.fleet.installation)
+	return deployment.validateConfig(c.fleet.installation)
 }
 
 func (c *Coordinator) configureClasses() {
@@ -81,15 +81,16 @@
 }
 
 func (c *Coordinator) logUnsupportedSettings() {
-	d := c.deployment
-	unsupported := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
+	deployment := c.deployment
+	unsupported := deployment.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
 	for _, key := range slices.Sorted(maps.Keys(unsupported)) {
-		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q", key, d.settings[key], unsupported[key])
+		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q",
+			key, deployment.settings[key], unsupported[key])
 	}
 }
 
-// Flatten gives nested settings the form that the simulator gives them: a path for each value; a list of plain values is
-// joined with commas, a list of objects has its length under .count.
+// Flatten gives nested settings the form that the simulator gives them: a path for each value; a list of plain
+// values is joined with commas, a list of objects has its length under .count.
 func Flatten(nested []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(nested))
 	decoder.UseNumber()
@@ -156,25 +157,25 @@
 func isZero(value string) bool { return strings.Trim(value, "0,.-") == "" }
 
 // names are the names in a list of the settings, which holds either names or objects with names.
-func (d *Deployment) names(list string) []string {
-	if count, err := strconv.Atoi(d.settings[list+".count"]); err == nil {
+func (deployment *Deployment) names(list string) []string {
+	if count, err := strconv.Atoi(deployment.settings[list+".count"]); err == nil {
 		names := make([]string, count)
 		for index := range names {
-			names[index] = d.settings[fmt.Sprintf("%s.%d.name", list, index)]
+			names[index] = deployment.settings[fmt.Sprintf("%s.%d.name", list, index)]
 		}
 		return names
 	}
-	if d.settings[list] == "" {
+	if deployment.settings[list] == "" {
 		return nil
 	}
-	return strings.Split(d.settings[list], ",")
+	return strings.Split(deployment.settings[list], ",")
 }
 
 const maxNumber = 1e15 // largest number that a setting can mean
 
 // wholeNumber reads a setting that counts something, rounded down.
-func (d *Deployment) wholeNumber(key string, absent int) (int, error) {
-	value := d.settings[key]
+func (deployment *Deployment) wholeNumber(key string, absent int) (int, error) {
+	value := deployment.settings[key]
 	if isAbsent(value) {
 		return absent, nil
 	}
@@ -186,13 +187,14 @@
 }
 
 // duration reads a setting in microseconds.
-func (d *Deployment) duration(key string, absent time.Duration) (time.Duration, error) {
-	microseconds, err := d.wholeNumber(key, int(absent.Microseconds()))
+func (deployment *Deployment) duration(key string, absent time.Duration) (time.Duration, error) {
+	microseconds, err := deployment.wholeNumber(key, int(absent.Microseconds()))
 	return time.Duration(microseconds) * time.Microsecond, err
 }
 
 func numberError(key, found, wanted string, largest float64) error {
-	return &scheduler.SettingError{Key: key, Found: strconv.Quote(found), Wanted: fmt.Sprintf("%s to %g", wanted, largest)}
+	wanted = fmt.Sprintf("%s to %g", wanted, largest)
+	return &scheduler.SettingError{Key: key, Found: strconv.Quote(found), Wanted: wanted}
 }
 
 // aboveZero are settings that, where they are stated, have to be above 0, with the largest that can be meant.
@@ -210,11 +212,11 @@
 	{"guarantees.askEvery", maxNumber},
 }
 
-// validate names a setting with which nothing could be served although it can be read, as a *scheduler.SettingError. A
-// process with it would start and then reject every query, call no replica or panic.
-func (d *Deployment) validate() error {
+// validate names a setting with which nothing could be served although it can be read, as a
+// *scheduler.SettingError. A process with it would start and then reject every query, call no replica or panic.
+func (deployment *Deployment) validate() error {
 	for _, setting := range aboveZero {
-		value := d.settings[setting.key]
+		value := deployment.settings[setting.key]
 		if isAbsent(value) {
 			continue
 		}
@@ -224,13 +226,13 @@
 			return numberError(setting.key, value, "a number above 0 and up", setting.largest)
 		}
 	}
-	return d.validateClassNames()
+	return deployment.validateClassNames()
 }
 
 // validateClassNames names a class that clients could not name: its name is an element of a request's path.
-func (d *Deployment) validateClassNames() error {
+func (deployment *Deployment) validateClassNames() error {
 	seen := map[string]bool{}
-	for index, name := range d.names("lanes") {
+	for index, name := range deployment.names("lanes") {
 		if name == "" || strings.ContainsAny(name, "/? ") || seen[name] {
 			return &scheduler.SettingError{
 				Key:    fmt.Sprintf("lanes.%d.name", index),
@@ -243,13 +245,14 @@
 	return nil
 }
 
-// validateInstallation refuses what the installation file says of co-ordinators and sizes if it does not fit the settings.
-func (d *Deployment) validateInstallation(installation *config.Config) error {
+// validateConfig refuses what the installation file says of co-ordinators and sizes if it does not fit the
+// settings.
+func (deployment *Deployment) validateConfig(installation *config.Config) error {
 	var peersErr, sizesErr error
-	if len(installation.Gossip.Peers) > 0 && d.settings["bounds.peers"] != "true" {
+	if len(installation.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
 		peersErr = errPeersForbidden
 	}
-	weightKind := d.settings["weightKind"]
+	weightKind := deployment.settings["weightKind"]
 	sizesCount := weightKind == "nominal" || weightKind == "rough" || installation.Shadow.Settings["weightKind"] != ""
 	if len(installation.Sizes) > 0 && !sizesCount {
 		sizesErr = fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weightKind)
@@ -260,14 +263,14 @@
 var errPeersForbidden = errors.New(
 	"installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 
-// schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the installation
-// file asks for; nil: none.
-func (d *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
-	installation := d.Installation
+// schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the
+// installation file asks for; nil: none.
+func (deployment *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
+	installation := deployment.Config
 	if installation == nil {
 		installation = &config.Config{}
 	}
-	settings := d.supportedSettings(len(installation.Gossip.Peers) > 0)
+	settings := deployment.supportedSettings(len(installation.Gossip.Peers) > 0)
 	effective, err = scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
@@ -283,22 +286,22 @@
 	return effective, &evaluated, nil
 }
 
-// supportedSettings are the settings with unsupported ones replaced by what holds in their place. Settings of another
-// deployment that are valid must not keep this one from starting.
-func (d *Deployment) supportedSettings(hasPeers bool) map[string]string {
-	settings := maps.Clone(d.settings)
-	maps.Copy(settings, d.unsupportedSettings(hasPeers))
+// supportedSettings are the settings with unsupported ones replaced by what holds in their place. Settings of
+// another deployment that are valid must not keep this one from starting.
+func (deployment *Deployment) supportedSettings(hasPeers bool) map[string]string {
+	settings := maps.Clone(deployment.settings)
+	maps.Copy(settings, deployment.unsupportedSettings(hasPeers))
 	return settings
 }
 
-// unsupportedSettings are the settings that cannot be carried out, with the values that hold in their place: messages
-// between co-ordinators where no other one is named, and second steps, which the protocol lacks.
-func (d *Deployment) unsupportedSettings(hasPeers bool) map[string]string {
+// unsupportedSettings are the settings that cannot be carried out, with the values that hold in their place:
+// messages between co-ordinators where no other one is named, and second steps, which the protocol lacks.
+func (deployment *Deployment) unsupportedSettings(hasPeers bool) map[string]string {
 	effective := map[string]string{}
-	if d.settings["bounds.peers"] == "true" && !hasPeers {
+	if deployment.settings["bounds.peers"] == "true" && !hasPeers {
 		effective["bounds.peers"] = "false"
 	}
-	if !isZero(d.settings["familyInfo.classFetch"]) {
+	if !isZero(deployment.settings["familyInfo.classFetch"]) {
 		effective["familyInfo.classFetch"] = "0"
 	}
 	return effective
--- a/coordinator/settings_test.go
+++ b/coordinator/settings_test.go
@@ -52,8 +52,8 @@
 	return err
 }
 
-// A deployment states a setting with which nothing could be served. It is named in one line, in place of a process that
-// starts and serves nothing or panics.
+// A deployment states a setting with which nothing could be served. It is named in one line, in place of a process
+// that starts and serves nothing or panics.
 func TestSettingsThatCannotServeAreNamedInOneLine(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"connectTimeout":250000`, `"connectTimeout":0`, "bounds.connectTimeout"},
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -16,9 +16,9 @@
 
 const unlimitedAttempts = 1 << 30 // of a subquery, where the settings name no limit
 
-// twoPhaseQueries is what two-phase queries have in common: can-match first, then fetch of the shards that can matter.
-// Package twophase decides what to ask for; the scheduler places and repeats the subqueries of both phases like any
-// others. It belongs to the event loop, but for allowed, which does not change.
+// twoPhaseQueries is what two-phase queries have in common: can-match first, then fetch of the shards that can
+// matter. Package twophase decides what to ask for; the scheduler places and repeats the subqueries of both phases
+// like any others. It belongs to the event loop, but for allowed, which does not change.
 type twoPhaseQueries struct {
 	allowed        map[string]bool            // classes whose queries may ask for two phases
 	classes        map[string]*twophase.Class // what was learned of each
@@ -52,28 +52,36 @@
 func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
 // begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
-func (queries *twoPhaseQueries) begin(d *Deployment, config *scheduler.Config) error {
+func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
-	if d.Installation == nil {
+	if deployment.Config == nil {
 		return nil
 	}
-	queries.sharedVersions = d.Installation.TwoPhase.SharedVersions
+	queries.sharedVersions = deployment.Config.TwoPhase.SharedVersions
 	queries.maxAttempts = cmp.Or(config.MaxAttempts, unlimitedAttempts)
 	var invalid error
-	for _, name := range d.Installation.TwoPhase.Classes {
-		at := slices.IndexFunc(config.Classes, func(class scheduler.ClassConfig) bool { return class.Name == name })
-		if at < 0 || config.Classes[at].Effect != invariant.Idempotent {
-			invalid = errors.Join(invalid, fmt.Errorf("installation: phases.tracks: found %q, wanted a replayable track", name))
+	for _, name := range deployment.Config.TwoPhase.Classes {
+		hasName := func(class scheduler.ClassConfig) bool { return class.Name == name }
+		index := slices.IndexFunc(config.Classes, hasName)
+		if index < 0 || config.Classes[index].Effect != invariant.Idempotent {
+			invalid = errors.Join(invalid, &twoPhaseClassError{name})
 			continue
 		}
 		queries.allowed[name] = true
-		queries.classes[name] = twophase.NewClass(config.Classes[at].Objective)
+		queries.classes[name] = twophase.NewClass(config.Classes[index].Objective)
 	}
 	return invalid
 }
 
-// beginTwoPhase makes a query one of two phases; the scheduler does not know it yet. An error says what is wrong with the
-// client's request.
+// twoPhaseClassError says that the installation file names a class whose queries cannot have two phases.
+type twoPhaseClassError struct{ class string }
+
+func (err *twoPhaseClassError) Error() string {
+	return fmt.Sprintf("installation: phases.tracks: found %q, wanted a replayable track", err.class)
+}
+
+// beginTwoPhase makes a query one of two phases; the scheduler does not know it yet. An error says what is wrong
+// with the client's request.
 func (c *Coordinator) beginTwoPhase(query *queryState) error {
 	request := query.request.TwoPhase
 	options := twophase.Options{Ranked: request.Best != nil, SharedVersions: c.twoPhase.sharedVersions}
@@ -126,7 +134,8 @@
 	}
 }
 
-// phaseCall is what a call of the present phase carries to a replica of a shard. The two phases' ids on the wire differ.
+// phaseCall is what a call of the present phase carries to a replica of a shard. The two phases' ids on the wire
+// differ.
 func (c *Coordinator) phaseCall(query *queryState, shard twophase.Shard) (wireID string, text []byte) {
 	state := query.twoPhase
 	wireID = wire.SubqueryID(query.request.ID, int(shard))
@@ -187,7 +196,8 @@
 	}
 }
 
-// phaseReplyReceived takes what a replica replied to a subquery of a two-phase query, and tells how the attempt ended.
+// phaseReplyReceived takes what a replica replied to a subquery of a two-phase query, and tells how the attempt
+// ended.
 func (c *Coordinator) phaseReplyReceived(attempt *attemptState, value []byte, took time.Duration) scheduler.Outcome {
 	if attempt.subquery.unwanted() {
 		return scheduler.Succeeded
@@ -205,8 +215,8 @@
 	return scheduler.Succeeded
 }
 
-// canMatchReplyReceived takes a shard's summary. One that cannot be used proves nothing: the shard is asked in the second
-// phase.
+// canMatchReplyReceived takes a shard's summary. One that cannot be used proves nothing: the shard is asked in the
+// second phase.
 func (c *Coordinator) canMatchReplyReceived(attempt *attemptState, value []byte, took time.Duration) {
 	state := attempt.subquery.query.twoPhase
 	shard := twophase.Shard(attempt.subquery.shard)
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package eventloop runs everything that happens in a process on one goroutine, one function after the other, so that
-// the state which these functions use needs no locks.
+// Package eventloop runs everything that happens in a process on one goroutine, one function after the other, so
+// that the state which these functions use needs no locks.
 //
-// A loop takes iterations. Each runs, in this order: what NextIteration was given in the iteration before, what other
-// goroutines have posted, the timers that are due, and at last the owner's own function. The loop decides nothing: it
-// knows when functions run, not what they do.
+// A loop takes iterations. Each runs, in this order: what NextIteration was given in the iteration before, what
+// other goroutines have posted, the timers that are due, and at last the owner's own function. The loop decides
+// nothing: it knows when functions run, not what they do.
 //
 // The loop also notices when its process stood still (a stopped machine, a starved core), because time-outs and the
 // times of arrival that are taken after a stall would otherwise be wrong; see Loop.EarliestArrival.
@@ -20,8 +20,8 @@
 	maxIdle       = 20 * time.Millisecond // between iterations, so that a stall is noticed soon after its end
 )
 
-// Loop is an event loop. One goroutine, that of Run, calls everything that the loop is given, and only from there may its
-// methods be called, except those that say otherwise.
+// Loop is an event loop. One goroutine, that of Run, calls everything that the loop is given, and only from there
+// may its methods be called, except those that say otherwise.
 type Loop struct {
 	start time.Time
 	now   time.Duration // time of the present iteration, since start
@@ -51,9 +51,9 @@
 	}
 }
 
-// Post has a function called in an iteration soon, in the order of posting. It may be called from any goroutine but the
-// loop's own, and blocks while the inbox is full. It reports whether the loop was still running; if not, the function is
-// never called.
+// Post has a function called in an iteration soon, in the order of posting. It may be called from any goroutine but
+// the loop's own, and blocks while the inbox is full. It reports whether the loop was still running; if not, the
+// function is never called.
 func (l *Loop) Post(do func()) bool {
 	select {
 	case l.inbox <- do:
@@ -75,17 +75,17 @@
 // NextIteration has a function called at the start of the next iteration, which follows at once.
 func (l *Loop) NextIteration(do func()) { l.next = append(l.next, do) }
 
-// TakeNextIteration takes back what NextIteration was given and was not called yet, in order. After a panic that includes
-// what the broken iteration had still to call.
+// TakeNextIteration takes back what NextIteration was given and was not called yet, in order. After a panic that
+// includes what the broken iteration had still to call.
 func (l *Loop) TakeNextIteration() []func() {
 	left := append(l.current, l.next...)
 	l.current, l.next = nil, nil
 	return left
 }
 
-// Run takes iterations until finished reports that nothing is left to do. At the end of each it calls endIteration. After
-// a panic in an iteration it calls onPanic with the cause and goes on: posted functions that the iteration had taken and
-// not called are called in the next.
+// Run takes iterations until finished reports that nothing is left to do. At the end of each it calls endIteration.
+// After a panic in an iteration it calls onPanic with the cause and goes on: posted functions that the iteration
+// had taken and not called are called in the next.
 func (l *Loop) Run(endIteration func(), onPanic func(cause string), finished func() bool) {
 	clock := time.NewTimer(0)
 	defer clock.Stop()
@@ -99,8 +99,8 @@
 	}
 }
 
-// wait waits until there is something to do in an iteration, and notes whether the process stood still meanwhile or in
-// the iteration before.
+// wait waits until there is something to do in an iteration, and notes whether the process stood still meanwhile or
+// in the iteration before.
 func (l *Loop) wait(clock *time.Timer) {
 	if l.now > 0 {
 		l.noteStall(l.now)
@@ -130,8 +130,8 @@
 	return due
 }
 
-// RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted. Run
-// passes an empty one; tests that drive a loop without Run pass what is to happen.
+// RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted.
+// Run passes an empty one; tests that drive a loop without Run pass what is to happen.
 func (l *Loop) RunIteration(event, endIteration func()) {
 	l.now = l.Since(time.Now())
 	l.current, l.next = l.next, nil
@@ -154,8 +154,8 @@
 	l.completed = l.now
 }
 
-// Receive waits for the next posted function and returns it without calling it. It is for tests that drive a loop without
-// Run.
+// Receive waits for the next posted function and returns it without calling it. It is for tests that drive a loop
+// without Run.
 func (l *Loop) Receive() func() { return <-l.inbox }
 
 // AdvanceClock sets the loop's clock forward, as if it had been started earlier. It is for tests.
--- a/eventloop/loop_test.go
+++ b/eventloop/loop_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Functions are posted, and the iteration that has taken them panics before it comes to them. They are called in the
-// next one: else a request would never be answered, or a change of the endpoint list be lost, because something else
-// panicked.
+// Functions are posted, and the iteration that has taken them panics before it comes to them. They are called in
+// the next one: else a request would never be answered, or a change of the endpoint list be lost, because something
+// else panicked.
 func TestPanicLosesNothingThatWasPosted(t *testing.T) {
 	for try := range 100 {
 		loop := New()
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -12,9 +12,9 @@
 	from, until time.Duration
 }
 
-// noteStall measures how late the loop is against the time at which it was due. After a stall it pauses, so that readers
-// can post what has arrived. Without that, timers would report attempts as timed out whose replies have arrived and are
-// only unread.
+// noteStall measures how late the loop is against the time at which it was due. After a stall it pauses, so that
+// readers can post what has arrived. Without that, timers would report attempts as timed out whose replies have
+// arrived and are only unread.
 func (l *Loop) noteStall(due time.Duration) {
 	l.lateBy = max(0, l.Since(time.Now())-due)
 	if l.lateBy <= stallThreshold {
@@ -35,8 +35,8 @@
 	return l.now - l.stall.from
 }
 
-// EarliestArrival is the earliest time at which something may have arrived that was read at a time. What is read at the
-// end of a stall may have waited since its beginning.
+// EarliestArrival is the earliest time at which something may have arrived that was read at a time. What is read at
+// the end of a stall may have waited since its beginning.
 func (l *Loop) EarliestArrival(read time.Duration) time.Duration {
 	stalled := l.stall.until > 0
 	if stalled && read >= l.stall.from && read <= l.stall.until+catchUpPause {
--- a/eventloop/stall_test.go
+++ b/eventloop/stall_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// The process stands still while a request arrives, and reads it only afterwards. What is read at the end of the stall may
-// have arrived at its beginning and counts from then; what is read well before or after it counts from its reading.
+// The process stands still while a request arrives, and reads it only afterwards. What is read at the end of the
+// stall may have arrived at its beginning and counts from then; what is read well before or after it counts from
+// its reading.
 func TestArrivalsReadAfterAStallCountFromItsBeginning(t *testing.T) {
 	loop := New()
 	loop.AdvanceClock(10 * time.Second)
@@ -26,8 +27,8 @@
 	}
 }
 
-// The process is stopped in the midst of an iteration. That is a stall as well: what arrived meanwhile counts from its
-// beginning, and nothing is timed out before it is read.
+// The process is stopped in the midst of an iteration. That is a stall as well: what arrived meanwhile counts from
+// its beginning, and nothing is timed out before it is read.
 func TestStallWithinAnIterationIsNoticed(t *testing.T) {
 	loop := New()
 	finished := false
--- a/eventloop/timer.go
+++ b/eventloop/timer.go
@@ -13,8 +13,8 @@
 	do     func()
 }
 
-// After has a function called in the first iteration that begins after a delay. Where a timer of the same name is already
-// set for the same time, it sets none and returns nil; an empty name is never the same.
+// After has a function called in the first iteration that begins after a delay. Where a timer of the same name is
+// already set for the same time, it sets none and returns nil; an empty name is never the same.
 func (l *Loop) After(delay time.Duration, name string, do func()) *Timer {
 	due := l.now + max(0, delay)
 	last := l.namedTimer[name]
@@ -30,8 +30,8 @@
 	return timer
 }
 
-// Cancel takes a timer back and releases what its function holds. It does nothing to one that is nil, was called or was
-// cancelled before.
+// Cancel takes a timer back and releases what its function holds. It does nothing to one that is nil, was called or
+// was cancelled before.
 func (l *Loop) Cancel(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(&l.timers, timer.index)
--- a/eventloop/timer_test.go
+++ b/eventloop/timer_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Timers are called by the time they are due; of those with one name and time only one is set, and one that was cancelled
-// is not called.
+// Timers are called by the time they are due; of those with one name and time only one is set, and one that was
+// cancelled is not called.
 func TestTimersGoInOrderAndSameOnesOnce(t *testing.T) {
 	loop := New()
 	var got []string
