--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -4,7 +4,6 @@
 	"time"
 	"unicode/utf8"
 
-	"terntray/connpool"
 	"terntray/internal/replicaproto"
 	"terntray/invariant"
 	"terntray/scheduler"
@@ -25,7 +24,7 @@
 	switch {
 	case c.checkStart(attempt, earlier) != invariant.Allowed:
 		c.notifyEndedSoon(attempt, scheduler.NeverSent)
-	case !c.fleet.send(attempt):
+	case !c.sendAttempt(attempt):
 		c.notifyEndedSoon(attempt, scheduler.Unreachable)
 	default:
 		left := attempt.deadline - c.loop.Now()
@@ -44,7 +43,7 @@
 		subquery: subquery,
 		number:   scheduler.AttemptNumber(len(subquery.attempts)),
 		replica:  to,
-		endpoint: c.fleet.endpoint(to),
+		endpoint: c.replicas.EndpointByID(to),
 		deadline: deadline,
 	}
 	attempt.SentAt = c.loop.Now()
@@ -66,7 +65,7 @@
 	}
 	if c.Trace {
 		c.trace("attempt_sent=%s query=%s replica=%s kind=%s left=%v", attempt.name(),
-			attempt.subquery.query.request.ID, c.fleet.uid(attempt.replica), kind, attempt.deadline-c.loop.Now())
+			attempt.subquery.query.request.ID, c.replicas.UID(attempt.replica), kind, attempt.deadline-c.loop.Now())
 	}
 }
 
@@ -83,7 +82,7 @@
 	if attempt.ended {
 		return
 	}
-	c.fleet.pool.Abandon(c.loop.Now(), &attempt.Attempt)
+	c.replicas.Abandon(&attempt.Attempt)
 	c.notifyEndedSoon(attempt, outcome)
 }
 
@@ -94,10 +93,10 @@
 		if attempt.ended {
 			continue
 		}
-		if c.fleet.pool.Withdraw(c.loop.Now(), &attempt.Attempt) {
+		if c.replicas.Withdraw(&attempt.Attempt) {
 			c.notifyEndedSoon(attempt, scheduler.Cancelled)
 		} else {
-			c.fleet.pool.NoRetransmit(&attempt.Attempt)
+			c.replicas.NoRetransmit(&attempt.Attempt)
 		}
 	}
 }
@@ -118,11 +117,11 @@
 // attemptEnded notifies the scheduler that an attempt has ended, and lets go of what is not needed any more.
 func (c *Coordinator) attemptEnded(attempt *attemptState, outcome scheduler.Outcome, took time.Duration) {
 	c.markEnded(attempt, outcome)
-	delete(c.fleet.attempts, attempt.ID)
+	delete(c.attemptsOut, attempt.ID)
 	c.counts.Outcomes[outcome]++
 	if c.Trace {
 		c.trace("attempt_ended=%s replica=%s outcome=%s took=%v", attempt.name(),
-			c.fleet.uid(attempt.replica), outcomeKeys[outcome], took)
+			c.replicas.UID(attempt.replica), outcomeKeys[outcome], took)
 	}
 	c.scheduler.AttemptEnds(c.loop.Now(), scheduler.AttemptResult{
 		Subquery: attempt.subquery.id,
@@ -131,22 +130,13 @@
 		Took:     took,
 	})
 	if attempt.subquery.unwanted() && attempt.Call != nil {
-		c.fleet.pool.Forget(c.loop.Now(), &attempt.Attempt)
+		c.replicas.Forget(&attempt.Attempt)
 	}
 	c.forgetIfSettled(attempt.subquery)
 }
 
-// replyReceived takes a replica's reply, which was read at a loop time.
-func (c *Coordinator) replyReceived(from *link, reply *replicaproto.Event, readAt time.Duration) {
-	id := connpool.AttemptID(reply.Attempt)
-	answered, late := c.fleet.pool.ReplyReceived(c.loop.Now(), from.id, id, reply.SubqueryID, readAt)
-	if late {
-		c.counts.LateReply++
-	}
-	if answered == nil || c.fleet.attempts[answered.ID] == nil {
-		return
-	}
-	attempt := c.fleet.attempts[answered.ID]
+// replyReceived takes a replica's reply to an attempt, which was read at a loop time.
+func (c *Coordinator) replyReceived(attempt *attemptState, reply *replicaproto.Event, readAt time.Duration) {
 	if reply.Busy >= 0 {
 		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.Busy)
 	}
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -28,7 +28,7 @@
 	limits := c.deployment.Limits
 	config := server.Config{Classes: c.serverClasses(), MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
 	if limits.Sockets > 0 {
-		config.ReservedSockets = spare + c.fleet.mostLinks
+		config.ReservedSockets = reservedSockets + maxReplicaConns(limits.Sockets)
 	}
 	return config
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -8,10 +8,13 @@
 	"sync/atomic"
 	"time"
 
+	"terntray/config"
+	"terntray/connpool"
 	"terntray/discovery"
 	"terntray/eventloop"
 	"terntray/incarnation"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 	"terntray/server"
 )
@@ -24,13 +27,14 @@
 	Trace      bool // a line for each query and attempt; set before Serve
 
 	// Configuration, read once by New and not changed.
-	config  scheduler.Config
-	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	classes map[string]class  // by name
-	zones   map[string]scheduler.ZoneIndex
-	tenants map[string]scheduler.TenantIndex
-	shards  int
-	maxOpen int // of openWork
+	installation *config.Config // the deployment's own file
+	config       scheduler.Config
+	shadow       *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes      map[string]class  // by name
+	zones        map[string]scheduler.ZoneIndex
+	tenants      map[string]scheduler.TenantIndex
+	shards       int
+	maxOpen      int // of openWork
 
 	scheduler  *scheduler.Scheduler // a new one after a panic
 	admission  admission
@@ -44,18 +48,21 @@
 	queriesByClient    map[client]*queryState                 // and by client
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
 	arriving           client                                 // whose request is looked at and not open yet; else nil
+	attemptsOut        map[connpool.AttemptID]*attemptState   // sent, and not ended
 	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
 
 	// Drivers. Their goroutines notify the loop by posting to it.
 	server        *server.Server
-	fleet         fleet
+	replicas      *replicaconn.Driver
 	discovery     *discovery.Watcher
 	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
 	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
 	drivers       sync.WaitGroup
+	lifetime      context.Context // ends with Serve
+	endLifetime   context.CancelFunc
 
 	incarnations  *incarnation.Tracker
 	ready         atomic.Bool // queries can be served; read by any goroutine
@@ -75,10 +82,12 @@
 		queriesByRequestID: map[string]*queryState{},
 		queriesByClient:    map[client]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
+		attemptsOut:        map[connpool.AttemptID]*attemptState{},
 
 		incarnations: incarnation.New(),
 		stopReading:  func() {},
 	}
+	c.lifetime, c.endLifetime = context.WithCancel(context.Background())
 	c.admission.start(d.Limits.Cores, logger)
 	if err := c.configure(); err != nil {
 		return nil, err
@@ -109,15 +118,15 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
+	if err := c.startGossip(c.installation.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
 	c.discovery.Start()
 	c.server.Start(listener)
-	c.watchCertificates()
+	c.replicas.WatchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
-		c.deployment.Name, listener.Addr(), len(c.fleet.all))
+		c.deployment.Name, listener.Addr(), c.replicas.Endpoints())
 	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
 	c.loop.Run(c.endIteration, c.recoverFromPanic, c.isShutDown)
 	c.stopDrivers()
@@ -128,7 +137,7 @@
 // endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
-	c.fleet.flush()
+	c.replicas.Flush()
 	if c.admission.update(c.loop.Now()) {
 		c.scheduler.ReadDelayed(c.loop.Now(), c.admission.readDelay())
 	}
@@ -137,8 +146,10 @@
 // stopDrivers ends all goroutines but those of clients, which have ended.
 func (c *Coordinator) stopDrivers() {
 	c.discovery.Stop()
-	c.fleet.stop()
+	c.endLifetime()
+	c.replicas.Stop()
 	c.gossip.close()
+	c.replicas.Wait()
 	c.drivers.Wait()
 }
 
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -63,20 +63,6 @@
 	return c
 }
 
-func TestReplicaIDsDependOnTheUIDAlone(t *testing.T) {
-	a, b := made(t), made(t)
-	a.fleet.named("s-x")
-	first, again := a.fleet.named("s-a"), a.fleet.named("s-a")
-	if first.id != b.fleet.named("s-a").id || first != again {
-		t.Error("ids differ")
-	}
-	taken := &replica{id: b.fleet.named("s-a").id + 1, uid: "s-other"}
-	b.fleet.all[taken.id-1].uid, b.fleet.all[taken.id] = "s-first", taken
-	if got := b.fleet.named("s-a"); got.id != taken.id+1 || got.uid != "s-a" {
-		t.Errorf("with two ids taken: %+v", got)
-	}
-}
-
 // client tells the module the list that the deployment knows and gives a client of which the test decides what it does.
 func (c *Coordinator) client(t *testing.T) *fakeClient {
 	t.Helper()
@@ -88,7 +74,7 @@
 func TestNothingOfARetrievalStaysOnceItsLegsHaveEnded(t *testing.T) {
 	cell := 0
 	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
-	defer c.fleet.stop()
+	defer c.replicas.Stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: 24 * time.Hour, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
@@ -108,7 +94,7 @@
 // Replicas that are replaced, clients and ids that are new each time leave nothing behind.
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := made(t)
-	defer c.fleet.stop()
+	defer c.replicas.Stop()
 	cell, sizes := 0, ""
 	for n := range 3000 {
 		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
@@ -121,7 +107,7 @@
 			c.queryArrives(k, query, c.loop.Now())
 		}, c.endIteration)
 		c.loop.RunIteration(func() { c.clientDisconnected(k) }, c.endIteration)
-		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
+		for c.replicas.Endpoints() > 2 { // the last ones' connections have yet to fail
 			c.loop.RunIteration(c.loop.Receive(), c.endIteration)
 		}
 		if n%1000 == 999 {
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -4,7 +4,9 @@
 	"fmt"
 	"strings"
 
+	"terntray/connpool"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 	"terntray/server"
 )
@@ -63,6 +65,27 @@
 	ClientConnsClosed    server.CloseCounts
 }
 
+// addConnEvent counts what happened to a connection to a replica.
+func (counts *Counts) addConnEvent(event replicaconn.ConnEvent) {
+	switch event.Kind {
+	case connpool.ConnectFailed:
+		counts.ConnsFailed++
+	case connpool.Dropped:
+		counts.ConnsDropped++
+	case connpool.Malformed:
+		counts.ConnsMalformed++
+	case connpool.PingTimeout:
+		counts.ConnsSilent++
+	case connpool.GoingAway:
+		counts.ConnsGoingAway++
+	case connpool.StreamLimit:
+		counts.StreamLimitReached++
+	}
+	if event.TLSFailed {
+		counts.TLSFailed++
+	}
+}
+
 // outcomeKeys are the keys of Counts.Outcomes, by scheduler.Outcome. Trace lines use the same words.
 var outcomeKeys = [...]string{
 	scheduler.Succeeded:       "ok",
--- a/coordinator/crossings_legs_test.go
+++ b/coordinator/crossings_legs_test.go
@@ -7,9 +7,11 @@
 	"testing"
 	"time"
 
+	"terntray/connpool"
 	"terntray/eventloop"
 	"terntray/internal/replicaproto"
 	"terntray/internal/wire"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 )
 
@@ -22,17 +24,17 @@
 	defer l.Close()
 	cell := 0
 	c := made(t, wire.Target{UID: "s-a", Endpoint: l.Addr().String(), State: wire.Ready, Cell: &cell})
-	defer c.fleet.stop()
+	defer c.replicas.Stop()
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 	c.loop.RunIteration(c.loop.Receive(), c.endIteration) // the connection is up
-	if len(c.fleet.attempts) != 1 {
-		t.Fatalf("%d legs are out", len(c.fleet.attempts))
+	if len(c.attemptsOut) != 1 {
+		t.Fatalf("%d legs are out", len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
-	if c.turnWith(); len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
+	if c.turnWith(); len(c.attemptsOut)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.attemptsOut), len(c.subqueries), len(c.queries))
 	}
 }
 
@@ -64,41 +66,16 @@
 	k := c.client(t)
 	query := &wire.Query{ID: "q", Class: "look", Deadline: time.Minute, Subqueries: []wire.Subquery{{Shard: 0, Weight: 1}}}
 	c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
-	for _, l := range c.fleet.attempts {
+	for _, l := range c.attemptsOut {
 		c.loop.NextIteration(func() { panic("as if") })
 		c.abandonAttempt(l, scheduler.TimedOut)
 	}
-	if cause := eventloop.Recover(c.turnWith); cause == "" || len(c.fleet.attempts) != 1 {
-		t.Fatalf("it breaks by %q with %d legs", cause, len(c.fleet.attempts))
+	if cause := eventloop.Recover(c.turnWith); cause == "" || len(c.attemptsOut) != 1 {
+		t.Fatalf("it breaks by %q with %d legs", cause, len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
-	if c.turnWith(); len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
-	}
-}
-
-// A write that the far side does not take ends with its connection before a client of it can be gone for 0.3 s, however
-// long connections may take to come up. What was not begun by then can be taken back.
-func TestWriteThatIsNotTakenEndsSoon(t *testing.T) {
-	c := fronted(t)
-	c.fleet.connectWithin = 10 * time.Second
-	near, far := pair(t)
-	near.SetWriteBuffer(4 << 10)
-	far.SetReadBuffer(4 << 10)
-	k := newLink(c, 1, c.fleet.named("s-a"), "127.0.0.1:1", replicaproto.Frames)
-	var calls []*replicaproto.Call
-	for n := range 60 {
-		calls = append(calls, &replicaproto.Call{Attempt: uint64(n + 1), Group: uint64(n + 1), SubqueryID: wire.SubqueryID("q", n), Text: make([]byte, 60_000), Deadline: time.Hour})
-		k.session.Queue(calls[n])
-	}
-	began := time.Now()
-	k.write(near, near)
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it is written to for %v", took)
-	}
-	last := calls[len(calls)-1]
-	if last.Stage != replicaproto.Waiting || !k.session.Withdraw(last) {
-		t.Errorf("the last of what waits is at stage %v", last.Stage)
+	if c.turnWith(); len(c.attemptsOut)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("%d legs, %d parts, %d retrievals are left", len(c.attemptsOut), len(c.subqueries), len(c.queries))
 	}
 }
 
@@ -112,9 +89,7 @@
 		c.loop.RunIteration(func() { c.queryArrives(k, query, c.loop.Now()) }, c.endIteration)
 		ended := c.loop.Receive() // of its connection, which is as good as one that was up and broke
 		q := c.queriesByRequestID["q"]
-		for id := range c.fleet.links {
-			c.fleet.pool.ConnUp(c.loop.Now(), id)
-		}
+		c.replicas.ConnUp(1)
 		l := q.subqueries[0].attempts[0]
 		l.call.Stage = replicaproto.Begun
 		if leaves {
@@ -122,12 +97,12 @@
 		} else {
 			c.loop.RunIteration(func() { c.Fail(q.id) }, c.endIteration)
 		}
-		if c.loop.RunIteration(ended, c.endIteration); len(c.fleet.links) > 0 {
+		if c.loop.RunIteration(ended, c.endIteration); c.replicas.Conns() > 0 {
 			t.Errorf("its client leaves %t: it goes on another connection", leaves)
 		}
 		c.turnWith()
-		if len(c.fleet.attempts)+len(c.subqueries) > 0 {
-			t.Errorf("its client leaves %t: %d legs, %d parts are left", leaves, len(c.fleet.attempts), len(c.subqueries))
+		if len(c.attemptsOut)+len(c.subqueries) > 0 {
+			t.Errorf("its client leaves %t: %d legs, %d parts are left", leaves, len(c.attemptsOut), len(c.subqueries))
 		}
 	}
 }
@@ -147,26 +122,25 @@
 		if begun {
 			other.call.Stage = replicaproto.Begun
 		}
-		var on, beside *link
-		for id, l := range c.fleet.links {
-			c.fleet.pool.ConnUp(c.loop.Now(), id)
-			if on == nil || id < on.id {
-				on = l
-			}
-			if beside == nil || id > beside.id { // a replica gets two attempts of one part on two of them
-				beside = l
-			}
+		on, beside := connpool.ConnID(1), connpool.ConnID(2) // a replica gets two attempts of one part on two of them
+		if c.replicas.Conns() != 2 {
+			t.Fatalf("%d connections", c.replicas.Conns())
+		}
+		c.replicas.ConnUp(on)
+		c.replicas.ConnUp(beside)
+		reply := replicaproto.Event{
+			Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1,
 		}
 		c.loop.RunIteration(func() {
-			c.replyReceived(on, &replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: first.call.SubqueryID, End: replicaproto.OK, Value: []byte("v"), Busy: -1}, c.loop.Now())
+			c.replicas.Received(on, replicaconn.Input{Events: []replicaproto.Event{reply}, At: c.loop.Now()})
 		}, func() {})
 		if !p.answered {
 			t.Fatal("the part is not in")
 		}
-		before := len(c.fleet.links)
-		c.loop.RunIteration(func() { c.linkEnded(beside, io.EOF, c.loop.Now()) }, func() {})
-		if c.loop.RunIteration(func() {}, func() {}); !other.ended || len(c.fleet.links) > before-1 {
-			t.Errorf("begun %t: over %t, %d connections after %d", begun, other.ended, len(c.fleet.links), before)
+		before := c.replicas.Conns()
+		c.loop.RunIteration(func() { c.replicas.ConnEnded(beside, io.EOF, c.loop.Now()) }, func() {})
+		if c.loop.RunIteration(func() {}, func() {}); !other.ended || c.replicas.Conns() > before-1 {
+			t.Errorf("begun %t: over %t, %d connections after %d", begun, other.ended, c.replicas.Conns(), before)
 		}
 	}
 }
--- a/coordinator/crossings_settings_test.go
+++ b/coordinator/crossings_settings_test.go
@@ -50,7 +50,7 @@
 	d.settings = settings
 	c, err := New(d, log.New(io.Discard, "", 0))
 	if err == nil {
-		c.fleet.stop()
+		c.replicas.Stop()
 	}
 	return err
 }
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -45,7 +45,7 @@
 func fronted(t *testing.T) *Coordinator {
 	cell := 0
 	c := made(t, wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell})
-	t.Cleanup(c.fleet.stop)
+	t.Cleanup(c.replicas.Stop)
 	c.discovery.Repeat()
 	return c
 }
@@ -69,8 +69,8 @@
 	d := c.client(t)
 	c.loop.RunIteration(func() { c.queryArrives(d, query("r"), c.loop.Now()); d.gone.Store(true) }, c.endIteration)
 	c.turnWith()
-	if len(c.fleet.links) > 0 {
-		t.Errorf("taken in, then left: %d connections for its parts", len(c.fleet.links))
+	if c.replicas.Conns() > 0 {
+		t.Errorf("taken in, then left: %d connections for its parts", c.replicas.Conns())
 	}
 }
 
@@ -104,6 +104,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.fleet.stop)
+	t.Cleanup(c.replicas.Stop)
 	return c
 }
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -6,6 +6,7 @@
 	"terntray/discovery"
 	"terntray/internal/wire"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 )
 
@@ -92,56 +93,45 @@
 	for _, target := range targets {
 		isListed[target.UID] = true
 	}
-	for _, replica := range c.fleet.all {
-		if !isListed[replica.uid] {
-			replica.state.Store(int32(invariant.Removed))
-			c.fleet.pool.ReplicaRemoved(c.loop.Now(), replica.id)
-		}
-	}
+	c.replicas.RemoveAllBut(isListed)
 }
 
 func (c *Coordinator) applyEndpoint(target wire.Target) {
-	replica := c.fleet.named(target.UID)
-	replica.state.Store(int32(invariantStates[target.State]))
-	c.listInPool(replica, target)
+	replica := c.replicas.EndpointOf(target.UID)
+	replica.SetState(invariantStates[target.State])
+	c.connectTo(replica, target)
 	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{
-		ID:      replica.id,
+		ID:      replica.ID(),
 		State:   schedulerStates[target.State],
 		Started: c.startOf(replica, target),
 		Cell:    cellOf(target),
 		Zone:    c.zoneOf(target),
-		Size:    c.fleet.installation.SizeOf(target.Model),
+		Size:    c.installation.SizeOf(target.Model),
 	})
 }
 
-// listInPool tells the connection pool of an endpoint.
-func (c *Coordinator) listInPool(replica *replica, target wire.Target) {
+// connectTo tells the driver of connections where an endpoint is, or that it is removed.
+func (c *Coordinator) connectTo(replica *replicaconn.Endpoint, target wire.Target) {
 	if target.State == wire.Removed {
-		c.fleet.pool.ReplicaRemoved(c.loop.Now(), replica.id)
+		c.replicas.Remove(replica)
 		return
 	}
-	if replica.addr != target.Endpoint {
+	if replica.Addr() != target.Endpoint {
 		c.log.Printf("event=endpoint_listed replica=%s id=%d addr=%s zone=%s",
-			target.UID, replica.id, target.Endpoint, target.Zone)
+			target.UID, replica.ID(), target.Endpoint, target.Zone)
 	}
-	replica.addr = target.Endpoint
-	protocol := c.fleet.speaks(replica, target.Model)
 	isDraining := target.State == wire.Draining
-	c.fleet.pool.ReplicaListed(c.loop.Now(), replica.id, replica.addr, protocol, isDraining)
+	c.replicas.List(replica, target.Endpoint, target.Model, isDraining)
 }
 
-// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the pool close the
-// connections from before that start: whatever is written to one of them is lost.
-func (c *Coordinator) startOf(replica *replica, target wire.Target) time.Duration {
+// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the connections closed
+// from before that start: whatever is written to one of them is lost.
+func (c *Coordinator) startOf(replica *replicaconn.Endpoint, target wire.Target) time.Duration {
 	if target.BootMS <= 0 {
 		return scheduler.StartUnknown
 	}
 	started, isExact := c.incarnations.StartOf(c.loop.Now(), target.UID, target.BootMS)
-	closeBefore := started
-	if !isExact { // a connection that is up by now may still be to the process before
-		closeBefore += c.fleet.connectWithin
-	}
-	c.fleet.pool.ReplicaRestarted(c.loop.Now(), replica.id, closeBefore)
+	c.replicas.Restarted(replica, started, isExact)
 	return started
 }
 
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -65,8 +65,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range []*Coordinator{a, b} {
-		defer c.fleet.stop()
-		if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
+		defer c.replicas.Stop()
+		if err := c.startGossip(c.installation.Gossip); err != nil {
 			t.Fatal(err)
 		}
 		defer c.drivers.Wait()
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatalf("named %t: %v", named, err)
 		}
-		c.fleet.stop()
+		c.replicas.Stop()
 		fetch := func(class scheduler.ClassConfig) bool { return class.FetchSubqueries != 0 }
 		if c.config.Gossip != named || slices.ContainsFunc(c.config.Classes, fetch) || c.config.Coordinators != 3 {
 			t.Errorf("named %t: the module is told %+v", named, c.config)
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.startGossip(c.fleet.installation.Gossip); err != nil || c.gossip != nil {
+	if err := c.startGossip(c.installation.Gossip); err != nil || c.gossip != nil {
 		t.Errorf("%v, peers %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
@@ -178,7 +178,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.fleet.stop()
+		defer c.replicas.Stop()
 		k := c.client(t)
 		query := &wire.Query{ID: "q", Class: "look", Deadline: 5 * time.Second}
 		for shard := range 4 {
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -52,7 +52,7 @@
 		TimeLeft:    attempt.deadline - now,
 		ClientGone:  attempt.subquery.query.client.HasGone(now),
 		QueryClosed: attempt.subquery.unwanted(),
-		Endpoint:    invariant.EndpointState(attempt.endpoint.state.Load()),
+		Endpoint:    attempt.endpoint.State(),
 	}
 }
 
@@ -113,7 +113,7 @@
 
 func (c *Coordinator) writeRefused(attempt *attemptState, reason invariant.Reason) {
 	c.countRefused(attempt, reason, "written")
-	c.fleet.pool.WriteRefused(c.loop.Now(), &attempt.Attempt)
+	c.replicas.WriteRefused(&attempt.Attempt)
 	if reason == invariant.ClientGone {
 		c.clientDisconnected(attempt.subquery.query.client)
 	}
@@ -123,12 +123,12 @@
 func (c *Coordinator) countRefused(attempt *attemptState, reason invariant.Reason, when string) {
 	c.counts.Refused[reason]++
 	c.logLimited("event=attempt_refused query=%s attempt=%s replica=%s reason=%s when=%s",
-		attempt.subquery.query.request.ID, attempt.name(), c.fleet.uid(attempt.replica), reason, when)
+		attempt.subquery.query.request.ID, attempt.name(), c.replicas.UID(attempt.replica), reason, when)
 }
 
 // reportViolation counts and logs an action that an invariant forbids and that was about to happen, or has happened. Each
 // is a fault of this program.
 func (c *Coordinator) reportViolation(reason invariant.Reason, action, id string, to scheduler.ReplicaID) {
 	c.counts.Violations++
-	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.fleet.uid(to), reason)
+	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.replicas.UID(to), reason)
 }
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -13,6 +13,7 @@
 	"terntray/internal/replicaproto"
 	"terntray/internal/wire"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 )
 
@@ -53,7 +54,7 @@
 	subquery         *subqueryState
 	number           scheduler.AttemptNumber
 	replica          scheduler.ReplicaID
-	endpoint         *replica
+	endpoint         *replicaconn.Endpoint
 	deadline         time.Duration     // loop time at which it times out
 	timeoutTimer     *eventloop.Timer  // for deadline
 	ended            bool              // the scheduler knows its outcome, or will in the next iteration
@@ -109,7 +110,9 @@
 // anyWrittenWhole reports whether any attempt of a query was written to its last byte.
 func (c *Coordinator) anyWrittenWhole(query *queryState) bool {
 	return slices.ContainsFunc(query.subqueries, func(subquery *subqueryState) bool {
-		return slices.ContainsFunc(subquery.attempts, c.fleet.went)
+		return slices.ContainsFunc(subquery.attempts, func(attempt *attemptState) bool {
+			return attempt.Call != nil && c.replicas.WrittenWhole(&attempt.Attempt)
+		})
 	})
 }
 
@@ -153,7 +156,7 @@
 	c.withdrawUnsent(subquery)
 	for _, attempt := range subquery.attempts {
 		if attempt.ended && attempt.Call != nil {
-			c.fleet.pool.Forget(c.loop.Now(), &attempt.Attempt)
+			c.replicas.Forget(&attempt.Attempt)
 		}
 	}
 	c.forgetIfSettled(subquery)
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -19,9 +19,9 @@
 // the last counts.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
-		c.drivers.Go(c.rereadTLS)
+		c.drivers.Go(c.replicas.ReloadTLS)
 		c.stopReading()
-		ctx, stop := context.WithCancel(c.fleet.context)
+		ctx, stop := context.WithCancel(c.lifetime)
 		c.stopReading = stop
 		path := c.deployment.path
 		c.drivers.Go(func() { c.readUntilUsable(ctx, path) })
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -39,13 +39,13 @@
 	c.configureClasses()
 	c.configureNames()
 	shardsErr := c.configureLimits()
-	fleetErr := c.fleet.begin(c, d)
+	replicasErr := c.configureReplicas()
 	twoPhaseErr := c.twoPhase.begin(d, &c.config)
-	if err := errors.Join(shardsErr, fleetErr, twoPhaseErr); err != nil {
+	if err := errors.Join(shardsErr, replicasErr, twoPhaseErr); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	c.logUnsupportedSettings()
-	return d.validateInstallation(c.fleet.installation)
+	return d.validateInstallation(c.installation)
 }
 
 func (c *Coordinator) configureClasses() {
@@ -82,7 +82,7 @@
 
 func (c *Coordinator) logUnsupportedSettings() {
 	d := c.deployment
-	unsupported := d.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
+	unsupported := d.unsupportedSettings(len(c.installation.Gossip.Peers) > 0)
 	for _, key := range slices.Sorted(maps.Keys(unsupported)) {
 		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q", key, d.settings[key], unsupported[key])
 	}
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -199,7 +199,7 @@
 	}
 	if err := c.fetchReplyReceived(attempt, value, took); err != nil {
 		c.logLimited("event=malformed_fetch_reply replica=%s subquery=%s cause=%q",
-			c.fleet.uid(attempt.replica), attempt.subquery.wireID, err)
+			c.replicas.UID(attempt.replica), attempt.subquery.wireID, err)
 		return scheduler.Failed
 	}
 	return scheduler.Succeeded
