--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -30,17 +30,17 @@
 		"coordinator/endpoints.go": {"	replica := c.replicas.EndpointOf(target.UID)\n	replica.SetState(", "	if target.State == wire.Draining {\n		target.State = wire.Ready\n	}\n	replica := c.replicas.EndpointOf(target.UID)\n	replica.SetState("},
 	}},
 	{"effect", "effect", map[string][2]string{
-		"scheduler/retry.go":     {"(first < 0 || t.effect == invariant.Idempotent ||", "(true ||"},
+		"scheduler/retry.go":     {"(first == nil || class.effect == invariant.Idempotent ||", "(true ||"},
 		"invariant/invariant.go": {"	if attempt.Effect != NonIdempotent {\n", "	if true {\n"},
 	}},
 	{"slow_start", "slow_start", map[string][2]string{
-		"scheduler/slowstart.go": {"	if !c.coldFor(r) || p == nil {\n		return true\n", "	if true {\n		return true\n"},
+		"scheduler/slowstart.go": {"	if !s.warmingUp(replica, now) {\n		return true\n", "	if true {\n		return true\n"},
 	}},
 	{"honest", "honest", map[string][2]string{
 		"coordinator/answer.go": {"Payload: string(subquery.value)}", "Payload: string(subquery.value) + \"x\"}"},
 	}},
 	{"budget", "budget", map[string][2]string{
-		"scheduler/retry.go": {"	return c.retryBudgetSpan == 0 || float64", "	return true || float64"},
+		"scheduler/retry.go": {"	return b.parameters.retryBudgetSpan == 0 || float64", "	return true || float64"},
 	}},
 	{"shutdown", "shutdown", map[string][2]string{
 		"coordinator/shutdown.go": {"return c.clientsClosed && len(c.queries) == 0 }", "return c.clientsClosed && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }"},
