--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -38,8 +38,8 @@
 		late.gone.Store(true)
 	})
 	c.runPosted()
-	if len(c.fleet.links) > 0 {
-		t.Errorf("accepted, then disconnected: %d connections for its subqueries", len(c.fleet.links))
+	if c.replicas.Conns() > 0 {
+		t.Errorf("accepted, then disconnected: %d connections for its subqueries", c.replicas.Conns())
 	}
 }
 
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -8,10 +8,13 @@
 	"sync/atomic"
 	"time"
 
+	"terntray/config"
+	"terntray/connpool"
 	"terntray/discovery"
 	"terntray/eventloop"
 	"terntray/incarnation"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 	"terntray/server"
 )
@@ -34,12 +37,14 @@
 
 	// Drivers. Their goroutines notify the loop by posting to it.
 	server        *server.Server
-	fleet         fleet
+	replicas      *replicaconn.Driver
 	discovery     *discovery.Watcher
 	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
 	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
 	drivers       sync.WaitGroup
+	lifetime      context.Context // ends with Serve
+	endLifetime   context.CancelFunc
 
 	incarnations  *incarnation.Tracker
 	ready         atomic.Bool // queries can be served; read by any goroutine
@@ -49,6 +54,7 @@
 // settings are what configure reads from the deployment; they do not change.
 type settings struct {
 	config  scheduler.Config
+	file    *config.Config    // the project's own configuration file; without one, the defaults
 	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
 	classes map[string]class  // by name
 	zones   map[string]scheduler.ZoneIndex
@@ -64,6 +70,7 @@
 	queriesByClient    map[client]*queryState                 // and by client
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
 	arriving           client                                 // whose request is looked at and not open yet; else nil
+	attemptsOut        map[connpool.AttemptID]*attemptState   // sent, and not ended
 	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
@@ -75,6 +82,7 @@
 		queriesByRequestID: map[string]*queryState{},
 		queriesByClient:    map[client]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
+		attemptsOut:        map[connpool.AttemptID]*attemptState{},
 	}
 }
 
@@ -90,6 +98,7 @@
 		stopReading:  func() {},
 	}
 	c.counts.Refused = map[invariant.Reason]int{}
+	c.lifetime, c.endLifetime = context.WithCancel(context.Background())
 	c.admission.start(deployment.Limits.Cores, logger)
 	if err := c.configure(); err != nil {
 		return nil, err
@@ -121,15 +130,15 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
+	if err := c.startGossip(c.file.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
 	c.discovery.Start()
 	c.server.Start(listener)
-	c.watchCertificates()
+	c.replicas.WatchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
-		c.deployment.Name, listener.Addr(), len(c.fleet.all))
+		c.deployment.Name, listener.Addr(), c.replicas.Endpoints())
 	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
 	c.loop.Run(c.endIteration, c.recoverFromPanic, c.isShutDown)
 	c.stopDrivers()
@@ -140,7 +149,7 @@
 // endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
-	c.fleet.flush()
+	c.replicas.Flush()
 	if c.admission.update(c.loop.Now()) {
 		c.scheduler.ReadDelayed(c.loop.Now(), c.admission.readDelay())
 	}
@@ -149,8 +158,10 @@
 // stopDrivers ends all goroutines but those of clients, which have ended.
 func (c *Coordinator) stopDrivers() {
 	c.discovery.Stop()
-	c.fleet.stop()
+	c.endLifetime()
+	c.replicas.Stop()
 	c.gossip.close()
+	c.replicas.Wait()
 	c.drivers.Wait()
 }
 
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.fleet.stop)
-	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
+	t.Cleanup(c.replicas.Stop)
+	if err := c.startGossip(c.file.Gossip); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.fleet.stop)
+	t.Cleanup(c.replicas.Stop)
 	return c
 }
 
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatalf("peers %t: %v", hasPeers, err)
 		}
-		c.fleet.stop()
+		c.replicas.Stop()
 		hasSecondStep := func(class scheduler.ClassConfig) bool { return class.FetchSubqueries != 0 }
 		if c.config.Gossip != hasPeers || slices.ContainsFunc(c.config.Classes, hasSecondStep) || c.config.Coordinators != 3 {
 			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.config)
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.startGossip(c.fleet.installation.Gossip); err != nil || c.gossip != nil {
+	if err := c.startGossip(c.file.Gossip); err != nil || c.gossip != nil {
 		t.Errorf("%v, gossip %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
@@ -120,7 +120,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.fleet.stop()
+		defer c.replicas.Stop()
 		c.receive(c.newClient(), newQuery("q", 5*time.Second, 0, 1, 2, 3), 0)
 		return c.counts.Attempts, c.countersLine()
 	}
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -74,8 +74,8 @@
 	c := newCoordinator(t, readyReplica("s-a", replica.Addr().String()))
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
 	c.runIteration(c.loop.Receive()) // the connection is up
-	if len(c.fleet.attempts) != 1 {
-		t.Fatalf("%d attempts are out", len(c.fleet.attempts))
+	if len(c.attemptsOut) != 1 {
+		t.Fatalf("%d attempts are out", len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
@@ -85,8 +85,8 @@
 // checkNothingIsOpen checks that no query, subquery or attempt is known.
 func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
 	t.Helper()
-	if len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
+	if len(c.attemptsOut)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.attemptsOut), len(c.subqueries), len(c.queries))
 	}
 }
 
@@ -118,13 +118,13 @@
 func TestPanicLosesNoEndOfAnAttempt(t *testing.T) {
 	c := newServing(t)
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
-	for _, attempt := range c.fleet.attempts {
+	for _, attempt := range c.attemptsOut {
 		c.loop.NextIteration(func() { panic("as if") })
 		c.abandonAttempt(attempt, scheduler.TimedOut)
 	}
 	cause := eventloop.Recover(c.runPosted)
-	if cause == "" || len(c.fleet.attempts) != 1 {
-		t.Fatalf("it panics by %q with %d attempts", cause, len(c.fleet.attempts))
+	if cause == "" || len(c.attemptsOut) != 1 {
+		t.Fatalf("it panics by %q with %d attempts", cause, len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -39,13 +39,13 @@
 	c.configureClasses()
 	c.configureNames()
 	shardsErr := c.configureLimits()
-	fleetErr := c.fleet.begin(c, deployment)
+	replicasErr := c.configureReplicas()
 	twoPhaseErr := c.twoPhase.begin(deployment, &c.config)
-	if err := errors.Join(shardsErr, fleetErr, twoPhaseErr); err != nil {
+	if err := errors.Join(shardsErr, replicasErr, twoPhaseErr); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	c.logUnsupportedSettings()
-	return deployment.validateConfig(c.fleet.installation)
+	return deployment.validateConfig(c.file)
 }
 
 func (c *Coordinator) configureClasses() {
@@ -82,7 +82,7 @@
 
 func (c *Coordinator) logUnsupportedSettings() {
 	deployment := c.deployment
-	unsupported := deployment.unsupportedSettings(len(c.fleet.installation.Gossip.Peers) > 0)
+	unsupported := deployment.unsupportedSettings(len(c.file.Gossip.Peers) > 0)
 	for _, key := range slices.Sorted(maps.Keys(unsupported)) {
 		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q",
 			key, deployment.settings[key], unsupported[key])
--- a/coordinator/settings_test.go
+++ b/coordinator/settings_test.go
@@ -47,7 +47,7 @@
 	}
 	c, err := New(d, log.New(io.Discard, "", 0))
 	if err == nil {
-		c.fleet.stop()
+		c.replicas.Stop()
 	}
 	return err
 }
