--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -20,7 +20,7 @@
 )
 
 // Deployment is what a co-ordinator is told before it starts: the platform's configuration file, in which
-// environment variables may replace some values, and the project's own installation file.
+// environment variables may replace some values, and the project's own (package config).
 type Deployment struct {
 	Name           string            `json:"name"`
 	Listen         string            `json:"listen"`    // host:port for clients
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Wanted)
 }
 
-// ReadDeployment reads the configuration file that the environment names. The installation file is not read.
+// ReadDeployment reads the configuration file that the environment names. The latter is not read.
 func ReadDeployment(env func(string) string) (*Deployment, error) {
 	path := env(configVariable)
 	if path == "" {
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -245,16 +245,16 @@
 	return nil
 }
 
-// validateConfig refuses what the installation file says of co-ordinators and sizes if it does not fit the
+// validateConfig refuses what the project's file says of co-ordinators and sizes if it does not fit the
 // settings.
-func (deployment *Deployment) validateConfig(installation *config.Config) error {
+func (deployment *Deployment) validateConfig(file *config.Config) error {
 	var peersErr, sizesErr error
-	if len(installation.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
+	if len(file.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
 		peersErr = errPeersForbidden
 	}
 	weightKind := deployment.settings["weightKind"]
-	sizesCount := weightKind == "nominal" || weightKind == "rough" || installation.Shadow.Settings["weightKind"] != ""
-	if len(installation.Sizes) > 0 && !sizesCount {
+	usesSizes := weightKind == "nominal" || weightKind == "rough" || file.Shadow.Settings["weightKind"] != ""
+	if len(file.Sizes) > 0 && !usesSizes {
 		sizesErr = fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weightKind)
 	}
 	return errors.Join(peersErr, sizesErr)
@@ -264,21 +264,21 @@
 	"installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 
 // schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the
-// installation file asks for; nil: none.
+// project's file asks for; nil: none.
 func (deployment *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
-	installation := deployment.Config
-	if installation == nil {
-		installation = &config.Config{}
+	file := deployment.Config
+	if file == nil {
+		file = &config.Config{}
 	}
-	settings := deployment.supportedSettings(len(installation.Gossip.Peers) > 0)
+	settings := deployment.supportedSettings(len(file.Gossip.Peers) > 0)
 	effective, err = scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if len(installation.Shadow.Settings) == 0 {
+	if len(file.Shadow.Settings) == 0 {
 		return effective, nil, nil
 	}
-	maps.Copy(settings, installation.Shadow.Settings)
+	maps.Copy(settings, file.Shadow.Settings)
 	evaluated, err := scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("installation: watch.settings: %w", err)
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -51,7 +51,7 @@
 
 func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-// begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
+// begin reads which classes may ask for two phases. The project's file names them; they have to be idempotent.
 func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
 	if deployment.Config == nil {
@@ -73,7 +73,7 @@
 	return invalid
 }
 
-// twoPhaseClassError says that the installation file names a class whose queries cannot have two phases.
+// twoPhaseClassError says that the project's file names a class whose queries cannot have two phases.
 type twoPhaseClassError struct{ class string }
 
 func (err *twoPhaseClassError) Error() string {
