--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -68,7 +68,7 @@
 // # Where to look
 //
 //   - coordinator.go: the parts, start, iteration; shutdown.go: the end
-//   - clients.go, endpoints.go: what server and discovery notify of
+//   - clients.go, replicas.go, endpoints.go: how server, replicaconn and discovery are set up, and what they notify of
 //   - arrival.go, query.go, answer.go: a query from its arrival to its answer
 //   - attempt.go: attempts from start to end
 //   - twophase.go: queries that ask can-match first
--- /dev/null
+++ b/coordinator/limitedlog_test.go
@@ -0,0 +1,23 @@
+package coordinator
+
+import (
+	"log"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A replica closes connection after connection. The log says so a few times in a second, and then how often it did not.
+func TestLimitedLogCountsWhatItLeavesOut(t *testing.T) {
+	var text strings.Builder
+	limited := limitedLog{log: log.New(&text, "", 0)}
+	for range maxLinesPerSecond + 7 {
+		limited.printf(time.Second, "event=dropped")
+	}
+	limited.printf(2*time.Second, "event=other")
+	limited.printf(3*time.Second, "event=other")
+	want := strings.Repeat("event=dropped\n", maxLinesPerSecond) + "event=lines_suppressed n=7\nevent=other\nevent=other\n"
+	if text.String() != want {
+		t.Errorf("%s\nwant %s", text.String(), want)
+	}
+}
