--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -31,7 +31,8 @@
 	return fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.queriesByClient), len(c.subqueries), c.openWork)
 }
 
-// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything behind.
+// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything
+// behind.
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
@@ -46,7 +47,7 @@
 			c.queryArrives(from, newQuery(fmt.Sprint("q", n), time.Second, 0), c.loop.Now())
 		})
 		c.runIteration(func() { c.clientDisconnected(from) })
-		for len(c.fleet.all) > 2 { // the last ones' connections have yet to fail
+		for c.replicas.Endpoints() > 2 { // the last ones' connections have yet to fail
 			c.runIteration(c.loop.Receive())
 		}
 		if n%1000 != 999 {
