--- a/internal/netconn/dial.go
+++ b/internal/netconn/dial.go
@@ -13,41 +13,45 @@
 )
 
 const (
-	shortageFirstWait = 5 * time.Millisecond  // from a call that failed for want of something here to the next
-	shortageMostWait  = 80 * time.Millisecond // the longest such wait; it doubles up to here
+	// A call that failed as this machine lacked something is repeated after a wait that doubles from the first to
+	// the longest.
+	firstShortageWait   = 5 * time.Millisecond
+	longestShortageWait = 80 * time.Millisecond
 )
 
-// shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) say that this machine lacks something for
-// the moment: descriptors, memory, buffers, ports. They say nothing of the far side, and nothing was sent.
+// shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) say that this machine lacks
+// something for the moment: descriptors, memory, buffers, ports. They say nothing of the peer, and nothing was
+// sent.
 var shortages = []syscall.Errno{
-	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
+	syscall.EINTR,
 }
 
-// routeErrors say that there is no way to the far side's network: for a moment that is this machine's doing, for longer it
-// may be the network's.
+// routeErrors say that there is no route to the peer. For a moment that may be this machine's fault, as while an
+// address or a route is changed; if it lasts, it may be the network's.
 var routeErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// isErrno tells whether a system call failed with one of some errors.
-func isErrno(err error, among []syscall.Errno) bool {
+// isAnyOf tells whether a system call failed with one of some errors.
+func isAnyOf(err error, some []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(among, errno)
+	return errors.As(err, &errno) && slices.Contains(some, errno)
 }
 
 // IsShortage tells whether a system call failed for want of something on this machine.
-func IsShortage(err error) bool { return isErrno(err, shortages) }
+func IsShortage(err error) bool { return isAnyOf(err, shortages) }
 
-// retryShortage calls again what fails for want of something on this machine, or of a route, until a time or the context's
-// end. What still fails for want of something here then is a connpool.ErrShortage. Guards against: a shortage of a moment that counts against whoever was to be
-// reached. Should also cover: one that lasts, which must not spin. Could hurt: by some milliseconds.
+// retryShortage repeats a call that fails as this machine lacks something, or a route, until a time or the
+// context's end. A shortage of a moment would otherwise count against the peer. One that lasts ends as a
+// connpool.ErrShortage, and the waits between keep it from using up the processor.
 func retryShortage(ctx context.Context, until time.Time, call func() error) error {
-	for wait := shortageFirstWait; ; wait = min(shortageMostWait, 2*wait) {
+	for wait := firstShortageWait; ; wait = min(longestShortageWait, 2*wait) {
 		err := call()
-		short := IsShortage(err)
-		if !short && !isErrno(err, routeErrors) {
+		isShortage := IsShortage(err)
+		if !isShortage && !isAnyOf(err, routeErrors) {
 			return err
 		}
 		if time.Now().Add(wait).After(until) {
-			if short {
+			if isShortage {
 				err = fmt.Errorf("%w: %w", connpool.ErrShortage, err)
 			}
 			return err
--- a/internal/netconn/peek.go
+++ b/internal/netconn/peek.go
@@ -15,14 +15,14 @@
 const (
 	Quiet    State = iota // nothing is there to be read, or it cannot be told
 	Readable              // something is there to be read
-	Ended                 // the far side has ended it, and all before that is read
+	Ended                 // the peer has closed it, and everything before that has been read
 )
 
-// deadErrors are the errors of a socket that end its connection. All others, as a shortage of buffers, say nothing of the
-// far side.
+// deadErrors are the errors of a socket that end its connection. All others, such as a shortage of buffers, say
+// nothing of the peer.
 var deadErrors = []error{
-	syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-	syscall.ENETDOWN, syscall.ENOTCONN, syscall.ECONNREFUSED,
+	syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOTCONN, syscall.ECONNREFUSED,
 }
 
 func isDead(err error) bool {
@@ -36,11 +36,11 @@
 
 // onSocket calls a function with a connection's descriptor, if it has one that is open.
 func onSocket(conn net.Conn, do func(descriptor int)) {
-	c, ok := conn.(syscall.Conn)
+	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := c.SyscallConn()
+	raw, err := withDescriptor.SyscallConn()
 	if err != nil {
 		return
 	}
@@ -56,8 +56,8 @@
 // Peek looks at a connection; it never waits.
 func Peek(conn net.Conn) (state State) {
 	onSocket(conn, func(descriptor int) {
-		one := make([]byte, 1)
-		n, err := peekFunc(descriptor, one)
+		buffer := make([]byte, 1)
+		n, err := peekFunc(descriptor, buffer)
 		switch {
 		case n > 0:
 			state = Readable
@@ -68,8 +68,8 @@
 	return state
 }
 
-// HasEnded tells whether the far side has closed a connection, which its reader may not have been able to tell yet.
-// Guards against: frames written after that, which may then have run as far as anybody knows.
+// HasEnded tells whether the peer has closed a connection, which the connection's reader may not have noticed yet.
+// It is asked before a write: a call that is written after the peer closed may have run as far as anybody can tell.
 func HasEnded(conn net.Conn) bool { return Peek(conn) == Ended }
 
 // States of a TCP connection as tcp_info gives them (linux/tcp.h, include/net/tcp_states.h).
@@ -81,7 +81,7 @@
 	tcpClosing     = 11
 )
 
-// HasHungUp tells whether the far side has closed a connection, also behind bytes that nobody has read yet.
+// HasHungUp tells whether the peer has closed a connection, also behind bytes that nobody has read yet.
 func HasHungUp(conn net.Conn) bool {
 	state := uint8(0)
 	onSocket(conn, func(descriptor int) {
@@ -98,8 +98,8 @@
 	return HasEnded(conn)
 }
 
-// SinceLastData is how long ago the last bytes arrived on a connection, whether or not they have been read; 0 where the
-// machine does not tell.
+// SinceLastData is how long ago the last bytes arrived on a connection, whether or not they have been read; 0 where
+// the operating system does not tell.
 func SinceLastData(conn net.Conn) (ago time.Duration) {
 	onSocket(conn, func(descriptor int) {
 		info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/netconn/peek_test.go
+++ b/internal/netconn/peek_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Only errors that end a connection say that its far side has gone; a shortage of this machine says nothing.
+// A look at a connection fails. Only errors that end the connection say that the peer has gone; a shortage of this
+// machine says nothing of it.
 func TestPeekTakesAShortageForNoEnd(t *testing.T) {
 	near, _ := pair(t)
 	usual := peekFunc
@@ -24,14 +25,14 @@
 	}
 }
 
-// A far side that has closed is noticed behind bytes that nobody has read.
+// A peer sends bytes and closes. Its close is noticed although nobody has read the bytes.
 func TestHangUpIsSeenBehindUnreadBytes(t *testing.T) {
 	near, far := pair(t)
 	if HasHungUp(near) {
 		t.Error("a connection that stands has hung up")
 	}
 	io.WriteString(far, "unread")
-	sees(t, near, Readable)
+	waitFor(t, near, Readable)
 	if HasHungUp(near) {
 		t.Error("one with unread bytes has hung up")
 	}
@@ -45,27 +46,30 @@
 
 // pair gives the two ends of a connection on loopback.
 func pair(t *testing.T) (near, far *net.TCPConn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	conn, err := net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := l.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close(); other.Close() })
-	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return other.(*net.TCPConn), conn.(*net.TCPConn)
+	t.Cleanup(func() {
+		dialed.Close()
+		accepted.Close()
+	})
+	dialed.SetDeadline(time.Now().Add(20 * time.Second))
+	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// sees waits until a connection's end shows something.
-func sees(t *testing.T, conn net.Conn, what State) {
-	for end := time.Now().Add(20 * time.Second); Peek(conn) != what; time.Sleep(time.Millisecond) {
+// waitFor waits until a look at a connection shows a state.
+func waitFor(t *testing.T, conn net.Conn, want State) {
+	for end := time.Now().Add(20 * time.Second); Peek(conn) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing comes")
 		}
