--- a/connpool/conn.go
+++ b/connpool/conn.go
@@ -45,13 +45,9 @@
 	idleSince  time.Duration // while it is established and carries nothing
 	idleBefore time.Duration // how long it was idle before the first of the outstanding attempts
 
-	lastReplyAt time.Duration
-	overtaken   int           // replies on other connections to later attempts than the first here, since that reply
-	lastByteAt  time.Duration // anything came
-	pingPending bool          // a ping was sent and nothing has come since
-	pingSentAt  time.Duration
-	cancels     cancelQueue
-	wakeupAt    time.Duration // when Wakeup will be called; never: it will not
+	liveness
+	cancels  cancelQueue
+	wakeupAt time.Duration // when Wakeup will be called; never: it will not
 }
 
 // recentID is a subquery whose attempt has left its connection.
@@ -123,9 +119,3 @@
 	}
 	return running
 }
-
-// noteBytes notes that something came.
-func (conn *connection) noteBytes(at time.Duration) {
-	conn.lastByteAt = max(conn.lastByteAt, at)
-	conn.pingPending = false
-}
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -15,6 +15,21 @@
 	lateWakeup = 30 * time.Millisecond
 )
 
+// liveness is what shows whether a connection, and what is behind it, is alive.
+type liveness struct {
+	lastReplyAt time.Duration
+	overtaken   int           // replies on other connections to later attempts than the first here, since that reply
+	lastByteAt  time.Duration // anything came
+	pingPending bool          // a ping was sent and nothing has come since
+	pingSentAt  time.Duration
+}
+
+// noteBytes notes that something came.
+func (seen *liveness) noteBytes(at time.Duration) {
+	seen.lastByteAt = max(seen.lastByteAt, at)
+	seen.pingPending = false
+}
+
 var errPingTimeout = errors.New("a ping had no answer in time")
 
 // noteReply notes that a reply to an attempt came. Other connections to the same replica that have been silent since
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -1,7 +1,6 @@
 package connpool
 
 import (
-	"errors"
 	"time"
 
 	"terntray/internal/replicaproto"
@@ -17,7 +16,7 @@
 		id: pool.lastID, replica: to, addr: to.addr, protocol: to.protocol, traits: to.traits(),
 		maxAttempts: pool.limits.MaxAttemptsPerConn,
 		cancels:     cancelQueue{tokens: cancelBurst, tokensAt: pool.now},
-		lastByteAt:  pool.now,
+		liveness:    liveness{lastByteAt: pool.now},
 		wakeupAt:    never,
 	}
 	if opened.traits.Multiplexed {
@@ -118,7 +117,7 @@
 		return
 	}
 	conn.goingAway = true
-	pool.record(conn, GoingAway, errors.New(detail))
+	pool.record(conn, GoingAway, goAwayError(detail))
 	pool.requeueUnbegun(conn, 0, true)
 	if !conn.replica.takesNew() {
 		pool.rejectWaiting(conn.replica)
@@ -129,6 +128,11 @@
 	}
 }
 
+// goAwayError is what a replica said when it went away.
+type goAwayError string
+
+func (err goAwayError) Error() string { return string(err) }
+
 // record notes an event of a connection.
 func (pool *Pool) record(conn *connection, kind EventKind, cause error) {
 	pool.host.Record(Event{
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -1,6 +1,7 @@
 package http2
 
 import (
+	"bytes"
 	"cmp"
 	"errors"
 	"fmt"
@@ -8,13 +9,25 @@
 	"slices"
 
 	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
 
 	"terntray/internal/replicaproto"
+	"terntray/internal/wire"
 )
 
 // frameHeaderSize is the bytes of a frame before its payload (RFC 9113, 4.1).
 const frameHeaderSize = 9
 
+// inbound is what is read.
+type inbound struct {
+	input      wire.Buffer
+	frameInput bytes.Reader // the frame that is being read
+	decoder    *hpack.Decoder
+	headers    headerList           // that is being read
+	events     []replicaproto.Event // that Next has yet to give
+	idleFrames int                  // frames in a row that brought nothing
+}
+
 // Next gives the next event.
 func (session *Session) Next() (event replicaproto.Event, ok bool, err error) {
 	for {
@@ -59,7 +72,7 @@
 // onFrame takes a frame.
 func (session *Session) onFrame(frame http2.Frame) error {
 	_, isSettings := frame.(*http2.SettingsFrame)
-	if !session.settingsReceived && !isSettings {
+	if !session.settings.received && !isSettings {
 		return http2.ConnectionError(http2.ErrCodeProtocol) // the replica's preface is its settings (RFC 9113, 3.4)
 	}
 	session.idleFrames++ // reset by those that bring something
@@ -99,7 +112,7 @@
 // onSettings takes the replica's settings, or its acknowledgement of ours.
 func (session *Session) onSettings(frame *http2.SettingsFrame) error {
 	if frame.IsAck() {
-		if !session.settingsReceived {
+		if !session.settings.received {
 			return http2.ConnectionError(http2.ErrCodeProtocol)
 		}
 		return nil
@@ -108,8 +121,8 @@
 		return err
 	}
 	session.writeControl(session.framer.WriteSettingsAck)
-	if !session.settingsReceived {
-		session.settingsReceived = true
+	if !session.settings.received {
+		session.settings.received = true
 		session.emit(replicaproto.Event{Kind: replicaproto.Ready})
 	}
 	return nil
@@ -125,24 +138,24 @@
 			return http2.ConnectionError(http2.ErrCodeProtocol) // RFC 9113, 6.5.2
 		}
 	case http2.SettingMaxConcurrentStreams:
-		session.maxStreams = int64(setting.Val)
+		session.settings.maxStreams = int64(setting.Val)
 		maxCalls := int(min(setting.Val, maxWindow))
 		session.emit(replicaproto.Event{Kind: replicaproto.CallLimit, MaxCalls: maxCalls})
 	case http2.SettingInitialWindowSize:
 		return session.changeInitialWindow(int64(setting.Val))
 	case http2.SettingMaxFrameSize:
-		session.maxFrameSize = int(min(setting.Val, maxFrameSize)) // larger ones would keep other calls waiting
+		session.settings.maxFrameSize = int(min(setting.Val, maxFrameSize)) // larger ones would keep other calls waiting
 	case http2.SettingHeaderTableSize:
 		session.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, headerTableSize))
 	}
 	return nil
 }
 
-// changeInitialWindow changes the window of new streams, and those of open ones by the same difference. They may fall
-// below zero (RFC 9113, 6.9.2).
+// changeInitialWindow changes the window of new streams, and those of open ones by the same difference. They may
+// fall below zero (RFC 9113, 6.9.2).
 func (session *Session) changeInitialWindow(size int64) error {
-	change := size - session.streamSendWindow
-	session.streamSendWindow = size
+	change := size - session.settings.streamWindow
+	session.settings.streamWindow = size
 	for _, stream := range session.streamsInOrder() {
 		stream.sendWindow += change
 		if stream.sendWindow > maxWindow {
@@ -173,9 +186,9 @@
 	return nil
 }
 
-// onGoAway takes the replica's message that it takes no new stream. Streams above its last one never ran, except one
-// that has had its response already, which contradicts the message. A later message may name a lower stream (RFC 9113,
-// 6.8).
+// onGoAway takes the replica's message that it takes no new stream. Streams above its last one never ran, except
+// one that has had its response already, which contradicts the message. A later message may name a lower stream
+// (RFC 9113, 6.8).
 func (session *Session) onGoAway(frame *http2.GoAwayFrame) {
 	if session.goingAway && frame.LastStreamID >= session.lastAccepted {
 		return
@@ -198,7 +211,8 @@
 	}
 }
 
-// onReset takes the replica's end of a stream. A refused one never ran (RFC 9113, 8.7), unless it has had its response.
+// onReset takes the replica's end of a stream. A refused one never ran (RFC 9113, 8.7), unless it has had its
+// response.
 func (session *Session) onReset(frame *http2.RSTStreamFrame) error {
 	stream := session.streams[frame.StreamID]
 	if stream == nil { // its response was complete, or we have reset it
@@ -214,8 +228,8 @@
 }
 
 // handleError ends the stream that an error is about, if it is about one alone; otherwise it returns the error that
-// ends the connection. So it does for floods of frames that bring nothing, or that need answers faster than they are
-// written.
+// ends the connection. So it does for floods of frames that bring nothing, or that need answers faster than they
+// are written.
 func (session *Session) handleError(err error) error {
 	var ofStream http2.StreamError
 	if errors.As(err, &ofStream) {
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -1,13 +1,25 @@
 package http2
 
 import (
+	"bytes"
 	"time"
 
 	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
 
 	"terntray/internal/replicaproto"
 )
 
+// outbound is what is written.
+type outbound struct {
+	output      []byte // that frames are being written to
+	outputStart int    // where the session's own output begins in it
+	outputEnds  []replicaproto.OutputEnd
+	control     []byte // control frames that wait to be written
+	encoder     *hpack.Encoder
+	headerBlock bytes.Buffer // that the encoder writes to
+}
+
 // Output appends what is to be written now: control frames, then new streams as the replica's limit allows, then bodies
 // in turn, a frame of each. A large call would otherwise keep small ones of other clients waiting. Nothing is begun
 // before the replica's settings have come, as its limit is not known.
@@ -31,11 +43,11 @@
 // mayBegin tells whether the first call that waits can begin. A stream on which nothing can be sent would only take a
 // place.
 func (session *Session) mayBegin() bool {
-	if len(session.queue) == 0 || !session.settingsReceived || session.closeAnnounced || session.goingAway {
+	if len(session.queue) == 0 || !session.settings.received || session.closeAnnounced || session.goingAway {
 		return false
 	}
-	canSend := session.sendWindow > 0 && session.streamSendWindow > 0
-	return canSend && int64(len(session.streams)) < session.maxStreams && session.lastStreamID < maxStreamID
+	canSend := session.sendWindow > 0 && session.settings.streamWindow > 0
+	return canSend && int64(len(session.streams)) < session.settings.maxStreams && session.lastStreamID < maxStreamID
 }
 
 // beginNext opens a stream for the first call that waits, unless that is not permitted any more.
@@ -50,7 +62,7 @@
 		id:            session.nextStreamID(),
 		call:          call,
 		body:          call.Text,
-		sendWindow:    session.streamSendWindow,
+		sendWindow:    session.settings.streamWindow,
 		receiveWindow: receiveWindow{left: initialWindow},
 		contentLength: -1,
 	}
@@ -90,7 +102,7 @@
 		must(session.encoder.WriteField(field))
 	}
 	block := session.headerBlock.Bytes()
-	fragment, rest := cut(block, session.maxFrameSize)
+	fragment, rest := cut(block, session.settings.maxFrameSize)
 	must(session.framer.WriteHeaders(http2.HeadersFrameParam{
 		StreamID:      stream.id,
 		BlockFragment: fragment,
@@ -98,7 +110,7 @@
 		EndStream:     len(stream.body) == 0,
 	}))
 	for len(rest) > 0 {
-		fragment, rest = cut(rest, session.maxFrameSize)
+		fragment, rest = cut(rest, session.settings.maxFrameSize)
 		must(session.framer.WriteContinuation(stream.id, len(rest) == 0, fragment))
 	}
 }
@@ -131,7 +143,7 @@
 // sendable is how many bytes of a stream's body can be sent in one frame now; it may be below 0.
 func (session *Session) sendable(stream *stream) int {
 	window := min(session.sendWindow, stream.sendWindow)
-	return int(min(int64(len(stream.body)), window, int64(session.maxFrameSize)))
+	return int(min(int64(len(stream.body)), window, int64(session.settings.maxFrameSize)))
 }
 
 // writeBody writes so many bytes of a stream's body.
@@ -156,9 +168,9 @@
 }
 
 // Wrote tells how many bytes of the last output were taken.
-func (session *Session) Wrote(bytes int) {
+func (session *Session) Wrote(taken int) {
 	for _, end := range session.outputEnds {
-		if end.Size <= bytes {
+		if end.Size <= taken {
 			end.Call.Stage = replicaproto.Written
 		}
 	}
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -10,7 +10,6 @@
 package http2
 
 import (
-	"bytes"
 	"encoding/binary"
 	"errors"
 	"slices"
@@ -19,7 +18,6 @@
 	"golang.org/x/net/http2/hpack"
 
 	"terntray/internal/replicaproto"
-	"terntray/internal/wire"
 )
 
 const (
@@ -43,49 +41,42 @@
 	scheme    string
 	authority string
 
-	input       wire.Buffer
-	frameInput  bytes.Reader // the frame that is being read
-	framer      *http2.Framer
-	output      []byte // that frames are being written to
-	outputStart int    // where the session's own output begins in it
-	outputEnds  []replicaproto.OutputEnd
-	control     []byte // control frames that wait to be written
-	encoder     *hpack.Encoder
-	headerBlock bytes.Buffer // that the encoder writes to
-	decoder     *hpack.Decoder
-	headers     headerList // that is being read
+	framer *http2.Framer // reads from inbound, writes to outbound
+	inbound
+	outbound
 
 	queue        []*replicaproto.Call // not begun, in order
 	streams      map[uint32]*stream   // open ones, by id
 	sending      []*stream            // with body left, the next one first
 	lastStreamID uint32               // odd; 0: none yet
-	events       []replicaproto.Event // for Next
-
-	settingsReceived bool
-	maxStreams       int64 // that the replica takes at a time
-	maxFrameSize     int   // bytes of a payload that we send
-	streamSendWindow int64 // of new streams, as the replica states it
-	sendWindow       int64 // of the connection
-	receiveWindow    receiveWindow
-	pingsSent        uint64
-	goingAway        bool   // the replica takes no new stream
-	lastAccepted     uint32 // the highest stream that it takes then
-	idleFrames       int    // frames in a row that brought nothing
-	closeAnnounced   bool
-	closeCode        http2.ErrCode // of our GOAWAY
+
+	settings       replicaSettings
+	sendWindow     int64 // of the connection
+	receiveWindow  receiveWindow
+	pingsSent      uint64
+	goingAway      bool   // the replica takes no new stream
+	lastAccepted   uint32 // the highest stream that it takes then
+	closeAnnounced bool
+	closeCode      http2.ErrCode // of our GOAWAY
+}
+
+// replicaSettings are the replica's settings (RFC 9113, 6.5.2); until they come, the protocol's defaults.
+type replicaSettings struct {
+	received     bool
+	maxStreams   int64 // that it takes at a time
+	maxFrameSize int   // bytes of a payload that we send: at most our own maxFrameSize
+	streamWindow int64 // bytes that it takes at first on a new stream
 }
 
 // New makes a session. The scheme is http or https, the authority the replica's address.
 func New(scheme, authority string) *Session {
 	session := &Session{
-		scheme:           scheme,
-		authority:        authority,
-		streams:          map[uint32]*stream{},
-		maxStreams:       maxWindow,
-		maxFrameSize:     maxFrameSize,
-		streamSendWindow: initialWindow,
-		sendWindow:       initialWindow,
-		receiveWindow:    receiveWindow{left: connWindow},
+		scheme:        scheme,
+		authority:     authority,
+		streams:       map[uint32]*stream{},
+		settings:      replicaSettings{maxStreams: maxWindow, maxFrameSize: maxFrameSize, streamWindow: initialWindow},
+		sendWindow:    initialWindow,
+		receiveWindow: receiveWindow{left: connWindow},
 	}
 	session.framer = http2.NewFramer(outputWriter{session}, &session.frameInput)
 	session.framer.SetMaxReadFrameSize(maxFrameSize)
@@ -178,7 +169,7 @@
 func (session *Session) ReadBuffer() []byte { return session.input.Free() }
 
 // Filled tells how many bytes were read into it.
-func (session *Session) Filled(bytes int) { session.input.Filled(bytes) }
+func (session *Session) Filled(size int) { session.input.Filled(size) }
 
 // MidMessage tells whether a frame, or a header list of several, has begun to come that is not whole.
 func (session *Session) MidMessage() bool {
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/tls"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -111,13 +110,18 @@
 	reader := &reader{conn: conn, stream: stream, readyBy: readyBy}
 	var cause error
 	if panicked := eventloop.Recover(func() { cause = reader.run() }); panicked != "" {
-		cause = errors.New(panicked)
+		cause = panicError(panicked)
 	}
 	conn.close()
 	<-writerDone
 	return cause
 }
 
+// panicError is a panic of the reader, with its stack.
+type panicError string
+
+func (err panicError) Error() string { return string(err) }
+
 // setSocket notes that the connection is connected, and tells whether it is still wanted.
 func (conn *conn) setSocket(socket net.Conn) bool {
 	conn.mu.Lock()
