--- a/coordinator/queries.go
+++ b/coordinator/queries.go
@@ -279,7 +279,7 @@
 		var matches []wire.SubqueryValue
 		for _, p := range q.parts {
 			if p.in {
-				matches = append(matches, wire.SubqueryValue{Segment: p.shard, Payload: string(p.value)})
+				matches = append(matches, wire.SubqueryValue{Shard: p.shard, Payload: string(p.value)})
 			}
 		}
 		c.trace("retrieval=%s fulfilled whole=%t parts=%d after=%v", q.query.ID, whole, len(matches), c.loop.Now()-q.came)
@@ -299,14 +299,10 @@
 func (c *Coordinator) Fail(id scheduler.RequestID) {
 	c.reply(id, &c.counts.Scrapped, func(q *openQuery, last bool) []byte {
 		c.trace("retrieval=%s scrapped after=%v", q.query.ID, c.loop.Now()-q.came)
-		return refusal(http.StatusInternalServerError, "scrapped", last)
+		return wire.TextResponse(http.StatusInternalServerError, "scrapped", last)
 	})
 }
 
-func refusal(status int, words string, last bool) []byte {
-	return wire.Respond(status, "text/plain", []byte(words+"\n"), 0, last)
-}
-
 // StartAttempt sends an attempt of a part.
 func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	p := c.parts[id]
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -124,8 +124,8 @@
 // Filled tells how many bytes came into it.
 func (s *Session) Filled(n int) { s.replies.Filled(n) }
 
-var ends = map[wire.End]replicaproto.End{
-	wire.OK: replicaproto.OK, wire.ProtocolError: replicaproto.Error, wire.Rejected: replicaproto.Rejected,
+var ends = map[wire.ReplyStatus]replicaproto.End{
+	wire.ReplyOK: replicaproto.OK, wire.ReplyError: replicaproto.Error, wire.ReplyRejected: replicaproto.Rejected,
 }
 
 // Next gives the next reply.
@@ -134,7 +134,7 @@
 	if r == nil || err != nil {
 		return e, false, err
 	}
-	return replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: r.ID, End: ends[r.End], Value: r.Value, Busy: r.Busy}, true, nil
+	return replicaproto.Event{Kind: replicaproto.Reply, SubqueryID: r.ID, End: ends[r.Status], Value: r.Value, Busy: r.Busy}, true, nil
 }
 
 // MidMessage tells whether a frame has begun to come that is not whole.
--- a/internal/wire/buffer.go
+++ b/internal/wire/buffer.go
@@ -1,52 +1,58 @@
-// Package wire holds the state machines of the wire between clients, replicas, discovery and a
-// co-ordinator. They are fed bytes and know neither sockets nor clocks.
+// Package wire holds the state machines of the wire between clients, replicas, discovery and a coordinator: they
+// are fed bytes and give typed messages, and know neither sockets nor clocks.
+//
+// The wire's own names, where they differ from the field's, stand in names.go and nowhere else. What cannot be
+// used is a ProtocolError or another error; nothing is mended silently.
 package wire
 
 const (
-	leastRoom = 2 << 10  // bytes to read into at the least
-	keptRoom  = 16 << 10 // bytes that an empty buffer may keep; a larger one is let go
+	minFree = 2 << 10  // bytes to read into at the least
+	maxKept = 16 << 10 // bytes that an empty buffer keeps; a larger one is released
 )
 
-// Buffer is a connection's one buffer: it grows as it needs and is compacted in place.
+// Buffer is the one read buffer of a connection: it grows as it needs and is compacted in place. Its zero value
+// is empty.
 type Buffer struct {
-	data []byte
-	from int // what stands before is used up
+	data     []byte
+	consumed int // bytes of data that are used up
 }
 
-// Free gives free bytes to read into; Filled tells how many were.
-func (b *Buffer) Free() []byte {
-	if b.from > 0 {
-		n := copy(b.data, b.data[b.from:])
-		b.data, b.from = b.data[:n], 0
+// Free gives free bytes to read into; Filled has to tell how many were read.
+func (buffer *Buffer) Free() []byte {
+	if buffer.consumed > 0 {
+		left := copy(buffer.data, buffer.data[buffer.consumed:])
+		buffer.data = buffer.data[:left]
+		buffer.consumed = 0
 	}
-	if len(b.data) == 0 && cap(b.data) > keptRoom {
-		b.data = nil
+	if len(buffer.data) == 0 && cap(buffer.data) > maxKept {
+		buffer.data = nil
 	}
-	if cap(b.data)-len(b.data) < leastRoom {
-		grown := make([]byte, len(b.data), max(2*cap(b.data), len(b.data)+leastRoom))
-		copy(grown, b.data)
-		b.data = grown
+	length := len(buffer.data)
+	if cap(buffer.data)-length < minFree {
+		grown := make([]byte, length, max(2*cap(buffer.data), length+minFree))
+		copy(grown, buffer.data)
+		buffer.data = grown
 	}
-	return b.data[len(b.data):cap(b.data)]
+	return buffer.data[length:cap(buffer.data)]
 }
 
-// Filled takes in the first n bytes of what Room gave last.
-func (b *Buffer) Filled(n int) { b.data = b.data[:len(b.data)+n] }
+// Filled takes in the first bytes of what Free gave last.
+func (buffer *Buffer) Filled(count int) { buffer.data = buffer.data[:len(buffer.data)+count] }
 
 // Feed takes in a copy of some bytes.
-func (b *Buffer) Feed(p []byte) {
-	for len(p) > 0 {
-		n := copy(b.Free(), p)
-		b.Filled(n)
-		p = p[n:]
+func (buffer *Buffer) Feed(bytes []byte) {
+	for len(bytes) > 0 {
+		count := copy(buffer.Free(), bytes)
+		buffer.Filled(count)
+		bytes = bytes[count:]
 	}
 }
 
 // Buffered is how many bytes are in and not used up.
-func (b *Buffer) Buffered() int { return len(b.data) - b.from }
+func (buffer *Buffer) Buffered() int { return len(buffer.data) - buffer.consumed }
 
-// Bytes is what is in and not used up; it is good until the next call of Room.
-func (b *Buffer) Bytes() []byte { return b.data[b.from:] }
+// Bytes is what is in and not used up; it is valid until the next call of Free.
+func (buffer *Buffer) Bytes() []byte { return buffer.data[buffer.consumed:] }
 
-// Consume lets go of the first n bytes of it.
-func (b *Buffer) Consume(n int) { b.from += n }
+// Consume uses up the first bytes of it.
+func (buffer *Buffer) Consume(count int) { buffer.consumed += count }
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -9,101 +9,101 @@
 	"slices"
 )
 
-// EndpointList is what discovery tells: all replicas, or those that changed.
-type EndpointList struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
-}
-
-// Target is a replica as discovery lists it.
-type Target struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"`
-	Zone     string `json:"az"`
-	Model    string `json:"model"`
-	Cell     *int   `json:"pod_group"`
-	State    string `json:"state"`
-	BootMS   int64  `json:"boot_ms"`
-}
-
-// The states of a target.
-const (
-	Ready    = "ready"
-	Draining = "draining"
-	Removed  = "gone"
-)
-
-// DropUnusable drops the targets that cannot be used and says which; one in a state that has no meaning here wants
-// nothing new. Guards against: one odd entry that makes the whole list useless, and drains with it. Should
-// also cover: states of a later version. Could hurt: a replica that is sound but listed badly gets nothing.
-func (l *EndpointList) DropUnusable() (odd []string) {
-	l.Targets = slices.DeleteFunc(l.Targets, func(t Target) bool {
-		bad := t.UID == "" || t.State != Removed && (t.Endpoint == "" || t.Cell == nil || *t.Cell < 0)
-		if bad {
-			odd = append(odd, fmt.Sprintf("%s %q", t.State, t.UID))
+// DropUnusable drops the targets that cannot be used and names them. One in an unknown state, as of a later
+// version, counts as draining: it gets nothing new. One odd entry must not make the whole list useless, and the
+// drains in it with it.
+func (list *EndpointList) DropUnusable() (unusable []string) {
+	list.Targets = slices.DeleteFunc(list.Targets, func(target Target) bool {
+		if !target.isUsable() {
+			unusable = append(unusable, target.describe())
+			return true
 		}
-		return bad
+		return false
 	})
-	for n, t := range l.Targets {
-		if !slices.Contains([]string{Ready, Draining, Removed}, t.State) {
-			odd = append(odd, fmt.Sprintf("%s %q", t.State, t.UID))
-			l.Targets[n].State = Draining
+	for n, target := range list.Targets {
+		if !slices.Contains([]string{Ready, Draining, Removed}, target.State) {
+			unusable = append(unusable, target.describe())
+			list.Targets[n].State = Draining
 		}
 	}
-	return odd
+	return unusable
+}
+
+// isUsable tells whether a target says which replica it is and, unless that is removed, how it is reached.
+func (target *Target) isUsable() bool {
+	if target.UID == "" {
+		return false
+	}
+	isPlaced := target.Endpoint != "" && target.Cell != nil && *target.Cell >= 0
+	return target.State == Removed || isPlaced
 }
 
-// ListRequest and Watch make the calls of discovery.
+func (target *Target) describe() string { return fmt.Sprintf("%s %q", target.State, target.UID) }
+
+// ListRequest asks a discovery agent for the whole list.
 func ListRequest(host string) []byte {
-	return fmt.Appendf(nil, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", host)
+	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathEndpoints, host)
 }
 
-// WatchRequest asks for what is newer than a revision; the answer may take so many milliseconds.
-func WatchRequest(host string, from, holdMS int64) []byte {
-	return fmt.Appendf(nil, "GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-		from, holdMS, host)
+// WatchRequest asks for what is newer than a revision; the agent may hold the response back for so many milliseconds.
+func WatchRequest(host string, revision, holdMS int64) []byte {
+	return fmt.Appendf(nil, "GET %s?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+		pathEndpoints, revision, holdMS, host)
 }
 
-// EndpointListReader cuts discovery's answers out of the bytes of a connection.
+// StatusError is a response of a discovery agent that brings no list.
+type StatusError struct{ Status int }
+
+// Error names the status.
+func (err *StatusError) Error() string { return fmt.Sprintf("status %d", err.Status) }
+
+// EndpointListReader cuts a discovery agent's responses out of the bytes of a connection.
 type EndpointListReader struct {
-	messages
-	ended bool
+	messageReader
+	closed bool
 }
 
-// ConnClosed tells that the far side has ended the connection in order: an answer that states no length is whole then (RFC 9112,
-// section 6.3). A connection that is reset ends nothing.
-func (m *EndpointListReader) ConnClosed() { m.ended = true }
+// ConnClosed tells that the far side has closed the connection in order: a response that states no length is
+// whole then (RFC 9112, section 6.3). It is not to be called after a reset, which ends no response.
+func (reader *EndpointListReader) ConnClosed() { reader.closed = true }
 
-// Complete tells whether it has.
-func (m *EndpointListReader) Complete() bool { return m.ended }
+// Complete tells whether ConnClosed was called.
+func (reader *EndpointListReader) Complete() bool { return reader.closed }
 
-// Next gives the next listing; nil without an error means that more bytes must come in first. Last tells
-// that the connection ends with it.
-func (m *EndpointListReader) Next() (l *EndpointList, last bool, err error) {
-	if due, err := m.due(); err != nil || !due {
+// Next gives the next list; nil without an error means that more bytes must come in first. Last tells that the
+// connection ends with it. After an error the connection is of no more use.
+func (reader *EndpointListReader) Next() (list *EndpointList, last bool, err error) {
+	if due, err := reader.mayBeComplete(); err != nil || !due {
 		return nil, false, err
 	}
-	head, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(m.Bytes()[:m.headEnd])), nil)
+	head, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(reader.head())), nil)
 	if err != nil {
 		return nil, false, fmt.Errorf("no HTTP response: %w", err)
 	}
-	if head.ContentLength < 0 && !slices.Contains(head.TransferEncoding, "chunked") {
-		if head.ContentLength = int64(m.Buffered() - m.headEnd); !m.ended && head.ContentLength <= mostBody {
-			return nil, false, nil
-		}
-	}
-	body, err := m.body(head.ContentLength, head.TransferEncoding)
+	body, err := reader.responseBody(head)
 	if err != nil || body == nil {
 		return nil, false, err
 	}
-	m.done()
+	reader.finish()
 	if head.StatusCode != http.StatusOK {
-		return nil, false, fmt.Errorf("status %d", head.StatusCode)
+		return nil, false, &StatusError{Status: head.StatusCode}
 	}
-	l = &EndpointList{}
-	if err := json.Unmarshal(body, l); err != nil {
+	list = &EndpointList{}
+	if err := json.Unmarshal(body, list); err != nil {
 		return nil, false, fmt.Errorf("no list: %w", err)
 	}
-	return l, head.Close, nil
+	return list, head.Close, nil
+}
+
+// responseBody is the body behind a head; nil without an error means that more bytes must come in first.
+func (reader *EndpointListReader) responseBody(head *http.Response) ([]byte, error) {
+	length := head.ContentLength
+	endsWithConn := length < 0 && !slices.Contains(head.TransferEncoding, "chunked")
+	if endsWithConn {
+		length = int64(reader.Buffered() - reader.headEnd)
+		if !reader.closed && length <= maxBody {
+			return nil, nil
+		}
+	}
+	return reader.body(length, head.TransferEncoding)
 }
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -6,19 +6,28 @@
 	"strings"
 )
 
-// LoadReported is the share of its cores in use that a load report tells, from 0 to 1, or below 0 if it tells none. Reports are
-// noisy, so a figure just beyond these bounds counts as them; anything else that cannot be one is as if it were absent.
-// The names are those that PROTOCOL and the settings' report.fields give the same figure; between stands between name and value.
-func LoadReported(report, between string) float64 {
+// Reports are noisy: a figure just beyond 0 to 1 counts as the bound, one further off as none.
+const (
+	minLoad = -1.0
+	maxLoad = 2.0
+)
+
+// noLoad stands for a report that tells no load.
+const noLoad = -1
+
+// LoadReported is the share of its cores in use that a replica's load report tells, from 0 to 1, or below 0 if it
+// tells none. A report is a list of pairs with commas; separator stands between a pair's name and value.
+func LoadReported(report, separator string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
-		name, figure, _ := strings.Cut(pair, between)
-		if name != "util" && name != "cpu" {
+		name, figure, _ := strings.Cut(pair, separator)
+		if name != loadUtil && name != loadCPU {
 			continue
 		}
-		if v, err := strconv.ParseFloat(figure, 64); err == nil && !math.IsNaN(v) && v >= -1 && v <= 2 {
-			return max(0, min(1, v))
+		load, err := strconv.ParseFloat(figure, 64)
+		if err != nil || math.IsNaN(load) || load < minLoad || load > maxLoad {
+			return noLoad
 		}
-		return -1
+		return max(0, min(1, load))
 	}
-	return -1
+	return noLoad
 }
--- /dev/null
+++ b/internal/wire/message.go
@@ -0,0 +1,121 @@
+package wire
+
+import (
+	"bytes"
+	"net/http"
+	"slices"
+)
+
+const (
+	maxHead = 16 << 10 // bytes of a message's head
+	maxBody = 64 << 10 // bytes of a body, as the protocol says
+)
+
+// messageReader cuts HTTP messages out of a buffer. It remembers how far it has looked, so that a message which
+// comes in many pieces costs no more than one that comes whole.
+type messageReader struct {
+	Buffer
+	scanned int          // bytes that were searched for the end of the head
+	headEnd int          // length of the head; 0: it is not in yet
+	length  int          // of the whole message, once that is known
+	chunks  *chunkedBody // nil: the body's length is known
+}
+
+// mayBeComplete tells whether a whole message may be in.
+func (reader *messageReader) mayBeComplete() (bool, error) {
+	switch {
+	case reader.headEnd == 0:
+		return reader.findHeadEnd()
+	case reader.chunks != nil:
+		return reader.chunks.decode(reader.Bytes())
+	}
+	return reader.Buffered() >= reader.length, nil
+}
+
+// findHeadEnd looks for the end of the head behind what was scanned before.
+func (reader *messageReader) findHeadEnd() (bool, error) {
+	reader.skipBlankLines()
+	buffered := reader.Bytes()
+	from := max(0, reader.scanned-3) // the last bytes may be a part of the end
+	end := headEnd(buffered[from:])
+	reader.scanned = len(buffered)
+	headLength := from + end
+	if end == 0 {
+		headLength = len(buffered) // at the least
+	}
+	if headLength > maxHead {
+		return false, protocolError(http.StatusRequestHeaderFieldsTooLarge, "the head is over %d bytes", maxHead)
+	}
+	if end > 0 {
+		reader.headEnd = headLength
+	}
+	return end > 0, nil
+}
+
+// skipBlankLines drops blank lines before a message (RFC 9112, section 2.2).
+func (reader *messageReader) skipBlankLines() {
+	if reader.scanned > 0 {
+		return
+	}
+	buffered := reader.Bytes()
+	reader.Consume(len(buffered) - len(bytes.TrimLeft(buffered, "\r\n")))
+}
+
+// headEnd is where the first empty line after a line ends, 0 if there is none.
+func headEnd(text []byte) int {
+	for at := 0; ; {
+		lineEnd := bytes.IndexByte(text[at:], '\n')
+		if lineEnd < 0 {
+			return 0
+		}
+		at += lineEnd + 1
+		switch rest := text[at:]; {
+		case bytes.HasPrefix(rest, []byte("\n")):
+			return at + 1
+		case bytes.HasPrefix(rest, []byte("\r\n")):
+			return at + 2
+		}
+	}
+}
+
+// head is the head, which is in.
+func (reader *messageReader) head() []byte { return reader.Bytes()[:reader.headEnd] }
+
+// body gives a copy of what follows the head, by the length and the encodings that the head states; nil without
+// an error means that more bytes must come in first.
+func (reader *messageReader) body(length int64, encodings []string) ([]byte, error) {
+	if length > maxBody {
+		return nil, errBodyTooLarge
+	}
+	if slices.Contains(encodings, "chunked") {
+		return reader.chunkedBody()
+	}
+	reader.length = reader.headEnd + int(max(0, length))
+	if reader.Buffered() < reader.length {
+		return nil, nil
+	}
+	return append([]byte{}, reader.Bytes()[reader.headEnd:reader.length]...), nil
+}
+
+var errBodyTooLarge = protocolError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBody)
+
+func (reader *messageReader) chunkedBody() ([]byte, error) {
+	if reader.chunks == nil {
+		reader.chunks = newChunkedBody(reader.headEnd)
+		complete, err := reader.chunks.decode(reader.Bytes())
+		if err != nil || !complete {
+			return nil, err
+		}
+	}
+	reader.length = reader.chunks.end
+	return reader.chunks.data, nil
+}
+
+// finish uses up a message that is whole.
+func (reader *messageReader) finish() {
+	reader.Consume(reader.length)
+	reader.scanned = 0
+	reader.headEnd = 0
+	reader.length = 0
+	reader.chunks = nil
+}
--- /dev/null
+++ b/internal/wire/query.go
@@ -0,0 +1,173 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+	"unicode/utf8"
+)
+
+const (
+	maxIDLength     = 200    // bytes of a query's id
+	maxLimit        = 10_000 // hits that a two-phase query may want
+	maxHintSeconds  = 86400  // of work that a client may guess
+	weightTolerance = 0.001  // by which the weights may miss 1: many of them, rounded to six places
+	affinityLength  = 16     // hexadecimal digits
+)
+
+// Query is what a client asks for.
+type Query struct {
+	ID         string
+	Class      string
+	Tenant     string        // who asks; empty: nobody says
+	Deadline   time.Duration // how long the client waits, from when it sent the query
+	Text       []byte
+	Subqueries []Subquery
+	TwoPhase   *TwoPhaseQuery // nil: none, or its class takes none
+}
+
+// Subquery is one shard's part of a query.
+type Subquery struct {
+	Shard  int
+	Weight float64       // of its value for the client; those of a query add up to 1
+	Hint   time.Duration // the client's guess of the work; 0: none
+}
+
+// TwoPhaseQuery is what a query says that it wants, where its text is something that replicas can bound
+// (docs/phases.md).
+type TwoPhaseQuery struct {
+	Best *int `json:"best"` // so many hits by score; nil: all that match
+}
+
+// QueryRules are what the class of a query allows.
+type QueryRules struct {
+	MaxDeadline time.Duration
+	TwoPhase    bool // its queries may be two-phase queries
+}
+
+// ReadQuery makes a query of a request. An error is a ProtocolError.
+func ReadQuery(request *Request, rules QueryRules) (*Query, error) {
+	query := &Query{
+		ID:     request.Header.Get(headerQueryID),
+		Class:  request.Class(),
+		Tenant: request.Header.Get(headerTenant),
+	}
+	if !isUsableID(query.ID) {
+		return nil, badRequest("Req-Id is missing or not of 1 to %d plain characters", maxIDLength)
+	}
+	var err error
+	if query.Deadline, err = readDeadline(request.Header.Get(headerDeadline), rules.MaxDeadline); err != nil {
+		return nil, err
+	}
+	body, err := readQueryBody(request.Body)
+	if err != nil {
+		return nil, err
+	}
+	query.Text = []byte(*body.Text)
+	if rules.TwoPhase && body.Question != nil {
+		if query.TwoPhase, err = readTwoPhase(body.Question); err != nil {
+			return nil, err
+		}
+	}
+	if query.Subqueries, err = readSubqueries(body.Segments); err != nil {
+		return nil, err
+	}
+	return query, nil
+}
+
+// isUsableID tells whether an id can stand in a line of a frame without ending it or a field of it.
+func isUsableID(id string) bool {
+	for _, character := range []byte(id) {
+		if character <= ' ' || character >= 0x7f {
+			return false
+		}
+	}
+	return id != "" && len(id) <= maxIDLength
+}
+
+func readDeadline(text string, most time.Duration) (time.Duration, error) {
+	seconds, err := strconv.ParseFloat(text, 64)
+	isPlain := err == nil && strings.Trim(text, "0123456789.") == ""
+	if !isPlain || !(seconds > 0 && seconds <= most.Seconds()) {
+		return 0, badRequest("Req-Deadline is missing, or no number of seconds that can be meant")
+	}
+	return time.Duration(seconds * float64(time.Second)), nil
+}
+
+// readQueryBody reads a body that has subqueries and a text. What is no UTF-8 would reach the replicas as
+// something else.
+func readQueryBody(text []byte) (*queryBody, error) {
+	if !utf8.Valid(text) {
+		return nil, badRequest("the body is no UTF-8")
+	}
+	body := &queryBody{}
+	if err := json.Unmarshal(text, body); err != nil {
+		return nil, badRequest("the body is not the JSON of a query: %v", err)
+	}
+	hasText := body.Text != nil && *body.Text != "" && !strings.ContainsRune(*body.Text, utf8.RuneError)
+	if len(body.Segments) == 0 || !hasText {
+		return nil, badRequest("the query has no segments or no usable text")
+	}
+	return body, nil
+}
+
+func readTwoPhase(text json.RawMessage) (*TwoPhaseQuery, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	var wanted *TwoPhaseQuery
+	err := decoder.Decode(&wanted)
+	if err != nil || wanted == nil || !wanted.isUsable() {
+		return nil, badRequest("the question is none, or wants less than 0 or more than %d", maxLimit)
+	}
+	return wanted, nil
+}
+
+func (wanted *TwoPhaseQuery) isUsable() bool {
+	return wanted.Best == nil || *wanted.Best >= 0 && *wanted.Best <= maxLimit
+}
+
+// readSubqueries reads the subqueries, of which no two name one shard. Weights that add up to more than 1 would let a
+// response pass for complete while values are missing.
+func readSubqueries(bodies []subqueryBody) ([]Subquery, error) {
+	subqueries := make([]Subquery, 0, len(bodies))
+	seen := make(map[int]bool, len(bodies))
+	sum := 0.0
+	for n, body := range bodies {
+		if !hasShardAndWeight(&body) {
+			return nil, badRequest("segments[%d] has no usable segment and boost", n)
+		}
+		if !hasUsableHints(&body) {
+			return nil, badRequest("segments[%d] has no usable work or affinity", n)
+		}
+		if seen[*body.Segment] {
+			return nil, badRequest("segment %d stands twice", *body.Segment)
+		}
+		seen[*body.Segment] = true
+		sum += *body.Boost
+		hint := time.Duration(body.Work) * time.Microsecond
+		subqueries = append(subqueries, Subquery{Shard: *body.Segment, Weight: *body.Boost, Hint: hint})
+	}
+	if math.Abs(sum-1) > weightTolerance {
+		return nil, badRequest("the boosts add up to %g, not to 1", sum)
+	}
+	return subqueries, nil
+}
+
+func hasShardAndWeight(body *subqueryBody) bool {
+	if body.Segment == nil || body.Boost == nil {
+		return false
+	}
+	return *body.Segment >= 0 && *body.Boost > 0 && *body.Boost <= 1+weightTolerance
+}
+
+func hasUsableHints(body *subqueryBody) bool {
+	usableWork := body.Work >= 0 && body.Work <= maxHintSeconds*1e6
+	return usableWork && (body.Affinity == nil || isAffinity(*body.Affinity))
+}
+
+func isAffinity(text string) bool {
+	return len(text) == affinityLength && strings.Trim(text, "0123456789abcdefABCDEF") == ""
+}
--- /dev/null
+++ b/internal/wire/request.go
@@ -0,0 +1,119 @@
+package wire
+
+import (
+	"bufio"
+	"bytes"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+// RequestReader cuts a client's requests out of the bytes of a connection.
+type RequestReader struct {
+	messageReader
+	continueShown bool // the client's wish for a "100 Continue" has been reported
+}
+
+// Request is one whole request.
+type Request struct {
+	Method string
+	Path   string
+	Header http.Header
+	Body   []byte
+	Close  bool // the connection is to end with its response
+}
+
+// Class is the first element of the path: the class of a query.
+func (request *Request) Class() string {
+	class, _, _ := strings.Cut(strings.TrimPrefix(request.Path, "/"), "/")
+	return class
+}
+
+// Next gives the next request; nil without an error means that more bytes must come in first. ExpectsContinue
+// tells, once for each request, that the client waits for "100 Continue" before it sends the body. An error is a
+// ProtocolError, and the connection is of no more use.
+func (reader *RequestReader) Next() (request *Request, expectsContinue bool, err error) {
+	if due, err := reader.mayBeComplete(); err != nil || !due {
+		return nil, false, err
+	}
+	if err := checkHead(reader.head()); err != nil {
+		return nil, false, err
+	}
+	head, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(reader.head())))
+	if err != nil {
+		return nil, false, badRequest("no HTTP request: %v", err)
+	}
+	body, err := reader.body(head.ContentLength, head.TransferEncoding)
+	if err != nil {
+		return nil, false, err
+	}
+	if body == nil {
+		expectsContinue = !reader.continueShown && strings.EqualFold(head.Header.Get("Expect"), "100-continue")
+		reader.continueShown = true
+		return nil, expectsContinue, nil
+	}
+	reader.continueShown = false
+	reader.finish()
+	request = &Request{Method: head.Method, Path: head.URL.Path, Header: head.Header, Body: body, Close: head.Close}
+	return request, false, nil
+}
+
+// PeekSimple looks at a request that is in whole and whose end is beyond doubt, without parsing or consuming it:
+// it gives the path behind its first slash, valid until the next call of Free, and the bytes that the request
+// takes. For anything out of the ordinary the size is 0: Next then reads it.
+func (reader *RequestReader) PeekSimple() (path []byte, size int) {
+	buffered := reader.Bytes()
+	if reader.scanned > 0 || !bytes.HasPrefix(buffered, []byte("POST /")) {
+		return nil, 0
+	}
+	end := bytes.Index(buffered, []byte("\r\n\r\n"))
+	if end < 0 || end > maxHead {
+		return nil, 0
+	}
+	requestLine, fields, _ := bytes.Cut(buffered[:end+2], []byte("\r\n"))
+	path, version, ok := bytes.Cut(requestLine[len("POST /"):], []byte(" "))
+	if !ok || string(version) != "HTTP/1.1" {
+		return nil, 0
+	}
+	length, ok := simpleLength(fields)
+	if !ok {
+		return nil, 0
+	}
+	size = end + len("\r\n\r\n") + length
+	if len(buffered) < size {
+		return nil, 0
+	}
+	return path, size
+}
+
+// simpleLength is the length of the body that the fields of a head state, if they state it once and nothing else
+// bears on the request's end.
+func simpleLength(fields []byte) (length int, ok bool) {
+	length = -1
+	for len(fields) > 0 {
+		var line []byte
+		line, fields, _ = bytes.Cut(fields, []byte("\r\n"))
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !ok || !isSimpleName(name) || bytes.ContainsAny(line, "\r\n\x00") {
+			return 0, false
+		}
+		switch {
+		case bytes.EqualFold(name, []byte("content-length")):
+			stated, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 17)
+			if err != nil || length >= 0 || stated > maxBody {
+				return 0, false
+			}
+			length = int(stated)
+		case bytes.EqualFold(name, []byte("transfer-encoding")),
+			bytes.EqualFold(name, []byte("connection")),
+			bytes.EqualFold(name, []byte("expect")):
+			return 0, false
+		}
+	}
+	return length, length >= 0
+}
+
+// isSimpleName tells whether a field's name has no space at its ends, which some servers take for a part of it.
+func isSimpleName(name []byte) bool {
+	return len(name) > 0 && name[0] > ' ' && name[len(name)-1] > ' '
+}
--- a/server/connection.go
+++ b/server/connection.go
@@ -138,7 +138,10 @@
 func (client *ClientConn) timeOut() CloseReason {
 	reason := client.timeoutReason()
 	if reason == closedSlowRequest {
-		client.refuse(&wire.Fault{Status: http.StatusRequestTimeout, Words: "the request did not come whole in time"})
+		client.refuse(&wire.ProtocolError{
+			Status:  http.StatusRequestTimeout,
+			Message: "the request did not come whole in time",
+		})
 	}
 	return reason
 }
--- a/server/response.go
+++ b/server/response.go
@@ -4,6 +4,8 @@
 	"errors"
 	"os"
 	"time"
+
+	"terntray/internal/wire"
 )
 
 // response is a response as it is written.
@@ -44,8 +46,8 @@
 // refuse answers what is no request and ends the connection: where the next request begins is in doubt.
 func (client *ClientConn) refuse(err error) (goesOn bool) {
 	client.postRefused()
-	status, text := statusOf(err)
-	return client.finishRequest(response{errorResponse(status, text, true), true})
+	refused := wire.AsProtocolError(err)
+	return client.finishRequest(response{wire.TextResponse(refused.Status, refused.Message, true), true})
 }
 
 // finishRequest writes the response to the open request and tells whether the connection goes on.
--- a/server/routes.go
+++ b/server/routes.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"net/http"
-	"strings"
 	"time"
 
 	"terntray/internal/wire"
@@ -28,11 +27,10 @@
 	case pathUp, pathCounters, pathEstimates:
 		return client.dispatchPage(request)
 	}
-	name, _, _ := strings.Cut(strings.TrimPrefix(request.Path, "/"), "/")
-	class, known := client.server.classes[name]
+	class, known := client.server.classes[request.Class()]
 	switch {
 	case !known:
-		return client.refuse(&wire.Fault{Status: http.StatusNotFound, Words: "no track is called so"})
+		return client.refuse(unknownClass)
 	case request.Method != http.MethodPost:
 		return client.refuse(wrongMethod)
 	case !client.admitted && !client.server.handler.Admit():
@@ -42,10 +40,14 @@
 		client.postRefused()
 		return client.respondNow(Text(http.StatusNotImplemented, lacks))
 	}
-	return client.dispatchQuery(request, receivedAt)
+	return client.dispatchQuery(request, class, receivedAt)
 }
 
-var wrongMethod = &wire.Fault{Status: http.StatusMethodNotAllowed, Words: "this is for another method"}
+// The errors of requests whose path and method mean nothing here.
+var (
+	wrongMethod  = &wire.ProtocolError{Status: http.StatusMethodNotAllowed, Message: "this is for another method"}
+	unknownClass = &wire.ProtocolError{Status: http.StatusNotFound, Message: "no track is called so"}
+)
 
 // beginRequest notes that a request has been read.
 func (client *ClientConn) beginRequest(last bool) {
@@ -94,9 +96,9 @@
 }
 
 // dispatchQuery reads a query and hands it over to the loop.
-func (client *ClientConn) dispatchQuery(request *wire.Request, receivedAt time.Duration) (goesOn bool) {
+func (client *ClientConn) dispatchQuery(request *wire.Request, class Class, receivedAt time.Duration) (goesOn bool) {
 	server := client.server
-	query, err := wire.ReadQuery(request, server.timeouts, server.twoPhase)
+	query, err := wire.ReadQuery(request, wire.QueryRules{MaxDeadline: class.MaxTimeout, TwoPhase: class.TwoPhase})
 	if err != nil {
 		return client.refuse(err)
 	}
@@ -110,7 +112,7 @@
 func (client *ClientConn) rejectWhileShedding() (goesOn bool) {
 	handler := client.server.handler
 	for !client.admitted && handler.IsSheddingLoad() {
-		path, size := client.requests.Plain()
+		path, size := client.requests.PeekSimple()
 		name, _, _ := bytes.Cut(path, []byte("/"))
 		_, known := client.server.classes[string(name)]
 		if size == 0 || !known {
--- a/server/server.go
+++ b/server/server.go
@@ -8,10 +8,8 @@
 package server
 
 import (
-	"errors"
 	"log"
 	"net"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -77,12 +75,10 @@
 
 // Server accepts client connections and reads requests from them.
 type Server struct {
-	handler  Handler
-	loop     Loop
-	log      *log.Logger
-	classes  map[string]Class
-	timeouts map[string]time.Duration // MaxTimeout by class, as package wire wants it
-	twoPhase map[string]bool          // TwoPhase by class, as package wire wants it
+	handler Handler
+	loop    Loop
+	log     *log.Logger
+	classes map[string]Class
 
 	listener   net.Listener
 	slots      connSlots
@@ -99,16 +95,10 @@
 // New makes a server that accepts nothing yet.
 func New(config Config, handler Handler, loop Loop, logger *log.Logger) *Server {
 	server := &Server{
-		handler:  handler,
-		loop:     loop,
-		log:      logger,
-		classes:  config.Classes,
-		timeouts: map[string]time.Duration{},
-		twoPhase: map[string]bool{},
-	}
-	for name, class := range config.Classes {
-		server.timeouts[name] = class.MaxTimeout
-		server.twoPhase[name] = class.TwoPhase
+		handler: handler,
+		loop:    loop,
+		log:     logger,
+		classes: config.Classes,
 	}
 	maxConns := config.maxConns()
 	server.slots = newConnSlots(maxConns)
@@ -142,26 +132,12 @@
 // now is the loop's time.
 func (server *Server) now() time.Duration { return server.loop.Since(time.Now()) }
 
-// errorResponse makes a response with a status and a line of text.
-func errorResponse(status int, text string, last bool) []byte {
-	return wire.Respond(status, "text/plain", []byte(text+"\n"), 0, last)
-}
-
 // Text gives a maker of responses with a status and a line of text, for ClientConn.Respond.
 func Text(status int, text string) func(last bool) []byte {
-	return func(last bool) []byte { return errorResponse(status, text, last) }
+	return func(last bool) []byte { return wire.TextResponse(status, text, last) }
 }
 
 // Rejection gives a maker of responses that say that the request was not run and may be sent again.
 func Rejection(text string) func(last bool) []byte {
 	return func(last bool) []byte { return wire.RejectResponse(0, text, last) }
 }
-
-// statusOf is the status and the text that answer an error of a request.
-func statusOf(err error) (status int, text string) {
-	var fault *wire.Fault
-	if errors.As(err, &fault) {
-		return fault.Status, fault.Words
-	}
-	return http.StatusBadRequest, err.Error()
-}
