--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -55,9 +55,9 @@
 	at, mean, left, steps := map[*replicaState]bool{}, time.Duration(0), q.objectiveAt-q.arrivedAt, 0.0
 	if q.class.fetchSubqueries > 0 && q.phase == 0 { // what follows takes as long as these do
 		steps = c.slowestFactor(q.class.fetchSubqueries)
-		left -= scale(q.class.subqueryWork, c.others()*steps)
+		left -= scale(q.class.subqueryWork, c.unseenLoad()*steps)
 	}
-	bound = scale(left, 1/(q.class.latenessFactor*c.others()))
+	bound = scale(left, 1/(q.class.latenessFactor*c.unseenLoad()))
 	if q.overQuota {
 		bound = scale(bound, overShare)
 	}
@@ -66,7 +66,7 @@
 			at[p.replica], mean = true, mean+c.expectedFinish(p.replica, 0)
 		}
 	}
-	over = scale(mean, (steps+c.slowestFactor(len(at)))/(c.others()*float64(max(1, len(at))))) - bound
+	over = scale(mean, (steps+c.slowestFactor(len(at)))/(c.unseenLoad()*float64(max(1, len(at))))) - bound
 	if !q.reachesMinimum(func(p *subquery) bool { return p.replica == nil || c.expectedFinish(p.replica, 0) <= bound }) {
 		for r := range at {
 			over = max(over, c.expectedFinish(r, 0)-bound)
@@ -108,10 +108,10 @@
 	t.lastRejectedAt = c.now
 	bound = scale(bound, t.latenessFactor) // tightening fades by itself
 	waits := func(r *replicaState) bool {  // no trial otherwise
-		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(trialMost, c.timeScale)
+		return r.forClass(t).ejected && c.now >= r.nextProbeAt+scale(maxProbeInterval, c.timeScale)
 	}
 	over := slices.ContainsFunc(mine, func(p *subquery) bool {
-		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.holders(p.shard), waits)
+		return p.replica != nil && c.expectedFinish(p.replica, 0) > bound || slices.ContainsFunc(c.replicas.holders(p.shard), waits)
 	})
 	q.admittedAsProbe = over && c.now >= t.nextProbeAt && !slices.ContainsFunc(mine, func(p *subquery) bool {
 		return p.replica != nil && float64(len(p.replica.outstanding)) >= t.probeLimit && c.expectedFinish(p.replica, 0) > bound
