--- a/server/server_test.go
+++ b/server/server_test.go
@@ -11,11 +11,13 @@
 
 	"terntray/eventloop"
 	"terntray/internal/netconn"
+	"terntray/invariant"
 )
 
 // recorder is a Handler that keeps what it is told and answers nothing by itself.
 type recorder struct {
 	ready    atomic.Bool
+	shedding atomic.Bool // nothing is admitted
 	arrivals []Arrival
 	left     []*ClientConn
 	refused  int
@@ -23,8 +25,8 @@
 }
 
 func (handler *recorder) Ready() bool          { return handler.ready.Load() }
-func (handler *recorder) IsSheddingLoad() bool { return false }
-func (handler *recorder) Admit() bool          { return true }
+func (handler *recorder) IsSheddingLoad() bool { return handler.shedding.Load() }
+func (handler *recorder) Admit() bool          { return !handler.shedding.Load() }
 func (handler *recorder) QueryArrived(arrival Arrival) {
 	handler.arrivals = append(handler.arrivals, arrival)
 }
@@ -33,8 +35,8 @@
 func (handler *recorder) ConnClosed(closed ConnClosed) {
 	handler.closed = append(handler.closed, closed)
 }
-func (handler *recorder) CountersText() string  { return "" }
-func (handler *recorder) EstimatesText() string { return "" }
+func (handler *recorder) CountersText() string  { return "counters" }
+func (handler *recorder) EstimatesText() string { return "estimates" }
 
 // fixture is a server whose event loop the test runs itself.
 type fixture struct {
@@ -45,7 +47,11 @@
 
 func newFixture() fixture {
 	handler, loop := &recorder{}, eventloop.New()
-	config := Config{Classes: map[string]Class{"look": {MaxTimeout: time.Minute}}}
+	config := Config{Classes: map[string]Class{
+		"look":   {MaxTimeout: time.Minute},
+		"keyed":  {MaxTimeout: time.Minute, Effect: invariant.Keyed},
+		"staged": {MaxTimeout: time.Minute, TwoStep: true},
+	}}
 	server := New(config, handler, loop, log.New(io.Discard, "", 0))
 	server.slots = newConnSlots(100)
 	server.largeSlots = newLargeRequestSlots(1)
@@ -58,6 +64,20 @@
 // runPosted runs all that the server has posted.
 func (f fixture) runPosted() { f.loop.RunIteration(func() {}, func() {}) }
 
+// run runs the loop until the test ends.
+func (f fixture) run(t *testing.T) {
+	finished := false
+	ended := make(chan struct{})
+	go func() {
+		f.loop.Run(func() {}, func(cause string) { t.Error(cause) }, func() bool { return finished })
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		f.loop.Post(func() { finished = true })
+		<-ended
+	})
+}
+
 // newConn makes a connection that holds a slot, as an accepted one does.
 func (f fixture) newConn(conn net.Conn) *ClientConn {
 	client := f.server.NewConn(conn)
