--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -2,13 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log"
-	"maps"
-	"math"
-	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,159 +12,104 @@
 	"terntray/eventloop"
 	"terntray/incarnation"
 	"terntray/invariant"
-	"terntray/overload"
 	"terntray/scheduler"
 	"terntray/server"
 )
 
-const (
-	busyLines   = 5 * time.Second // between lines that say that the core is short
-	seldomLines = 10              // in a second, of what replicas bring about
-)
-
-// Coordinator is one co-ordinator. Its fields belong to the goroutine that takes the turns, but for those
-// that say otherwise.
+// Coordinator is one co-ordinator. Its fields belong to the event loop, except those that say otherwise.
 type Coordinator struct {
 	loop       *eventloop.Loop
 	deployment *Deployment
 	log        *log.Logger
-	Trace      bool // a line for each query and attempt; to be set before Serve
-
-	peers       *peers
-	config      scheduler.Config
-	shadow      *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	module      *scheduler.Scheduler
-	tracks      map[string]scheduler.ClassIndex
-	zones       map[string]scheduler.ZoneIndex
-	tenants     map[string]scheduler.TenantIndex
-	shards      int
-	effects     map[string]invariant.Effect // by track: what a repeat would do
-	agreed      map[string]time.Duration    // times, by track
-	maxOpen     int
-	maxAttempts int // of a subquery; 0: any number
-	counts      Counts
-	core        core
-	gate        overload.Controller
-	share       atomic.Uint64 // of arrivals to let in, as bits; read by all
-	asked       atomic.Uint64 // arrivals so far; by all
-	busied      atomic.Uint64 // of them, not let in; by all
-
-	queries    map[scheduler.RequestID]*openQuery // open ones
-	byQuery    map[string]*openQuery              // the same by the client's id
-	byClient   map[client]*openQuery              // and by the client
-	parts      map[scheduler.RequestID]*part      // of open queries, or with attempts out
-	arriving   client                             // whose request is looked at in this turn and is not among them yet
-	held       int                                // open queries, and parts of theirs that are not in
-	lastID     scheduler.RequestID
-	lastNumber scheduler.QueryNumber
-
-	questions     questions
+	Trace      bool // a line for each query and attempt; set before Serve
+
+	// Configuration, read once by New and not changed.
+	config  scheduler.Config
+	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes map[string]class  // by name
+	zones   map[string]scheduler.ZoneIndex
+	tenants map[string]scheduler.TenantIndex
+	shards  int
+	maxOpen int // of openWork
+
+	scheduler  *scheduler.Scheduler // a new one after a panic
+	admission  admission
+	twoPhase   twoPhaseQueries
+	counts     Counts
+	limitedLog limitedLog
+
+	// What is open.
+	queries            map[scheduler.RequestID]*queryState
+	queriesByRequestID map[string]*queryState                 // the same by the ids that clients gave them
+	queriesByClient    map[client]*queryState                 // and by client
+	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
+	arriving           client                                 // whose request is looked at and not open yet; else nil
+	openWork           int                                    // open queries and their unanswered subqueries
+	lastID             scheduler.RequestID
+	lastNumber         scheduler.QueryNumber
+
+	// Drivers. Their goroutines notify the loop by posting to it.
+	server        *server.Server
 	fleet         fleet
 	discovery     *discovery.Watcher
-	incarnations  *incarnation.Tracker
-	server        *server.Server
-	withheld      withheld
-	ready         atomic.Bool // queries can be served; read by all
-	clientsClosed bool        // no client is connected and none can connect any more
+	gossip        *gossip // nil: no messages between co-ordinators
+	refusedWrites refusedWrites
+	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
 	drivers       sync.WaitGroup
 
-	busyAt      time.Duration      // the last line about it
-	stopReading context.CancelFunc // of a configuration that is read anew
-
-	seldomAt             time.Duration // begin of the second in which lines are counted
-	seldomLeft, unlogged int
+	incarnations  *incarnation.Tracker
+	ready         atomic.Bool // queries can be served; read by any goroutine
+	clientsClosed bool        // no client is connected and none can connect any more
 }
 
-// New makes a co-ordinator; it opens nothing yet.
-func New(d *Deployment, to *log.Logger) (*Coordinator, error) {
+// New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
+func New(d *Deployment, logger *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
-		loop: eventloop.New(), deployment: d, log: to, core: core{cores: max(1, math.Ceil(d.Limits.Cores))},
-		tracks:       map[string]scheduler.ClassIndex{},
-		effects:      map[string]invariant.Effect{},
-		agreed:       map[string]time.Duration{},
-		zones:        map[string]scheduler.ZoneIndex{},
-		tenants:      map[string]scheduler.TenantIndex{},
-		queries:      map[scheduler.RequestID]*openQuery{},
-		byQuery:      map[string]*openQuery{},
-		byClient:     map[client]*openQuery{},
-		parts:        map[scheduler.RequestID]*part{},
-		incarnations: incarnation.New(),
-		counts:       Counts{Withheld: map[invariant.Reason]int{}},
+		loop:       eventloop.New(),
+		deployment: d,
+		log:        logger,
+		limitedLog: limitedLog{log: logger},
+		counts:     Counts{Refused: map[invariant.Reason]int{}},
 
-		stopReading: func() {}, seldomLeft: seldomLines, busyAt: -busyLines,
-	}
-	c.share.Store(math.Float64bits(c.gate.Share()))
-	if err := d.absurd(); err != nil {
-		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
-	}
-	if err := c.configure(d); err != nil {
-		return nil, err
-	}
-	for n, name := range d.names("zones") {
-		c.zones[name] = scheduler.ZoneIndex(n)
-	}
-	for n, name := range d.names("orgs") {
-		c.tenants[name] = scheduler.TenantIndex(n)
-	}
-	var err, bad error
-	c.shards, err = d.whole("familyInfo.ranges", 0)
-	if c.shards == 0 {
-		err = errors.New("setting familyInfo.ranges is missing")
-	}
-	bad = errors.Join(bad, err)
-	c.maxOpen, err = d.whole("bounds.maxOpen", math.MaxInt32)
-	bad = errors.Join(bad, err)
-	c.maxAttempts = c.config.MaxAttempts
-	if bad = errors.Join(bad, c.fleet.begin(c, d), c.questions.begin(d, &c.config)); bad != nil {
-		return nil, fmt.Errorf("ROUTER_CONFIG: %w", bad)
-	}
-	c.discovery = discovery.New(c.discoveryConfig(), endpointHandler{c}, c.loop, to)
-	c.server = server.New(c.serverConfig(), clientHandler{c}, c.loop, to)
-	unused := d.notUsed(len(c.fleet.installation.Gossip.Peers) > 0)
-	for _, name := range slices.Sorted(maps.Keys(unused)) {
-		to.Printf("event=not_used setting=%s value=%q holds=%q", name, d.settings[name], unused[name])
+		queries:            map[scheduler.RequestID]*queryState{},
+		queriesByRequestID: map[string]*queryState{},
+		queriesByClient:    map[client]*queryState{},
+		subqueries:         map[scheduler.RequestID]*subqueryState{},
+
+		incarnations: incarnation.New(),
+		stopReading:  func() {},
 	}
-	if err := d.checkPeersAndSizes(c.fleet.installation); err != nil {
+	c.admission.start(d.Limits.Cores, logger)
+	if err := c.configure(); err != nil {
 		return nil, err
 	}
-	return c, c.begin()
+	c.discovery = discovery.New(c.discoveryConfig(), endpointHandler{c}, c.loop, logger)
+	c.server = server.New(c.serverConfig(), clientHandler{c}, c.loop, logger)
+	return c, c.startScheduler()
 }
 
-// configure reads the typed configuration that queries are served and decided with.
-func (c *Coordinator) configure(d *Deployment) (err error) {
-	if c.config, c.shadow, err = d.schedulerConfigs(); err != nil {
-		return err
-	}
-	for n, class := range c.config.Classes {
-		c.tracks[class.Name] = scheduler.ClassIndex(n)
-		c.agreed[class.Name] = class.Objective
-		c.effects[class.Name] = class.Effect
-	}
-	return nil
-}
-
-// begin starts the module from nothing but the list as it was last held.
-func (c *Coordinator) begin() error {
-	module, err := scheduler.New(c, c.deployment.seed(), c.config)
+// startScheduler starts a scheduler that knows nothing but its configuration.
+func (c *Coordinator) startScheduler() error {
+	started, err := scheduler.New(c, c.deployment.seed(), c.config)
 	if err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	if c.shadow != nil {
-		if err := module.EnableShadow(*c.shadow); err != nil {
+		if err := started.EnableShadow(*c.shadow); err != nil {
 			return fmt.Errorf("installation: watch.settings: %w", err)
 		}
 	}
-	c.module = module
+	c.scheduler = started
 	return nil
 }
 
-// Serve serves until the context ends, then answers what is open and returns nil.
+// Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot serve.
 func (c *Coordinator) Serve(ctx context.Context) error {
 	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.meet(c.fleet.installation.Gossip); err != nil {
+	if err := c.startGossip(c.fleet.installation.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
@@ -179,107 +119,48 @@
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
 		c.deployment.Name, listener.Addr(), len(c.fleet.all))
 	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
-	c.loop.Run(c.endTurn, c.broken, c.isShutDown)
-	c.discovery.Stop()
-	c.fleet.stop()
-	c.peers.close()
-	c.drivers.Wait()
+	c.loop.Run(c.endIteration, c.recoverFromPanic, c.isShutDown)
+	c.stopDrivers()
 	c.log.Printf("event=ended %s", c.countersLine())
 	return nil
 }
 
-func (c *Coordinator) endTurn() {
-	c.module.Decide(c.loop.Now())
+// endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
+func (c *Coordinator) endIteration() {
+	c.scheduler.Decide(c.loop.Now())
 	c.fleet.flush()
-	if c.core.look(c.loop.Now()) {
-		c.gate.CoreUsed(c.loop.Now(), c.core.used)
-		c.module.ReadDelayed(c.loop.Now(), c.gate.ReadDelay())
-	}
-	if share := c.gate.Share(); share != math.Float64frombits(c.share.Load()) {
-		if share < 1 && c.loop.Now() >= c.busyAt+busyLines {
-			c.busyAt = c.loop.Now()
-			c.log.Printf("event=busy share=%.2f words=%q", share, "this core is short, not the replicas: turning back at the door")
-		}
-		c.share.Store(math.Float64bits(share))
+	if c.admission.update(c.loop.Now()) {
+		c.scheduler.ReadDelayed(c.loop.Now(), c.admission.readDelay())
 	}
 }
 
-// broken starts the module anew after a panic in a turn and scraps what was open. Guards against: a fault
-// that one query brings out. Should also cover: any other panic in a turn. Could hurt: the module
-// forgets what it has learned; what the rules count, it keeps.
-func (c *Coordinator) broken(cause string) {
-	c.counts.Broken++
-	c.log.Printf("event=broken cause=%q", cause)
-	if k := c.arriving; k != nil {
-		c.arriving = nil
-		k.Respond(server.Text(http.StatusInternalServerError, "scrapped"))
-	}
-	for _, q := range c.inOrder() {
-		for _, p := range q.parts {
-			for n := range p.attempts {
-				c.CancelAttempt(p.id, scheduler.AttemptNumber(n))
-			}
-		}
-		c.Fail(q.id)
-	}
-	told := c.loop.TakeNextIteration()
-	counted := c.module.Ledger()
-	if err := c.begin(); err != nil {
-		c.log.Printf("event=broken cause=%q", err)
-	}
-	c.module.Resume(counted)
-	for _, do := range told { // the new module knows none of them; what holds their places lets go
-		do()
-	}
-	clear(c.parts)
-	c.discovery.Repeat()
+// stopDrivers ends all goroutines but those of clients, which have ended.
+func (c *Coordinator) stopDrivers() {
+	c.discovery.Stop()
+	c.fleet.stop()
+	c.gossip.close()
+	c.drivers.Wait()
 }
 
-func (c *Coordinator) countersLine() string {
-	clients := c.server.Counts()
-	line := fmt.Sprintf("%s accepted=%d evicted=%d accept_failed=%d busy=%d share=%.2f", c.counts.line(len(c.queries)),
-		clients.Accepted, clients.Evicted, clients.AcceptFailures, c.busied.Load(), c.gate.Share())
-	line += fmt.Sprintf(" wall_clock_distrusted=%d", c.incarnations.Distrusted())
-	if c.peers != nil {
-		line += fmt.Sprintf(" stranger_peer_messages=%d", c.peers.strangers.Load())
-	}
-	if w, ok := c.module.ShadowCounts(); ok {
-		line += fmt.Sprintf(" watched=%d would_turn_back=%d would_let_in=%d watched_parts=%d would_go_elsewhere=%d",
-			w.Queries, w.WouldReject, w.WouldAdmit, w.Subqueries, w.WouldPlaceElsewhere)
-		line += fmt.Sprintf(" watched_legs=%d would_time_out_otherwise=%d would_not_copy=%d would_copy=%d",
-			w.Attempts, w.WouldTimeOutOtherwise, w.WouldNotHedge, w.WouldHedge)
-	}
-	return line
+// ScheduleWakeup implements scheduler.Host.
+func (c *Coordinator) ScheduleWakeup(name string, delay time.Duration) {
+	c.loop.After(delay, name, func() { c.scheduler.Wakeup(c.loop.Now(), name) })
 }
 
+// PollEndpoints implements scheduler.Host: it asks discovery for the endpoint list and its changes.
+func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
+
+// Log implements scheduler.Host.
+func (c *Coordinator) Log(text string) { c.log.Printf("event=scheduler message=%q", text) }
+
+// trace logs a line of -trace.
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
 		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
 	}
 }
 
-// seldom logs what others can bring about as often as they like: so many lines in a second, then a count.
-func (c *Coordinator) seldom(format string, args ...any) {
-	if c.loop.Now()-c.seldomAt >= time.Second {
-		if c.unlogged > 0 {
-			c.log.Printf("event=more_of_these n=%d", c.unlogged)
-		}
-		c.seldomAt, c.seldomLeft, c.unlogged = c.loop.Now(), seldomLines, 0
-	}
-	if c.seldomLeft--; c.seldomLeft < 0 {
-		c.unlogged++
-		return
-	}
-	c.log.Printf(format, args...)
-}
-
-// Log is the module's word for the log.
-func (c *Coordinator) Log(text string) { c.log.Printf("event=decided words=%q", text) }
-
-// ScheduleWakeup tells the module when a time has passed.
-func (c *Coordinator) ScheduleWakeup(name string, in time.Duration) {
-	c.loop.After(in, name, func() { c.module.Wakeup(c.loop.Now(), name) })
+// logLimited logs what others can cause as often as they like.
+func (c *Coordinator) logLimited(format string, args ...any) {
+	c.limitedLog.printf(c.loop.Now(), format, args...)
 }
-
-// PollEndpoints asks discovery to tell of changes.
-func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
