--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -13,11 +13,12 @@
 	"terntray/internal/replicaproto"
 	"terntray/internal/wire"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 )
 
-// queryState is a query that a client has sent and that has had no answer. It exists from acceptQuery to closeQuery and
-// belongs to the event loop. Times are loop times.
+// queryState is a query that a client has sent and that has had no answer. It exists from acceptQuery to closeQuery
+// and belongs to the event loop. Times are loop times.
 type queryState struct {
 	id            scheduler.RequestID   // towards the scheduler; may be used again once the query is closed
 	number        scheduler.QueryNumber // the same, never used again
@@ -31,8 +32,8 @@
 	closed        atomic.Bool      // answered, or its client has disconnected; read by any goroutine
 }
 
-// subqueryState is the part of a query that one shard answers. It is kept until its query or phase is over and all its
-// attempts have ended. It belongs to the event loop.
+// subqueryState is the part of a query that one shard answers. It is kept until its query or phase is over and all
+// its attempts have ended. It belongs to the event loop.
 type subqueryState struct {
 	id        scheduler.RequestID
 	query     *queryState
@@ -45,15 +46,15 @@
 	abandoned atomic.Bool // its phase is over; read by any goroutine
 }
 
-// attemptState is one attempt to have a replica answer a subquery. It is kept with its subquery and belongs to the event
-// loop; its call belongs to the connection that carries it.
+// attemptState is one attempt to have a replica answer a subquery. It is kept with its subquery and belongs to the
+// event loop; its call belongs to the connection that carries it.
 type attemptState struct {
 	connpool.Attempt // no Call where there was no connection for it
 	call             replicaproto.Call
 	subquery         *subqueryState
 	number           scheduler.AttemptNumber
 	replica          scheduler.ReplicaID
-	endpoint         *replica
+	endpoint         *replicaconn.Endpoint
 	deadline         time.Duration     // loop time at which it times out
 	timeoutTimer     *eventloop.Timer  // for deadline
 	ended            bool              // the scheduler knows its outcome, or will in the next iteration
@@ -109,7 +110,9 @@
 // anyWrittenWhole reports whether any attempt of a query was written to its last byte.
 func (c *Coordinator) anyWrittenWhole(query *queryState) bool {
 	return slices.ContainsFunc(query.subqueries, func(subquery *subqueryState) bool {
-		return slices.ContainsFunc(subquery.attempts, c.fleet.went)
+		return slices.ContainsFunc(subquery.attempts, func(attempt *attemptState) bool {
+			return attempt.Call != nil && c.replicas.WrittenWhole(&attempt.Attempt)
+		})
 	})
 }
 
@@ -145,7 +148,8 @@
 	c.openWork--
 }
 
-// releaseSubquery lets go of a subquery whose query or phase is over, and of its attempts as far as they have ended.
+// releaseSubquery lets go of a subquery whose query or phase is over, and of its attempts as far as they have
+// ended.
 func (c *Coordinator) releaseSubquery(subquery *subqueryState) {
 	if !subquery.answered {
 		c.openWork--
@@ -153,7 +157,7 @@
 	c.withdrawUnsent(subquery)
 	for _, attempt := range subquery.attempts {
 		if attempt.ended && attempt.Call != nil {
-			c.fleet.pool.Forget(c.loop.Now(), &attempt.Attempt)
+			c.replicas.Forget(&attempt.Attempt)
 		}
 	}
 	c.forgetIfSettled(subquery)
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the subqueries.
+// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the
+// subqueries.
 func TestPanicReleasesAttempts(t *testing.T) {
 	replica, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,8 +74,8 @@
 	c := newCoordinator(t, readyReplica("s-a", replica.Addr().String()))
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
 	c.runIteration(c.loop.Receive()) // the connection is up
-	if len(c.fleet.attempts) != 1 {
-		t.Fatalf("%d attempts are out", len(c.fleet.attempts))
+	if len(c.attemptsOut) != 1 {
+		t.Fatalf("%d attempts are out", len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
@@ -84,13 +85,13 @@
 // checkNothingIsOpen checks that no query, subquery or attempt is known.
 func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
 	t.Helper()
-	if len(c.fleet.attempts)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.fleet.attempts), len(c.subqueries), len(c.queries))
+	if len(c.attemptsOut)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.attemptsOut), len(c.subqueries), len(c.queries))
 	}
 }
 
-// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only one; so
-// does the next.
+// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only
+// one; so does the next.
 func TestRequestAtWhichTheLoopPanicsIsAnswered(t *testing.T) {
 	c := newServing(t)
 	from := c.newClient()
@@ -112,26 +113,26 @@
 	}
 }
 
-// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to that. What
-// the attempt holds is released all the same.
+// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to
+// that. What the attempt holds is released all the same.
 func TestPanicLosesNoEndOfAnAttempt(t *testing.T) {
 	c := newServing(t)
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
-	for _, attempt := range c.fleet.attempts {
+	for _, attempt := range c.attemptsOut {
 		c.loop.NextIteration(func() { panic("as if") })
 		c.abandonAttempt(attempt, scheduler.TimedOut)
 	}
 	cause := eventloop.Recover(c.runPosted)
-	if cause == "" || len(c.fleet.attempts) != 1 {
-		t.Fatalf("it panics by %q with %d attempts", cause, len(c.fleet.attempts))
+	if cause == "" || len(c.attemptsOut) != 1 {
+		t.Fatalf("it panics by %q with %d attempts", cause, len(c.attemptsOut))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
 	c.checkNothingIsOpen(t)
 }
 
-// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget for them
-// is the process', not the scheduler's that was lost.
+// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget
+// for them is the process', not the scheduler's that was lost.
 func TestRetryBudgetOutlivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.ratioSpan":  "10000000",
