--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -80,72 +80,72 @@
 
 func (c *Coordinator) applyEndpoints(list *wire.EndpointList, isOld bool) {
 	if list.All {
-		c.removeUnlisted(list.Targets)
+		c.removeUnlisted(list.Endpoints)
 	}
 	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, isOld)
-	for _, target := range list.Targets {
-		c.applyEndpoint(target)
+	for _, endpoint := range list.Endpoints {
+		c.applyEndpoint(endpoint)
 	}
 }
 
 // removeUnlisted has the replicas count as removed that a whole list does not name.
-func (c *Coordinator) removeUnlisted(targets []wire.Target) {
+func (c *Coordinator) removeUnlisted(endpoints []wire.Endpoint) {
 	isListed := map[string]bool{}
-	for _, target := range targets {
-		isListed[target.UID] = true
+	for _, endpoint := range endpoints {
+		isListed[endpoint.UID] = true
 	}
 	c.replicas.RemoveAllBut(isListed)
 }
 
-func (c *Coordinator) applyEndpoint(target wire.Target) {
-	replica := c.replicas.EndpointOf(target.UID)
-	replica.SetState(invariantStates[target.State])
-	c.connectTo(replica, target)
+func (c *Coordinator) applyEndpoint(endpoint wire.Endpoint) {
+	replica := c.replicas.EndpointOf(endpoint.UID)
+	replica.SetState(invariantStates[endpoint.State])
+	c.connectTo(replica, endpoint)
 	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{
 		ID:      replica.ID(),
-		State:   schedulerStates[target.State],
-		Started: c.startOf(replica, target),
-		Cell:    cellOf(target),
-		Zone:    c.zoneOf(target),
-		Size:    c.file.SizeOf(target.Model),
+		State:   schedulerStates[endpoint.State],
+		Started: c.startOf(replica, endpoint),
+		Cell:    cellOf(endpoint),
+		Zone:    c.zoneOf(endpoint),
+		Size:    c.file.SizeOf(endpoint.Model),
 	})
 }
 
 // connectTo tells the driver of connections where an endpoint is, or that it is removed.
-func (c *Coordinator) connectTo(replica *replicaconn.Endpoint, target wire.Target) {
-	if target.State == wire.Removed {
+func (c *Coordinator) connectTo(replica *replicaconn.Endpoint, endpoint wire.Endpoint) {
+	if endpoint.State == wire.Removed {
 		c.replicas.Remove(replica)
 		return
 	}
-	if replica.Addr() != target.Endpoint {
+	if replica.Addr() != endpoint.Address {
 		c.log.Printf("event=endpoint_listed replica=%s id=%d addr=%s zone=%s",
-			target.UID, replica.ID(), target.Endpoint, target.Zone)
+			endpoint.UID, replica.ID(), endpoint.Address, endpoint.Zone)
 	}
-	isDraining := target.State == wire.Draining
-	c.replicas.List(replica, target.Endpoint, target.Model, isDraining)
+	isDraining := endpoint.State == wire.Draining
+	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
 // startOf is when a replica's process started, as far as that is told, in the loop's time. It has the connections
 // closed from before that start: whatever is written to one of them is lost.
-func (c *Coordinator) startOf(replica *replicaconn.Endpoint, target wire.Target) time.Duration {
-	if target.BootMS <= 0 {
+func (c *Coordinator) startOf(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
+	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
 	}
-	started, isExact := c.incarnations.StartOf(c.loop.Now(), target.UID, target.BootMS)
+	started, isExact := c.incarnations.StartOf(c.loop.Now(), endpoint.UID, endpoint.BootMS)
 	c.replicas.Restarted(replica, started, isExact)
 	return started
 }
 
-func cellOf(target wire.Target) scheduler.CellNumber {
-	if target.Cell == nil {
+func cellOf(endpoint wire.Endpoint) scheduler.CellNumber {
+	if endpoint.Cell == nil {
 		return 0
 	}
-	return scheduler.CellNumber(*target.Cell)
+	return scheduler.CellNumber(*endpoint.Cell)
 }
 
 // zoneOf is the zone of an endpoint, -1 for one that the settings do not name.
-func (c *Coordinator) zoneOf(target wire.Target) scheduler.ZoneIndex {
-	if zone, named := c.zones[target.Zone]; named {
+func (c *Coordinator) zoneOf(endpoint wire.Endpoint) scheduler.ZoneIndex {
+	if zone, named := c.zones[endpoint.Zone]; named {
 		return zone
 	}
 	return -1
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -25,18 +25,18 @@
 const unreachable = "127.0.0.1:1"
 
 // readyReplica is a replica that holds the shards of cell 0.
-func readyReplica(uid, address string) wire.Target {
+func readyReplica(uid, address string) wire.Endpoint {
 	cell := 0
-	return wire.Target{UID: uid, Endpoint: address, State: wire.Ready, Cell: &cell}
+	return wire.Endpoint{UID: uid, Address: address, State: wire.Ready, Cell: &cell}
 }
 
 // twoReplicas hold the same shards and cannot be reached.
-func twoReplicas() []wire.Target {
-	return []wire.Target{readyReplica("s-a", unreachable), readyReplica("s-b", unreachable)}
+func twoReplicas() []wire.Endpoint {
+	return []wire.Endpoint{readyReplica("s-a", unreachable), readyReplica("s-b", unreachable)}
 }
 
 // newDeployment makes a deployment with an endpoint list as it was last known.
-func newDeployment(t *testing.T, known ...wire.Target) *Deployment {
+func newDeployment(t *testing.T, known ...wire.Endpoint) *Deployment {
 	settings, err := Flatten([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
@@ -47,21 +47,21 @@
 		Discovery:      unreachable,
 		Seed:           "8c1f",
 		SettingsJSON:   json.RawMessage(settingsJSON),
-		KnownEndpoints: wire.EndpointList{All: true, Targets: known},
+		KnownEndpoints: wire.EndpointList{All: true, Endpoints: known},
 		settings:       settings,
 	}
 }
 
 // newCoordinator makes a coordinator whose loop the test drives. It knows no replica before newClient.
-func newCoordinator(t *testing.T, known ...wire.Target) *Coordinator {
+func newCoordinator(t *testing.T, known ...wire.Endpoint) *Coordinator {
 	return newCoordinatorOf(t, newDeployment(t, known...))
 }
 
 // newCoordinatorWith makes one with some settings replaced, before one replica that nobody can reach unless others
 // are given.
-func newCoordinatorWith(t *testing.T, settings map[string]string, known ...wire.Target) *Coordinator {
+func newCoordinatorWith(t *testing.T, settings map[string]string, known ...wire.Endpoint) *Coordinator {
 	if known == nil {
-		known = []wire.Target{readyReplica("s-a", unreachable)}
+		known = []wire.Endpoint{readyReplica("s-a", unreachable)}
 	}
 	d := newDeployment(t, known...)
 	maps.Copy(d.settings, settings)
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -17,7 +17,7 @@
 
 // newInstalled makes a coordinator with some settings replaced and with an installation file, whose text may be
 // empty.
-func newInstalled(t *testing.T, settings map[string]string, file string, known ...wire.Target) (*Coordinator, error) {
+func newInstalled(t *testing.T, settings map[string]string, file string, known ...wire.Endpoint) (*Coordinator, error) {
 	t.Helper()
 	d := newDeployment(t, known...)
 	maps.Copy(d.settings, settings)
@@ -108,7 +108,7 @@
 // here.
 func TestShadowEvaluationCountsAndDecidesAsBefore(t *testing.T) {
 	run := func(file string) (attempts int, line string) {
-		var replicas []wire.Target
+		var replicas []wire.Endpoint
 		for n, model := range []string{"slow", "slow", "std", "std"} {
 			cell := n % 2
 			replica := readyReplica("s-"+string(rune('a'+n)), unreachable)
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -38,7 +38,7 @@
 	sizes := ""
 	for n := range 3000 {
 		from := newFakeClient()
-		list := &wire.EndpointList{Rev: int64(n), Targets: []wire.Target{
+		list := &wire.EndpointList{Revision: int64(n), Endpoints: []wire.Endpoint{
 			{UID: fmt.Sprint("s-", n-1), State: wire.Removed},
 			readyReplica(fmt.Sprint("s-", n), unreachable),
 		}}
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -84,9 +84,9 @@
 // with the client's request.
 func (c *Coordinator) beginTwoPhase(query *queryState) error {
 	request := query.request.TwoPhase
-	options := twophase.Options{Ranked: request.Best != nil, SharedVersions: c.twoPhase.sharedVersions}
+	options := twophase.Options{Ranked: request.Limit != nil, SharedVersions: c.twoPhase.sharedVersions}
 	if options.Ranked {
-		options.Limit = *request.Best
+		options.Limit = *request.Limit
 	}
 	hints := map[twophase.Shard]time.Duration{}
 	var shards []twophase.Shard
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -118,7 +118,7 @@
 }
 
 // IsEmpty tells whether no endpoint is known.
-func (watcher *Watcher) IsEmpty() bool { return len(watcher.endpoints.known.Targets) == 0 }
+func (watcher *Watcher) IsEmpty() bool { return len(watcher.endpoints.known.Endpoints) == 0 }
 
 // received takes what a watch has read.
 func (watcher *Watcher) received(address string, list *wire.EndpointList) {
@@ -129,13 +129,13 @@
 	watcher.dropUnusable(list)
 	watcher.endpoints.update(list)
 	watcher.handler.EndpointsReceived(list)
-	if len(list.Targets) > 0 {
-		watcher.log.Printf("event=endpoint_list rev=%d all=%t endpoints=%d", list.Rev, list.All, len(list.Targets))
+	if len(list.Endpoints) > 0 {
+		watcher.log.Printf("event=endpoint_list rev=%d all=%t endpoints=%d", list.Revision, list.All, len(list.Endpoints))
 	}
 }
 
 func (watcher *Watcher) dropUnusable(list *wire.EndpointList) {
 	if unusable := list.DropUnusable(); len(unusable) > 0 {
-		watcher.log.Printf("event=unusable_endpoints rev=%d endpoints=%q", list.Rev, unusable)
+		watcher.log.Printf("event=unusable_endpoints rev=%d endpoints=%q", list.Revision, unusable)
 	}
 }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -71,7 +71,7 @@
 
 func (f fixture) expectList(t *testing.T, revision int64, isOld bool) {
 	t.Helper()
-	if got := f.next(t); got.list == nil || got.list.Rev != revision || got.isOld != isOld {
+	if got := f.next(t); got.list == nil || got.list.Revision != revision || got.isOld != isOld {
 		t.Errorf("told %+v, want the list of revision %d, old %t", got, revision, isOld)
 	}
 }
@@ -99,8 +99,8 @@
 
 func knownList(revision int64) wire.EndpointList {
 	cell := 0
-	target := wire.Target{UID: "s-a", Endpoint: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
-	return wire.EndpointList{Rev: revision, Targets: []wire.Target{target}}
+	endpoint := wire.Endpoint{UID: "s-a", Address: "127.0.0.1:1", State: wire.Ready, Cell: &cell}
+	return wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{endpoint}}
 }
 
 // Discovery breaks off two polls in a row and comes back. Only the first failure is news; each poll is made
@@ -182,7 +182,7 @@
 	f.expectList(t, 6, false)
 	f.loop.Post(f.watcher.Repeat)
 	got := f.next(t)
-	if !got.isOld || !got.list.All || got.list.Rev != 6 || len(got.list.Targets) != 2 {
+	if !got.isOld || !got.list.All || got.list.Revision != 6 || len(got.list.Endpoints) != 2 {
 		t.Errorf("told %+v", got)
 	}
 }
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -16,30 +16,30 @@
 
 // update applies a whole list, or changes.
 func (table *endpointTable) update(list *wire.EndpointList) {
-	table.known.Rev = list.Rev
+	table.known.Revision = list.Revision
 	if list.All {
-		table.known.Targets = list.Targets
+		table.known.Endpoints = list.Endpoints
 		return
 	}
-	table.change(list.Targets)
+	table.change(list.Endpoints)
 }
 
 // change replaces endpoints by their new states; removed ones are dropped.
-func (table *endpointTable) change(changed []wire.Target) {
+func (table *endpointTable) change(changed []wire.Endpoint) {
 	isChanged := map[string]bool{}
-	for _, target := range changed {
-		isChanged[target.UID] = true
+	for _, endpoint := range changed {
+		isChanged[endpoint.UID] = true
 	}
-	var kept []wire.Target
-	for _, target := range table.known.Targets {
-		if !isChanged[target.UID] {
-			kept = append(kept, target)
+	var kept []wire.Endpoint
+	for _, endpoint := range table.known.Endpoints {
+		if !isChanged[endpoint.UID] {
+			kept = append(kept, endpoint)
 		}
 	}
-	for _, target := range changed {
-		if target.State != wire.Removed {
-			kept = append(kept, target)
+	for _, endpoint := range changed {
+		if endpoint.State != wire.Removed {
+			kept = append(kept, endpoint)
 		}
 	}
-	table.known.Targets = kept
+	table.known.Endpoints = kept
 }
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -80,12 +80,12 @@
 	if last {
 		watch.disconnect()
 	}
-	continues := watch.listed && list.Rev >= watch.revision
+	continues := watch.listed && list.Revision >= watch.revision
 	if !list.All && !continues {
-		return &RevisionError{Found: list.Rev, After: watch.revision}
+		return &RevisionError{Found: list.Revision, After: watch.revision}
 	}
 	watch.listed = true
-	watch.revision = list.Rev
+	watch.revision = list.Revision
 	watch.pending = list
 	watch.responseTimeout = min(watch.responseTimeout, watchTimeout)
 	return nil
@@ -140,7 +140,7 @@
 		if isProgress {
 			continue
 		}
-		if !errors.Is(err, io.EOF) || watch.reader.Complete() {
+		if !errors.Is(err, io.EOF) || watch.reader.IsClosed() {
 			return nil, false, err
 		}
 		watch.reader.ConnClosed()
--- a/discovery/watch_test.go
+++ b/discovery/watch_test.go
@@ -86,7 +86,7 @@
 		call.Conn.Close()
 		select {
 		case list := <-delivered:
-			if reset || list.Rev != 5 {
+			if reset || list.Revision != 5 {
 				t.Errorf("reset %t: delivered %+v", reset, list)
 			}
 			if next := <-agent.Calls; !strings.Contains(next.Path, "from=5") { // on a connection of its own
@@ -108,10 +108,10 @@
 func TestKnownListDoesNotGrowWithEndpointsThatHaveGone(t *testing.T) {
 	table := endpointTable{}
 	for n := range 3000 {
-		gone := wire.Target{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
-		next := wire.Target{UID: fmt.Sprint("s-", n), Endpoint: "127.0.0.1:1", State: wire.Ready}
-		table.update(&wire.EndpointList{Rev: int64(n), Targets: []wire.Target{gone, next}})
-		if len(table.known.Targets) != 1 || table.known.Targets[0].UID != next.UID || table.known.Rev != int64(n) {
+		gone := wire.Endpoint{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
+		next := wire.Endpoint{UID: fmt.Sprint("s-", n), Address: "127.0.0.1:1", State: wire.Ready}
+		table.update(&wire.EndpointList{Revision: int64(n), Endpoints: []wire.Endpoint{gone, next}})
+		if len(table.known.Endpoints) != 1 || table.known.Endpoints[0].UID != next.UID || table.known.Revision != int64(n) {
 			t.Fatalf("after %d: %+v", n, table.known)
 		}
 	}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -9,36 +9,38 @@
 	"slices"
 )
 
-// DropUnusable drops the targets that cannot be used and names them. One in an unknown state, as of a later
+// DropUnusable drops the endpoints that cannot be used and names them. One in an unknown state, as of a later
 // version, counts as draining: it gets nothing new. One odd entry must not make the whole list useless, and the
 // drains in it with it.
 func (list *EndpointList) DropUnusable() (unusable []string) {
-	list.Targets = slices.DeleteFunc(list.Targets, func(target Target) bool {
-		if !target.isUsable() {
-			unusable = append(unusable, target.describe())
+	list.Endpoints = slices.DeleteFunc(list.Endpoints, func(endpoint Endpoint) bool {
+		if !endpoint.isUsable() {
+			unusable = append(unusable, endpoint.describe())
 			return true
 		}
 		return false
 	})
-	for n, target := range list.Targets {
-		if !slices.Contains([]string{Ready, Draining, Removed}, target.State) {
-			unusable = append(unusable, target.describe())
-			list.Targets[n].State = Draining
+	for n, endpoint := range list.Endpoints {
+		if !slices.Contains([]string{Ready, Draining, Removed}, endpoint.State) {
+			unusable = append(unusable, endpoint.describe())
+			list.Endpoints[n].State = Draining
 		}
 	}
 	return unusable
 }
 
-// isUsable tells whether a target says which replica it is and, unless that is removed, how it is reached.
-func (target *Target) isUsable() bool {
-	if target.UID == "" {
+// isUsable tells whether a endpoint says which replica it is and, unless that is removed, how it is reached.
+func (endpoint *Endpoint) isUsable() bool {
+	if endpoint.UID == "" {
 		return false
 	}
-	isPlaced := target.Endpoint != "" && target.Cell != nil && *target.Cell >= 0
-	return target.State == Removed || isPlaced
+	isPlaced := endpoint.Address != "" && endpoint.Cell != nil && *endpoint.Cell >= 0
+	return endpoint.State == Removed || isPlaced
 }
 
-func (target *Target) describe() string { return fmt.Sprintf("%s %q", target.State, target.UID) }
+func (endpoint *Endpoint) describe() string {
+	return fmt.Sprintf("%s %q", endpoint.State, endpoint.UID)
+}
 
 // ListRequest asks a discovery agent for the whole list.
 func ListRequest(host string) []byte {
@@ -67,8 +69,8 @@
 // whole then (RFC 9112, section 6.3). It is not to be called after a reset, which ends no response.
 func (reader *EndpointListReader) ConnClosed() { reader.closed = true }
 
-// Complete tells whether ConnClosed was called.
-func (reader *EndpointListReader) Complete() bool { return reader.closed }
+// IsClosed tells whether ConnClosed was called.
+func (reader *EndpointListReader) IsClosed() bool { return reader.closed }
 
 // Next gives the next list; nil without an error means that more bytes must come in first. Last tells that the
 // connection ends with it. After an error the connection is of no more use.
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -21,7 +21,7 @@
 			if list == nil {
 				break
 			}
-			got = append(got, fmt.Sprint(list.Rev, list.All, len(list.Targets), last))
+			got = append(got, fmt.Sprint(list.Revision, list.All, len(list.Endpoints), last))
 		}
 	}
 	return got
@@ -73,7 +73,7 @@
 		if list, last, err := reader.Next(); err != nil {
 			got = "error"
 		} else if list != nil {
-			got = fmt.Sprint(list.Rev, list.All, last)
+			got = fmt.Sprint(list.Revision, list.All, last)
 		}
 		if got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
@@ -81,9 +81,9 @@
 	}
 }
 
-// A list names targets without an address, a cell or an id, and one in an unknown state. They are dropped, or
+// A list names endpoints without an address, a cell or an id, and one in an unknown state. They are dropped, or
 // count as draining; the others are kept.
-func TestUnusableTargetsCostOnlyThemselves(t *testing.T) {
+func TestUnusableEndpointsCostOnlyThemselves(t *testing.T) {
 	var list EndpointList
 	if err := json.Unmarshal([]byte(`{"targets":[{"uid":"a","endpoint":"1:2","pod_group":3,"state":"ready"},
 		{"uid":"b","endpoint":"1:2","pod_group":3,"state":"odd"},{"uid":"","state":"gone"},
@@ -91,8 +91,8 @@
 		t.Fatal(err)
 	}
 	unusable, got := list.DropUnusable(), ""
-	for _, target := range list.Targets {
-		got += target.UID + ":" + target.State + " "
+	for _, endpoint := range list.Endpoints {
+		got += endpoint.UID + ":" + endpoint.State + " "
 	}
 	if got != "a:ready b:draining e:gone " || len(unusable) != 4 {
 		t.Errorf("%s, unusable %q", got, unusable)
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -86,23 +86,23 @@
 
 // EndpointList is what discovery tells: all endpoints, or those that changed.
 type EndpointList struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+	Revision  int64      `json:"rev"`
+	All       bool       `json:"all"`
+	Endpoints []Endpoint `json:"targets"`
 }
 
-// Target is the endpoint of a replica as discovery lists it.
-type Target struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"` // the address
-	Zone     string `json:"az"`
-	Model    string `json:"model"`
-	Cell     *int   `json:"pod_group"`
-	State    string `json:"state"`
-	BootMS   int64  `json:"boot_ms"` // start of its process, Unix time in milliseconds; 0: not told
+// Endpoint is where a replica is reached, and what discovery says of it.
+type Endpoint struct {
+	UID     string `json:"uid"`
+	Address string `json:"endpoint"`
+	Zone    string `json:"az"`
+	Model   string `json:"model"`
+	Cell    *int   `json:"pod_group"`
+	State   string `json:"state"`
+	BootMS  int64  `json:"boot_ms"` // start of its process, Unix time in milliseconds; 0: not told
 }
 
-// The states of a target.
+// The states of an endpoint.
 const (
 	Ready    = "ready"
 	Draining = "draining"
--- a/internal/wire/query.go
+++ b/internal/wire/query.go
@@ -39,7 +39,7 @@
 // TwoPhaseQuery is what a query says that it wants, where its text is something that replicas can bound
 // (docs/phases.md).
 type TwoPhaseQuery struct {
-	Best *int `json:"best"` // so many hits by score; nil: all that match
+	Limit *int `json:"best"` // so many hits by score; nil: all that match
 }
 
 // QueryRules are what the class of a query allows.
@@ -126,7 +126,7 @@
 }
 
 func (wanted *TwoPhaseQuery) isUsable() bool {
-	return wanted.Best == nil || *wanted.Best >= 0 && *wanted.Best <= maxLimit
+	return wanted.Limit == nil || *wanted.Limit >= 0 && *wanted.Limit <= maxLimit
 }
 
 // readSubqueries reads the subqueries, of which no two name one shard. Weights that add up to more than 1 would let a
--- a/internal/wire/twophase.go
+++ b/internal/wire/twophase.go
@@ -24,13 +24,13 @@
 
 // CanMatchRequest is the text of the subquery that asks for a shard's summary.
 func CanMatchRequest(query *TwoPhaseQuery, text []byte) []byte {
-	return withPhase(phaseRequest{Phase: phaseCanMatch, Limit: query.Best}, text)
+	return withPhase(phaseRequest{Phase: phaseCanMatch, Limit: query.Limit}, text)
 }
 
 // FetchRequest is the text of the subquery that asks for a shard's hits; the version is that of the summary that
 // was used, empty if none was.
 func FetchRequest(query *TwoPhaseQuery, version twophase.Version, text []byte) []byte {
-	return withPhase(phaseRequest{Phase: phaseFetch, Limit: query.Best, Version: string(version)}, text)
+	return withPhase(phaseRequest{Phase: phaseFetch, Limit: query.Limit, Version: string(version)}, text)
 }
 
 func withPhase(request phaseRequest, text []byte) []byte {
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -27,7 +27,7 @@
 		"server/presence.go": {"	if client.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
-		"coordinator/endpoints.go": {"	replica := c.replicas.EndpointOf(target.UID)\n	replica.SetState(", "	if target.State == wire.Draining {\n		target.State = wire.Ready\n	}\n	replica := c.replicas.EndpointOf(target.UID)\n	replica.SetState("},
+		"coordinator/endpoints.go": {"	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState(", "	if endpoint.State == wire.Draining {\n		endpoint.State = wire.Ready\n	}\n	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState("},
 	}},
 	{"effect", "effect", map[string][2]string{
 		"scheduler/retry.go":     {"(first == nil || class.effect == invariant.Idempotent ||", "(true ||"},
