--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -74,7 +74,7 @@
 		var values []wire.SubqueryValue
 		for _, subquery := range query.subqueries {
 			if subquery.answered {
-				values = append(values, wire.SubqueryValue{Segment: subquery.shard, Payload: string(subquery.value)})
+				values = append(values, wire.SubqueryValue{Shard: subquery.shard, Payload: string(subquery.value)})
 			}
 		}
 		c.trace("query_succeeded=%s complete=%t subqueries=%d after=%v",
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -127,11 +127,11 @@
 // Filled tells how many bytes were read into it.
 func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
 
-// endOf maps the ends of a subquery on the wire.
-var endOf = map[wire.End]replicaproto.End{
-	wire.OK:            replicaproto.OK,
-	wire.ProtocolError: replicaproto.Error,
-	wire.Rejected:      replicaproto.Rejected,
+// endOf maps the statuses of replies on the wire.
+var endOf = map[wire.ReplyStatus]replicaproto.End{
+	wire.ReplyOK:       replicaproto.OK,
+	wire.ReplyError:    replicaproto.Error,
+	wire.ReplyRejected: replicaproto.Rejected,
 }
 
 // Next gives the next reply.
@@ -141,7 +141,7 @@
 		return event, false, err
 	}
 	event = replicaproto.Event{
-		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.End], Value: reply.Value, Busy: reply.Busy,
+		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.Status], Value: reply.Value, Busy: reply.Busy,
 	}
 	return event, true, nil
 }
