--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -40,7 +40,7 @@
 // EndpointsReceived takes what discovery says now.
 func (handler endpointHandler) EndpointsReceived(list *wire.EndpointList) {
 	c := handler.c
-	c.counts.Lists++
+	c.counts.EndpointLists++
 	now := c.observeWallClock()
 	c.incarnations.ListReceived(now)
 	c.applyEndpoints(list, false)
@@ -59,12 +59,12 @@
 // better than none.
 func (handler endpointHandler) PollFailed(isNews bool) {
 	c := handler.c
-	c.counts.ListFailures++
+	c.counts.EndpointListFailures++
 	if !c.discovery.IsEmpty() {
 		c.ready.Store(true)
 	}
 	if isNews {
-		c.module.EndpointPollFailed(c.loop.Now())
+		c.scheduler.EndpointPollFailed(c.loop.Now())
 	}
 }
 
@@ -80,7 +80,7 @@
 	if list.All {
 		c.removeUnlisted(list.Targets)
 	}
-	c.module.EndpointListBegins(c.loop.Now(), list.All, isOld)
+	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, isOld)
 	for _, target := range list.Targets {
 		c.applyEndpoint(target)
 	}
@@ -104,13 +104,13 @@
 	replica := c.fleet.named(target.UID)
 	replica.state.Store(int32(invariantStates[target.State]))
 	c.listInPool(replica, target)
-	c.module.EndpointListed(c.loop.Now(), scheduler.Endpoint{
+	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{
 		ID:      replica.id,
 		State:   schedulerStates[target.State],
 		Started: c.startOf(replica, target),
 		Cell:    cellOf(target),
 		Zone:    c.zoneOf(target),
-		Size:    size(c.fleet.installation, target.Model),
+		Size:    c.fleet.installation.SizeOf(target.Model),
 	})
 }
 
