--- /dev/null
+++ b/scheduler/canary_test.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// A connection is reset under a query: it may crash each replica that works on it. Until enough answers speak for it,
+// its subqueries go on only where they have been: if that replica crashed, it cannot be reached, and the query ends.
+func TestQueryUnderWhichAReplicaSeemsToCrashGoesOnThereAlone(t *testing.T) {
+	for answers := range 3 {
+		for _, then := range []Outcome{Succeeded, Unreachable, ConnectionReset} {
+			m := newModel(t, 0)
+			query := m.newQuery(0, 4, 3*time.Second)
+			m.iterate()
+			m.pass(50 * ms)
+			for _, subquery := range query.subqueries[1 : 1+answers] {
+				m.endAttempt(subquery, 0, Succeeded)
+			}
+			dead := query.subqueries[0]
+			m.endAttempt(dead, 0, ConnectionReset)
+			m.iterate()
+			m.pass(250 * ms)
+			if len(dead.attempts) != 2 || answers < 2 && dead.attempts[1].to != dead.attempts[0].to {
+				t.Fatalf("%d answers: attempts %v", answers, dead.attempts)
+			}
+			m.endAttempt(dead, 1, then)
+			m.iterate()
+			if goesOn := then == Succeeded || answers == 2 && then == Unreachable; query.ended == goesOn {
+				t.Errorf("%d answers, then %v: ended %v", answers, then, query.ended)
+			}
+		}
+	}
+}
+
+// Among many co-ordinators, one that sends all subqueries of a deadly query at once loses half of the fleet. One goes
+// ahead; the others follow its answer, and none does after a crash.
+func TestLargeQueriesStartWithFewSubqueriesAmongMany(t *testing.T) {
+	m := newModel(t, 0)
+	m.restartAsOneOf(40, 0)
+	m.newQuery(0, 20, 3*time.Second)
+	m.iterate()
+	m.pass(30 * ms)
+	if len(m.sent) != 1 {
+		t.Fatalf("%d subqueries sent at once", len(m.sent))
+	}
+	m.endAttempt(m.inFlight()[0].subquery, 0, Succeeded)
+	m.iterate()
+	if len(m.sent) != 20 {
+		t.Fatalf("%d subqueries sent once one is in", len(m.sent))
+	}
+	m.answerAllAfter(60 * ms)
+	query := m.newQuery(0, 20, 3*time.Second)
+	m.iterate()
+	m.pass(20 * ms)
+	m.endAttempt(query.subqueries[0], 0, ConnectionReset)
+	m.iterate()
+	m.pass(250 * ms)
+	if len(m.sent) != 22 || len(query.subqueries[0].attempts) != 2 {
+		t.Fatalf("%d subqueries of a deadly query sent", len(m.sent)-20)
+	}
+	m.endAttempt(query.subqueries[0], 1, Unreachable)
+	m.iterate()
+	attempts := 0
+	for _, subquery := range query.subqueries {
+		attempts += len(subquery.attempts)
+	}
+	if !query.ended || attempts != 2 {
+		t.Errorf("ended %v after %d attempts of a deadly query", query.ended, attempts)
+	}
+}
+
+// While replicas are busy no answer comes for long. Subqueries that wait for the canaries then follow in two steps,
+// and so lose no more than a small share of the objective.
+func TestCanariesHoldALargeQueryUpForTwoSteps(t *testing.T) {
+	m := newModel(t, 0)
+	m.restartAsOneOf(40, 0)
+	m.newQuery(0, 20, 3*time.Second)
+	m.iterate()
+	m.pass(50 * ms)
+	if len(m.sent) != 1 {
+		t.Fatalf("%d subqueries sent at once", len(m.sent))
+	}
+	m.pass(30 * ms)
+	if len(m.sent) != 8 {
+		t.Errorf("%d subqueries sent after a step", len(m.sent))
+	}
+	if m.pass(60 * ms); len(m.sent) != 20 {
+		t.Errorf("%d subqueries of 20 sent after two steps", len(m.sent))
+	}
+}
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -17,14 +17,14 @@
 		m := newModel(t, 16)
 		m.settings["guarantees.askEvery"] = "20000000"
 		m.start(uint64(seed))
-		m.turn()
+		m.iterate()
 		longest := time.Duration(0)
 		for range 12 { // an outage of some minutes
-			before := len(m.asks)
-			m.c.EndpointPollFailed(m.now)
-			m.turn()
+			before := len(m.polls)
+			m.scheduler.EndpointPollFailed(m.now)
+			m.iterate()
 			failed := m.now
-			for len(m.asks) == before && m.now < failed+time.Minute {
+			for len(m.polls) == before && m.now < failed+time.Minute {
 				m.pass(10 * ms)
 			}
 			longest = max(longest, m.now-failed)
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -158,18 +158,18 @@
 	} {
 		m := newModel(t, 32)
 		m.settings["bounds.peers"] = "true"
-		m.many(40, 0)
-		allowance := m.c.quotas.tokens[0]
+		m.restartAsOneOf(40, 0)
+		allowance := m.scheduler.quotas.tokens[0]
 		var fault *GossipError
-		if err := m.c.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
+		if err := m.scheduler.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
 			t.Errorf("a message %s: %v, want a fault in %s", name, err, test.field)
 		}
-		for _, replica := range m.c.replicas.all {
-			if replica.peerBacklog(m.c.now) != 0 || replica.slowdown != 1 {
+		for _, replica := range m.scheduler.replicas.all {
+			if replica.peerBacklog(m.scheduler.now) != 0 || replica.slowdown != 1 {
 				t.Errorf("a message %s is believed of replica %d", name, replica.id)
 			}
 		}
-		if m.c.gossip.heard(m.c.now) || m.c.quotas.tokens[0] != allowance {
+		if m.scheduler.gossip.heard(m.scheduler.now) || m.scheduler.quotas.tokens[0] != allowance {
 			t.Errorf("a message %s is believed", name)
 		}
 	}
@@ -187,15 +187,15 @@
 	f.Fuzz(func(t *testing.T, message []byte) {
 		m := newModel(t, 32)
 		m.settings["bounds.peers"] = "true"
-		m.many(40, 0)
-		before := m.c.gossip.heardAt
-		err := m.c.GossipReceived(m.now, 1, message)
-		if (err == nil) != (m.c.gossip.heardAt != before) {
-			t.Errorf("%v, and heard at %v", err, m.c.gossip.heardAt)
+		m.restartAsOneOf(40, 0)
+		before := m.scheduler.gossip.heardAt
+		err := m.scheduler.GossipReceived(m.now, 1, message)
+		if (err == nil) != (m.scheduler.gossip.heardAt != before) {
+			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.heardAt)
 		}
-		most := scale(m.c.shortestObjective, m.c.estimates.parallelism)
-		for _, replica := range m.c.replicas.all {
-			backlog := replica.peerBacklog(m.c.now)
+		most := scale(m.scheduler.shortestObjective, m.scheduler.estimates.parallelism)
+		for _, replica := range m.scheduler.replicas.all {
+			backlog := replica.peerBacklog(m.scheduler.now)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
 				t.Errorf("%v in flight after %v", backlog, err)
 			}
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -9,14 +9,14 @@
 func newGossipModel(t *testing.T, bits int) *model {
 	m := newModel(t, bits)
 	m.settings["bounds.peers"] = "true"
-	m.many(40, 0)
+	m.restartAsOneOf(40, 0)
 	return m
 }
 
 // hear has the Scheduler take messages of a peer, all of which must be sound.
 func (m *model) hear(messages ...[]byte) {
 	for _, message := range messages {
-		if err := m.c.GossipReceived(m.now, 7, message); err != nil {
+		if err := m.scheduler.GossipReceived(m.now, 7, message); err != nil {
 			m.t.Fatal(err)
 		}
 	}
@@ -25,27 +25,27 @@
 // Work that peers tell of delays a replica like own work, so a subquery goes where less is in flight. It fades with time.
 func TestWorkOfPeersCountsAsInFlight(t *testing.T) {
 	m := newGossipModel(t, 0)
-	m.only(102, 105)
+	m.keepOnly(102, 105)
 	busy := m.replicas[102]
 	var attempts []CellNumber
 	for range 8 {
 		attempts = append(attempts, CellNumber(busy.cell))
 	}
 	m.replicas[105].cell = busy.cell + 1 // both hold the shard of that cell
-	m.tell(false, false, 105)
+	m.list(false, false, 105)
 	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
-	backlog := m.index(102).peerBacklog(m.c.now)
-	m.shard = busy.cell
-	q := m.ask(0, 1, 3*time.Second)
-	m.turn()
-	if backlog < 700*ms || len(q.parts[0].attempts) != 1 || q.parts[0].attempts[0].to != 105 {
-		t.Errorf("%v in flight; the subquery went to %+v", backlog, q.parts[0].attempts)
+	backlog := m.replica(102).peerBacklog(m.scheduler.now)
+	m.nextShard = busy.cell
+	q := m.newQuery(0, 1, 3*time.Second)
+	m.iterate()
+	if backlog < 700*ms || len(q.subqueries[0].attempts) != 1 || q.subqueries[0].attempts[0].to != 105 {
+		t.Errorf("%v in flight; the subquery went to %+v", backlog, q.subqueries[0].attempts)
 	}
-	if len(m.told) != 1 {
-		t.Errorf("%d messages tell of its attempt", len(m.told))
+	if len(m.broadcasts) != 1 {
+		t.Errorf("%d messages tell of its attempt", len(m.broadcasts))
 	}
 	m.pass(6 * time.Second)
-	if m.turn(); m.index(102).peerBacklog(m.c.now) > backlog/10 {
+	if m.iterate(); m.replica(102).peerBacklog(m.scheduler.now) > backlog/10 {
 		t.Error("work whose end nobody tells is in flight for good")
 	}
 }
@@ -53,10 +53,10 @@
 // Where messages are not allowed none goes, whatever is sent.
 func TestNothingIsBroadcastWhereGossipIsNotAllowed(t *testing.T) {
 	m := newModel(t, 0)
-	m.many(40, 0)
-	m.ask(0, 4, 3*time.Second)
-	if m.turn(); len(m.told) > 0 {
-		t.Errorf("%d messages", len(m.told))
+	m.restartAsOneOf(40, 0)
+	m.newQuery(0, 4, 3*time.Second)
+	if m.iterate(); len(m.broadcasts) > 0 {
+		t.Errorf("%d messages", len(m.broadcasts))
 	}
 }
 
@@ -65,17 +65,17 @@
 func TestTenantQuotaIsThatOfAllCoordinatorsWithGossip(t *testing.T) {
 	m := newModel(t, 32)
 	m.settings["bounds.peers"], m.settings["orgs.0.quotaPerS"] = "true", "10"
-	m.many(40, 0)
+	m.restartAsOneOf(40, 0)
 	admitted := func(queries int) {
 		m.hear(gossipOf(attemptsSent, []CellNumber{0}, ms, 1, make([]TenantIndex, queries), 3)...)
 	}
 	admitted(1)
-	if m.ask(0, 1, 3*time.Second); m.c.open[0].overQuota {
+	if m.newQuery(0, 1, 3*time.Second); m.scheduler.open[0].overQuota {
 		t.Error("past its quota though the others admitted one")
 	}
 	admitted(16)
 	admitted(16)
-	if m.ask(0, 1, 3*time.Second); !m.c.open[1].overQuota {
+	if m.newQuery(0, 1, 3*time.Second); !m.scheduler.open[1].overQuota {
 		t.Error("within its quota of 10 a second though the others just admitted 32")
 	}
 }
@@ -84,18 +84,18 @@
 // flight. Its end is told, and until then it counts.
 func TestEndedAttemptsOfPeersAreNoLongerInFlight(t *testing.T) {
 	m := newGossipModel(t, 0)
-	replica, cell := m.index(102), CellNumber(m.replicas[102].cell)
+	replica, cell := m.replica(102), CellNumber(m.replicas[102].cell)
 	attempts := []CellNumber{cell, cell}
 	m.hear(gossipOf(attemptsSent, attempts, 100*ms, 1, nil, 3)...)
-	if got := replica.peerBacklog(m.c.now); got != 200*ms {
+	if got := replica.peerBacklog(m.scheduler.now); got != 200*ms {
 		t.Errorf("%v in flight", got)
 	}
-	if m.pass(500 * ms); replica.peerBacklog(m.c.now) < 150*ms {
-		t.Errorf("%v in flight after half a second, though nobody tells of an end", replica.peerBacklog(m.c.now))
+	if m.pass(500 * ms); replica.peerBacklog(m.scheduler.now) < 150*ms {
+		t.Errorf("%v in flight after half a second, though nobody tells of an end", replica.peerBacklog(m.scheduler.now))
 	}
 	m.hear(gossipOf(attemptsEnded, attempts, 100*ms, 1, nil, 3)...)
-	if replica.peerBacklog(m.c.now) != 0 || replica.slowdown != 1 {
-		t.Errorf("%v in flight after both ended, slowdown %.2f", replica.peerBacklog(m.c.now), replica.slowdown)
+	if replica.peerBacklog(m.scheduler.now) != 0 || replica.slowdown != 1 {
+		t.Errorf("%v in flight after both ended, slowdown %.2f", replica.peerBacklog(m.scheduler.now), replica.slowdown)
 	}
 }
 
@@ -103,7 +103,7 @@
 // attempts of all.
 func TestLateAttemptsOfPeersRaiseASlowdown(t *testing.T) {
 	m := newGossipModel(t, 0)
-	replica, cell := m.index(102), []CellNumber{CellNumber(m.replicas[102].cell)}
+	replica, cell := m.replica(102), []CellNumber{CellNumber(m.replicas[102].cell)}
 	for range 8 {
 		m.hear(gossipOf(attemptsLate, cell, 100*ms, 6, nil, 3)...)
 	}
@@ -132,11 +132,11 @@
 		}
 		m.hear(tally.take(attemptsEnded, 3, parallelism)...)
 	}
-	if hundredEnded(4); m.c.estimates.parallelism < 3.5 || m.c.estimates.parallelism > 4 {
-		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.c.estimates.parallelism)
+	if hundredEnded(4); m.scheduler.estimates.parallelism < 3.5 || m.scheduler.estimates.parallelism > 4 {
+		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.scheduler.estimates.parallelism)
 	}
-	if hundredEnded(15); m.c.estimates.parallelism > maxParallelism {
-		t.Errorf("%.2f, more than the most", m.c.estimates.parallelism)
+	if hundredEnded(15); m.scheduler.estimates.parallelism > maxParallelism {
+		t.Errorf("%.2f, more than the most", m.scheduler.estimates.parallelism)
 	}
 }
 
@@ -145,7 +145,7 @@
 func TestEndsAreGatheredAndTold(t *testing.T) {
 	m := newGossipModel(t, 0)
 	said := func() (attempts [attemptEvents]int) {
-		for _, message := range m.told {
+		for _, message := range m.broadcasts {
 			decoded, err := decodeGossip(message, 3)
 			if err != nil {
 				t.Fatal(err)
@@ -154,19 +154,19 @@
 				attempts[decoded.event] += cell.attempts
 			}
 		}
-		m.told = nil
+		m.broadcasts = nil
 		return attempts
 	}
-	q := m.ask(0, 3, 3*time.Second)
-	m.turn()
+	q := m.newQuery(0, 3, 3*time.Second)
+	m.iterate()
 	if got := said(); got != [attemptEvents]int{attemptsSent: 3} {
 		t.Errorf("told %v of three attempts sent", got)
 	}
 	m.now += 60 * ms
-	m.end(q.parts[0], 0, Succeeded)
-	m.turn()
-	m.end(q.parts[1], 0, Cancelled)
-	m.turn()
+	m.endAttempt(q.subqueries[0], 0, Succeeded)
+	m.iterate()
+	m.endAttempt(q.subqueries[1], 0, Cancelled)
+	m.iterate()
 	if got := said(); got[attemptsEnded]+got[attemptsLate] != 0 {
 		t.Errorf("told %v at once", got)
 	}
@@ -175,8 +175,8 @@
 		t.Errorf("told %v of one attempt ended and one cancelled early", got)
 	}
 	m.now += 800 * ms
-	m.end(q.parts[2], 0, Succeeded)
-	m.turn()
+	m.endAttempt(q.subqueries[2], 0, Succeeded)
+	m.iterate()
 	m.pass(120 * ms)
 	if got := said(); got[attemptsLate] != 1 {
 		t.Errorf("told %v of a late attempt", got)
@@ -189,13 +189,13 @@
 	timeOut := func(coordinators int, heard bool) time.Duration {
 		m := newModel(t, 1)
 		m.settings["bounds.peers"] = "true"
-		m.many(coordinators, 0)
+		m.restartAsOneOf(coordinators, 0)
 		if heard {
 			m.hear(gossipOf(attemptsEnded, []CellNumber{0}, ms, 1, nil, 3)...)
 		}
-		q := m.ask(0, 1, 3*time.Second)
-		m.turn()
-		return m.c.retries.attemptTimeout(m.c.subqueries[q.parts[0].id].attempts[0], m.c.unseenLoad())
+		q := m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
+		return m.scheduler.retries.attemptTimeout(m.scheduler.subqueries[q.subqueries[0].id].attempts[0], m.scheduler.unseenLoad())
 	}
 	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
 	if silent < few*18/10 || heard > few {
--- /dev/null
+++ b/scheduler/hedge_test.go
@@ -0,0 +1,127 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// Later attempts at the same replica are answered, this one is not: it is lost. It is hedged at once, though its
+// query has much time left.
+func TestOvertakenAttemptIsHedged(t *testing.T) {
+	m := newModel(t, 0)
+	m.keepOnly(102, 105)
+	m.replica(102).slowdown = 3
+	query := m.newQuery(0, 1, 3*time.Second)
+	m.iterate()
+	for range 12 {
+		m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
+		m.pass(40 * ms)
+		for _, flight := range m.inFlight() {
+			if flight.subquery.query != query {
+				m.answer(flight)
+			}
+		}
+		m.iterate()
+	}
+	if attempts := query.subqueries[0].attempts; len(attempts) != 2 {
+		t.Errorf("%d attempts after %v", len(attempts), m.now-attempts[0].sentAt)
+	}
+}
+
+// All subqueries of a heavy query take long: hedges of them would double the work for nothing. When three of four are
+// answered, the last one is a straggler and gets one.
+func TestHeavyQueriesAreNotHedgedButStragglersAre(t *testing.T) {
+	m := newModel(t, 0)
+	for range 8 {
+		m.newQuery(0, 2, 3*time.Second)
+		m.iterate()
+		m.answerAllAfter(60 * ms)
+	}
+	heavy := m.newQuery(0, 4, 3*time.Second)
+	m.iterate()
+	sent := len(m.sent)
+	if m.pass(900 * ms); len(m.sent) > sent {
+		t.Fatalf("%d hedges of a query that has no answer yet", len(m.sent)-sent)
+	}
+	for _, subquery := range heavy.subqueries[:3] {
+		m.endAttempt(subquery, 0, Succeeded)
+	}
+	m.iterate()
+	straggler := m.newQuery(0, 4, 3*time.Second)
+	m.iterate()
+	m.pass(60 * ms)
+	for _, subquery := range straggler.subqueries[:3] {
+		m.endAttempt(subquery, 0, Succeeded)
+	}
+	m.iterate()
+	if m.pass(900 * ms); len(straggler.subqueries[3].attempts) < 2 {
+		t.Error("no hedge of a straggler")
+	}
+}
+
+// An attempt is lost and no hedge tokens are left. If it is the only one missing it is hedged all the same, as all the
+// other work would be lost with it.
+func TestOnlyMissingSubqueryIsHedgedWithoutTokens(t *testing.T) {
+	for missing, want := range map[int]int{1: 2, 2: 1} {
+		m := newModel(t, 0)
+		m.scheduler.hedges.tokens = 0
+		query := m.newQuery(0, 8, 3*time.Second)
+		m.iterate()
+		m.pass(50 * ms)
+		for _, subquery := range query.subqueries[missing:] {
+			m.endAttempt(subquery, 0, Succeeded)
+		}
+		m.scheduler.hedges.tokens = 0
+		m.iterate()
+		if m.pass(800 * ms); len(query.subqueries[0].attempts) != want {
+			t.Errorf("%d attempts with %d subqueries missing, want %d", len(query.subqueries[0].attempts), missing, want)
+		}
+	}
+}
+
+// A hedge lengthens the queue that it is sent to. While replicas report that they are busy none goes, however many
+// tokens are saved up.
+func TestNoHedgesWhileReplicasReportThatTheyAreBusy(t *testing.T) {
+	for _, busy := range []float64{0.3, 0.95} {
+		m := newModel(t, 0)
+		for range 100 {
+			m.scheduler.LoadReported(m.now, 0, busy)
+		}
+		if hedges := m.hedgesOfThree(); (hedges > 0) != (busy < 0.5) {
+			t.Errorf("%d hedges of stragglers while replicas are busy to %v", hedges, busy)
+		}
+	}
+}
+
+// hedgesOfThree leaves the last three of a query's ten subqueries in flight for most of a second, and counts their
+// hedges.
+func (m *model) hedgesOfThree() (hedges int) {
+	query := m.newQuery(0, 10, 3*time.Second)
+	m.iterate()
+	m.pass(80 * ms)
+	for _, subquery := range query.subqueries[:7] {
+		m.endAttempt(subquery, 0, Succeeded)
+	}
+	m.iterate()
+	for range 80 {
+		m.pass(10 * ms)
+	}
+	for _, subquery := range query.subqueries[7:] {
+		hedges += len(subquery.attempts) - 1
+	}
+	return hedges
+}
+
+// Replicas were busy and report nothing any more, as all hang or their reports are switched off. They must not count as
+// busy for good.
+func TestLoadIsForgottenOnceNobodyReports(t *testing.T) {
+	m := newModel(t, 0)
+	for range 100 {
+		m.scheduler.LoadReported(m.now, 0, 0.95)
+	}
+	m.pass(loadReportsTimeout + 10*ms)
+	if m.hedgesOfThree() == 0 {
+		t.Error("no hedge of a straggler, long after the last report")
+	}
+}
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -3,487 +3,387 @@
 import (
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
 )
 
-// The model: the six rules in plain, slow form, written from their wording. It plays the host, judges each
-// call of the module, and knows nothing of how the module decides.
+// The model is the six rules in plain, slow form, written from their wording. It is the scheduler's host, judges each
+// of its calls (model_host_test.go), and knows nothing of how the scheduler decides.
 
 const ms = time.Millisecond
 
 type modelAttempt struct {
-	to   ReplicaID
-	wait time.Duration // 0: until the client gives up
-	at   time.Duration
-	done bool
-	how  Outcome
+	to      ReplicaID
+	timeout time.Duration // 0: until the client gives up
+	sentAt  time.Duration
+	ended   bool
+	outcome Outcome
 }
 
-type modelPart struct {
+// provablyNeverRan tells whether its end proves that the replica did not run it.
+func (a *modelAttempt) provablyNeverRan() bool {
+	return a.ended && (a.outcome == Overloaded || a.outcome == Unreachable || a.outcome == NeverSent)
+}
+
+type modelSubquery struct {
 	id       RequestID
-	of       *modelQuery
+	query    *modelQuery
 	shard    int
 	weight   float64
 	attempts []*modelAttempt
-	in       bool
+	answered bool
 }
 
 type modelQuery struct {
-	id               RequestID
-	number           QueryNumber
-	track, step      int
-	endAt            time.Duration
-	parts            []*modelPart
-	ended, wholeStep bool
+	id                 RequestID
+	number             QueryNumber
+	class              int
+	phase              int
+	deadlineAt         time.Duration
+	subqueries         []*modelSubquery
+	ended              bool
+	firstPhaseComplete bool
 }
 
 type modelReplica struct {
-	life          EndpointState
-	told, started time.Duration
-	cell          int
-	work          []time.Duration // when parts were sent while it was cold
-	unknown       bool
+	state              EndpointState
+	listedAt           time.Duration // when its state last changed in the list
+	startedAt          time.Duration
+	cell               int
+	sentWhileWarmingUp []time.Duration // when subqueries were sent to it in slow start
 }
 
 type model struct {
-	t              testing.TB
-	c              *Scheduler
-	now            time.Duration
-	settings       map[string]string
-	effects        []string
-	need, floor    []float64
-	fetch          []int
-	copies, cancel bool
+	t         testing.TB
+	scheduler *Scheduler
+	now       time.Duration
+	settings  map[string]string
+
+	// The rules.
+	effects        []string  // by class
+	completeWeight []float64 // by class
+	minimumWeight  []float64 // by class
+	fetch          []int     // by class: subqueries of the second phase
+	hedgeAllowed   bool
+	cancelAllowed  bool
 	maxAttempts    int
-	cells, reach   int
-	uncounted      int     // parts in that the sender of second steps does not count
-	budget         float64 // share; 0: no attempt budget
-	taken, extras  []time.Duration
-	replicas       map[ReplicaID]*modelReplica
-	order          []ReplicaID
-	queries        map[RequestID]*modelQuery
-	parts          map[RequestID]*modelPart
-	wakes          []time.Duration
-	asks           []time.Duration
-	told           [][]byte // messages to other co-ordinators
-	subscribed     bool
-	nextID         RequestID
-	logs           []string
-	sent           []RequestID
-	turnedBack     int
-	lastFirst      RequestID // query of the last first attempt in this turn
-	shard          int       // of the next query's first part
-	next           []func()
+	cells          int
+	cellsPerShard  int
+	retryShare     float64 // of the retry budget; 0: there is none
+
+	// What is there.
+	replicas     map[ReplicaID]*modelReplica
+	order        []ReplicaID // of the replicas at the start
+	queries      map[RequestID]*modelQuery
+	subqueries   map[RequestID]*modelSubquery
+	lastID       RequestID
+	nextShard    int // of the next query's first subquery
+	fewerFetched int // subqueries of a second phase that do not arrive
+
+	// What the scheduler did.
+	arrivals         []time.Duration
+	retries          []time.Duration
+	wakeups          []time.Duration
+	polls            []time.Duration
+	broadcasts       [][]byte
+	logs             []string
+	sent             []RequestID
+	rejected         int
+	lastFirstAttempt RequestID // query of the last first attempt in this iteration
+	nextIteration    []func()  // events before it
 }
 
 const (
-	modelWork    = 100 * ms
-	modelWindow  = 900 * ms
-	modelSpan    = 5 * time.Second
-	modelFree    = 3
-	modelGrace   = 500 * ms
-	modelWarm    = 8 * time.Second
-	modelTip     = 1500 * ms
-	modelSlack   = 20 * ms
-	modelBalance = 2
+	modelWork         = 100 * ms        // of each subquery
+	modelKeyWindow    = 900 * ms        // in which a keyed subquery may be repeated
+	modelBudgetSpan   = 5 * time.Second // of the retry budget
+	modelFreeRetries  = 3               // beside its share
+	modelGrace        = 500 * ms        // for attempts to a replica that is no longer ready
+	modelWarmUpTime   = 8 * time.Second
+	modelOverloadTime = 1500 * ms
+	modelSlack        = 20 * ms // for final outcomes after the deadline
+	modelCoordinators = 2
+)
+
+// Bits of newModel: which permissions and rules hold.
+const (
+	modelNoHedges = 1 << iota
+	modelNoCancels
+	modelRetryBudget
+	modelSecondPhases
+	modelSubscribes
+	modelQuota
+	modelManyWithGossip
 )
 
-// newModel starts a module; the bits choose which permissions and rules hold.
+// newModel starts a scheduler; the bits choose which permissions and rules hold.
 func newModel(t testing.TB, bits int) *model {
-	m := &model{t: t, now: time.Second, effects: []string{"pure", "token", "side_effect", "pure"}, need: []float64{1, 1, 1, 0.8},
-		floor: []float64{1, 1, 1, 0.5}, fetch: []int{0, 0, 0, 0}, cells: 3, reach: 2, maxAttempts: 3,
-		replicas: map[ReplicaID]*modelReplica{}, queries: map[RequestID]*modelQuery{},
-		parts: map[RequestID]*modelPart{}}
-	m.copies, m.cancel = bits&1 == 0, bits&2 == 0
-	if bits&4 != 0 {
-		m.budget = 0.1
-	}
-	if bits&8 != 0 {
+	m := &model{
+		t:              t,
+		now:            time.Second,
+		effects:        []string{"pure", "token", "side_effect", "pure"},
+		completeWeight: []float64{1, 1, 1, 0.8},
+		minimumWeight:  []float64{1, 1, 1, 0.5},
+		fetch:          []int{0, 0, 0, 0},
+		hedgeAllowed:   bits&modelNoHedges == 0,
+		cancelAllowed:  bits&modelNoCancels == 0,
+		maxAttempts:    3,
+		cells:          3,
+		cellsPerShard:  2,
+		replicas:       map[ReplicaID]*modelReplica{},
+		queries:        map[RequestID]*modelQuery{},
+		subqueries:     map[RequestID]*modelSubquery{},
+	}
+	if bits&modelRetryBudget != 0 {
+		m.retryShare = 0.1
+	}
+	if bits&modelSecondPhases != 0 {
 		m.fetch = []int{2, 0, 0, 1}
 	}
-	s := map[string]string{"balancers": fmt.Sprint(modelBalance), "lanes.count": "4",
-		"familyInfo.cells": "3", "familyInfo.span": "2", "familyInfo.classNeed": "1.0,1.0,1.0,0.8",
-		"familyInfo.leastShare": "1.0,1.0,1.0,0.5", "familyInfo.partialEarns": "0,0,0,0.9",
-		"familyInfo.classFetch": fmt.Sprintf("%d,0,0,%d", m.fetch[0], m.fetch[3]),
-		"bounds.maxAttempts":    "3", "bounds.mayCancel": fmt.Sprint(m.cancel), "bounds.secondCopies": fmt.Sprint(m.copies),
-		"discovery": "automatic", "guarantees.tipMultiple": "3", "guarantees.startCapacity": "0.2",
-		"guarantees.warmAfter": "8000000", "guarantees.overloadFor": "1500000", "goal.worstClass": "0.2"}
-	for n, e := range m.effects {
-		path := fmt.Sprintf("lanes.%d.", n)
-		s[path+"aim"], s[path+"deadline"], s[path+"effect"] = "1000000", "3000000", e
-		s[path+"window"], s[path+"lateWorth"] = fmt.Sprint(modelWindow.Microseconds()), "0.2"
-	}
-	if m.budget > 0 {
-		s["guarantees.minExtra"], s["guarantees.extraRatio"] = fmt.Sprint(modelFree), "0.1"
-		s["guarantees.ratioSpan"] = fmt.Sprint(modelSpan.Microseconds())
-	}
-	if bits&16 != 0 {
-		s["discovery"] = "subscribe"
-	}
-	if bits&32 != 0 {
-		s["orgs.count"], s["orgs.0.quotaPerS"] = "1", "4"
-	}
-	if bits&64 != 0 {
-		s["balancers"], s["bounds.peers"], s["weightKind"] = "40", "true", "nominal"
-	}
-	m.settings = s
+	m.settings = m.newSettings(bits)
 	for id := ReplicaID(100); id < 106; id++ {
-		m.replicas[id] = &modelReplica{started: StartUnknown, cell: int(id) % 3}
+		m.replicas[id] = &modelReplica{startedAt: StartUnknown, cell: int(id) % 3}
 		m.order = append(m.order, id)
 	}
 	m.start(uint64(bits))
 	return m
 }
 
-// start begins a life of the module; what an earlier one held is void.
+// newSettings tells the scheduler the model's rules.
+func (m *model) newSettings(bits int) map[string]string {
+	settings := map[string]string{
+		"balancers":                fmt.Sprint(modelCoordinators),
+		"lanes.count":              "4",
+		"familyInfo.cells":         "3",
+		"familyInfo.span":          "2",
+		"familyInfo.classNeed":     "1.0,1.0,1.0,0.8",
+		"familyInfo.leastShare":    "1.0,1.0,1.0,0.5",
+		"familyInfo.partialEarns":  "0,0,0,0.9",
+		"familyInfo.classFetch":    fmt.Sprintf("%d,0,0,%d", m.fetch[0], m.fetch[3]),
+		"bounds.maxAttempts":       "3",
+		"bounds.mayCancel":         fmt.Sprint(m.cancelAllowed),
+		"bounds.secondCopies":      fmt.Sprint(m.hedgeAllowed),
+		"discovery":                "automatic",
+		"guarantees.tipMultiple":   "3",
+		"guarantees.startCapacity": "0.2",
+		"guarantees.warmAfter":     "8000000",
+		"guarantees.overloadFor":   "1500000",
+		"goal.worstClass":          "0.2",
+	}
+	for class, effect := range m.effects {
+		path := fmt.Sprintf("lanes.%d.", class)
+		settings[path+"aim"] = "1000000"
+		settings[path+"deadline"] = "3000000"
+		settings[path+"effect"] = effect
+		settings[path+"window"] = fmt.Sprint(modelKeyWindow.Microseconds())
+		settings[path+"lateWorth"] = "0.2"
+	}
+	if m.retryShare > 0 {
+		settings["guarantees.minExtra"] = fmt.Sprint(modelFreeRetries)
+		settings["guarantees.extraRatio"] = "0.1"
+		settings["guarantees.ratioSpan"] = fmt.Sprint(modelBudgetSpan.Microseconds())
+	}
+	if bits&modelSubscribes != 0 {
+		settings["discovery"] = "subscribe"
+	}
+	if bits&modelQuota != 0 {
+		settings["orgs.count"] = "1"
+		settings["orgs.0.quotaPerS"] = "4"
+	}
+	if bits&modelManyWithGossip != 0 {
+		settings["balancers"] = "40"
+		settings["bounds.peers"] = "true"
+		settings["weightKind"] = "nominal"
+	}
+	return settings
+}
+
+// start starts the scheduler anew; what an earlier one had open is void.
 func (m *model) start(seed uint64) {
-	m.queries, m.parts = map[RequestID]*modelQuery{}, map[RequestID]*modelPart{}
-	m.taken, m.extras, m.wakes, m.asks, m.subscribed = nil, nil, nil, nil, false
-	m.next = nil
-	c, err := New(m, seed, configOf(m.t, m.settings))
+	m.queries = map[RequestID]*modelQuery{}
+	m.subqueries = map[RequestID]*modelSubquery{}
+	m.arrivals = nil
+	m.retries = nil
+	m.wakeups = nil
+	m.polls = nil
+	m.nextIteration = nil
+	scheduler, err := New(m, seed, configOf(m.t, m.settings))
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.c = c
-	m.tell(true, true, m.order...)
-	m.turn()
+	m.scheduler = scheduler
+	m.list(true, true, m.order...)
+	m.iterate()
 }
 
-// tell lists replicas to the module.
-func (m *model) tell(full, old bool, ids ...ReplicaID) {
-	m.c.EndpointListBegins(m.now, full, old)
-	for _, id := range ids {
-		r := m.replicas[id]
-		m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Zone: ZoneIndex(id % 2)})
-		r.unknown = false
-	}
+// restartAsOneOf starts one of so many co-ordinators.
+func (m *model) restartAsOneOf(coordinators, self int) {
+	m.settings["balancers"] = fmt.Sprint(coordinators)
+	m.settings["selfIndex"] = fmt.Sprint(self)
+	m.start(1)
 }
 
-func (m *model) turn() {
-	next := m.next
-	m.next = nil
-	for _, happen := range next {
-		happen()
+// list lists replicas to the scheduler.
+func (m *model) list(full, old bool, ids ...ReplicaID) {
+	m.scheduler.EndpointListBegins(m.now, full, old)
+	for _, id := range ids {
+		replica := m.replicas[id]
+		m.scheduler.EndpointListed(m.now, Endpoint{
+			ID:      id,
+			State:   replica.state,
+			Started: replica.startedAt,
+			Cell:    CellNumber(replica.cell),
+			Zone:    ZoneIndex(id % 2),
+		})
 	}
-	m.lastFirst = 0
-	m.c.Decide(m.now)
 }
 
-func (m *model) bad(format string, args ...any) {
-	m.t.Helper()
-	m.t.Fatalf("at %v: "+format, append([]any{m.now}, args...)...)
-}
-
-func (m *model) StartAttempt(id RequestID, to ReplicaID, timeout time.Duration) {
-	p, r := m.parts[id], m.replicas[to]
-	if p == nil || r == nil {
-		m.bad("rule 1: a leg of %d to %d, one of them not known", id, to)
-	}
-	if p.of.ended || p.in || m.now >= p.of.endAt {
-		m.bad("rule 1: a leg of %d after its end", id)
-	}
-	if behind := (r.cell - p.shard%m.cells + m.cells) % m.cells; behind >= m.reach {
-		m.bad("replica %d does not hold shard %d", to, p.shard)
-	}
-	if r.life != Ready && m.now > r.told+modelGrace {
-		m.bad("rule 3: a leg to %d, which was told to be leaving or gone at %v", to, r.told)
-	}
-	if len(p.attempts) >= m.maxAttempts {
-		m.bad("leg %d of %d", len(p.attempts)+1, id)
-	}
-	if len(p.attempts) == 0 {
-		if p.of.id < m.lastFirst {
-			m.bad("order: first leg of retrieval %d after one of %d in the same turn", p.of.id, m.lastFirst)
-		}
-		if m.lastFirst = p.of.id; p.of.endAt-m.now < modelWork/4 {
-			m.bad("late: a first leg of %d with %v left", id, p.of.endAt-m.now)
-		}
-	}
-	running, mayHaveRun := 0, time.Duration(-1)
-	for _, l := range p.attempts {
-		if !l.done {
-			running++
-		}
-		provedNot := l.done && (l.how == Overloaded || l.how == Unreachable || l.how == NeverSent)
-		if !provedNot && mayHaveRun < 0 {
-			mayHaveRun = l.at
-		}
-	}
-	if running > 0 && !m.copies {
-		m.bad("rule 2: two legs of %d at once", id)
-	}
-	switch m.effects[p.of.track] {
-	case "side_effect":
-		if mayHaveRun >= 0 {
-			m.bad("rule 2: a further leg of single-use part %d", id)
-		}
-	case "token":
-		if mayHaveRun >= 0 && m.now > mayHaveRun+modelWindow {
-			m.bad("rule 2: a further leg of keyed subquery %d after its window", id)
-		}
-	}
-	if len(p.attempts) > 0 && m.budget > 0 {
-		m.extras = append(m.extras, m.now)
-		within := func(times []time.Duration) (n int) {
-			for _, at := range times {
-				if at > m.now-modelSpan {
-					n++
-				}
-			}
-			return n
-		}
-		if float64(within(m.extras)) > modelFree+m.budget*float64(within(m.taken)) {
-			m.bad("rule 6: %d further legs for %d taken", within(m.extras), within(m.taken))
-		}
-	}
-	if age := m.now - r.started; r.started != StartUnknown && age < modelWarm {
-		// warm replicas here do two parts at once; each part is modelWork
-		r.work = append(r.work, m.now)
-		recent := 0
-		for _, at := range r.work {
-			if at > m.now-modelTip {
-				recent++
-			}
-		}
-		share := 0.2 + 0.8*max(0, age.Seconds())/modelWarm.Seconds()
-		if budget := 3 * 2 * share * modelTip.Seconds() / modelBalance; float64(recent)*modelWork.Seconds() > budget {
-			m.bad("rule 4: %d parts to cold replica %d of age %v", recent, to, age)
+// keepOnly leaves the scheduler these replicas; the others are removed.
+func (m *model) keepOnly(ids ...ReplicaID) {
+	for _, id := range m.order {
+		if !slices.Contains(ids, id) {
+			m.replicas[id].state = Removed
 		}
 	}
-	p.attempts = append(p.attempts, &modelAttempt{to: to, wait: timeout, at: m.now})
-	m.sent = append(m.sent, id)
+	m.list(true, false, ids...)
 }
 
-func (m *model) CancelAttempt(id RequestID, n AttemptNumber) {
-	p := m.parts[id]
-	if p == nil || int(n) >= len(p.attempts) || !m.cancel {
-		m.bad("cancel of leg %d of %d", n, id)
+// holdersOf lists the replicas of the model that hold a shard.
+func (m *model) holdersOf(shard int) (all []ReplicaID) {
+	for _, id := range m.order {
+		if (m.replicas[id].cell-shard%m.cells+m.cells)%m.cells < m.cellsPerShard {
+			all = append(all, id)
+		}
 	}
+	return all
 }
 
-// final books a query's one final answer.
-func (m *model) final(id RequestID) *modelQuery {
-	q := m.queries[id]
-	if q == nil || q.ended {
-		m.bad("rule 1: a second final answer for %d, or one for none", id)
-	}
-	if m.now > q.endAt+modelSlack {
-		m.bad("rule 1: %d ends %v late", id, m.now-q.endAt)
-	}
-	q.ended = true
-	return q
-}
+// replica is what the scheduler knows of a replica.
+func (m *model) replica(id ReplicaID) *replicaState { return m.scheduler.replicas.byID[id] }
 
-func (m *model) Complete(id RequestID, whole bool) {
-	q := m.final(id)
-	got, in := 0.0, 0
-	for _, p := range q.parts {
-		if p.in {
-			got += p.weight
-			in++
-		}
-	}
-	need, floor := m.need[q.track], m.floor[q.track]
-	if q.step == 1 {
-		if floor >= need {
-			floor = 1
-		}
-		need = 1
-	}
-	if got < floor-0.0001 || whole && (got < need-0.0001 || q.step == 1 && !q.wholeStep) {
-		m.bad("rule 5: %d answered from %.3f, whole %v, step %d", id, got, whole, q.step)
-	}
-	if fetch := min(m.fetch[q.track], in-m.uncounted); fetch > 0 && q.step == 0 {
-		q.ended, q.step, q.wholeStep, q.parts = false, 1, whole, nil
-		m.next = append(m.next, func() { // its parts come in the next batch
-			for n := range fetch {
-				m.newPart(q, n, 1/float64(fetch))
-			}
-		})
+// ejected tells whether the scheduler has ejected a replica for all classes.
+func (m *model) ejected(id ReplicaID) bool { return m.replica(id).ejectedForAll() }
+
+// iterate tells the events that wait for the next iteration, and lets the scheduler decide.
+func (m *model) iterate() {
+	events := m.nextIteration
+	m.nextIteration = nil
+	for _, happen := range events {
+		happen()
 	}
+	m.lastFirstAttempt = 0
+	m.scheduler.Decide(m.now)
 }
 
-func (m *model) Reject(id RequestID, comeBack time.Duration) {
-	q := m.final(id)
-	m.turnedBack++
-	for _, p := range q.parts {
-		for _, l := range p.attempts {
-			if m.effects[q.track] == "side_effect" && !(l.done && (l.how == Overloaded || l.how == Unreachable || l.how == NeverSent)) {
-				m.bad("rule 2: single-use %d turned back after a leg that may have run", id)
-			}
-		}
+// newQuery hands the scheduler a query of so many subqueries.
+func (m *model) newQuery(class, subqueries int, left time.Duration) *modelQuery {
+	query := m.newEmptyQuery(class, subqueries, left)
+	for n := range subqueries {
+		m.newSubquery(query, m.nextShard+n, 1/float64(subqueries))
 	}
+	return query
 }
 
-func (m *model) Fail(id RequestID) { m.final(id) }
-
-func (m *model) ScheduleWakeup(name string, in time.Duration) { m.wakes = append(m.wakes, m.now+in) }
-
-func (m *model) PollEndpoints() { m.asks = append(m.asks, m.now) }
-
-func (m *model) Broadcast(message []byte) { m.told = append(m.told, message) }
-
-func (m *model) Log(text string) { m.logs = append(m.logs, text) }
-
-func (m *model) newPart(q *modelQuery, shard int, weight float64) {
-	m.nextID++
-	p := &modelPart{id: m.nextID, of: q, shard: shard, weight: weight}
-	q.parts = append(q.parts, p)
-	m.parts[p.id] = p
-	m.taken = append(m.taken, m.now)
-	m.c.SubqueryArrives(m.now, SubqueryArrival{ID: p.id, Query: q.number, Shard: ShardNumber(shard), Weight: weight})
+// newEmptyQuery hands the scheduler a query whose subqueries are still to arrive.
+func (m *model) newEmptyQuery(class, subqueries int, left time.Duration) *modelQuery {
+	m.lastID++
+	query := &modelQuery{id: m.lastID, number: QueryNumber(m.lastID), class: class, deadlineAt: m.now + left}
+	m.queries[query.id] = query
+	m.arrivals = append(m.arrivals, m.now)
+	m.scheduler.QueryArrives(m.now, QueryArrival{
+		ID:         query.id,
+		Number:     query.number,
+		Class:      ClassIndex(class),
+		TimeLeft:   left,
+		Subqueries: subqueries,
+	})
+	return query
 }
 
-// ask hands the module a query of so many parts.
-func (m *model) ask(track, parts int, left time.Duration) *modelQuery {
-	m.nextID++
-	q := &modelQuery{id: m.nextID, number: QueryNumber(m.nextID), track: track, endAt: m.now + left}
-	m.queries[q.id] = q
-	m.taken = append(m.taken, m.now)
-	m.c.QueryArrives(m.now, QueryArrival{ID: q.id, Number: q.number, Class: ClassIndex(track), TimeLeft: left, Subqueries: parts})
-	for n := range parts {
-		m.newPart(q, m.shard+n, 1/float64(parts))
-	}
-	return q
+// newSubquery hands the scheduler a subquery.
+func (m *model) newSubquery(query *modelQuery, shard int, weight float64) {
+	m.lastID++
+	subquery := &modelSubquery{id: m.lastID, query: query, shard: shard, weight: weight}
+	query.subqueries = append(query.subqueries, subquery)
+	m.subqueries[subquery.id] = subquery
+	m.arrivals = append(m.arrivals, m.now)
+	m.scheduler.SubqueryArrives(m.now, SubqueryArrival{
+		ID:     subquery.id,
+		Query:  query.number,
+		Shard:  ShardNumber(shard),
+		Weight: weight,
+	})
 }
 
-// end reports how an attempt ended.
-func (m *model) end(p *modelPart, n int, how Outcome) {
-	l := p.attempts[n]
-	l.done, l.how = true, how
-	if how == Succeeded && !p.of.ended {
-		p.in = true
-	}
-	m.c.AttemptEnds(m.now, AttemptResult{Subquery: p.id, Attempt: AttemptNumber(n), Outcome: how, Took: m.now - l.at})
+// endAttempt reports how an attempt ended.
+func (m *model) endAttempt(subquery *modelSubquery, number int, outcome Outcome) {
+	attempt := subquery.attempts[number]
+	attempt.ended = true
+	attempt.outcome = outcome
+	if outcome == Succeeded && !subquery.query.ended {
+		subquery.answered = true
+	}
+	m.scheduler.AttemptEnds(m.now, AttemptResult{
+		Subquery: subquery.id,
+		Attempt:  AttemptNumber(number),
+		Outcome:  outcome,
+		Took:     m.now - attempt.sentAt,
+	})
 }
 
-type out struct {
-	p *modelPart
-	n int
+// flight is an attempt in flight.
+type flight struct {
+	subquery *modelSubquery
+	number   int
 }
 
-// outs lists the attempts that are out, in a fixed order.
-func (m *model) outs() (all []out) {
-	for _, id := range slices.Sorted(maps.Keys(m.parts)) {
-		for n, l := range m.parts[id].attempts {
-			if !l.done {
-				all = append(all, out{m.parts[id], n})
+func (f flight) attempt() *modelAttempt { return f.subquery.attempts[f.number] }
+
+// inFlight lists the attempts in flight, in a fixed order.
+func (m *model) inFlight() (all []flight) {
+	for _, id := range slices.Sorted(maps.Keys(m.subqueries)) {
+		for number, attempt := range m.subqueries[id].attempts {
+			if !attempt.ended {
+				all = append(all, flight{m.subqueries[id], number})
 			}
 		}
 	}
 	return all
 }
 
-// pass lets time go by; wakes come when due, and attempts run out with their queries.
+// answer answers an attempt in flight.
+func (m *model) answer(attempt flight) { m.endAttempt(attempt.subquery, attempt.number, Succeeded) }
+
+// answerAllAfter lets all attempts in flight take so long more, then answers them.
+func (m *model) answerAllAfter(after time.Duration) {
+	m.pass(after)
+	for _, attempt := range m.inFlight() {
+		m.answer(attempt)
+	}
+	m.iterate()
+}
+
+// pass lets time go by; wakeups come when due, and attempts time out with their queries.
 func (m *model) pass(d time.Duration) {
 	for end := m.now + d; m.now < end; {
 		next := min(end, m.now+50*ms)
-		for _, at := range m.wakes {
+		for _, at := range m.wakeups {
 			next = min(next, max(at, m.now+ms))
 		}
 		m.now = next
-		woken := len(m.wakes)
-		m.wakes = slices.DeleteFunc(m.wakes, func(at time.Duration) bool { return at <= m.now })
-		if len(m.wakes) < woken {
-			m.c.Wakeup(m.now, "look")
-			m.turn()
+		before := len(m.wakeups)
+		m.wakeups = slices.DeleteFunc(m.wakeups, func(at time.Duration) bool { return at <= m.now })
+		if len(m.wakeups) < before {
+			m.scheduler.Wakeup(m.now, "look")
+			m.iterate()
 		}
-		for _, o := range m.outs() {
-			if m.now >= o.p.of.endAt {
-				m.end(o.p, o.n, TimedOut)
-				m.turn()
+		for _, attempt := range m.inFlight() {
+			if m.now >= attempt.subquery.query.deadlineAt {
+				m.endAttempt(attempt.subquery, attempt.number, TimedOut)
+				m.iterate()
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.queries)) {
-			if q := m.queries[id]; !q.ended && m.now > q.endAt+modelSlack {
-				m.bad("rule 1: %d got no final answer", id)
-			}
-		}
-	}
-}
-
-// FuzzRules runs the model beside the module on generated inputs.
-func FuzzRules(f *testing.F) {
-	for seed := range uint64(160) {
-		rnd := rand.New(rand.NewPCG(seed, 1))
-		data := make([]byte, 600)
-		for i := range data {
-			data[i] = byte(rnd.Uint32())
-		}
-		data[0] = byte(seed)
-		f.Add(data)
-	}
-	f.Fuzz(func(t *testing.T, data []byte) {
-		if len(data) == 0 {
-			return
-		}
-		m := newModel(t, int(data[0]))
-		for data = data[1:]; len(data) >= 3; data = data[3:] {
-			m.step(int(data[0]), int(data[1]), int(data[2]))
-		}
-		m.pass(4 * time.Second)
-	})
-}
-
-// step lets one thing happen.
-func (m *model) step(what, a, b int) {
-	outs := m.outs()
-	switch id := m.order[a%len(m.order)]; what % 16 {
-	case 0, 1, 2, 3:
-		m.shard = a / 4
-		m.ask(a%4, 1+b%4, time.Duration(200+b*10)*ms)
-	case 4, 5, 6, 7:
-		for _, o := range outs[:min(len(outs), 1+b%6)] {
-			if m.now-o.p.attempts[o.n].at >= modelWork/2 {
-				m.end(o.p, o.n, Succeeded)
-			}
-		}
-	case 8:
-		if len(outs) > 0 {
-			o := outs[a%len(outs)]
-			m.end(o.p, o.n, []Outcome{Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, MalformedReply}[b%7])
-		}
-	case 9:
-		r := m.replicas[id]
-		r.life, r.told = []EndpointState{Draining, Removed, Ready}[b%3], m.now
-		if r.life == Ready && b%2 == 0 {
-			r.started, r.work = m.now-time.Duration(b)*10*ms, nil
-		}
-		m.tell(false, false, id)
-	case 10:
-		if b%8 == 0 {
-			m.start(uint64(a))
-		} else if m.settings["discovery"] == "subscribe" {
-			m.c.EndpointPollFailed(m.now)
-		}
-	case 11:
-		for _, q := range slices.Sorted(maps.Keys(m.queries)) {
-			if !m.queries[q].ended && int(q)%8 == b%8 {
-				m.queries[q].ended = true
-				m.c.ClientDisconnects(m.now, q)
-			}
-		}
-	default:
-		m.pass(time.Duration(1+b) * ms)
-	}
-	m.turn()
-	m.echo(a, b)
-}
-
-// echo hands what was told back as if others told the same: some of it spoilt, some lost, at times all.
-func (m *model) echo(a, b int) {
-	messages := m.told
-	m.told = nil
-	for n, message := range messages {
-		switch {
-		case b%4 == 0 || (a+n)%3 == 0:
-			continue
-		case (a+n)%7 == 0:
-			message[(a+b)%len(message)] ^= byte(1 + b)
-		}
-		_ = m.c.GossipReceived(m.now, PeerIndex(n%3), message) // one that is spoilt may be refused
+		m.checkAllEndInTime()
 	}
 }
--- /dev/null
+++ b/scheduler/outlier_test.go
@@ -0,0 +1,157 @@
+package scheduler
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// One of two holders answers nothing any more. It is ejected for its silence; when it answers again it is reinstated,
+// and begins with one attempt at a time.
+func TestSilentReplicaIsEjectedAndReinstatedWithALimitOfOne(t *testing.T) {
+	m := newModel(t, 0)
+	m.keepOnly(102, 105)
+	var hung []*modelAttempt
+	for n := range 30 {
+		m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
+		m.pass(100 * ms)
+		for _, flight := range m.inFlight() {
+			if attempt := flight.attempt(); attempt.to == 105 {
+				hung = append(hung, attempt)
+			} else {
+				m.answer(flight)
+			}
+		}
+		m.iterate()
+		if n == 20 && !m.ejected(105) {
+			t.Fatalf("not ejected; its %d attempts never end", len(hung))
+		}
+	}
+	replica := m.replica(105)
+	m.answerAllAfter(ms)
+	if replica.classes[0].ejected || replica.limit != 1 {
+		t.Errorf("ejected %v, limit %v after it has answered", replica.classes[0].ejected, replica.limit)
+	}
+	logs := strings.Join(m.logs, "\n")
+	if !strings.Contains(logs, "has gone silent") || !strings.Contains(logs, "answers again") {
+		t.Errorf("logs: %s", logs)
+	}
+}
+
+// A replica answers one class and hangs on another. It is ejected for the one that hangs alone, so that no more
+// attempts pile up there, and reinstated by its answer.
+func TestReplicaThatHangsOnOneClassIsEjectedForItAlone(t *testing.T) {
+	m := newModel(t, 0)
+	m.keepOnly(102, 105)
+	hung := 0
+	for range 40 {
+		m.replica(102).slowdown = 3 // so that the other is preferred
+		m.newQuery(0, 1, 3*time.Second)
+		m.newQuery(2, 1, 3*time.Second)
+		m.iterate()
+		m.pass(60 * ms)
+		hung = 0
+		for _, flight := range m.inFlight() {
+			if flight.subquery.query.class == 0 && flight.attempt().to == 105 {
+				hung++
+			} else {
+				m.answer(flight)
+			}
+		}
+		m.iterate()
+	}
+	replica := m.replica(105)
+	if !replica.classes[0].ejected || replica.classes[2].ejected || hung > 8 {
+		t.Fatalf("ejected by class: %v, %d attempts hang", replica.classes, hung)
+	}
+	m.answerAllAfter(ms)
+	if replica.classes[0].ejected {
+		t.Error("still ejected after it has answered")
+	}
+}
+
+// Both holders are silent. One is ejected; the other stays, as it may be silent only because it carries the load of
+// both.
+func TestLastHolderIsNotEjectedForSilence(t *testing.T) {
+	m := newModel(t, 0)
+	m.keepOnly(102, 105)
+	for range 20 {
+		m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
+		m.pass(100 * ms)
+	}
+	if a, b := m.ejected(102), m.ejected(105); a == b {
+		t.Errorf("ejected: %v and %v", a, b)
+	}
+}
+
+// A connection is reset once: that may be the network. A replica that cannot be reached is ejected at once.
+func TestOneResetDoesNotEjectButUnreachableDoes(t *testing.T) {
+	m := newModel(t, 0)
+	m.newQuery(0, 1, 3*time.Second)
+	m.iterate()
+	flight := m.inFlight()[0]
+	replica := m.replica(flight.attempt().to)
+	m.endAttempt(flight.subquery, flight.number, ConnectionReset)
+	m.iterate()
+	if replica.classes[0].ejected {
+		t.Error("ejected after one dropped connection")
+	}
+	m.newQuery(0, 4, 3*time.Second)
+	m.iterate()
+	flight = m.inFlight()[0]
+	replica = m.replica(flight.attempt().to)
+	m.endAttempt(flight.subquery, flight.number, Unreachable)
+	m.iterate()
+	if !replica.classes[0].ejected {
+		t.Error("not ejected though it cannot be reached")
+	}
+}
+
+// All holders are ejected and a probe is due while two queries wait. It goes with the younger one, which will still be
+// there when the answer comes; the older has too little time left.
+func TestProbeGoesWithAYoungQuery(t *testing.T) {
+	m := newModel(t, 0)
+	m.keepOnly(102)
+	m.scheduler.outliers.eject(m.now, m.replica(102), nil, "test")
+	old := m.newQuery(0, 1, 3*time.Second)
+	m.iterate()
+	m.replica(102).nextProbeAt = m.now + 2*time.Second // due when the first has a third of its time left
+	m.pass(1900 * ms)
+	young := m.newQuery(0, 1, 3*time.Second)
+	m.iterate()
+	m.pass(200 * ms)
+	if len(old.subqueries[0].attempts) != 0 || len(young.subqueries[0].attempts) != 1 {
+		t.Errorf("probes: %d with the old, %d with the young",
+			len(old.subqueries[0].attempts), len(young.subqueries[0].attempts))
+	}
+}
+
+// All but one holder are ejected, and that one alone cannot make the objective, so that queries are rejected. If all
+// were, no probe could go and the ejected ones would stay ejected though they are sound.
+func TestRejectionLetsProbesGo(t *testing.T) {
+	m := newModel(t, 0)
+	for _, id := range m.holdersOf(0)[1:] {
+		m.scheduler.outliers.eject(m.now, m.replica(id), nil, "test")
+	}
+	probes := 0
+	for range 100 {
+		m.nextShard = 0
+		m.scheduler.classes[0].latenessFactor = maxLatenessFactor
+		m.scheduler.classes[0].subqueryWork = 300 * ms
+		query := m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
+		for _, subquery := range query.subqueries {
+			for _, attempt := range subquery.attempts {
+				if attempt.to != m.holdersOf(0)[0] {
+					probes++
+				}
+			}
+		}
+		m.answerAllAfter(100 * ms)
+	}
+	if probes == 0 {
+		t.Error("no probe went in 10 s")
+	}
+}
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -11,32 +11,32 @@
 func TestWatchingDecidesNothing(t *testing.T) {
 	run := func(watch bool) (sent []RequestID, w ShadowCounts) {
 		m := newModel(t, 0)
-		m.many(3, 0)
+		m.restartAsOneOf(3, 0)
 		if watch {
 			other := map[string]string{}
 			for k, v := range m.settings {
 				other[k] = v
 			}
 			other["balancers"], other["weightKind"] = "400", "nominal"
-			if err := m.c.EnableShadow(configOf(t, other)); err != nil {
+			if err := m.scheduler.EnableShadow(configOf(t, other)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.EndpointListed(m.now, Endpoint{ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
+			m.scheduler.EndpointListed(m.now, Endpoint{ID: id, State: r.state, Started: r.startedAt, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
 		}
-		m.turn()
+		m.iterate()
 		for _, id := range m.order {
-			m.index(id).outstandingWork = 300 * ms
+			m.replica(id).outstandingWork = 300 * ms
 		}
 		for n := range 40 {
-			m.shard = n
-			m.ask(0, 1+n%4, 3*time.Second)
-			m.turn()
+			m.nextShard = n
+			m.newQuery(0, 1+n%4, 3*time.Second)
+			m.iterate()
 			m.pass(10 * ms)
 		}
-		w, _ = m.c.ShadowCounts()
+		w, _ = m.scheduler.ShadowCounts()
 		return m.sent, w
 	}
 	as, none := run(false)
@@ -48,7 +48,7 @@
 		t.Errorf("not watching %+v, watching %+v", none, w)
 	}
 	m := newModel(t, 0)
-	if err := m.c.EnableShadow(Config{Coordinators: 3}); err == nil {
+	if err := m.scheduler.EnableShadow(Config{Coordinators: 3}); err == nil {
 		t.Error("settings that lack most are watched")
 	}
 }
@@ -63,14 +63,14 @@
 		m := newModel(t, bits)
 		other := maps.Clone(m.settings)
 		other["bounds.secondCopies"] = watched
-		if err := m.c.EnableShadow(configOf(t, other)); err != nil {
+		if err := m.scheduler.EnableShadow(configOf(t, other)); err != nil {
 			t.Fatal(err)
 		}
-		q := m.ask(0, 1, 3*time.Second)
-		m.turn()
+		q := m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
 		m.pass(2500 * ms)
-		w, _ = m.c.ShadowCounts()
-		return w, len(q.parts[0].attempts)
+		w, _ = m.scheduler.ShadowCounts()
+		return w, len(q.subqueries[0].attempts)
 	}
 	for _, c := range []struct {
 		allowed                               bool
--- /dev/null
+++ b/scheduler/slowstart_fleet_test.go
@@ -0,0 +1,89 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some get theirs by
+// turns, and all together stay within the budget.
+func TestManyCoordinatorsShareAStartingReplica(t *testing.T) {
+	const alike = 40
+	var sent []time.Duration
+	from, until := 2*time.Second, 8*time.Second
+	for self := range alike {
+		m := newModel(t, 0)
+		m.restartAsOneOf(alike, self)
+		m.keepOnly(102)
+		m.replicas[102].startedAt = m.now
+		m.list(false, false, 102)
+		for m.now < until {
+			m.newQuery(0, 1, 3*time.Second)
+			m.iterate()
+			m.pass(100 * ms)
+			for _, flight := range m.inFlight() {
+				if m.now-flight.attempt().sentAt >= 100*ms {
+					m.answer(flight)
+				}
+			}
+		}
+		for _, subquery := range m.subqueries {
+			for _, attempt := range subquery.attempts {
+				sent = append(sent, attempt.sentAt)
+			}
+		}
+	}
+	for at := from; at < until; at += 100 * ms {
+		n := 0
+		for _, s := range sent {
+			if s >= at-modelOverloadTime && s < at {
+				n++
+			}
+		}
+		share := 0.2 + 0.8*(at-modelOverloadTime-time.Second).Seconds()/modelWarmUpTime.Seconds()
+		if budget := 3 * 2 * share * modelOverloadTime.Seconds(); float64(n)*modelWork.Seconds() > budget || n == 0 {
+			t.Fatalf("%d subqueries in the window before %v, budget %.2f s of work", n, at, budget)
+		}
+	}
+}
+
+// What the fleet sends its warm replicas shows what a starting one will be asked for. It must not stand idle while the
+// others work, or they carry its load until it is warm.
+func TestStartingReplicaWorksByItsCapacityAmongMany(t *testing.T) {
+	const alike = 40
+	starting, warm, asked := 0, 0, 0
+	for self := range alike {
+		m := newModel(t, 0)
+		m.restartAsOneOf(alike, self)
+		m.keepOnly(102, 104, 105) // 104 alone holds shard 0
+		for m.now < 7*time.Second {
+			if m.now >= 3*time.Second && m.replicas[104].startedAt == StartUnknown {
+				m.replicas[104].startedAt = m.now
+				m.list(false, false, 104)
+			}
+			m.nextShard = asked % 3
+			asked++
+			m.newQuery(0, 1, 3*time.Second)
+			m.iterate()
+			m.pass(400 * ms)
+			for _, flight := range m.inFlight() {
+				m.answer(flight)
+			}
+		}
+		for _, subquery := range m.subqueries {
+			for _, attempt := range subquery.attempts {
+				switch {
+				case attempt.sentAt < 3*time.Second:
+				case attempt.to == 104:
+					starting++
+				default:
+					warm++
+				}
+			}
+		}
+	}
+	t.Logf("a starting replica got %d subqueries, each warm one %d", starting, warm/2)
+	if share := float64(2*starting) / float64(warm); share < 0.4 || share > 1 {
+		t.Errorf("a starting replica got %d subqueries, each warm one %d", starting, warm/2)
+	}
+}
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -96,13 +96,13 @@
 	}
 	perSecond := load * crowdParallelism / crowdWork.Seconds()
 	first := 0
-	for now := crowdStart - ran; now < crowdStart+modelWarm; {
+	for now := crowdStart - ran; now < crowdStart+modelWarmUpTime; {
 		if crowd.arrives(now); now >= crowdStart {
-			for first < len(crowd.sent) && crowd.sent[first] <= now-modelTip {
+			for first < len(crowd.sent) && crowd.sent[first] <= now-modelOverloadTime {
 				first++
 			}
-			capacity := 0.2 + 0.8*(now-crowdStart).Seconds()/modelWarm.Seconds()
-			allowed := 3 * capacity * crowdParallelism * modelTip.Seconds() / crowdWork.Seconds()
+			capacity := 0.2 + 0.8*(now-crowdStart).Seconds()/modelWarmUpTime.Seconds()
+			allowed := 3 * capacity * crowdParallelism * modelOverloadTime.Seconds() / crowdWork.Seconds()
 			worst = max(worst, float64(len(crowd.sent)-first)/slowStartBound(allowed))
 		}
 		now += time.Duration(crowd.chance.ExpFloat64() / perSecond * float64(time.Second))
