--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -165,5 +165,5 @@
 	c.slowStart.attemptStarted(replica, subquery.work, c.estimates.parallelism, c.now)
 	timeout := c.retries.attemptTimeout(started, c.unseenLoad())
 	c.host.StartAttempt(subquery.id, replica.id, timeout)
-	c.look(func(as *Scheduler) { c.watched.attempt(timeout, as.retries.attemptTimeout(started, as.unseenLoad())) })
+	c.shadowAttempt(started, timeout)
 }
