--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -54,12 +54,8 @@
 	stalled    time.Duration // for which this co-ordinator stood still before now
 	readDelay  time.Duration // for which replies may wait unread; 0: not known to wait
 
-	// Endpoint discovery.
-	subscribed bool
-	askAt      time.Duration
-	askWait    time.Duration
-
-	watched *watcher // shadow evaluation; nil: off
+	poller endpointPoller
+	shadow *shadow // another configuration to compare decisions with; nil: none
 }
 
 // New starts a Scheduler. It fails if the configuration is not valid.
@@ -77,7 +73,7 @@
 		queriesByNumber: map[QueryNumber]*query{},
 		subqueries:      map[RequestID]*subquery{},
 		wakeupAt:        math.MaxInt64,
-		askWait:         askFirst,
+		poller:          newEndpointPoller(&config),
 		slowStart:       newSlowStart(&config),
 	}
 	c.estimates.parallelism = initialParallelism
@@ -125,7 +121,7 @@
 // open, else at each tick; between ticks those for which something came in.
 func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
-	c.follow()
+	c.pollEndpoints()
 	c.retries.expire(now)
 	all := len(c.open) <= fewOpen || now >= c.lastTickAt+tickInterval
 	if all {
@@ -187,7 +183,7 @@
 	}
 	query.admitted = true
 	slices.SortStableFunc(query.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
-	c.look(func(as *Scheduler) { c.watched.comes(c, as, query, placed) })
+	c.shadowQuery(query, placed)
 	decision := c.admission.decide(c.now, query, placed, c.unseenLoad())
 	if decision.rejected {
 		c.reject(query, decision)
@@ -210,7 +206,7 @@
 			continue
 		}
 		target := c.hedges.target(c.now, straggler)
-		c.look(func(as *Scheduler) { c.watched.copies(straggler, target, as.hedges.target(as.now, straggler)) })
+		c.shadowHedge(straggler, target)
 		if target != nil {
 			c.hedges.spend()
 			c.startAttempt(subquery, target)
