--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -144,7 +144,8 @@
 	case http2.SettingInitialWindowSize:
 		return session.changeInitialWindow(int64(setting.Val))
 	case http2.SettingMaxFrameSize:
-		session.settings.maxFrameSize = int(min(setting.Val, maxFrameSize)) // larger ones would keep other calls waiting
+		// Larger frames would keep other calls waiting.
+		session.settings.maxFrameSize = int(min(setting.Val, maxFrameSize))
 	case http2.SettingHeaderTableSize:
 		session.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, headerTableSize))
 	}
