--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -31,13 +31,14 @@
 	return fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.queriesByClient), len(c.subqueries), c.openWork)
 }
 
-// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything behind.
+// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything
+// behind.
 func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
 	for n := range 3000 {
 		from := newFakeClient()
-		list := &wire.EndpointList{Rev: int64(n), Targets: []wire.Target{
+		list := &wire.EndpointList{Revision: int64(n), Endpoints: []wire.Endpoint{
 			{UID: fmt.Sprint("s-", n-1), State: wire.Removed},
 			readyReplica(fmt.Sprint("s-", n), unreachable),
 		}}
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -30,24 +30,24 @@
 
 // configureReplicas makes the driver of connections to replicas.
 func (c *Coordinator) configureReplicas() error {
-	d := c.deployment
-	c.installation = d.Installation
-	if c.installation == nil {
-		c.installation, _ = config.Read("") // no file: the defaults
+	deployment := c.deployment
+	c.file = deployment.Config
+	if c.file == nil {
+		c.file, _ = config.Read("") // no file: the defaults
 	}
 	limits := connpool.Limits{
-		MaxConns:          maxReplicaConns(d.Limits.Sockets),
-		MaxStreamsPerConn: c.installation.HTTP2.Streams,
-		MaxSharedConns:    c.installation.HTTP2.Connections,
+		MaxConns:          maxReplicaConns(deployment.Limits.Sockets),
+		MaxStreamsPerConn: c.file.HTTP2.Streams,
+		MaxSharedConns:    c.file.HTTP2.Connections,
 	}
 	var timeoutErr, idleErr, attemptsErr, callsErr error
-	limits.ConnectTimeout, timeoutErr = d.duration("bounds.connectTimeout", time.Second)
-	limits.IdleTimeout, idleErr = d.duration("bounds.idleClose", 0)
+	limits.ConnectTimeout, timeoutErr = deployment.duration("bounds.connectTimeout", time.Second)
+	limits.IdleTimeout, idleErr = deployment.duration("bounds.idleClose", 0)
 	limits.IdleTimeout /= 2 // replicas close idle connections after the whole of it at the latest
-	limits.MaxAttemptsPerConn, attemptsErr = d.wholeNumber("bounds.multiplex", math.MaxInt32)
-	maxCalls, callsErr := d.wholeNumber("familyInfo.batch", 1)
+	limits.MaxAttemptsPerConn, attemptsErr = deployment.wholeNumber("bounds.multiplex", math.MaxInt32)
+	maxCalls, callsErr := deployment.wholeNumber("familyInfo.batch", 1)
 	driver, err := replicaconn.New(replicaconn.Config{
-		Replicas:         c.installation,
+		Replicas:         c.file,
 		Limits:           limits,
 		MaxCallsPerFrame: maxCalls,
 	}, c.loop, replicaHandler{c}, c.log)
