--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -19,7 +19,7 @@
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.HasGone(c.loop.Now()): // while the query waited for the loop
+	case from.HasLeft(c.loop.Now()): // while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -12,7 +12,7 @@
 // client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
 // time. Tests replace it.
 type client interface {
-	HasGone(now time.Duration) bool
+	HasLeft(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -130,7 +130,8 @@
 	watcher.endpoints.update(list)
 	watcher.handler.EndpointsReceived(list)
 	if len(list.Endpoints) > 0 {
-		watcher.log.Printf("event=endpoint_list rev=%d all=%t endpoints=%d", list.Revision, list.All, len(list.Endpoints))
+		watcher.log.Printf("event=endpoint_list rev=%d all=%t endpoints=%d",
+			list.Revision, list.All, len(list.Endpoints))
 	}
 }
 
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -16,7 +16,7 @@
 const (
 	listTimeout  = 2 * time.Second        // for the whole list
 	watchTimeout = 1 * time.Second        // for changes; what a lost poll misses is told 2 s later
-	agentTimeout = 500 * time.Millisecond // for both, where an agent on this machine pushes changes: it responds at once
+	agentTimeout = 500 * time.Millisecond // for both, where an agent on this machine pushes changes
 )
 
 func (watcher *Watcher) responseTimeout() time.Duration {
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -36,10 +36,10 @@
 
 // start is the start of a replica's process.
 type start struct {
-	bootMS   int64         // as discovery tells it: Unix time in milliseconds
-	started  time.Duration // the latest time at which it may have been
-	isExact  bool          // nothing contradicts the wall clock
-	lastTold time.Duration
+	bootMS     int64         // as discovery tells it: Unix time in milliseconds
+	started    time.Duration // the latest time at which it may have been
+	isExact    bool          // nothing contradicts the wall clock
+	lastListed time.Duration
 }
 
 // New makes a tracker that knows nothing.
@@ -76,7 +76,7 @@
 	}
 	known, isKnown := tracker.starts[uid]
 	if isKnown && known.bootMS == bootMS {
-		known.lastTold = now
+		known.lastListed = now
 		tracker.starts[uid] = known
 		return known.started, known.isExact
 	}
@@ -86,7 +86,7 @@
 		tracker.distrusted++
 		started = now
 	}
-	tracker.remember(uid, start{bootMS: bootMS, started: started, isExact: isExact, lastTold: now})
+	tracker.remember(uid, start{bootMS: bootMS, started: started, isExact: isExact, lastListed: now})
 	return started, isExact
 }
 
@@ -124,10 +124,10 @@
 	oldestUID := ""
 	oldest := time.Duration(math.MaxInt64)
 	for uid, known := range tracker.starts {
-		isOlder := known.lastTold < oldest || known.lastTold == oldest && uid < oldestUID
+		isOlder := known.lastListed < oldest || known.lastListed == oldest && uid < oldestUID
 		if isOlder {
 			oldestUID = uid
-			oldest = known.lastTold
+			oldest = known.lastListed
 		}
 	}
 	delete(tracker.starts, oldestUID)
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -23,8 +23,8 @@
 		"server/response.go": {"	if !client.write(response.bytes) {\n", "	if client.requestCount%9 == 7 {\n		response.bytes = append(response.bytes, response.bytes...)\n	}\n	if !client.write(response.bytes) {\n"},
 	}},
 	{"client_gone", "client_there", map[string][2]string{
-		"server/notify.go":   {"	client.gone.Store(true)\n	if client.requestOpen {\n", "	if false {\n"},
-		"server/presence.go": {"	if client.gone.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
+		"server/notify.go":   {"	client.left.Store(true)\n	if client.requestOpen {\n", "	if false {\n"},
+		"server/presence.go": {"	if client.left.Load() {\n		return true\n	}\n", "	if true {\n		return false\n	}\n"},
 	}},
 	{"drain", "drain", map[string][2]string{
 		"coordinator/endpoints.go": {"	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState(", "	if endpoint.State == wire.Draining {\n		endpoint.State = wire.Ready\n	}\n	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState("},
--- a/server/connection.go
+++ b/server/connection.go
@@ -36,7 +36,7 @@
 	woken              atomic.Bool   // there is more to see to than what the client sends
 	closeAfterResponse atomic.Bool   // the connection ends with the next response
 
-	gone        atomic.Bool  // the client has left: nothing that it asked for is sent any more
+	left        atomic.Bool  // the client has left: nothing that it asked for is sent any more
 	lastSeen    atomic.Int64 // loop time at which the client was last known to be there
 	idleSince   atomic.Int64 // loop time since which no request is open; 0: one is
 	sentRequest atomic.Bool  // at least one; set under the table's lock
@@ -83,7 +83,7 @@
 		if next.ended {
 			return next.reason
 		}
-		if next.taken {
+		if next.handled {
 			continue
 		}
 		if !client.reserveForLargeRequest() {
@@ -148,9 +148,9 @@
 
 // nextRequest is what became of the look for a next request.
 type nextRequest struct {
-	taken  bool // one was read and answered, or handed over
-	ended  bool // the connection ends
-	reason CloseReason
+	handled bool // one was read and answered, or handed over
+	ended   bool // the connection ends
+	reason  CloseReason
 }
 
 // takeRequest takes the next request, if none is open and one is in whole.
@@ -160,7 +160,7 @@
 	}
 	if client.requests.Buffered() > 0 {
 		unread := client.hasUnread()
-		if client.gone.Load() {
+		if client.left.Load() {
 			return nextRequest{ended: true, reason: closedByClient}
 		}
 		if unread {
@@ -182,7 +182,7 @@
 		return nextRequest{}
 	}
 	goesOn := client.dispatch(request, client.receivedAt())
-	return nextRequest{taken: true, ended: !goesOn, reason: client.endOfResponses()}
+	return nextRequest{handled: true, ended: !goesOn, reason: client.endOfResponses()}
 }
 
 // receivedAt is when the request that was just read came. A connection's first one may have waited for accept;
--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -42,7 +42,7 @@
 	if count, err := far.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes come", count)
 	}
-	for end := time.Now().Add(20 * time.Second); len(f.server.slots.taken) > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); len(f.server.slots.used) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("its slot is taken")
 		}
--- a/server/notify.go
+++ b/server/notify.go
@@ -6,7 +6,7 @@
 
 // leave notes that the client has left, and has the loop end what it has open.
 func (client *ClientConn) leave() {
-	client.gone.Store(true)
+	client.left.Store(true)
 	if client.requestOpen {
 		client.postLeft()
 	}
@@ -26,7 +26,7 @@
 // postClosed has the end of the connection counted, and whether the protocol allowed it.
 func (client *ClientConn) postClosed(reason CloseReason) {
 	server := client.server
-	clientGone := client.gone.Load() || client.writeFailed
+	clientGone := client.left.Load() || client.writeFailed
 	violation := invariant.ClientClose{RequestOpen: client.requestOpen, ClientGone: clientGone}.Check()
 	closed := ConnClosed{Reason: reason, Address: client.conn.RemoteAddr(), Violation: violation}
 	server.loop.Post(func() { server.handler.ConnClosed(closed) })
--- a/server/presence.go
+++ b/server/presence.go
@@ -14,17 +14,17 @@
 // begin 100 ms after its client has gone at the latest, and this process may be held up in between.
 const seenRecently = 40 * time.Millisecond
 
-// HasGone tells whether the client has left by a loop time that is about now. It asks the kernel where the last
+// HasLeft tells whether the client has left by a loop time that is about now. It asks the kernel where the last
 // look was a while ago, as the connection's reader may not have been able to tell yet. Any goroutine may call it.
-func (client *ClientConn) HasGone(now time.Duration) bool {
-	if client.gone.Load() {
+func (client *ClientConn) HasLeft(now time.Duration) bool {
+	if client.left.Load() {
 		return true
 	}
 	if now-time.Duration(client.lastSeen.Load()) < seenRecently {
 		return false
 	}
 	if netconn.HasHungUp(client.conn) {
-		client.gone.Store(true)
+		client.left.Store(true)
 		return true
 	}
 	client.lastSeen.Store(int64(now))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -81,7 +81,7 @@
 // newConn makes a connection that holds a slot, as an accepted one does.
 func (f fixture) newConn(conn net.Conn) *ClientConn {
 	client := f.server.NewConn(conn)
-	f.server.slots.taken <- struct{}{}
+	f.server.slots.used <- struct{}{}
 	f.server.conns.add(client)
 	return client
 }
--- a/server/slots.go
+++ b/server/slots.go
@@ -8,17 +8,17 @@
 // connSlots bounds how many client connections are open. The listener takes a slot before it accepts; the
 // connection's end gives it back.
 type connSlots struct {
-	taken   chan struct{} // one element for each connection
-	waiting atomic.Bool   // the listener finds none free: clients that have got their response have to go; any goroutine
+	used    chan struct{} // one element for each connection
+	waiting atomic.Bool   // the listener finds none free: clients that have their response have to go; any goroutine
 }
 
-func newConnSlots(capacity int) connSlots { return connSlots{taken: make(chan struct{}, capacity)} }
+func newConnSlots(capacity int) connSlots { return connSlots{used: make(chan struct{}, capacity)} }
 
-func (slots *connSlots) release() { <-slots.taken }
+func (slots *connSlots) release() { <-slots.used }
 
 // usable is how many slots may be taken before idle clients have to go.
 func (slots *connSlots) usable() int {
-	capacity := cap(slots.taken)
+	capacity := cap(slots.used)
 	return capacity - capacity/freeSlotShare - 1
 }
 
@@ -31,7 +31,7 @@
 		for server.fewSlotsFree() && server.evictIdle() {
 		}
 		select {
-		case server.slots.taken <- struct{}{}:
+		case server.slots.used <- struct{}{}:
 			return waited
 		case <-time.After(slotRetryInterval):
 			server.slots.waiting.Store(true)
@@ -43,7 +43,7 @@
 // fewSlotsFree tells whether few slots are free or about to be. An evicted client that is idle is about to free
 // its slot; one with an open request does so only after its response.
 func (server *Server) fewSlotsFree() bool {
-	excess := len(server.slots.taken) - server.slots.usable()
+	excess := len(server.slots.used) - server.slots.usable()
 	if excess < 0 {
 		return false
 	}
