--- a/cmd/terntray/twophase_test.go
+++ b/cmd/terntray/twophase_test.go
@@ -112,8 +112,8 @@
 		client.send(twoPhaseQuery(fmt.Sprint("q", n), 20, best, 0, 1, 2, 3, 4, 5))
 		client.whole(data, best, 0, 1, 2, 3, 4, 5)
 	}
-	if data.Calls[1] != 0 {
-		t.Errorf("%d blocks were asked although none can matter", data.Calls[1])
+	if data.AnswerCalls != 0 {
+		t.Errorf("%d shards were fetched from although none can matter", data.AnswerCalls)
 	}
 	for _, bad := range []string{`-1`, `"x"`, `20000`, `1.5`} {
 		client := program.connect()
--- /dev/null
+++ b/internal/fake/discovery_agent.go
@@ -0,0 +1,63 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+)
+
+const maxPendingCalls = 100 // of a DiscoveryAgent; the rest stay without an answer
+
+// DiscoveryAgent is a discovery whose test chooses the moment of each answer, and whether there is one.
+type DiscoveryAgent struct {
+	Listener net.Listener
+	Calls    chan DiscoveryCall // as they come
+}
+
+// DiscoveryCall is one call that waits for its answer.
+type DiscoveryCall struct {
+	Path string // with its query
+	Conn net.Conn
+}
+
+// NewDiscoveryAgent starts an agent on a port of its own; closing its listener ends it.
+func NewDiscoveryAgent() (*DiscoveryAgent, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	agent := &DiscoveryAgent{Listener: listener, Calls: make(chan DiscoveryCall, maxPendingCalls)}
+	go agent.accept()
+	return agent, nil
+}
+
+func (agent *DiscoveryAgent) accept() {
+	for {
+		conn, err := agent.Listener.Accept()
+		if err != nil {
+			return
+		}
+		go agent.serve(conn)
+	}
+}
+
+func (agent *DiscoveryAgent) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		select {
+		case agent.Calls <- DiscoveryCall{Path: request.URL.RequestURI(), Conn: conn}:
+		default:
+		}
+	}
+}
+
+// Respond answers a call with a list, as EndpointList writes it.
+func (call DiscoveryCall) Respond(list string) {
+	fmt.Fprintf(call.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+}
--- a/internal/fake/http2.go
+++ b/internal/fake/http2.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"net"
 	"strconv"
@@ -13,314 +12,287 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// http2Conn is a replica's side of a connection in HTTP/2, as docs/http2.md states it for whoever writes a box. It is
-// made of the library's framer alone and shares no code with the co-ordinator's side.
+const (
+	maxStreamID       = 1<<31 - 1
+	initialWindow     = 65535 // bytes; RFC 9113, 6.9.2
+	headerTableSize   = 4096  // bytes; RFC 9113, 6.5.2
+	dataFrameBytes    = 16384 // bytes of a DATA frame at the most
+	http2WriteTimeout = time.Second
+)
+
+// http2Conn is a replica's side of an HTTP/2 connection, as docs/http2.md specifies it for replicas. It is made of
+// the library's framer alone and shares no code with the co-ordinator's side.
 type http2Conn struct {
-	s      *Replica
-	conn   net.Conn
-	framer *http2.Framer
+	replica *Replica
+	conn    net.Conn
+	framer  *http2.Framer
+	decoder *hpack.Decoder // belongs to the goroutine that reads
 
-	mu      sync.Mutex // guards what follows, and writing
-	block   bytes.Buffer
-	encoder *hpack.Encoder
-	streams map[uint32]*Call
-	ranUpTo uint32 // the highest stream that was run, or will be
-	last    uint32 // told with GOAWAY; streams above are not run
-	window  int64  // of the connection, for answers
-	opened  *sync.Cond
-	ended   bool
+	mu          sync.Mutex // guards what follows, and writing
+	headerBlock bytes.Buffer
+	encoder     *hpack.Encoder
+	streams     map[uint32]*Call
+	lastRun     uint32 // the highest stream that was executed, or will be
+	lastAllowed uint32 // announced with GOAWAY: streams above are not executed
+	sendWindow  int64  // bytes of the connection's window for replies
+	windowOpen  *sync.Cond
+	ended       bool
 }
 
 // serveHTTP2 serves a connection whose preface has been read.
-func (s *Replica) serveHTTP2(conn net.Conn, in io.Reader) {
-	h := &http2Conn{s: s, conn: conn, streams: map[uint32]*Call{}, last: 1<<31 - 1, window: 65535}
-	h.framer = http2.NewFramer(conn, in)
-	h.encoder = hpack.NewEncoder(&h.block)
-	h.opened = sync.NewCond(&h.mu)
-	s.Mu.Lock()
-	s.http2 = append(s.http2, h)
-	limit := s.limit
-	s.Mu.Unlock()
-	defer func() {
-		h.mu.Lock()
-		h.ended = true
-		h.opened.Broadcast()
-		h.mu.Unlock()
-	}()
-	var first []http2.Setting
+func (replica *Replica) serveHTTP2(netConn net.Conn, in io.Reader) {
+	conn := &http2Conn{
+		replica:     replica,
+		conn:        netConn,
+		framer:      http2.NewFramer(netConn, in),
+		decoder:     hpack.NewDecoder(headerTableSize, nil),
+		streams:     map[uint32]*Call{},
+		lastAllowed: maxStreamID,
+		sendWindow:  initialWindow,
+	}
+	conn.encoder = hpack.NewEncoder(&conn.headerBlock)
+	conn.windowOpen = sync.NewCond(&conn.mu)
+	replica.Mu.Lock()
+	replica.http2 = append(replica.http2, conn)
+	limit := replica.streamLimit
+	replica.Mu.Unlock()
+	defer conn.end()
+	var settings []http2.Setting
 	if limit >= 0 {
-		first = append(first, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(limit)})
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(limit)})
 	}
-	h.write(func() error { return h.framer.WriteSettings(first...) })
-	heads := hpack.NewDecoder(4096, nil)
+	conn.write(func() error { return conn.framer.WriteSettings(settings...) })
 	for {
-		f, err := h.framer.ReadFrame()
-		if err != nil {
+		frame, err := conn.framer.ReadFrame()
+		if err != nil || !conn.received(frame) {
 			return
 		}
-		switch f := f.(type) {
-		case *http2.SettingsFrame:
-			if !f.IsAck() {
-				h.write(h.framer.WriteSettingsAck)
-			}
-		case *http2.PingFrame:
-			data := f.Data
-			if s.deaf.Load() {
-				continue
-			}
-			if !f.IsAck() {
-				h.write(func() error { return h.framer.WritePing(true, data) })
-			}
-		case *http2.WindowUpdateFrame:
-			h.mu.Lock()
-			if f.StreamID == 0 {
-				h.window += int64(f.Increment)
-				h.opened.Broadcast()
-			}
-			h.mu.Unlock()
-		case *http2.HeadersFrame:
-			fields, err := heads.DecodeFull(f.HeaderBlockFragment())
-			if err != nil || !f.HeadersEnded() {
-				s.OnMalformed("replica %s: a head of stream %d that cannot be read: %v", s.UID, f.StreamID, err)
-				return
-			}
-			h.began(f.StreamID, fields)
-			if f.StreamEnded() {
-				h.whole(f.StreamID)
-			}
-		case *http2.DataFrame:
-			h.came(f)
-		case *http2.RSTStreamFrame:
-			h.mu.Lock()
-			c := h.streams[f.StreamID]
-			delete(h.streams, f.StreamID)
-			h.mu.Unlock()
-			if c != nil {
-				s.Mu.Lock()
-				if !s.NoLedger {
-					s.Abandoned = append(s.Abandoned, c.ID)
-				}
-				s.Mu.Unlock()
-			}
-		case *http2.GoAwayFrame:
-			return
+	}
+}
+
+// end wakes who waits for the window.
+func (conn *http2Conn) end() {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.ended = true
+	conn.windowOpen.Broadcast()
+}
+
+// received takes a frame and reports whether the connection goes on.
+func (conn *http2Conn) received(frame http2.Frame) bool {
+	switch frame := frame.(type) {
+	case *http2.SettingsFrame:
+		if !frame.IsAck() {
+			conn.write(conn.framer.WriteSettingsAck)
 		}
+	case *http2.PingFrame:
+		conn.receivedPing(frame)
+	case *http2.WindowUpdateFrame:
+		conn.receivedWindowUpdate(frame)
+	case *http2.HeadersFrame:
+		return conn.receivedHeaders(frame)
+	case *http2.DataFrame:
+		conn.receivedData(frame)
+	case *http2.RSTStreamFrame:
+		conn.receivedReset(frame)
+	case *http2.GoAwayFrame:
+		return false
+	}
+	return true
+}
+
+func (conn *http2Conn) receivedPing(frame *http2.PingFrame) {
+	if frame.IsAck() || conn.replica.ignoresPings.Load() {
+		return
 	}
+	data := frame.Data
+	conn.write(func() error { return conn.framer.WritePing(true, data) })
 }
 
-func (h *http2Conn) write(do func() error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	do()
+func (conn *http2Conn) receivedWindowUpdate(frame *http2.WindowUpdateFrame) {
+	if frame.StreamID != 0 {
+		return
+	}
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.sendWindow += int64(frame.Increment)
+	conn.windowOpen.Broadcast()
+}
+
+// receivedHeaders takes the head of a call and reports whether it can be read.
+func (conn *http2Conn) receivedHeaders(frame *http2.HeadersFrame) bool {
+	fields, err := conn.decoder.DecodeFull(frame.HeaderBlockFragment())
+	if err != nil || !frame.HeadersEnded() {
+		conn.replica.OnMalformed("replica %s: a head of stream %d that cannot be read: %v",
+			conn.replica.UID, frame.StreamID, err)
+		return false
+	}
+	conn.beginCall(frame.StreamID, fields)
+	if frame.StreamEnded() {
+		conn.callComplete(frame.StreamID)
+	}
+	return true
 }
 
-// began takes a call's head.
-func (h *http2Conn) began(id uint32, fields []hpack.HeaderField) {
-	c := &Call{Conn: h.conn, h2: h, stream: id}
-	for _, f := range fields {
-		switch f.Name {
+func (conn *http2Conn) receivedReset(frame *http2.RSTStreamFrame) {
+	conn.mu.Lock()
+	call := conn.streams[frame.StreamID]
+	delete(conn.streams, frame.StreamID)
+	conn.mu.Unlock()
+	if call != nil {
+		conn.replica.noteAbandoned(call.ID)
+	}
+}
+
+func (conn *http2Conn) write(do func() error) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	_ = conn.conn.SetWriteDeadline(time.Now().Add(http2WriteTimeout))
+	_ = do() // an error ends the connection, which its reader notices
+}
+
+// beginCall takes a call's head.
+func (conn *http2Conn) beginCall(stream uint32, fields []hpack.HeaderField) {
+	call := &Call{Conn: conn.conn, http2: conn, stream: stream}
+	for _, field := range fields {
+		switch field.Name {
 		case "part-id":
-			c.ID = f.Value
+			call.ID = field.Value
 		case "part-shard":
-			c.Shard, _ = strconv.Atoi(f.Value)
+			call.Shard, _ = strconv.Atoi(field.Value)
 		case "part-wait-ms":
-			c.TimeLeftMS, _ = strconv.Atoi(f.Value)
+			call.TimeLeftMS, _ = strconv.Atoi(field.Value)
 		case ":path":
-			if f.Value != "/part" {
-				h.s.OnMalformed("replica %s: path %q", h.s.UID, f.Value)
+			if field.Value != "/part" {
+				conn.replica.OnMalformed("replica %s: path %q", conn.replica.UID, field.Value)
 			}
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.streams[id] = c
-	h.s.Mu.Lock()
-	h.s.most = max(h.s.most, len(h.streams))
-	h.s.Mu.Unlock()
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.streams[stream] = call
+	conn.replica.Mu.Lock()
+	conn.replica.maxStreams = max(conn.replica.maxStreams, len(conn.streams))
+	conn.replica.Mu.Unlock()
 }
 
-// came takes a piece of a call's body; its credit is given back unless the windows are to stall.
-func (h *http2Conn) came(f *http2.DataFrame) {
-	h.mu.Lock()
-	c := h.streams[f.StreamID]
-	if c != nil {
-		c.Text += string(f.Data())
+// receivedData takes a piece of a call's body. Its credit is given back unless the replica withholds credit.
+func (conn *http2Conn) receivedData(frame *http2.DataFrame) {
+	conn.mu.Lock()
+	if call := conn.streams[frame.StreamID]; call != nil {
+		call.Text += string(frame.Data())
 	}
-	h.mu.Unlock()
-	if size := f.Header().Length; size > 0 && !h.s.stalls.Load() {
-		h.write(func() error {
-			h.framer.WriteWindowUpdate(0, size)
-			if !f.StreamEnded() {
-				h.framer.WriteWindowUpdate(f.StreamID, size)
-			}
-			return nil
-		})
+	conn.mu.Unlock()
+	if size := frame.Header().Length; size > 0 && !conn.replica.withholdsCredit.Load() {
+		conn.write(func() error { return conn.giveCredit(frame, size) })
 	}
-	if f.StreamEnded() {
-		h.whole(f.StreamID)
+	if frame.StreamEnded() {
+		conn.callComplete(frame.StreamID)
 	}
 }
 
-// whole has a whole call wait in the box and then run, unless the box has said by then that it will not.
-func (h *http2Conn) whole(id uint32) {
-	h.mu.Lock()
-	c := h.streams[id]
-	h.mu.Unlock()
-	if c == nil {
+func (conn *http2Conn) giveCredit(frame *http2.DataFrame, size uint32) error {
+	if err := conn.framer.WriteWindowUpdate(0, size); err != nil || frame.StreamEnded() {
+		return err
+	}
+	return conn.framer.WriteWindowUpdate(frame.StreamID, size)
+}
+
+// callComplete has a call wait in the replica's queue and then executed, unless the replica has said by then that
+// it will not be.
+func (conn *http2Conn) callComplete(stream uint32) {
+	conn.mu.Lock()
+	call := conn.streams[stream]
+	conn.mu.Unlock()
+	if call == nil {
 		return
 	}
-	s := h.s
-	s.Mu.Lock()
-	waits := s.QueueTime
-	s.Mu.Unlock()
-	if waits == nil {
-		h.run(id, c)
+	conn.replica.Mu.Lock()
+	queueTime := conn.replica.QueueTime
+	conn.replica.Mu.Unlock()
+	if queueTime == nil {
+		conn.execute(stream, call)
 		return
 	}
-	time.AfterFunc(waits(), func() { h.run(id, c) })
+	time.AfterFunc(queueTime(), func() { conn.execute(stream, call) })
 }
 
-func (h *http2Conn) run(id uint32, c *Call) {
-	h.mu.Lock()
-	if h.ended || id > h.last || h.streams[id] != c {
-		h.mu.Unlock()
+func (conn *http2Conn) execute(stream uint32, call *Call) {
+	conn.mu.Lock()
+	if conn.ended || stream > conn.lastAllowed || conn.streams[stream] != call {
+		conn.mu.Unlock()
 		return
 	}
-	h.ranUpTo = max(h.ranUpTo, id)
-	h.mu.Unlock()
-	h.s.takes(*c)
+	conn.lastRun = max(conn.lastRun, stream)
+	conn.mu.Unlock()
+	conn.replica.execute(*call)
 }
 
-// reply answers a part.
-func (h *http2Conn) reply(id uint32, end, value string) {
-	status, word := "200", "ok"
-	switch end {
-	case "ERROR":
-		status, word = "500", "error"
-	case "REJECTED":
-		status, word = "503", "rejected"
-	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.streams[id] == nil {
-		return // given up
+// reply answers a call; end is the word of the frames for how it ended.
+func (conn *http2Conn) reply(stream uint32, end, value string) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.streams[stream] == nil {
+		return // abandoned
 	}
-	for h.window < int64(len(value)) && !h.ended {
-		h.opened.Wait()
+	for conn.sendWindow < int64(len(value)) && !conn.ended {
+		conn.windowOpen.Wait()
 	}
-	if h.ended || h.streams[id] == nil {
+	if conn.ended || conn.streams[stream] == nil {
 		return
 	}
-	delete(h.streams, id)
-	h.window -= int64(len(value))
-	h.block.Reset()
-	for _, f := range [][2]string{{":status", status}, {"part-end", word}, {"part-load", "inflight=1"},
-		{"content-length", strconv.Itoa(len(value))}} {
-		h.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
-	}
-	h.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h.block.Bytes(), EndHeaders: true, EndStream: value == ""})
+	delete(conn.streams, stream)
+	conn.sendWindow -= int64(len(value))
+	_ = conn.conn.SetWriteDeadline(time.Now().Add(http2WriteTimeout))
+	conn.writeReplyHeaders(stream, end, value)
 	for len(value) > 0 {
-		n := min(len(value), 16384)
-		h.framer.WriteData(id, n == len(value), []byte(value[:n]))
-		value = value[n:]
+		size := min(len(value), dataFrameBytes)
+		_ = conn.framer.WriteData(stream, size == len(value), []byte(value[:size]))
+		value = value[size:]
 	}
 }
 
-// refuse ends a stream that was not run.
-func (h *http2Conn) refuse(id uint32, code http2.ErrCode) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.streams, id)
-	h.framer.WriteRSTStream(id, code)
-}
-
-// goAway says that nothing new is taken; what waits in the box and is above what has run will not run.
-func (h *http2Conn) goAway(graceful bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if graceful {
-		h.framer.WriteGoAway(1<<31-1, http2.ErrCodeNo, nil)
+func (conn *http2Conn) writeReplyHeaders(stream uint32, end, value string) {
+	status, partEnd := "200", "ok"
+	switch end {
+	case "ERROR":
+		status, partEnd = "500", "error"
+	case "REJECTED":
+		status, partEnd = "503", "rejected"
 	}
-	h.last = h.ranUpTo
-	h.framer.WriteGoAway(h.last, http2.ErrCodeNo, nil)
-}
-
-// each does something with each connection in HTTP/2 that stands.
-func (s *Replica) each(do func(*http2Conn)) {
-	s.Mu.Lock()
-	all := append([]*http2Conn{}, s.http2...)
-	s.Mu.Unlock()
-	for _, h := range all {
-		do(h)
+	conn.headerBlock.Reset()
+	for _, field := range []hpack.HeaderField{
+		{Name: ":status", Value: status},
+		{Name: "part-end", Value: partEnd},
+		{Name: "part-load", Value: "inflight=1"},
+		{Name: "content-length", Value: strconv.Itoa(len(value))},
+	} {
+		_ = conn.encoder.WriteField(field)
 	}
-}
-
-// SetStreamLimit has the box take so many streams on each connection from now on, below 0 any number.
-func (s *Replica) SetStreamLimit(n int) {
-	s.Mu.Lock()
-	s.limit = n
-	s.Mu.Unlock()
-	s.each(func(h *http2Conn) {
-		h.write(func() error {
-			return h.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(n)})
-		})
+	_ = conn.framer.WriteHeaders(http2.HeadersFrameParam{
+		StreamID:      stream,
+		BlockFragment: conn.headerBlock.Bytes(),
+		EndHeaders:    true,
+		EndStream:     value == "",
 	})
 }
 
-// GoAway has it take nothing new on the connections that stand; what waits in it never runs. Abrupt, they end at once.
-func (s *Replica) GoAway(graceful, abrupt bool) {
-	s.each(func(h *http2Conn) {
-		h.goAway(graceful)
-		if abrupt {
-			h.conn.Close()
-		}
-	})
-}
-
-// IgnorePings has it leave pings without an answer, and Stall has it give back no credit, from now on.
-func (s *Replica) IgnorePings(is bool)    { s.deaf.Store(is) }
-func (s *Replica) WithholdCredit(is bool) { s.stalls.Store(is) }
-
-// GrantCredit gives so much credit on each connection, and on each stream that stands.
-func (s *Replica) GrantCredit(bytes int) {
-	s.each(func(h *http2Conn) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.framer.WriteWindowUpdate(0, uint32(bytes))
-		for id := range h.streams {
-			h.framer.WriteWindowUpdate(id, uint32(bytes))
-		}
-	})
-}
-
-// MaxStreams is the largest number of streams that were open on a connection at a time.
-func (s *Replica) MaxStreams() int {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	return s.most
+// resetStream ends a stream that was not answered.
+func (conn *http2Conn) resetStream(stream uint32, code http2.ErrCode) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	delete(conn.streams, stream)
+	_ = conn.framer.WriteRSTStream(stream, code)
 }
 
-// Reject ends a part's stream: it never ran, as the protocol's own word says.
-func Reject(s *Replica, c Call) {
-	if c.h2 == nil {
-		s.Reply(c, "REJECTED", "")
-		return
-	}
-	c.h2.refuse(c.stream, http2.ErrCodeRefusedStream)
-}
-
-// CancelStream ends a part's stream with no word on whether it ran.
-func CancelStream(s *Replica, c Call) {
-	if c.h2 == nil {
-		s.Reply(c, "ERROR", "")
-		return
+// goAway announces that nothing new is accepted. What waits in the replica's queue and is above what was executed
+// will not be executed.
+func (conn *http2Conn) goAway(graceful bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if graceful {
+		_ = conn.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 	}
-	c.h2.refuse(c.stream, http2.ErrCodeCancel)
-}
-
-// Garbage writes what is no message of either dialect.
-func Garbage(s *Replica, c Call) {
-	fmt.Fprint(c.Conn, "\xff\xff\xff\xffgarbage, which is no frame of anything")
+	conn.lastAllowed = conn.lastRun
+	_ = conn.framer.WriteGoAway(conn.lastAllowed, http2.ErrCodeNo, nil)
 }
--- a/internal/fake/load.go
+++ b/internal/fake/load.go
@@ -13,34 +13,42 @@
 	"time"
 )
 
-// LoadResult is what became of one query, as its client saw it. Status 0: no answer came.
+const (
+	loadRandomStream = 1               // sets the draws of a Load apart from others with the same seed
+	responseGrace    = 2 * time.Second // after a query's deadline, for its response
+	connGrace        = time.Second     // after a query's deadline, for a connection to be free
+	connectTimeout   = time.Second
+)
+
+// LoadResult is what became of one query, as its client saw it.
 type LoadResult struct {
 	Due    time.Duration // when it was to be sent, since the load's start
-	Took   time.Duration // from then to its answer
-	Status int
+	Took   time.Duration // from then to its response
+	Status int           // HTTP status; 0: no response came
 }
 
-// WithinObjective tells whether it was fulfilled within an agreed time.
-func (a LoadResult) WithinObjective(agreed time.Duration) bool {
-	return a.Status == http.StatusOK && a.Took <= agreed
+// WithinObjective reports whether the query succeeded within a latency objective.
+func (result LoadResult) WithinObjective(objective time.Duration) bool {
+	return result.Status == http.StatusOK && result.Took <= objective
 }
 
-// Load asks one track on an open-loop schedule: evenly spaced, never slowed by answers.
+// Load sends queries of one class on an open-loop schedule: evenly spaced, and never slowed down by responses.
 type Load struct {
-	Addr, Class string
-	Name        string        // begins each id; loads of one co-ordinator have names of their own
-	Rate        float64       // queries per second
-	Subqueries  int           // of each, of the shards from a random one on
-	Shards      int           // there are
-	Deadline    time.Duration // told with each
-	Seed        uint64
-	MaxConns    int // connections; who finds none free waits, which counts as the query's time
-
-	ExtraResponses atomic.Int64 // connections on which something stood behind an answer: it had two
-	TextBytes      int          // bytes of each query's; 0: one
-
-	idle chan *clientConn
-	left chan struct{} // places for further connections
+	Addr       string // of the co-ordinator
+	Class      string
+	Name       string        // begins each query's id; loads of one co-ordinator have different names
+	Rate       float64       // queries per second
+	Subqueries int           // of each query, of successive shards from a random one on
+	Shards     int           // that there are
+	Deadline   time.Duration // of each query
+	Seed       uint64
+	MaxConns   int // connections; a query that finds none free waits, which counts as its time
+	TextBytes  int // of each query's text; 0: one
+
+	ExtraResponses atomic.Int64 // connections on which bytes stood behind a response: a query had two
+
+	idle  chan *clientConn
+	slots chan struct{} // one for each open connection
 }
 
 type clientConn struct {
@@ -48,105 +56,127 @@
 	in *bufio.Reader
 }
 
-// Run runs the load for a while and returns all answers in order of sending, once they are in; clients wait for two
-// seconds beyond the cut-off at the most.
-func (l *Load) Run(while time.Duration) []LoadResult {
-	rnd := rand.New(rand.NewPCG(l.Seed, 1))
-	l.idle, l.left = make(chan *clientConn, l.MaxConns), make(chan struct{}, l.MaxConns)
-	all := make([]LoadResult, int(while.Seconds()*l.Rate))
+// Run sends queries for a while and returns all results in order of sending, once they are in. Clients wait for
+// responseGrace beyond the deadline at the most.
+func (load *Load) Run(duration time.Duration) []LoadResult {
+	random := rand.New(rand.NewPCG(load.Seed, loadRandomStream))
+	load.idle = make(chan *clientConn, load.MaxConns)
+	load.slots = make(chan struct{}, load.MaxConns)
+	results := make([]LoadResult, int(duration.Seconds()*load.Rate))
 	var open sync.WaitGroup
 	start := time.Now()
-	for n := range all {
-		due := time.Duration(float64(n) / l.Rate * float64(time.Second))
-		all[n].Due = due
+	for n := range results {
+		due := time.Duration(float64(n) / load.Rate * float64(time.Second))
+		results[n].Due = due
 		if wait := due - time.Since(start); wait > 0 {
 			time.Sleep(wait)
 		}
-		first := rnd.IntN(l.Shards - l.Subqueries + 1)
+		firstShard := random.IntN(load.Shards - load.Subqueries + 1)
 		open.Go(func() {
-			all[n].Status = l.ask(n, first, start.Add(due))
-			all[n].Took = time.Since(start) - due
+			results[n].Status = load.send(n, firstShard, start.Add(due))
+			results[n].Took = time.Since(start) - due
 		})
 	}
 	open.Wait()
+	load.closeIdle()
+	return results
+}
+
+func (load *Load) closeIdle() {
 	for {
 		select {
-		case c := <-l.idle:
-			c.Close()
-			continue
+		case conn := <-load.idle:
+			conn.Close()
 		default:
+			return
 		}
-		return all
 	}
 }
 
-func (l *Load) ask(n, first int, due time.Time) int {
-	var segments strings.Builder
-	for i := range l.Subqueries {
-		if i > 0 {
-			segments.WriteByte(',')
-		}
-		fmt.Fprintf(&segments, `{"segment":%d,"boost":%.6f}`, first+i, 1/float64(l.Subqueries))
-	}
-	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, segments.String(), strings.Repeat("t", max(1, l.TextBytes)))
-	request := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		l.Class, l.Name, n, l.Deadline.Seconds(), len(body), body)
-	for { // rested connections may have been closed, any number of them
-		c, rested := l.connection(due.Add(l.Deadline + time.Second))
-		if c == nil {
+// send sends a query and returns its status, 0 if no response came. An idle connection may have been closed
+// meanwhile; the query goes on the next one then.
+func (load *Load) send(n, firstShard int, due time.Time) int {
+	request := load.request(n, firstShard)
+	for {
+		conn, wasIdle := load.connection(due.Add(load.Deadline + connGrace))
+		if conn == nil {
 			return 0
 		}
-		c.SetDeadline(due.Add(l.Deadline + 2*time.Second))
-		_, err := io.WriteString(c, request)
-		var r *http.Response
-		if err == nil {
-			r, err = http.ReadResponse(c.in, nil)
-		}
+		_ = conn.SetDeadline(due.Add(load.Deadline + responseGrace))
+		response, err := exchange(conn, request)
 		if err != nil {
-			l.end(c)
-			if rested {
+			load.close(conn)
+			if wasIdle {
 				continue
 			}
 			return 0
 		}
-		_, err = io.Copy(io.Discard, r.Body)
-		if c.in.Buffered() > 0 {
-			l.ExtraResponses.Add(1)
-		}
-		if err != nil || r.Close {
-			l.end(c)
-		} else {
-			l.idle <- c
-		}
-		return r.StatusCode
+		load.readBody(conn, response)
+		return response.StatusCode
 	}
 }
 
-func (l *Load) end(c *clientConn) {
-	c.Close()
-	<-l.left
+func exchange(conn *clientConn, request string) (*http.Response, error) {
+	if _, err := io.WriteString(conn, request); err != nil {
+		return nil, err
+	}
+	return http.ReadResponse(conn.in, nil)
 }
 
-// connection takes an idle one or opens another; nil if there is none until a time.
-func (l *Load) connection(until time.Time) (c *clientConn, rested bool) {
+// readBody reads the rest of a response and keeps the connection, if it stands.
+func (load *Load) readBody(conn *clientConn, response *http.Response) {
+	_, err := io.Copy(io.Discard, response.Body)
+	if conn.in.Buffered() > 0 {
+		load.ExtraResponses.Add(1)
+	}
+	if err != nil || response.Close {
+		load.close(conn)
+		return
+	}
+	load.idle <- conn
+}
+
+func (load *Load) request(n, firstShard int) string {
+	segments := make([]string, load.Subqueries)
+	for i := range segments {
+		segments[i] = fmt.Sprintf(`{"segment":%d,"boost":%.6f}`, firstShard+i, 1/float64(load.Subqueries))
+	}
+	text := strings.Repeat("t", max(1, load.TextBytes))
+	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, strings.Join(segments, ","), text)
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
+		load.Class, load.Name, n, load.Deadline.Seconds(), len(body), body)
+}
+
+func (load *Load) close(conn *clientConn) {
+	conn.Close()
+	<-load.slots
+}
+
+// connection takes an idle connection or opens one; nil if there is none until a time.
+func (load *Load) connection(until time.Time) (conn *clientConn, wasIdle bool) {
 	select {
-	case c := <-l.idle:
-		return c, true
+	case conn := <-load.idle:
+		return conn, true
 	default:
 	}
-	late := time.NewTimer(time.Until(until))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(until))
+	defer timeout.Stop()
 	select {
-	case c := <-l.idle:
-		return c, true
-	case l.left <- struct{}{}:
-		conn, err := net.DialTimeout("tcp", l.Addr, time.Second)
-		if err != nil {
-			<-l.left
-			return nil, false
-		}
-		return &clientConn{conn, bufio.NewReader(conn)}, false
-	case <-late.C:
+	case conn := <-load.idle:
+		return conn, true
+	case load.slots <- struct{}{}:
+		return load.connect(), false
+	case <-timeout.C:
 		return nil, false
 	}
 }
+
+// connect opens a connection, for which a slot is taken; nil if it fails.
+func (load *Load) connect() *clientConn {
+	conn, err := net.DialTimeout("tcp", load.Addr, connectTimeout)
+	if err != nil {
+		<-load.slots
+		return nil
+	}
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}
+}
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -1,315 +1,185 @@
-// Package fake holds scripted peers of a co-ordinator on loopback: replicas that speak the frames, a discovery that
-// tells them, clients that ask on an open-loop schedule, and the program itself as a process. Each keeps a ledger of
-// what it saw; tests and proofs judge by those. Nothing here is part of the service.
+// Package fake has scripted peers of a co-ordinator on loopback, for tests and proofs: replicas (Replica) that
+// speak frames and HTTP/2, discovery that lists them (Discovery, and DiscoveryAgent where a test chooses each
+// answer), clients on an open-loop schedule (Load), data for two-phase queries (Shards), and the program itself as
+// a process (Program). Each keeps a ledger of what it saw, by which tests judge. Nothing here is part of the
+// service. Some of it, such as DiscoveryAgent, is reached only by tests of several packages, and so cannot stand in
+// a test file of one.
 package fake
 
 import (
 	"bufio"
-	"bytes"
 	"crypto/tls"
-	"encoding/binary"
-	"errors"
-	"fmt"
-	"io"
 	"net"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
-// Call is one part as it reached a replica.
+// Call is one subquery as it reached a replica.
 type Call struct {
 	ID         string
 	Shard      int
-	TimeLeftMS int // milliseconds
+	TimeLeftMS int // until its answer is no longer awaited, as the replica was told
 	Text       string
 	Conn       net.Conn
 
-	h2     *http2Conn // nil: it came in a frame
+	http2  *http2Conn // nil: it came in a frame
 	stream uint32
 }
 
-// Replica is one. Its Act says what it does with each part; it runs on the connection's goroutine.
+// Replica is a replica whose Behavior decides what becomes of each call.
 type Replica struct {
 	UID         string
 	Cell        int
 	State       string
-	BootMS      int64
+	BootMS      int64 // Unix time of its start in milliseconds
 	Listener    net.Listener
-	OnMalformed func(format string, args ...any) // told of frames that cannot be used
+	TLS         *tls.Config                      // to be set before it is listed
+	OnMalformed func(format string, args ...any) // is called for messages that cannot be used
 
 	Mu        sync.Mutex // guards what follows
-	Behavior  func(*Replica, Call)
-	Calls     []Call // the ledger; empty where Quiet
-	Abandoned []string
+	Behavior  Behavior
+	Calls     []Call   // the ledger; empty where NoLedger
+	Abandoned []string // ids of subqueries for which nobody waits any more; empty where NoLedger
 	Conns     []net.Conn
-	NoLedger  bool                 // keep no ledger of calls: for many
-	CutAfter  func() int           // bytes that a new connection brings in before it is cut off; below 0 for ever. nil: none is
-	QueueTime func() time.Duration // a call in HTTP/2 waits so long in the box before it runs; nil: it runs at once
-	Model     string
-	http2     []*http2Conn
-	limit     int // streams on a connection; below 0: any number
-	most      int // that were open on one
-
-	reading      sync.RWMutex // held while it reads nothing
-	in           atomic.Int64 // bytes that came
-	conns        atomic.Int64 // connections that came
-	deaf, stalls atomic.Bool
-	TLS          *tls.Config // to be set before it is listed
-
-	changedAt int // the list's revision
+	NoLedger  bool // keep no ledger: for many calls
+	// CutAfter draws after how many bytes received a new connection is reset; below 0: never. Nil: none is.
+	CutAfter func() int
+	// QueueTime draws how long a call in HTTP/2 waits before it is executed; nil: it does not wait.
+	QueueTime   func() time.Duration
+	Model       string
+	http2       []*http2Conn
+	streamLimit int // concurrent streams on a connection; below 0: any number
+	maxStreams  int // that were open on a connection at a time
+
+	reading         sync.RWMutex // is locked while the replica reads nothing
+	bytesReceived   atomic.Int64
+	connsAccepted   atomic.Int64
+	ignoresPings    atomic.Bool
+	withholdsCredit atomic.Bool
+
+	changedAt int // the revision of the list in which it last changed; belongs to Discovery
 	writing   sync.Mutex
 }
 
-// Succeed answers with a value that tells the replica and the part.
-func Succeed(s *Replica, c Call) { s.Reply(c, "OK", "v<"+s.UID+"."+strconv.Itoa(c.Shard)+">") }
-
-// Silent answers nothing.
-func Silent(*Replica, Call) {}
-
-// ResetConnection breaks the connection.
-func ResetConnection(_ *Replica, c Call) {
-	if conn, ok := c.Conn.(*net.TCPConn); ok {
-		conn.SetLinger(0)
-	}
-	c.Conn.Close()
-}
-
-// Fail answers that the part failed.
-func Fail(s *Replica, c Call) { s.Reply(c, "ERROR", "") }
-
-// After has it done after a time whatever else comes, as with any number of cores.
-func After(d time.Duration, do func(*Replica, Call)) func(*Replica, Call) {
-	return func(s *Replica, c Call) { time.AfterFunc(d, func() { do(s, c) }) }
-}
-
-// Reply answers a part.
-func (s *Replica) Reply(c Call, end, value string) {
-	if c.h2 != nil {
-		c.h2.reply(c.stream, end, value)
-		return
-	}
-	s.Write(c.Conn, 'Y', fmt.Sprintf("%s %s 7 inflight=1\n%s", c.ID, end, value))
-}
-
-// Write writes a frame.
-func (s *Replica) Write(conn net.Conn, letter byte, rest string) {
-	b := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	conn.Write(append(append(b, letter), rest...))
-}
-
-// NewReplica starts one on a port of its own; Close ends it.
-func NewReplica(uid string, cell int, act func(*Replica, Call)) (*Replica, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// NewReplica starts a replica on a port of its own; Close ends it.
+func NewReplica(uid string, cell int, behavior Behavior) (*Replica, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Replica{UID: uid, Cell: cell, State: "ready", Model: "m", limit: -1, Listener: l, Behavior: act, OnMalformed: func(string, ...any) {}}
-	go s.Accept(l)
-	return s, nil
+	replica := &Replica{
+		UID:         uid,
+		Cell:        cell,
+		State:       "ready",
+		Model:       "m",
+		Listener:    listener,
+		Behavior:    behavior,
+		OnMalformed: func(string, ...any) {},
+		streamLimit: -1,
+	}
+	go replica.Accept(listener)
+	return replica, nil
 }
 
-// Accept serves the connections of a listener until it is closed.
-func (s *Replica) Accept(l net.Listener) {
+// Accept serves the connections of a listener until that is closed.
+func (replica *Replica) Accept(listener net.Listener) {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		s.Mu.Lock()
-		s.Conns = append(s.Conns, conn)
-		s.Mu.Unlock()
-		s.conns.Add(1)
-		go s.serve(conn)
+		replica.Mu.Lock()
+		replica.Conns = append(replica.Conns, conn)
+		replica.Mu.Unlock()
+		replica.connsAccepted.Add(1)
+		go replica.serve(conn)
 	}
 }
 
-// Close ends the listener and all connections.
-func (s *Replica) Close() {
-	s.Listener.Close()
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	for _, conn := range s.Conns {
+// Close closes the listener and all connections.
+func (replica *Replica) Close() {
+	replica.Listener.Close()
+	replica.Mu.Lock()
+	defer replica.Mu.Unlock()
+	for _, conn := range replica.Conns {
 		conn.Close()
 	}
 }
 
-// preface begins a connection in HTTP/2 (RFC 9113, 3.4); as a frame's length it would be beyond any bound.
-const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-
-func (s *Replica) serve(conn net.Conn) {
+// serve serves a connection in the protocol in which it begins.
+func (replica *Replica) serve(conn net.Conn) {
 	defer conn.Close()
-	s.Mu.Lock()
-	cut := s.CutAfter
-	s.Mu.Unlock()
-	if cut != nil {
-		conn = &cutConn{Conn: conn, left: cut()}
+	replica.Mu.Lock()
+	cutAfter := replica.CutAfter
+	replica.Mu.Unlock()
+	if cutAfter != nil {
+		conn = &cutConn{Conn: conn, left: cutAfter()}
 	}
-	if s.TLS != nil {
-		conn = tls.Server(conn, s.TLS)
+	if replica.TLS != nil {
+		conn = tls.Server(conn, replica.TLS)
 	}
-	in := bufio.NewReader(counted{conn, s})
-	if first, err := in.Peek(4); err == nil && string(first) == preface[:4] {
-		if _, err := io.ReadFull(in, make([]byte, len(preface))); err == nil {
-			s.serveHTTP2(conn, in)
+	in := bufio.NewReader(countingConn{conn, replica})
+	if beginsHTTP2(in) {
+		if discardPreface(in) {
+			replica.serveHTTP2(conn, in)
 		}
 		return
 	}
-	for {
-		var size [4]byte
-		if _, err := io.ReadFull(in, size[:]); err != nil {
-			return
-		}
-		length := binary.BigEndian.Uint32(size[:])
-		if length == 0 || length > 1<<20 {
-			return
-		}
-		frame := make([]byte, length)
-		if _, err := io.ReadFull(in, frame); err != nil {
-			return
-		}
-		if frame[0] == 'A' {
-			s.Mu.Lock()
-			if !s.NoLedger {
-				s.Abandoned = append(s.Abandoned, string(frame[1:]))
-			}
-			s.Mu.Unlock()
-			continue
-		}
-		c := Call{Conn: conn}
-		line, text, _ := bytes.Cut(frame[1:], []byte("\n"))
-		words := strings.Fields(string(line))
-		if len(words) != 4 || frame[0] != 'R' || words[3] != strconv.Itoa(len(text)) {
-			s.OnMalformed("replica %s cannot use frame %q", s.UID, frame)
-			return
-		}
-		var errs [2]error
-		c.ID = words[0]
-		c.Shard, errs[0] = strconv.Atoi(words[1])
-		c.TimeLeftMS, errs[1] = strconv.Atoi(strings.TrimPrefix(words[2], "d="))
-		if errs != [2]error{} {
-			s.OnMalformed("replica %s cannot use frame %q: %v", s.UID, frame, errs)
-			return
-		}
-		c.Text = string(text)
-		s.takes(c)
-	}
+	replica.serveFrames(conn, in)
 }
 
-// takes runs a part.
-func (s *Replica) takes(c Call) {
-	s.Mu.Lock()
-	if !s.NoLedger {
-		s.Calls = append(s.Calls, c)
+// execute records a call and has it executed.
+func (replica *Replica) execute(call Call) {
+	replica.Mu.Lock()
+	if !replica.NoLedger {
+		replica.Calls = append(replica.Calls, call)
 	}
-	act := s.Behavior
-	s.Mu.Unlock()
-	act(s, c)
+	behavior := replica.Behavior
+	replica.Mu.Unlock()
+	behavior(replica, call)
 }
 
-// SetBehavior changes what it does with parts from now on.
-func (s *Replica) SetBehavior(act func(*Replica, Call)) {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	s.Behavior = act
-}
-
-// Received tells the ledger of calls.
-func (s *Replica) Received() []Call {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	return slices.Clone(s.Calls)
-}
-
-// HasReceived tells whether a part of a query came.
-func (s *Replica) HasReceived(id string) bool {
-	return slices.ContainsFunc(s.Received(), func(c Call) bool { return strings.HasPrefix(c.ID, id) })
-}
-
-// cutConn is a connection that is reset once so many bytes came in, wherever that is.
-type cutConn struct {
-	net.Conn
-	left int // below 0: for ever
-}
-
-func (c *cutConn) Read(b []byte) (int, error) {
-	if c.left < 0 {
-		return c.Conn.Read(b)
-	}
-	if c.left == 0 {
-		c.Conn.(*net.TCPConn).SetLinger(0)
-		c.Conn.Close()
-		return 0, net.ErrClosed
+// noteAbandoned records that nobody waits for a subquery any more.
+func (replica *Replica) noteAbandoned(id string) {
+	replica.Mu.Lock()
+	defer replica.Mu.Unlock()
+	if !replica.NoLedger {
+		replica.Abandoned = append(replica.Abandoned, id)
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
-	return n, err
 }
 
-// CloseConnections ends all connections that stand, with a reset or without.
-func (s *Replica) CloseConnections(reset bool) {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	for _, conn := range s.Conns {
-		if reset {
-			conn.(*net.TCPConn).SetLinger(0)
-		}
-		conn.Close()
+// Reply answers a call; end is OK, ERROR or REJECTED.
+func (replica *Replica) Reply(call Call, end, value string) {
+	if call.http2 != nil {
+		call.http2.reply(call.stream, end, value)
+		return
 	}
-	s.Conns = nil
-}
-
-// counted counts the bytes that are read, and reads none while its replica does not.
-type counted struct {
-	net.Conn
-	by *Replica
-}
-
-func (c counted) Read(b []byte) (int, error) {
-	c.by.awaitReading()
-	n, err := c.Conn.Read(b)
-	c.by.in.Add(int64(n))
-	return n, err
+	replica.replyInFrame(call, end, value)
 }
 
-// awaitReading waits while the replica reads nothing.
-func (s *Replica) awaitReading() {
-	s.reading.RLock()
-	defer s.reading.RUnlock()
+// SetBehavior changes what the replica does with calls from now on.
+func (replica *Replica) SetBehavior(behavior Behavior) {
+	replica.Mu.Lock()
+	defer replica.Mu.Unlock()
+	replica.Behavior = behavior
 }
 
-// PauseReading has it read no more, but for what its reads that wait already take, until goOn is called. What its
-// connections hold meanwhile is little: they are to be made after Narrow.
-func (s *Replica) PauseReading() (goOn func()) {
-	s.reading.Lock()
-	return s.reading.Unlock
+// Received returns the ledger of calls so far.
+func (replica *Replica) Received() []Call {
+	replica.Mu.Lock()
+	defer replica.Mu.Unlock()
+	return slices.Clone(replica.Calls)
 }
 
-// ShrinkBuffers has the machines hold few bytes for connections that are made from now on.
-func (s *Replica) ShrinkBuffers() error {
-	raw, err := s.Listener.(*net.TCPListener).SyscallConn()
-	if err != nil {
-		return err
-	}
-	return ShrinkBuffers(raw)
+// HasReceived reports whether a call came whose id begins so.
+func (replica *Replica) HasReceived(idPrefix string) bool {
+	return slices.ContainsFunc(replica.Received(), func(call Call) bool { return strings.HasPrefix(call.ID, idPrefix) })
 }
 
-// ShrinkBuffers has the machines hold few bytes on a socket that is to be connected: a small window, and small segments, by which
-// the other end's buffer is measured.
-func ShrinkBuffers(raw syscall.RawConn) error {
-	var window, segment error
-	err := raw.Control(func(fd uintptr) {
-		window = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
-		segment = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 536)
-	})
-	return errors.Join(err, window, segment)
+// Traffic returns how many bytes and connections have come so far.
+func (replica *Replica) Traffic() (bytes, conns int) {
+	return int(replica.bytesReceived.Load()), int(replica.connsAccepted.Load())
 }
-
-// Traffic is how many bytes and connections have come so far.
-func (s *Replica) Traffic() (bytes, conns int) { return int(s.in.Load()), int(s.conns.Load()) }
