--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -54,45 +54,45 @@
 // Post has a function called in an iteration soon, in the order of posting. It may be called from any goroutine but
 // the loop's own, and blocks while the inbox is full. It reports whether the loop was still running; if not, the
 // function is never called.
-func (l *Loop) Post(do func()) bool {
+func (loop *Loop) Post(do func()) bool {
 	select {
-	case l.inbox <- do:
+	case loop.inbox <- do:
 		return true
-	case <-l.ended:
+	case <-loop.ended:
 		return false
 	}
 }
 
 // Start is when the loop's clock began. It may be called from any goroutine.
-func (l *Loop) Start() time.Time { return l.start }
+func (loop *Loop) Start() time.Time { return loop.start }
 
 // Since is the time between the start and a moment, by the monotonic clock. It may be called from any goroutine.
-func (l *Loop) Since(at time.Time) time.Duration { return at.Sub(l.start) }
+func (loop *Loop) Since(at time.Time) time.Duration { return at.Sub(loop.start) }
 
 // Now is the time of the present iteration: the same for all that it calls.
-func (l *Loop) Now() time.Duration { return l.now }
+func (loop *Loop) Now() time.Duration { return loop.now }
 
 // NextIteration has a function called at the start of the next iteration, which follows at once.
-func (l *Loop) NextIteration(do func()) { l.next = append(l.next, do) }
+func (loop *Loop) NextIteration(do func()) { loop.next = append(loop.next, do) }
 
 // TakeNextIteration takes back what NextIteration was given and was not called yet, in order. After a panic that
 // includes what the broken iteration had still to call.
-func (l *Loop) TakeNextIteration() []func() {
-	left := append(l.current, l.next...)
-	l.current, l.next = nil, nil
+func (loop *Loop) TakeNextIteration() []func() {
+	left := append(loop.current, loop.next...)
+	loop.current, loop.next = nil, nil
 	return left
 }
 
 // Run takes iterations until finished reports that nothing is left to do. At the end of each it calls endIteration.
 // After a panic in an iteration it calls onPanic with the cause and goes on: posted functions that the iteration
 // had taken and not called are called in the next.
-func (l *Loop) Run(endIteration func(), onPanic func(cause string), finished func() bool) {
+func (loop *Loop) Run(endIteration func(), onPanic func(cause string), finished func() bool) {
 	clock := time.NewTimer(0)
 	defer clock.Stop()
-	defer close(l.ended)
+	defer close(loop.ended)
 	for !finished() {
-		l.wait(clock)
-		cause := Recover(func() { l.RunIteration(func() {}, endIteration) })
+		loop.wait(clock)
+		cause := Recover(func() { loop.RunIteration(func() {}, endIteration) })
 		if cause != "" {
 			Recover(func() { onPanic(cause) })
 		}
@@ -101,65 +101,65 @@
 
 // wait waits until there is something to do in an iteration, and notes whether the process stood still meanwhile or
 // in the iteration before.
-func (l *Loop) wait(clock *time.Timer) {
-	if l.now > 0 {
-		l.noteStall(l.now)
+func (loop *Loop) wait(clock *time.Timer) {
+	if loop.now > 0 {
+		loop.noteStall(loop.now)
 	}
-	lastTook := l.lateBy
-	waitFrom := l.Since(time.Now())
-	due := l.nextDue(waitFrom)
+	lastTook := loop.lateBy
+	waitFrom := loop.Since(time.Now())
+	due := loop.nextDue(waitFrom)
 	clock.Reset(max(0, due-waitFrom))
 	select {
-	case do := <-l.inbox:
-		l.received = append(l.received, do)
+	case do := <-loop.inbox:
+		loop.received = append(loop.received, do)
 	case <-clock.C:
 	}
-	l.noteStall(max(due, waitFrom))
-	l.lateBy = max(l.lateBy, lastTook)
+	loop.noteStall(max(due, waitFrom))
+	loop.lateBy = max(loop.lateBy, lastTook)
 }
 
 // nextDue is when the next iteration has to begin at the latest.
-func (l *Loop) nextDue(now time.Duration) time.Duration {
-	if len(l.next) > 0 {
+func (loop *Loop) nextDue(now time.Duration) time.Duration {
+	if len(loop.next) > 0 {
 		return 0
 	}
 	due := now + maxIdle
-	if len(l.timers) > 0 {
-		due = min(due, l.timers[0].due)
+	if len(loop.timers) > 0 {
+		due = min(due, loop.timers[0].due)
 	}
 	return due
 }
 
 // RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted.
 // Run passes an empty one; tests that drive a loop without Run pass what is to happen.
-func (l *Loop) RunIteration(event, endIteration func()) {
-	l.now = l.Since(time.Now())
-	l.current, l.next = l.next, nil
-	for len(l.current) > 0 {
-		do := l.current[0]
-		l.current = l.current[1:]
+func (loop *Loop) RunIteration(event, endIteration func()) {
+	loop.now = loop.Since(time.Now())
+	loop.current, loop.next = loop.next, nil
+	for len(loop.current) > 0 {
+		do := loop.current[0]
+		loop.current = loop.current[1:]
 		do()
 	}
 	event()
-	for len(l.received) > 0 {
-		do := l.received[0]
-		l.received = l.received[1:]
+	for len(loop.received) > 0 {
+		do := loop.received[0]
+		loop.received = loop.received[1:]
 		do()
 	}
-	for waiting := len(l.inbox); waiting > 0; waiting-- {
-		(<-l.inbox)()
+	for waiting := len(loop.inbox); waiting > 0; waiting-- {
+		(<-loop.inbox)()
 	}
-	l.runDueTimers()
+	loop.runDueTimers()
 	endIteration()
-	l.completed = l.now
+	loop.completed = loop.now
 }
 
 // Receive waits for the next posted function and returns it without calling it. It is for tests that drive a loop
 // without Run.
-func (l *Loop) Receive() func() { return <-l.inbox }
+func (loop *Loop) Receive() func() { return <-loop.inbox }
 
 // AdvanceClock sets the loop's clock forward, as if it had been started earlier. It is for tests.
-func (l *Loop) AdvanceClock(by time.Duration) { l.start = l.start.Add(-by) }
+func (loop *Loop) AdvanceClock(by time.Duration) { loop.start = loop.start.Add(-by) }
 
 // Recover calls a function and returns the cause, with the stack, if it panicked; else an empty string.
 func Recover(call func()) (cause string) {
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	stallThreshold = 30 * time.Millisecond // an iteration that is later than this shows a stall; a busy core delays less
+	stallThreshold = 30 * time.Millisecond // lateness that shows a stall; a busy core delays less
 	catchUpPause   = 2 * time.Millisecond  // after a stall, for other goroutines to read and post what came meanwhile
 )
 
@@ -15,32 +15,32 @@
 // noteStall measures how late the loop is against the time at which it was due. After a stall it pauses, so that
 // readers can post what has arrived. Without that, timers would report attempts as timed out whose replies have
 // arrived and are only unread.
-func (l *Loop) noteStall(due time.Duration) {
-	l.lateBy = max(0, l.Since(time.Now())-due)
-	if l.lateBy <= stallThreshold {
+func (loop *Loop) noteStall(due time.Duration) {
+	loop.lateBy = max(0, loop.Since(time.Now())-due)
+	if loop.lateBy <= stallThreshold {
 		return
 	}
 	time.Sleep(catchUpPause)
-	l.stall = stall{from: due, until: l.Since(time.Now())}
+	loop.stall = stall{from: due, until: loop.Since(time.Now())}
 }
 
 // LateBy is how much later than due the present iteration began.
-func (l *Loop) LateBy() time.Duration { return l.lateBy }
+func (loop *Loop) LateBy() time.Duration { return loop.lateBy }
 
 // StalledFor is for how long the process stood still before the present iteration, 0 if it did not.
-func (l *Loop) StalledFor() time.Duration {
-	if l.stall.until <= l.completed {
+func (loop *Loop) StalledFor() time.Duration {
+	if loop.stall.until <= loop.completed {
 		return 0
 	}
-	return l.now - l.stall.from
+	return loop.now - loop.stall.from
 }
 
 // EarliestArrival is the earliest time at which something may have arrived that was read at a time. What is read at
 // the end of a stall may have waited since its beginning.
-func (l *Loop) EarliestArrival(read time.Duration) time.Duration {
-	stalled := l.stall.until > 0
-	if stalled && read >= l.stall.from && read <= l.stall.until+catchUpPause {
-		return l.stall.from
+func (loop *Loop) EarliestArrival(read time.Duration) time.Duration {
+	stalled := loop.stall.until > 0
+	if stalled && read >= loop.stall.from && read <= loop.stall.until+catchUpPause {
+		return loop.stall.from
 	}
 	return read
 }
--- a/eventloop/timer.go
+++ b/eventloop/timer.go
@@ -15,40 +15,40 @@
 
 // After has a function called in the first iteration that begins after a delay. Where a timer of the same name is
 // already set for the same time, it sets none and returns nil; an empty name is never the same.
-func (l *Loop) After(delay time.Duration, name string, do func()) *Timer {
-	due := l.now + max(0, delay)
-	last := l.namedTimer[name]
+func (loop *Loop) After(delay time.Duration, name string, do func()) *Timer {
+	due := loop.now + max(0, delay)
+	last := loop.namedTimer[name]
 	if name != "" && last != nil && last.index >= 0 && last.due == due {
 		return nil
 	}
-	l.lastTimer++
-	timer := &Timer{due: due, number: l.lastTimer, do: do}
-	heap.Push(&l.timers, timer)
+	loop.lastTimer++
+	timer := &Timer{due: due, number: loop.lastTimer, do: do}
+	heap.Push(&loop.timers, timer)
 	if name != "" {
-		l.namedTimer[name] = timer
+		loop.namedTimer[name] = timer
 	}
 	return timer
 }
 
 // Cancel takes a timer back and releases what its function holds. It does nothing to one that is nil, was called or
 // was cancelled before.
-func (l *Loop) Cancel(timer *Timer) {
+func (loop *Loop) Cancel(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
-		heap.Remove(&l.timers, timer.index)
+		heap.Remove(&loop.timers, timer.index)
 	}
 }
 
 // Timers is how many timers are set, and when the last of them is due.
-func (l *Loop) Timers() (count int, last time.Duration) {
-	for _, timer := range l.timers {
+func (loop *Loop) Timers() (count int, last time.Duration) {
+	for _, timer := range loop.timers {
 		last = max(last, timer.due)
 	}
-	return len(l.timers), last
+	return len(loop.timers), last
 }
 
-func (l *Loop) runDueTimers() {
-	for len(l.timers) > 0 && l.timers[0].due <= l.now {
-		heap.Pop(&l.timers).(*Timer).do()
+func (loop *Loop) runDueTimers() {
+	for len(loop.timers) > 0 && loop.timers[0].due <= loop.now {
+		heap.Pop(&loop.timers).(*Timer).do()
 	}
 }
 
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -2,7 +2,7 @@
 
 // panicking is a program whose loop panics about once a second, before, between or after what an iteration does.
 var panicking = map[string][2]string{
-	"eventloop/loop.go": {"	event()\n	for len(l.received)", "	if l.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	event()\n	if l.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(l.received)"},
+	"eventloop/loop.go": {"	event()\n	for len(loop.received)", "	if loop.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	event()\n	if loop.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(loop.received)"},
 }
 
 // deliberate are changes of the program that break a rule, each to be caught by the oracle as that rule.
