--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -145,9 +145,12 @@
 	c.workPerHint *= growth
 }
 
-// fadeSlowdown lets the slowdown of a replica with nothing in flight return to 1 as seconds pass.
-func (r *replicaState) fadeSlowdown(seconds float64) {
+// slowdownKept is the share of a slowdown's logarithm that an idle replica keeps as seconds pass.
+func slowdownKept(seconds float64) float64 { return math.Exp(-seconds / slowdownFade) }
+
+// fadeSlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is slowdownKept.
+func (r *replicaState) fadeSlowdown(kept float64) {
 	if len(r.outstanding) == 0 {
-		r.slowdown = math.Pow(r.slowdown, math.Exp(-seconds/slowdownFade))
+		r.slowdown = math.Pow(r.slowdown, kept)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -158,13 +158,14 @@
 	}
 	c.slowStart.fade(seconds)
 	c.hedges.forgetLoad(c.now)
+	kept := slowdownKept(seconds)
 	for _, replica := range c.replicas.all {
 		if replica.state == Ready {
 			c.slowStart.readyReplica(replica, c.now)
 		}
 		c.outliers.detect(c.now, replica)
 		c.outliers.releaseLost(c.now, replica)
-		replica.fadeSlowdown(seconds)
+		replica.fadeSlowdown(kept)
 		if replica.state != Removed {
 			replica.lastListedAt = c.now
 		}
