--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -5,21 +5,21 @@
 	"testing"
 	"time"
 
+	"terntray/connpool"
 	"terntray/internal/replicaproto"
+	"terntray/replicaconn"
 )
 
-// A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes on no
-// other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or for a client
-// that has disconnected.
+// A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes
+// on no other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or
+// for a client that has disconnected.
 func TestAttemptBegunWhenItsQueryEndedIsNotBegunAnew(t *testing.T) {
 	for _, disconnects := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		from := c.newClient()
 		c.receive(from, newQuery("q", time.Minute, 0), 0)
 		connEnded := c.loop.Receive() // as good as the end of one that was up and broke
-		for id := range c.fleet.links {
-			c.fleet.pool.ConnUp(c.loop.Now(), id)
-		}
+		c.connect(t, 1)
 		query := c.queriesByRequestID["q"]
 		query.subqueries[0].attempts[0].call.Stage = replicaproto.Begun
 		if disconnects {
@@ -28,19 +28,19 @@
 			c.runIteration(func() { c.Fail(query.id) })
 		}
 		c.runIteration(connEnded)
-		if len(c.fleet.links) > 0 {
+		if c.replicas.Conns() > 0 {
 			t.Errorf("its client disconnects %t: it goes on another connection", disconnects)
 		}
 		c.runPosted()
-		if len(c.fleet.attempts)+len(c.subqueries) > 0 {
+		if len(c.attemptsOut)+len(c.subqueries) > 0 {
 			t.Errorf("its client disconnects %t: %d attempts, %d subqueries are left",
-				disconnects, len(c.fleet.attempts), len(c.subqueries))
+				disconnects, len(c.attemptsOut), len(c.subqueries))
 		}
 	}
 }
 
-// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other goes on no
-// other connection, be it begun or not.
+// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other
+// goes on no other connection, be it begun or not.
 func TestOtherAttemptOfAnAnsweredSubqueryGoesNowhere(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
@@ -53,38 +53,36 @@
 		if begun {
 			other.call.Stage = replicaproto.Begun
 		}
-		firstConn, otherConn := c.connectAll()
-		reply := &replicaproto.Event{
+		const firstConn, otherConn = 1, 2 // a replica gets two attempts of one subquery on two of them
+		c.connect(t, 2)
+		reply := replicaproto.Event{
 			Kind:       replicaproto.Reply,
 			SubqueryID: first.call.SubqueryID,
 			End:        replicaproto.OK,
 			Value:      []byte("v"),
 			Busy:       -1,
 		}
-		c.loop.RunIteration(func() { c.replyReceived(firstConn, reply, c.loop.Now()) }, func() {})
+		input := replicaconn.Input{Events: []replicaproto.Event{reply}, At: c.loop.Now()}
+		c.loop.RunIteration(func() { c.replicas.Received(firstConn, input) }, func() {})
 		if !subquery.answered {
 			t.Fatal("the subquery is not answered")
 		}
-		before := len(c.fleet.links)
-		c.loop.RunIteration(func() { c.linkEnded(otherConn, io.EOF, c.loop.Now()) }, func() {})
+		before := c.replicas.Conns()
+		c.loop.RunIteration(func() { c.replicas.ConnEnded(otherConn, io.EOF, c.loop.Now()) }, func() {})
 		c.loop.RunIteration(func() {}, func() {})
-		if !other.ended || len(c.fleet.links) > before-1 {
-			t.Errorf("begun %t: ended %t, %d connections after %d", begun, other.ended, len(c.fleet.links), before)
+		if !other.ended || c.replicas.Conns() > before-1 {
+			t.Errorf("begun %t: ended %t, %d connections after %d", begun, other.ended, c.replicas.Conns(), before)
 		}
 	}
 }
 
-// connectAll has all connections count as up. A replica gets two attempts of one subquery on two of them: the first and the
-// last that were opened.
-func (c *Coordinator) connectAll() (first, last *link) {
-	for id, conn := range c.fleet.links {
-		c.fleet.pool.ConnUp(c.loop.Now(), id)
-		if first == nil || id < first.id {
-			first = conn
-		}
-		if last == nil || id > last.id {
-			last = conn
-		}
+// connect has all connections count as up, of which there have to be so many. Their ids count from 1.
+func (c *Coordinator) connect(t *testing.T, conns int) {
+	t.Helper()
+	if c.replicas.Conns() != conns {
+		t.Fatalf("%d connections, want %d", c.replicas.Conns(), conns)
+	}
+	for id := range conns {
+		c.replicas.ConnUp(connpool.ConnID(id + 1))
 	}
-	return first, last
 }
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -12,7 +12,7 @@
 // client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
 // time. Tests replace it.
 type client interface {
-	HasGone(now time.Duration) bool
+	HasLeft(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
@@ -28,7 +28,7 @@
 	limits := c.deployment.Limits
 	config := server.Config{Classes: c.serverClasses(), MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
 	if limits.Sockets > 0 {
-		config.ReservedSockets = spare + c.fleet.mostLinks
+		config.ReservedSockets = reservedSockets + maxReplicaConns(limits.Sockets)
 	}
 	return config
 }
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -20,8 +20,9 @@
 	gossipNetwork    = "udp4"
 )
 
-// gossip carries the scheduler's messages between co-ordinators as datagrams. A message that cannot be sent, or comes while
-// too many wait, is lost; the scheduler expects that. Its methods may be called from any goroutine; a nil one sends nothing.
+// gossip carries the scheduler's messages between co-ordinators as datagrams. A message that cannot be sent, or
+// comes while too many wait, is lost; the scheduler expects that. Its methods may be called from any goroutine; a
+// nil one sends nothing.
 type gossip struct {
 	socket *net.UDPConn
 	peers  []netip.AddrPort // by scheduler.PeerIndex
@@ -106,7 +107,7 @@
 	}
 }
 
-// startGossip opens the socket, where the installation file names peers, and reads until it is closed.
+// startGossip opens the socket, where the project's file names peers, and reads until it is closed.
 func (c *Coordinator) startGossip(in config.Gossip) error {
 	opened, err := openGossip(in)
 	if opened == nil {
--- a/coordinator/settings_test.go
+++ b/coordinator/settings_test.go
@@ -47,13 +47,13 @@
 	}
 	c, err := New(d, log.New(io.Discard, "", 0))
 	if err == nil {
-		c.fleet.stop()
+		c.replicas.Stop()
 	}
 	return err
 }
 
-// A deployment states a setting with which nothing could be served. It is named in one line, in place of a process that
-// starts and serves nothing or panics.
+// A deployment states a setting with which nothing could be served. It is named in one line, in place of a process
+// that starts and serves nothing or panics.
 func TestSettingsThatCannotServeAreNamedInOneLine(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"connectTimeout":250000`, `"connectTimeout":0`, "bounds.connectTimeout"},
