--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -139,3 +140,28 @@
 		t.Errorf("%d of 200 admitted within 10 s of a jam", admitted)
 	}
 }
+
+// The lateness factor holds its level where targetLateShare of the queries are late, and stays within its bounds.
+func TestLatenessFactor(t *testing.T) {
+	after := func(queries, late int) float64 {
+		class := &class{latenessFactor: 2}
+		for n := range queries {
+			class.moveLatenessFactor(0, n%queries >= late)
+		}
+		return class.latenessFactor
+	}
+	if level := after(100, 5); math.Abs(level-2) > 1e-9 {
+		t.Errorf("%v where one of twenty is late", level)
+	}
+	if more := after(100, 10); more <= 2 {
+		t.Errorf("%v where one of ten is late", more)
+	}
+	if least, most := after(1000, 0), after(1000, 1000); least != 1 || most != maxLatenessFactor {
+		t.Errorf("from %v to %v", least, most)
+	}
+	class := &class{latenessFactor: 2}
+	class.fadeLatenessFactor(latenessFade)
+	if math.Abs(class.latenessFactor-1-1/math.E) > 1e-9 {
+		t.Errorf("%v after it has faded", class.latenessFactor)
+	}
+}
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -89,3 +89,60 @@
 		t.Errorf("%d subqueries of 20 sent after two steps", len(m.sent))
 	}
 }
+
+// A large query waits while as many attempts are sent as its steps allow, until it has an answer; more after a crash.
+func TestWaitsForCanaries(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		subqueries int
+		query      query
+		age        time.Duration
+		many       bool
+		want       bool
+	}{
+		{"small", canaryThreshold, query{attemptsSent: 1}, 0, true, false},
+		{"large, nothing sent", 2 * canaryThreshold, query{}, 0, true, false},
+		{"large, one sent", 2 * canaryThreshold, query{attemptsSent: 1}, 0, true, true},
+		{"few co-ordinators", 2 * canaryThreshold, query{attemptsSent: 1}, 0, false, false},
+		{"one answered", 2 * canaryThreshold, query{attemptsSent: 1, answered: 1}, 0, true, false},
+		{"one answered after a crash", 2 * canaryThreshold,
+			query{attemptsSent: 2, answered: 1, suspectedCrashes: 1}, 0, true, true},
+		{"second step", 2 * canaryThreshold, query{attemptsSent: 7}, canaryStep, true, false},
+		{"second step, all sent", 2 * canaryThreshold, query{attemptsSent: 8}, canaryStep, true, true},
+	} {
+		test.query.subqueries = make([]*subquery, test.subqueries)
+		if got := test.query.waitsForCanaries(test.age, test.many); got != test.want {
+			t.Errorf("%s: waits %v", test.name, got)
+		}
+	}
+}
+
+// Resets at one replica at one time are one crash, and a reset right after the start none. An answer to a later attempt
+// shows that the replica lives.
+func TestSuspectedCrashes(t *testing.T) {
+	crashed, other := &replicaState{}, &replicaState{}
+	query := &query{}
+	query.connectionReset(time.Second, crashed, staleConnection-1)
+	if query.suspectedDeadly() {
+		t.Error("a stale connection counts as a crash")
+	}
+	query.connectionReset(time.Second, crashed, time.Second)
+	query.connectionReset(time.Second, crashed, time.Second)
+	if query.suspectedCrashes != 1 || !query.suspectedDeadly() {
+		t.Errorf("%v crashes after two resets at once", query.suspectedCrashes)
+	}
+	query.answeredBy(&attempt{replica: other, sentAt: 2 * time.Second})
+	query.answeredBy(&attempt{replica: crashed, sentAt: time.Second})
+	if query.suspectedCrashes != 1 {
+		t.Error("answers of others, or to earlier attempts, clear the suspicion")
+	}
+	query.answeredBy(&attempt{replica: crashed, sentAt: 2 * time.Second})
+	if query.suspectedDeadly() {
+		t.Error("still suspected though the replica answers")
+	}
+	query.connectionReset(3*time.Second, crashed, time.Second)
+	query.connectionReset(4*time.Second, other, time.Second)
+	if query.answered = 4; query.suspectedDeadly() {
+		t.Error("still suspected after two crashes and four answers")
+	}
+}
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -103,3 +103,52 @@
 		t.Errorf("%d attempts of the lost subquery; %d of 120 later ones went in 12 s", len(lost.attempts), answered)
 	}
 }
+
+// A replica is full while it backs off, and at its limit unless it has been silent and sent nothing for a while.
+func TestFull(t *testing.T) {
+	limiter := concurrencyLimiter{parameters: &parameters{timeScale: 1}}
+	const now = 10 * time.Second
+	for _, test := range []struct {
+		name    string
+		replica replicaState
+		want    bool
+	}{
+		{"below its limit", replicaState{limit: 2, outstanding: sentAt(now)}, false},
+		{"at its limit", replicaState{limit: 1, outstanding: sentAt(now)}, true},
+		{"at its limit, sent nothing but answering", replicaState{limit: 1, outstanding: sentAt(0), lastReplyAt: now}, true},
+		{"at its limit, silent", replicaState{limit: 1, outstanding: sentAt(now - silentAfter)}, false},
+		{"just rejected an attempt", replicaState{limit: 9, fullUntil: now + 1}, true},
+		{"rejected an attempt a while ago", replicaState{limit: 9, fullUntil: now}, false},
+	} {
+		if got := limiter.full(now, &test.replica); got != test.want {
+			t.Errorf("%s: full %v", test.name, got)
+		}
+	}
+}
+
+// sentAt is one attempt in flight.
+func sentAt(at time.Duration) []*attempt { return []*attempt{{sentAt: at}} }
+
+// A reply raises the limit by one up to its ceiling, doubles it after a reinstatement, and halves it when latency rises;
+// that no more than once in an interval.
+func TestLimitAfterReplies(t *testing.T) {
+	limiter := concurrencyLimiter{parameters: &parameters{timeScale: 1}}
+	const now, interval = 10 * time.Second, time.Second
+	for _, test := range []struct {
+		name    string
+		replica replicaState
+		want    float64
+	}{
+		{"usual latency", replicaState{limit: 4, limitCeiling: 32, recentLatency: 1, usualLatency: 1}, 5},
+		{"at its ceiling", replicaState{limit: 4, limitCeiling: 4, recentLatency: 1, usualLatency: 1}, 4},
+		{"reinstated", replicaState{limit: 2, limitCeiling: 32, recovering: true, usualLatency: 1}, 4},
+		{"latency rises", replicaState{limit: 4, limitCeiling: 32, recentLatency: 3, usualLatency: 1}, 2},
+		{"just halved", replicaState{limit: 4, recentLatency: 3, usualLatency: 1, limitHalvedAt: now - interval + 1}, 4},
+		{"never below one", replicaState{limit: 1, recentLatency: 3, usualLatency: 1}, 1},
+	} {
+		limiter.replied(now, &test.replica, interval)
+		if test.replica.limit != test.want {
+			t.Errorf("%s: limit %v, want %v", test.name, test.replica.limit, test.want)
+		}
+	}
+}
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -50,3 +50,66 @@
 		t.Errorf("a first try has %v", query.objectiveAt-m.now)
 	}
 }
+
+// A client's retry is told by a smaller share of its deadline than most of late came with, where none came with that.
+func TestClientRetryDetector(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		before []float64
+		share  float64
+		want   bool
+	}{
+		{"first of all", nil, 0.5, false},
+		{"one came with more", []float64{0.8}, 0.5, false},
+		{"several came with more", []float64{0.8, 0.8}, 0.5, true},
+		{"several with a little more", []float64{0.505, 0.505}, 0.5, false},
+		{"several with less", []float64{0.3, 0.3}, 0.5, false},
+		{"one came with as much", []float64{0.8, 0.8, 0.5}, 0.5, false},
+		{"each with a share of its own", []float64{0.9, 0.8, 0.7}, 0.5, false},
+	} {
+		detector := clientRetryDetector{shares: test.before}
+		if got := detector.isRetry(test.share); got != test.want {
+			t.Errorf("%s: a retry %v", test.name, got)
+		}
+	}
+	detector := clientRetryDetector{}
+	for range 10 * keptDeadlines {
+		detector.isRetry(1)
+	}
+	if len(detector.shares) != keptDeadlines {
+		t.Errorf("%d shares kept", len(detector.shares))
+	}
+}
+
+// A query is answered when enough of its weight is, given up shortly before its deadline, and ended at a second crash.
+func TestOutcome(t *testing.T) {
+	const deadline = time.Second
+	class := &class{completeWeight: 0.8, minimumWeight: 0.5}
+	inUse := &replicaState{classes: make([]replicaClassState, 1)}
+	crashed := &replicaState{state: Removed, classes: make([]replicaClassState, 1)}
+	one := []*subquery{{}}
+	for _, test := range []struct {
+		name  string
+		query query
+		now   time.Duration
+		want  outcome
+	}{
+		{"nothing answered", query{subqueries: one}, 0, goesOn},
+		{"enough for an answer, time left", query{subqueries: one, answeredWeight: 0.7}, 0, goesOn},
+		{"complete", query{subqueries: one, answeredWeight: 0.8}, 0, answersNow},
+		{"deadline", query{subqueries: one, answeredWeight: 0.7}, deadline - answerMargin, givesUpNow},
+		{"subqueries to come", query{expectedSubqueries: 2, subqueries: one, answeredWeight: 1}, 0, goesOn},
+		{"subqueries that never came", query{expectedSubqueries: 2, subqueries: one}, deadline, givesUpNow},
+		{"ended", query{ended: true, subqueries: one}, deadline, goesOn},
+		{"one crash", query{subqueries: one, suspectedCrashes: 1, suspectedReplica: inUse}, 0, goesOn},
+		{"two crashes", query{subqueries: one, suspectedCrashes: 2, suspectedReplica: inUse}, 0, givesUpNow},
+		{"its replica is gone", query{subqueries: one, suspectedCrashes: 1, suspectedReplica: crashed}, 0, givesUpNow},
+		{"second phase needs all", query{phase: 1, subqueries: one, answeredWeight: 0.8}, 0, goesOn},
+	} {
+		test.query.class = class
+		test.query.deadlineAt = deadline
+		if got := test.query.outcome(test.now); got != test.want {
+			t.Errorf("%s: outcome %v, want %v", test.name, got, test.want)
+		}
+	}
+}
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -125,3 +126,64 @@
 		t.Error("no hedge of a straggler, long after the last report")
 	}
 }
+
+// A replica's room for hedges is by its own report while that is fresh, else by the mean of all.
+func TestHedgeRoom(t *testing.T) {
+	const now = time.Minute
+	for _, test := range []struct {
+		name       string
+		mean       float64
+		own        float64
+		reportedAt time.Duration
+		want       float64
+	}{
+		{"no report", 0, 0, 0, 1},
+		{"all idle", idleUtilization, 0, 0, 1},
+		{"all busy", busyUtilization, 0, 0, 0},
+		{"all more than busy", 1, 0, 0, 0},
+		{"half way", (idleUtilization + busyUtilization) / 2, 0, 0, 0.5},
+		{"busy itself", 0, 1, now - reportFresh + 1, 0},
+		{"was busy itself", 0, 1, now - reportFresh, 1},
+		{"idle itself", 1, 0, now - 1, 1},
+	} {
+		hedges := hedgePolicy{parameters: &parameters{}, meanUtilization: test.mean}
+		replica := &replicaState{utilization: test.own, utilizationAt: test.reportedAt}
+		if got := hedges.room(now, replica); math.Abs(got-test.want) > 1e-9 {
+			t.Errorf("%s: room %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// An attempt is a straggler after several times its expected time: never while most others are unanswered, sooner in
+// larger queries, and soonest if it is among the last.
+func TestStragglerAge(t *testing.T) {
+	const expected = 100 * ms
+	for _, test := range []struct {
+		name       string
+		subqueries int
+		answered   float64
+		lateness   float64 // mean of the answered ones'
+		want       time.Duration
+	}{
+		{"most unanswered", 12, 8, 1, math.MaxInt64},
+		{"most answered", 12, 9, 1, 600 * ms},
+		{"the others were late as well", 12, 9, 2, 600 * ms * 19 / 10},
+		{"twice as many", 24, 20, 1, 300 * ms},
+		{"very many", 120, 100, 1, 250 * ms},
+		{"the last one", 12, 11, 1, 150 * ms},
+	} {
+		query := &query{
+			subqueries:  make([]*subquery, test.subqueries),
+			answered:    test.answered,
+			latenessSum: test.answered * test.lateness,
+		}
+		straggler := &attempt{
+			subquery: &subquery{query: query},
+			replica:  &replicaState{slowdown: 1},
+			expected: expected,
+		}
+		if got := straggler.stragglerAge(hedgePatience); (got - test.want).Abs() > ms {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -155,3 +156,75 @@
 		t.Error("no probe went in 10 s")
 	}
 }
+
+// A probe goes to an ejected holder that is due for one; a subquery that can go elsewhere is a probe itself only once one
+// is long overdue. Probes become rarer, unless no holder is in use.
+func TestTakeProbe(t *testing.T) {
+	const now = time.Minute
+	for _, test := range []struct {
+		name        string
+		ejected     bool
+		nextProbeAt time.Duration
+		elsewhere   bool
+		attempts    int
+		want        bool
+		interval    time.Duration // to the probe after it
+	}{
+		{"in use", false, 0, true, 1, false, 0},
+		{"not due", true, now + 1, true, 1, false, 0},
+		{"due, beside an attempt", true, now, true, 1, true, 2 * firstProbeInterval},
+		{"due, in place of an attempt elsewhere", true, now, true, 0, false, 0},
+		{"overdue, in place of an attempt elsewhere", true, now - maxProbeInterval, true, 0, true, 2 * firstProbeInterval},
+		{"due, no holder in use", true, now, false, 0, true, firstProbeInterval},
+	} {
+		replicas := newReplicaSet(1, 1)
+		ejected := replicas.newState(now, 0)
+		ejected.state = Ready
+		ejected.classes = []replicaClassState{{ejected: test.ejected}}
+		ejected.nextProbeAt = test.nextProbeAt
+		ejected.probeInterval = firstProbeInterval
+		detector := outlierDetector{
+			parameters: &parameters{timeScale: 1, hedgeAllowed: true},
+			replicas:   &replicas,
+			hasRoom:    func(*replicaState, *subquery) bool { return true },
+		}
+		subquery := &subquery{query: &query{class: &class{}}}
+		if test.elsewhere {
+			subquery.replica = &replicaState{}
+		}
+		for range test.attempts {
+			subquery.attempts = append(subquery.attempts, &attempt{})
+		}
+		got := detector.takeProbe(now, subquery)
+		if (got != nil) != test.want {
+			t.Errorf("%s: probe %v", test.name, got != nil)
+		}
+		if test.want && (ejected.nextProbeAt != now+firstProbeInterval || ejected.probeInterval != test.interval) {
+			t.Errorf("%s: next probe in %v, then after %v", test.name, ejected.nextProbeAt-now, ejected.probeInterval)
+		}
+	}
+}
+
+// Three attempts in a row without an answer eject a replica for their class; those that end at one time count once.
+func TestConsecutiveErrorsEject(t *testing.T) {
+	var logs []string
+	replica := &replicaState{id: 7, classes: make([]replicaClassState, 2)}
+	detector := outlierDetector{
+		parameters: &parameters{timeScale: 1},
+		classes:    2,
+		log:        func(text string) { logs = append(logs, text) },
+	}
+	failing := &class{index: 1}
+	for _, at := range []time.Duration{1, 1, 1, 2, 2, 3} {
+		if replica.ejectedForAny() {
+			t.Fatalf("ejected before the attempts that end at %v", at)
+		}
+		detector.failed(at, replica, failing)
+	}
+	if replica.classes[0].ejected || !replica.classes[1].ejected {
+		t.Errorf("ejected by class: %v", replica.classes)
+	}
+	if want := []string{"replica 7 ejected: brings errors only"}; !slices.Equal(logs, want) {
+		t.Errorf("logs %q", logs)
+	}
+}
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -26,3 +26,34 @@
 		t.Error("the first query of a tenant counts as past its share")
 	}
 }
+
+// A quota allows a burst, refills with time up to that burst, and counts what peers admit.
+func TestTenantQuotas(t *testing.T) {
+	quotas := newTenantQuotas([]float64{4, 0.5})
+	take := func(tenant TenantIndex, count int) (over int) {
+		for range count {
+			if quotas.take(tenant, true) {
+				over++
+			}
+		}
+		return over
+	}
+	if over := take(0, 10); over != 2 {
+		t.Errorf("%d of 10 over a quota with a burst of 8", over)
+	}
+	if over := take(1, 3); over != 1 {
+		t.Errorf("%d of 3 over a small quota, whose burst is 2", over)
+	}
+	quotas.refill(time.Second)
+	quotas.peerTook(0)
+	if over := take(0, 5); over != 2 {
+		t.Errorf("%d of 5 over a quota that had 4 a second later, of which a peer took one", over)
+	}
+	quotas.refill(time.Hour)
+	if over := take(0, 10); over != 2 {
+		t.Errorf("%d of 10 over after a long time", over)
+	}
+	if quotas.take(0, false) || quotas.take(7, true) {
+		t.Error("over a quota that is not enforced, or not known")
+	}
+}
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"terntray/invariant"
 )
 
 // While connections are slow to open each holder may be unreachable once. The subquery's last attempt waits for a
@@ -57,3 +59,69 @@
 		t.Errorf("%d attempts, the first has %v for work of %v", len(attempts), attempts[0].timeout, work)
 	}
 }
+
+// Whether a subquery may be sent again depends on its class's effect and on how its attempts ended.
+func TestAllowsRepeat(t *testing.T) {
+	const window = time.Second
+	neverRan := &attempt{ended: true}
+	mayHaveRun := &attempt{ended: true, mayHaveRun: true}
+	inFlight := &attempt{}
+	for _, test := range []struct {
+		name     string
+		effect   invariant.Effect
+		attempts []*attempt
+		now      time.Duration
+		want     bool
+	}{
+		{"first", invariant.NonIdempotent, nil, 0, true},
+		{"non-idempotent, never ran", invariant.NonIdempotent, []*attempt{neverRan}, 0, true},
+		{"non-idempotent, may have run", invariant.NonIdempotent, []*attempt{neverRan, mayHaveRun}, 0, false},
+		{"non-idempotent, in flight", invariant.NonIdempotent, []*attempt{inFlight}, 0, false},
+		{"keyed, in its window", invariant.Keyed, []*attempt{mayHaveRun}, window - 1, true},
+		{"keyed, after its window", invariant.Keyed, []*attempt{mayHaveRun}, window, false},
+		{"keyed, never ran, after its window", invariant.Keyed, []*attempt{neverRan}, window, true},
+		{"idempotent", invariant.Idempotent, []*attempt{mayHaveRun, inFlight}, window, true},
+		{"idempotent, no attempt left", invariant.Idempotent, []*attempt{neverRan, neverRan, neverRan}, 0, false},
+	} {
+		budget := retryBudget{parameters: &parameters{maxAttempts: 3}}
+		class := &class{effect: test.effect, keyWindow: window}
+		subquery := &subquery{query: &query{class: class}, attempts: test.attempts}
+		if got := budget.allowsRepeat(test.now, subquery); got != test.want {
+			t.Errorf("%s: allowed %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// The retry budget is a number of retries and a share of the arrivals, within its span.
+func TestRetryBudget(t *testing.T) {
+	for _, test := range []struct {
+		arrivals, retries int
+		span              time.Duration
+		want              bool
+	}{
+		{0, 0, time.Second, true},
+		{0, 1, time.Second, true},
+		{0, 2, time.Second, false},
+		{9, 2, time.Second, false},
+		{10, 2, time.Second, true},
+		{0, 1000, 0, true},
+	} {
+		budget := retryBudget{parameters: &parameters{
+			retryBudgetSpan: test.span, retryBudgetFree: 2, retryBudgetShare: 0.1, maxAttempts: 3,
+		}}
+		for range test.arrivals {
+			budget.subqueryArrived(0)
+		}
+		replica := &replicaState{}
+		for range test.retries {
+			budget.sent(0, &subquery{isRetry: true}, replica)
+		}
+		if got := budget.hasRoom(); got != test.want {
+			t.Errorf("%d arrivals, %d retries in %v: room %v", test.arrivals, test.retries, test.span, got)
+		}
+		budget.expire(test.span + 1)
+		if test.span > 0 && (len(budget.arrivals)+len(budget.extras) > 0 || !budget.hasRoom()) {
+			t.Errorf("%d arrivals and %d retries count after the span", len(budget.arrivals), len(budget.extras))
+		}
+	}
+}
