--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -39,7 +39,19 @@
 	overQuotaShare = 0.3 // of the time to the objective that a query beyond its tenant's quota may expect
 )
 
-// admissionController decides whether a new query is admitted. Its state for each class is in class.
+// classAdmission is the state of admission control for one class.
+type classAdmission struct {
+	latenessFactor float64       // times the expected time that queries are taken to need, at least 1
+	lastJudgedAt   time.Duration // when a query last moved latenessFactor
+	lastLateAt     time.Duration // when a new query was last expected to be late; 0: never
+
+	// Probes of the estimate.
+	probeLimit    float64       // that may be in flight at a replica
+	nextProbeAt   time.Duration // from when one may be admitted
+	probeInterval time.Duration // from a late one to the next
+}
+
+// admissionController decides whether a new query is admitted. Its state for each class is in classAdmission.
 type admissionController struct {
 	parameters     *parameters
 	estimates      *latencyEstimator
@@ -85,7 +97,7 @@
 		fetchFactor = a.estimates.slowestFactor(query.class.fetchSubqueries)
 		left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
 	}
-	bound = scale(left, 1/(query.class.latenessFactor*unseenLoad))
+	bound = scale(left, 1/(query.class.admission.latenessFactor*unseenLoad))
 	if query.overQuota {
 		bound = scale(bound, overQuotaShare)
 	}
@@ -128,23 +140,23 @@
 func (a *admissionController) admitAsProbe(
 	now time.Duration, query *query, placed []*subquery, bound time.Duration,
 ) bool {
-	class := query.class
-	if class.lastRejectedAt == 0 || now > class.lastRejectedAt+sheddingQuiet {
+	state := &query.class.admission
+	if state.lastLateAt == 0 || now > state.lastLateAt+sheddingQuiet {
 		wait := scale(firstAdmissionProbe, a.probeIntervalFactor(query))
-		class.probeLimit = 1
-		class.probeInterval = wait
-		class.nextProbeAt = now + wait
+		state.probeLimit = 1
+		state.probeInterval = wait
+		state.nextProbeAt = now + wait
 	}
-	class.lastRejectedAt = now
-	bound = scale(bound, class.latenessFactor) // the lateness factor fades by itself and needs no probe
+	state.lastLateAt = now
+	bound = scale(bound, state.latenessFactor) // the lateness factor fades by itself and needs no probe
 	tooSlow := func(subquery *subquery) bool {
 		return subquery.replica != nil && a.finish(now, subquery.replica) > bound
 	}
 	worthProbing := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
 	probed := func(subquery *subquery) bool {
-		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= class.probeLimit
+		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= state.probeLimit
 	}
-	query.admittedAsProbe = now >= class.nextProbeAt &&
+	query.admittedAsProbe = now >= state.nextProbeAt &&
 		slices.ContainsFunc(placed, worthProbing) && !slices.ContainsFunc(placed, probed)
 	return query.admittedAsProbe
 }
@@ -180,27 +192,27 @@
 	rejectedOnArrival := now <= query.arrivedAt
 	lateProbe := query.admittedAsProbe && !inTime
 	if !rejectedOnArrival && !lateProbe {
-		query.class.moveLatenessFactor(now, inTime)
+		query.class.admission.moveLatenessFactor(now, inTime)
 	}
 }
 
 // judgeProbe lets more probes go after one in time; after a late one it waits, longer each time.
 func (a *admissionController) judgeProbe(now time.Duration, query *query, inTime bool) {
-	class := query.class
+	state := &query.class.admission
 	factor := a.probeIntervalFactor(query)
 	if inTime {
-		class.probeLimit = min(maxProbeLimit, 2*class.probeLimit)
-		class.probeInterval = scale(firstAdmissionProbe, factor)
+		state.probeLimit = min(maxProbeLimit, 2*state.probeLimit)
+		state.probeInterval = scale(firstAdmissionProbe, factor)
 		return
 	}
-	class.probeLimit = 1
-	class.nextProbeAt = now + class.probeInterval
-	class.probeInterval = min(scale(maxAdmissionProbe, factor), 2*class.probeInterval)
+	state.probeLimit = 1
+	state.nextProbeAt = now + state.probeInterval
+	state.probeInterval = min(scale(maxAdmissionProbe, factor), 2*state.probeInterval)
 }
 
 // moveLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
 // targetLateShare.
-func (c *class) moveLatenessFactor(now time.Duration, inTime bool) {
+func (c *classAdmission) moveLatenessFactor(now time.Duration, inTime bool) {
 	direction := 1 - targetLateShare
 	if inTime {
 		direction = -targetLateShare
@@ -211,6 +223,6 @@
 }
 
 // fadeLatenessFactor lets the factor return to 1 as seconds pass.
-func (c *class) fadeLatenessFactor(seconds float64) {
+func (c *classAdmission) fadeLatenessFactor(seconds float64) {
 	c.latenessFactor = 1 + (c.latenessFactor-1)*math.Exp(-seconds/latenessFade)
 }
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -18,8 +18,8 @@
 		m.scheduler.ClientDisconnects(m.now, query.id)
 		m.iterate()
 	}
-	if m.rejected > 0 || m.scheduler.classes[0].latenessFactor > 1 {
-		t.Errorf("%d rejected, expected to take %v times as long", m.rejected, m.scheduler.classes[0].latenessFactor)
+	if m.rejected > 0 || m.scheduler.classes[0].admission.latenessFactor > 1 {
+		t.Errorf("%d rejected, expected to take %v times as long", m.rejected, m.scheduler.classes[0].admission.latenessFactor)
 	}
 }
 
@@ -31,8 +31,8 @@
 	query := m.newQuery(0, 1, 3*time.Second)
 	m.iterate()
 	m.pass(1100 * ms)
-	if m.scheduler.classes[0].latenessFactor < 1.5 || query.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v", m.scheduler.classes[0].latenessFactor, query.ended)
+	if m.scheduler.classes[0].admission.latenessFactor < 1.5 || query.ended {
+		t.Errorf("%.2f times the expected after a late one, ended %v", m.scheduler.classes[0].admission.latenessFactor, query.ended)
 	}
 }
 
@@ -144,7 +144,7 @@
 // The lateness factor holds its level where targetLateShare of the queries are late, and stays within its bounds.
 func TestLatenessFactor(t *testing.T) {
 	after := func(queries, late int) float64 {
-		class := &class{latenessFactor: 2}
+		class := &classAdmission{latenessFactor: 2}
 		for n := range queries {
 			class.moveLatenessFactor(0, n%queries >= late)
 		}
@@ -159,7 +159,7 @@
 	if least, most := after(1000, 0), after(1000, 1000); least != 1 || most != maxLatenessFactor {
 		t.Errorf("from %v to %v", least, most)
 	}
-	class := &class{latenessFactor: 2}
+	class := &classAdmission{latenessFactor: 2}
 	class.fadeLatenessFactor(latenessFade)
 	if math.Abs(class.latenessFactor-1-1/math.E) > 1e-9 {
 		t.Errorf("%v after it has faded", class.latenessFactor)
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -20,28 +20,35 @@
 	staleConnection = 6 * time.Millisecond
 )
 
+// crashSuspicion is what speaks for a query crashing the replicas that work on it.
+type crashSuspicion struct {
+	count   float64       // of replicas that seemed to crash under the present phase
+	lastAt  time.Duration // when the last of them did
+	replica *replicaState // which one that was
+}
+
 // suspectedDeadly tells whether a query may crash the replicas that work on it.
 func (q *query) suspectedDeadly() bool {
-	return q.suspectedCrashes > 0 && q.answered < answersPerCrash*q.suspectedCrashes
+	return q.crashes.count > 0 && q.answered < answersPerCrash*q.crashes.count
 }
 
 // connectionReset takes that a connection was reset under an attempt that took so long. Several at one replica at one
 // time count as one crash.
 func (q *query) connectionReset(now time.Duration, replica *replicaState, took time.Duration) {
-	counted := q.suspectedCrashAt == now && q.suspectedReplica == replica
+	counted := q.crashes.lastAt == now && q.crashes.replica == replica
 	if took < staleConnection || counted {
 		return
 	}
-	q.suspectedCrashes++
-	q.suspectedCrashAt = now
-	q.suspectedReplica = replica
+	q.crashes.count++
+	q.crashes.lastAt = now
+	q.crashes.replica = replica
 }
 
 // answeredBy takes that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
 // was sent, it lives: the connection alone was lost.
 func (q *query) answeredBy(attempt *attempt) {
-	if attempt.replica == q.suspectedReplica && attempt.sentAt > q.suspectedCrashAt {
-		q.suspectedCrashes = 0
+	if attempt.replica == q.crashes.replica && attempt.sentAt > q.crashes.lastAt {
+		q.crashes.count = 0
 	}
 }
 
@@ -51,7 +58,7 @@
 	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
 		return false
 	}
-	if q.answered >= 1+2*q.suspectedCrashes {
+	if q.answered >= 1+2*q.crashes.count {
 		return false
 	}
 	steps := math.Floor(float64(now-q.arrivedAt) / float64(canaryStep))
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -106,7 +106,7 @@
 		{"few co-ordinators", 2 * canaryThreshold, query{attemptsSent: 1}, 0, false, false},
 		{"one answered", 2 * canaryThreshold, query{attemptsSent: 1, answered: 1}, 0, true, false},
 		{"one answered after a crash", 2 * canaryThreshold,
-			query{attemptsSent: 2, answered: 1, suspectedCrashes: 1}, 0, true, true},
+			query{attemptsSent: 2, answered: 1, crashes: crashSuspicion{count: 1}}, 0, true, true},
 		{"second step", 2 * canaryThreshold, query{attemptsSent: 7}, canaryStep, true, false},
 		{"second step, all sent", 2 * canaryThreshold, query{attemptsSent: 8}, canaryStep, true, true},
 	} {
@@ -128,12 +128,12 @@
 	}
 	query.connectionReset(time.Second, crashed, time.Second)
 	query.connectionReset(time.Second, crashed, time.Second)
-	if query.suspectedCrashes != 1 || !query.suspectedDeadly() {
-		t.Errorf("%v crashes after two resets at once", query.suspectedCrashes)
+	if query.crashes.count != 1 || !query.suspectedDeadly() {
+		t.Errorf("%v crashes after two resets at once", query.crashes.count)
 	}
 	query.answeredBy(&attempt{replica: other, sentAt: 2 * time.Second})
 	query.answeredBy(&attempt{replica: crashed, sentAt: time.Second})
-	if query.suspectedCrashes != 1 {
+	if query.crashes.count != 1 {
 		t.Error("answers of others, or to earlier attempts, clear the suspicion")
 	}
 	query.answeredBy(&attempt{replica: crashed, sentAt: 2 * time.Second})
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -129,8 +129,8 @@
 // sentAt is one attempt in flight.
 func sentAt(at time.Duration) []*attempt { return []*attempt{{sentAt: at}} }
 
-// A reply raises the limit by one up to its ceiling, doubles it after a reinstatement, and halves it when latency rises;
-// that no more than once in an interval.
+// A reply raises the limit by one up to its ceiling, doubles it after a reinstatement, and halves it when latency
+// rises; that no more than once in an interval.
 func TestLimitAfterReplies(t *testing.T) {
 	limiter := concurrencyLimiter{parameters: &parameters{timeScale: 1}}
 	const now, interval = 10 * time.Second, time.Second
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -93,7 +93,7 @@
 // isDeadly tells whether a query that is suspected of crashing replicas must end: at a second crash, or as the replica
 // that seemed to crash is not in use.
 func (q *query) isDeadly() bool {
-	return q.suspectedDeadly() && (q.suspectedCrashes > 1 || !q.suspectedReplica.inUse(q.class))
+	return q.suspectedDeadly() && (q.crashes.count > 1 || !q.crashes.replica.inUse(q.class))
 }
 
 // settle ends a query, or its phase, if that is due.
@@ -177,7 +177,7 @@
 	query.answered = 0
 	query.latenessSum = 0
 	query.attemptsSent = 0
-	query.suspectedCrashes = 0
+	query.crashes.count = 0
 }
 
 // abandon sends nothing more for a subquery, and cancels what is in flight for it.
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -101,9 +101,9 @@
 		{"subqueries to come", query{expectedSubqueries: 2, subqueries: one, answeredWeight: 1}, 0, goesOn},
 		{"subqueries that never came", query{expectedSubqueries: 2, subqueries: one}, deadline, givesUpNow},
 		{"ended", query{ended: true, subqueries: one}, deadline, goesOn},
-		{"one crash", query{subqueries: one, suspectedCrashes: 1, suspectedReplica: inUse}, 0, goesOn},
-		{"two crashes", query{subqueries: one, suspectedCrashes: 2, suspectedReplica: inUse}, 0, givesUpNow},
-		{"its replica is gone", query{subqueries: one, suspectedCrashes: 1, suspectedReplica: crashed}, 0, givesUpNow},
+		{"one crash", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: inUse}}, 0, goesOn},
+		{"two crashes", query{subqueries: one, crashes: crashSuspicion{count: 2, replica: inUse}}, 0, givesUpNow},
+		{"its replica is gone", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: crashed}}, 0, givesUpNow},
 		{"second phase needs all", query{phase: 1, subqueries: one, answeredWeight: 0.8}, 0, goesOn},
 	} {
 		test.query.class = class
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -21,7 +21,7 @@
 	var all []ClassEstimate
 	for n := range c.classes {
 		t := &c.classes[n]
-		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.latenessFactor, ProbeLimit: t.probeLimit})
+		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.admission.latenessFactor, ProbeLimit: t.admission.probeLimit})
 	}
 	return all
 }
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -375,7 +375,7 @@
 		before := len(m.wakeups)
 		m.wakeups = slices.DeleteFunc(m.wakeups, func(at time.Duration) bool { return at <= m.now })
 		if len(m.wakeups) < before {
-			m.scheduler.Wakeup(m.now, "look")
+			m.scheduler.Wakeup(m.now, wakeupName)
 			m.iterate()
 		}
 		for _, attempt := range m.inFlight() {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -139,7 +139,7 @@
 	probes := 0
 	for range 100 {
 		m.nextShard = 0
-		m.scheduler.classes[0].latenessFactor = maxLatenessFactor
+		m.scheduler.classes[0].admission.latenessFactor = maxLatenessFactor
 		m.scheduler.classes[0].subqueryWork = 300 * ms
 		query := m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
@@ -157,8 +157,8 @@
 	}
 }
 
-// A probe goes to an ejected holder that is due for one; a subquery that can go elsewhere is a probe itself only once one
-// is long overdue. Probes become rarer, unless no holder is in use.
+// A probe goes to an ejected holder that is due for one; a subquery that can go elsewhere is a probe itself only once
+// one is long overdue. Probes become rarer, unless no holder is in use.
 func TestTakeProbe(t *testing.T) {
 	const now = time.Minute
 	for _, test := range []struct {
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -31,7 +31,6 @@
 // parameters are the settings in the form that the policies use, and what follows from settings alone. They do not
 // change while the Scheduler lives.
 type parameters struct {
-	selfIndex     int // this co-ordinator's number among all, from 0
 	coordinators  int // how many there are
 	cells         int // how many there are
 	cellsPerShard int // successive cells that hold a shard
@@ -73,7 +72,6 @@
 // newParameters derives them from a valid Config.
 func newParameters(config *Config) parameters {
 	derived := parameters{
-		selfIndex:     config.SelfIndex,
 		coordinators:  config.Coordinators,
 		cells:         config.Cells,
 		cellsPerShard: config.CellsPerShard,
@@ -143,7 +141,7 @@
 			fetchSubqueries:  config.FetchSubqueries,
 			subqueryWork:     scale(config.Objective, initialUnitShare),
 			workPerHint:      1,
-			latenessFactor:   1,
+			admission:        classAdmission{latenessFactor: 1},
 		})
 	}
 	return classes
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -28,13 +28,7 @@
 	subqueryWork time.Duration // expected work of a subquery without a hint
 	workPerHint  float64       // expected work, for each unit of hint
 
-	// Admission control.
-	latenessFactor float64       // times the expected time that queries are taken to need, at least 1
-	lastJudgedAt   time.Duration // when a query last moved latenessFactor
-	lastRejectedAt time.Duration // when a query was last found too late for its objective; 0: never
-	probeLimit     float64       // queries that may be in flight against the estimate, at a replica
-	nextProbeAt    time.Duration // from when a query may be admitted against the estimate
-	probeInterval  time.Duration // from a late one of these to the next
+	admission classAdmission
 }
 
 // query is a client's query that is open.
@@ -68,10 +62,7 @@
 
 	attemptsUsed map[ShardNumber]int // attempts of earlier phases
 
-	// Suspicion that it crashes the replicas that work on it; see canary.go.
-	suspectedCrashes float64
-	suspectedCrashAt time.Duration // the last of them
-	suspectedReplica *replicaState // where that was
+	crashes crashSuspicion
 }
 
 // subquery is one shard's part of a query's present phase.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -14,6 +14,8 @@
 const (
 	tickInterval = 10 * time.Millisecond // between looks at the clock: short beside any subquery's work
 
+	wakeupName = "look" // told to the host and back with each wakeup
+
 	// fewOpen is the number of open queries up to which all are looked at in each iteration.
 	fewOpen = 64
 )
@@ -154,7 +156,7 @@
 	c.lastTickAt = c.now
 	c.quotas.refill(passed)
 	for index := range c.classes {
-		c.classes[index].fadeLatenessFactor(seconds)
+		c.classes[index].admission.fadeLatenessFactor(seconds)
 	}
 	c.slowStart.fade(seconds)
 	c.hedges.forgetLoad(c.now)
@@ -228,7 +230,7 @@
 func (c *Scheduler) wakeBy(at time.Duration) {
 	if at < c.wakeupAt {
 		c.wakeupAt = max(at, c.now+time.Millisecond)
-		c.host.ScheduleWakeup("look", c.wakeupAt-c.now)
+		c.host.ScheduleWakeup(wakeupName, c.wakeupAt-c.now)
 	}
 }
 
