--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -77,13 +77,14 @@
 func (c *Scheduler) StartNextPhase(now time.Duration, id RequestID, subqueries int) {
 	c.clock(now)
 	query := c.queriesByID[id]
-	switch {
-	case query == nil:
-	case subqueries == 0:
+	if query == nil {
+		return
+	}
+	if subqueries == 0 {
 		c.end(query, now <= query.objectiveAt)
-	default:
-		c.startPhase(query, subqueries)
+		return
 	}
+	c.startPhase(query, subqueries)
 }
 
 // ClientDisconnects tells that nobody waits for a query any more. It does not count as late: that says nothing of the
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -114,8 +114,10 @@
 	for index, attempt := range replica.outstanding {
 		class := attempt.subquery.query.class
 		state := replica.forClass(class)
+		if state.ejected {
+			continue
+		}
 		switch {
-		case state.ejected:
 		case d.hangs(now, attempt) && state.lastReplyAt < attempt.sentAt && d.canSpare(replica, class):
 			d.eject(now, replica, class, ejectedOneClass)
 		case index == 0 && d.silent(now, attempt) && d.canSpare(replica, class):
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -78,18 +78,23 @@
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
 	further := !first || subquery.isRetry
-	switch {
-	case c.tooLate(subquery, round.queuedAhead) || further && !c.retries.allowsRepeat(c.now, subquery):
+	if c.tooLate(subquery, round.queuedAhead) || further && !c.retries.allowsRepeat(c.now, subquery) {
 		c.abandon(subquery)
 		c.giveUpIfHopeless(subquery.query)
-	case (first || replica == nil) && c.probe(subquery):
-	case replica == nil:
-	case round.blocked[replica.index] || c.mustWait(subquery, replica):
+		return
+	}
+	if (first || replica == nil) && c.probe(subquery) {
+		return
+	}
+	if replica == nil {
+		return // no holder is in use
+	}
+	if round.blocked[replica.index] || c.mustWait(subquery, replica) {
 		round.passOver(subquery)
-	default:
-		c.startAttempt(subquery, replica)
-		c.probe(subquery)
+		return
 	}
+	c.startAttempt(subquery, replica)
+	c.probe(subquery) // of an ejected holder, beside the attempt
 }
 
 // mustWait tells whether a queued subquery cannot be sent to its replica now.
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -19,7 +19,7 @@
 		c.attemptSucceeded(ended, result.Took)
 	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
 		c.attemptFailed(ended, result.Outcome, result.Took)
-	case Cancelled, NeverSent:
+	case Cancelled, NeverSent: // says nothing of the replica
 	}
 	c.continueSubquery(subquery)
 }
@@ -93,8 +93,10 @@
 
 // continueSubquery queues a subquery for a retry after the end of an attempt, or abandons it if it may have none.
 func (c *Scheduler) continueSubquery(subquery *subquery) {
+	if subquery.inFlight() || subquery.queued {
+		return
+	}
 	switch {
-	case subquery.inFlight() || subquery.queued:
 	case subquery.answered || subquery.abandoned:
 		delete(c.subqueries, subquery.id)
 	case c.retries.allowsRepeat(c.now, subquery):
