--- a/internal/faultbuild/faultbuild_test.go
+++ b/internal/faultbuild/faultbuild_test.go
@@ -14,7 +14,7 @@
 	if err := Build(module, "./cmd/terntray", filepath.Join(t.TempDir(), "terntray"), nil); err != nil {
 		t.Error(err)
 	}
-	bad := map[string][2]string{"cmd/terntray/main.go": {"no such text", ""}}
+	bad := []Patch{{File: "cmd/terntray/main.go", Old: "no such text"}}
 	if Build(module, "./cmd/terntray", filepath.Join(t.TempDir(), "terntray"), bad) == nil {
 		t.Error("a patch that fits nowhere passes")
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -2,266 +2,217 @@
 
 import (
 	"bufio"
-	"encoding/json"
-	"fmt"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strings"
 	"time"
 )
 
-// clientConn is a client's connection to one life of a co-ordinator.
-type clientConn struct {
-	net.Conn
-	in          *bufio.Reader
-	coordinator *coordinator
-	life        *life
-	carried     int // requests so far
-}
+const (
+	maxKeptConns = 3 // connections that a client keeps for later requests
+
+	usualPause = 110 * time.Millisecond  // longest pause between requests
+	restPause  = 2500 * time.Millisecond // longest, when the client rests
+	burstSpeed = 6                       // times as fast as usual
+
+	requestWriteTime = 2 * time.Second
+	answerWait       = 1500 * time.Millisecond // beyond the deadline, for an answer that is later than any may be
+	halfRequestWait  = 3 * time.Second         // for half a request to get its error or close
+	halfRequestSpare = 500 * time.Millisecond  // to see what comes after halfRequestWait
+)
 
-// client asks, one request at a time, until the soak has no more time for another.
+// client sends requests, one at a time, until the soak has no more time for another. Its source of chance decides all
+// that it does; the order of its draws is part of a seed's plan.
 type client struct {
 	soak   *Soak
 	name   string
-	chance *rand.Rand
+	random *rand.Rand
 	kept   []*clientConn
-	asked  int
+	made   int // requests so far
 }
 
+// exchange is what became of a request's connection.
+type exchange int
+
 const (
-	mostKept    = 3
-	answerWaits = 1500 * time.Millisecond // beyond the deadline, for an answer that is later than any may be
-	halfWaits   = 3 * time.Second         // for half a request to get its error or close
+	connectionOver  exchange = iota
+	connectionLasts          // it can carry another request
+	requestUnread            // it was closed before the request can have been read
 )
 
-func (k *client) run() {
-	for k.soak.now() < k.soak.options.Lasts {
-		k.once()
-		k.pause()
+func (c *client) run() {
+	for c.soak.now() < c.soak.end {
+		c.sendOnce()
+		c.pause()
 	}
-	for _, conn := range k.kept {
+	for _, conn := range c.kept {
 		conn.Close()
 	}
 }
 
-// pause is what the client does between requests.
-func (k *client) pause() {
-	most := 110 * time.Millisecond
-	if k.soak.burst.Load() {
-		most /= 6
+func (c *client) pause() {
+	longest := usualPause
+	if c.soak.burst.Load() {
+		longest /= burstSpeed
 	}
-	if k.chance.IntN(40) == 0 {
-		most = 2500 * time.Millisecond // it rests
+	if c.random.IntN(40) == 0 {
+		longest = restPause
 	}
-	time.Sleep(time.Duration(k.chance.Int64N(int64(most))))
+	time.Sleep(between(c.random, 0, longest))
 }
 
-// once asks once.
-func (k *client) once() {
-	conn := k.connection()
+// sendOnce sends a request or half of one. A request that crossed the connection's close is sent once more, on a new
+// connection.
+func (c *client) sendOnce() {
+	conn := c.connection()
 	if conn == nil {
 		return
 	}
-	if k.chance.IntN(60) == 0 {
-		k.half(conn)
+	if c.random.IntN(60) == 0 {
+		c.sendHalf(conn)
 		return
 	}
-	goesOn, unread := k.ask(conn, k.query(conn))
-	if unread { // the close crossed a request that was not read: it is sent once more, on a new connection
-		if conn = k.dial(); conn != nil {
-			goesOn, _ = k.ask(conn, k.query(conn))
+	outcome := c.exchange(conn, c.newRequest(conn))
+	if outcome == requestUnread {
+		conn = c.dial()
+		if conn == nil {
+			return
 		}
+		outcome = c.exchange(conn, c.newRequest(conn))
 	}
-	if goesOn && len(k.kept) < mostKept && k.chance.IntN(5) > 0 {
-		k.kept = append(k.kept, conn)
+	if outcome == connectionLasts && len(c.kept) < maxKeptConns && c.random.IntN(5) > 0 {
+		c.kept = append(c.kept, conn)
 		return
 	}
-	if conn != nil {
-		conn.Close()
-	}
-}
-
-// connection is one that is kept, or a new one.
-func (k *client) connection() *clientConn {
-	if len(k.kept) > 0 && k.chance.IntN(4) > 0 {
-		n := k.chance.IntN(len(k.kept))
-		conn := k.kept[n]
-		k.kept = append(k.kept[:n], k.kept[n+1:]...)
-		return conn
-	}
-	return k.dial()
+	conn.Close()
 }
 
-// dial opens a connection to a co-ordinator that the front knows; nil if there is none.
-func (k *client) dial() *clientConn {
-	for range 2 * coordinatorCount {
-		if conn := k.dialTo(k.soak.coordinators[k.chance.IntN(coordinatorCount)]); conn != nil {
-			return conn
+// exchange sends a request and takes what comes.
+func (c *client) exchange(conn *clientConn, request *request) exchange {
+	conn.carried++
+	if !c.write(conn, request.text()) {
+		conn.Close()
+		if request.reused {
+			return requestUnread
 		}
+		return connectionOver
 	}
-	return nil
-}
-
-// dialTo opens a connection to a co-ordinator; nil if it takes none.
-func (k *client) dialTo(c *coordinator) *clientConn {
-	life, addr := c.takes()
-	if life == nil {
-		return nil
+	request.sent = c.soak.now()
+	c.soak.ledger.addRequest(request)
+	if c.drawLeaving() {
+		c.leave(conn, request)
+		return connectionOver
 	}
-	conn, err := net.DialTimeout("tcp", addr, time.Second)
+	conn.SetReadDeadline(time.Now().Add(request.deadline + answerWait))
+	response, answer, err := readResponse(conn.in)
+	answer.at = c.soak.now()
 	if err != nil {
-		return nil
-	}
-	return &clientConn{Conn: conn, in: bufio.NewReader(conn), coordinator: c, life: life}
-}
-
-// query makes a request.
-func (k *client) query(conn *clientConn) *request {
-	k.asked++
-	of := classes[k.chance.IntN(len(classes))]
-	r := &request{id: fmt.Sprintf("%s-%d", k.name, k.asked), class: of, coordinator: conn.coordinator, life: conn.life,
-		reused: conn.carried > 0, deadline: of.deadline}
-	switch k.chance.IntN(10) {
-	case 0:
-		r.deadline = time.Duration(20+k.chance.IntN(150)) * time.Millisecond
-	case 1:
-		r.deadline = time.Duration(200+k.chance.IntN(500)) * time.Millisecond
+		conn.Close()
+		return c.noteClose(request, answer.at)
 	}
-	r.shards = k.chance.Perm(shardCount)[:1+k.chance.IntN(5)]
-	return r
+	trailing := conn.in.Buffered()
+	c.soak.ledger.update(func() {
+		request.answers = append(request.answers, answer)
+		request.trailingBytes = trailing
+	})
+	if response.Close {
+		return connectionOver
+	}
+	return connectionLasts
 }
 
-func (r *request) text() string {
-	var segments []string
-	for _, shard := range r.shards {
-		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, shard, 1/float64(len(r.shards))))
+// noteClose notes that a connection ended without an answer. A request on a connection that had carried others, and of
+// which no replica has seen anything, may have crossed the close: it counts as not sent here.
+func (c *client) noteClose(request *request, at time.Duration) exchange {
+	unread := request.reused && !c.soak.ledger.attempted(request.id)
+	c.soak.ledger.update(func() {
+		request.closed = at
+		if unread {
+			request.left = request.sent
+		}
+	})
+	if unread {
+		return requestUnread
 	}
-	body := fmt.Sprintf(`{"segments":[%s],"text":"t%s"}`, strings.Join(segments, ","), r.id)
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		r.class.name, r.id, r.deadline.Seconds(), len(body), body)
+	return connectionOver
 }
 
-// ask sends a request and takes what comes. It tells whether the connection goes on, and whether it was closed before the
-// request can have been read.
-func (k *client) ask(conn *clientConn, r *request) (goesOn, unread bool) {
-	conn.carried++
-	if !k.send(conn, r.text()) {
-		conn.Close()
-		return false, r.reused
-	}
-	r.sent = k.soak.now()
-	k.soak.ledger.asked(r)
-	leaves := 12
-	if k.soak.leaving.Load() {
-		leaves = 2
-	}
-	if k.chance.IntN(leaves) == 0 {
-		k.leave(conn, r)
-		return false, false
-	}
-	conn.SetReadDeadline(time.Now().Add(r.deadline + answerWaits))
-	response, err := http.ReadResponse(conn.in, nil)
-	a := answer{}
-	if err == nil {
-		a, err = readAnswer(response)
-	}
-	a.at = k.soak.now()
-	if err != nil {
-		conn.Close()
-		attempted := k.soak.ledger.attempted(r.id)
-		k.soak.ledger.change(func() { r.done, r.closed = true, a.at })
-		if r.reused && !attempted {
-			k.soak.ledger.change(func() { r.gone = r.sent }) // it counts as not sent here
-			return false, true
-		}
-		return false, false
+// drawLeaving tells whether the client leaves before its answer.
+func (c *client) drawLeaving() bool {
+	oneOf := 12
+	if c.soak.clientsLeaving.Load() {
+		oneOf = 2
 	}
-	trailing := conn.in.Buffered()
-	k.soak.ledger.change(func() { r.done, r.answers, r.trailing = true, append(r.answers, a), trailing })
-	return !response.Close, false
+	return c.random.IntN(oneOf) == 0
 }
 
-// send writes in one go, or in pieces.
-func (k *client) send(conn *clientConn, text string) bool {
-	conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
-	if k.chance.IntN(8) > 0 {
+// write writes in one go, or in pieces.
+func (c *client) write(conn *clientConn, text string) bool {
+	conn.SetWriteDeadline(time.Now().Add(requestWriteTime))
+	if c.random.IntN(8) > 0 {
 		_, err := io.WriteString(conn, text)
 		return err == nil
 	}
 	for len(text) > 0 {
-		n := min(len(text), 1+k.chance.IntN(120))
+		n := min(len(text), 1+c.random.IntN(120))
 		if _, err := io.WriteString(conn, text[:n]); err != nil {
 			return false
 		}
-		if text = text[n:]; text != "" {
-			time.Sleep(time.Duration(k.chance.IntN(40)) * time.Millisecond)
+		text = text[n:]
+		if text != "" {
+			time.Sleep(time.Duration(c.random.IntN(40)) * time.Millisecond)
 		}
 	}
 	return true
 }
 
 // leave closes the connection some time after the request, with or without a reset.
-func (k *client) leave(conn *clientConn, r *request) {
+func (c *client) leave(conn *clientConn, request *request) {
 	after := time.Duration(0)
-	if k.chance.IntN(3) > 0 {
-		after = time.Duration(k.chance.IntN(150)) * time.Millisecond
+	if c.random.IntN(3) > 0 {
+		after = time.Duration(c.random.IntN(150)) * time.Millisecond
 	}
 	time.Sleep(after)
-	if k.chance.IntN(3) == 0 {
-		reset(conn)
+	if c.random.IntN(3) == 0 {
+		reset(conn) // which sees no TCP connection in a clientConn, and closes it as usual
 	} else {
 		conn.Close()
 	}
-	at := k.soak.now()
-	k.soak.ledger.change(func() { r.done, r.gone = true, at })
+	at := c.soak.now()
+	c.soak.ledger.update(func() { request.left = at })
 }
 
-// half sends half a request and stays: an error or the connection's end is owed.
-func (k *client) half(conn *clientConn) {
+// sendHalf sends half a request and stays: an error or the connection's end is owed.
+func (c *client) sendHalf(conn *clientConn) {
 	defer conn.Close()
-	text := k.query(conn).text()
+	text := c.newRequest(conn).text()
 	if _, err := io.WriteString(conn, text[:len(text)/2]); err != nil {
 		return
 	}
-	sent := k.soak.now()
-	held := func() time.Duration { return k.soak.held(conn.coordinator.name, sent, k.soak.now()) }
-	conn.SetReadDeadline(time.Now().Add(halfWaits + 500*time.Millisecond))
+	sent := c.soak.now()
+	conn.SetReadDeadline(time.Now().Add(halfRequestWait + halfRequestSpare))
 	_, err := conn.in.ReadByte()
-	if wait, ok := err.(net.Error); ok && wait.Timeout() && k.soak.now()-sent > halfWaits+held()+slack && conn.life.killedBy() == 0 {
-		k.soak.found("half", "", "half a request to %s has neither error nor end after %v", conn.coordinator.name, k.soak.now()-sent)
+	var netError net.Error
+	timedOut := errors.As(err, &netError) && netError.Timeout()
+	if !timedOut || conn.coordinator.wasKilled(conn.process) {
+		return
+	}
+	now := c.soak.now()
+	stopped := c.soak.stoppedTime(conn.coordinator.name, sent, now)
+	if now-sent > halfRequestWait+stopped+measurementSlack {
+		c.soak.violated(RuleHalfRequest, "", "half a request to %s has neither error nor end after %v",
+			conn.coordinator.name, now-sent)
 	}
 }
 
-func (l *life) killedBy() time.Duration { return l.killed }
-
-// readAnswer reads an answer's body.
-func readAnswer(response *http.Response) (answer, error) {
-	body, err := io.ReadAll(response.Body)
+// readResponse reads a response with its answer.
+func readResponse(in *bufio.Reader) (*http.Response, answer, error) {
+	response, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return answer{}, err
-	}
-	a := answer{status: response.StatusCode, matches: map[int]string{}}
-	if a.status != http.StatusOK {
-		return a, nil
+		return nil, answer{}, err
 	}
-	var read struct {
-		AllIn   bool `json:"all_in"`
-		Matches []struct {
-			Segment int
-			Payload string
-		}
-	}
-	if err := json.Unmarshal(body, &read); err != nil {
-		return a, err
-	}
-	a.whole = read.AllIn
-	for _, m := range read.Matches {
-		a.matches[m.Segment] = m.Payload
-	}
-	return a, nil
+	read, err := readAnswer(response)
+	return response, read, err
 }
-
-// partID is a subquery's id on the wire.
-func partID(query string, shard int) string { return fmt.Sprint(query, ".", shard) }
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -3,9 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
-	"os"
 	"path/filepath"
-	"strings"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -14,217 +13,238 @@
 	"terntray/internal/faultbuild"
 )
 
-// life is one process of a co-ordinator.
-type life struct {
-	program   *fake.Program
-	began     time.Duration
-	told      time.Duration // SIGTERM; 0: never
-	killed    time.Duration // SIGKILL; 0: never
-	ended     time.Duration // 0: it runs
-	clientsTo time.Duration // until when new clients are sent to it
+const (
+	// coordinatorPrefix begins the coordinators' names, and no other target's of a fault.
+	coordinatorPrefix = "n"
+
+	// maxSockets is the coordinators' setting for the sockets that they may hold.
+	maxSockets = 400
+
+	// revisionsBehind is how old the list is that a process is started with.
+	revisionsBehind = 2
+
+	// shutdownExtra is what a process may take after SIGTERM beyond the longest deadline, and slowWriteTime what its
+	// last answer may take on top, to be written to a client that reads slowly.
+	shutdownExtra = 700 * time.Millisecond
+	slowWriteTime = 3*time.Second + 500*time.Millisecond
+)
+
+// process is one process of a coordinator. Its times are on the soak's clock.
+type process struct {
+	program      *fake.Program
+	started      time.Duration
+	terminated   time.Duration // SIGTERM; 0: never
+	killed       time.Duration // SIGKILL; 0: never
+	clientsUntil time.Duration // until when new clients are sent to it; 0: without end
 }
 
-// coordinator is one co-ordinator in all its lives.
+// coordinator is one coordinator in all its processes.
 type coordinator struct {
 	soak *Soak
 	name string
 	page *faultbuild.Page
 
-	mu     sync.Mutex
-	addr   string // the same in all lives
-	life   *life
-	lives  []*life
-	agents []*agent // the last is the one that it was told of
-	busy   bool     // it is being ended, or started
+	mu        sync.Mutex
+	addr      string     // the same in all processes
+	running   *process   // nil: none
+	processes []*process // so far
+	agents    []*agent   // the last is the one that its configuration names
+	claimed   bool       // a fault ends or starts it
 }
 
-func newCoordinator(s *Soak, n int) (*coordinator, error) {
-	c := &coordinator{soak: s, name: fmt.Sprint("n", n)}
-	var err error
-	if c.page, err = faultbuild.NewPage(filepath.Join(s.folder, c.name+".page")); err != nil {
+// newCoordinator starts a coordinator and its discovery agent.
+func newCoordinator(soak *Soak, index int) (*coordinator, error) {
+	name := fmt.Sprint(coordinatorPrefix, index)
+	page, err := faultbuild.NewPage(filepath.Join(soak.folder, name+".page"))
+	if err != nil {
 		return nil, err
 	}
-	for setting, rate := range s.options.Rates {
-		c.page.Set(setting, rate)
+	for setting, rate := range soak.options.Rates {
+		page.Set(setting, rate)
 	}
-	a, err := newAgent(s)
+	agent, err := newAgent(soak)
 	if err != nil {
 		return nil, err
 	}
-	c.agents = []*agent{a}
-	return c, c.start()
+	coordinator := &coordinator{soak: soak, name: name, page: page}
+	coordinator.addAgent(agent)
+	return coordinator, coordinator.start()
 }
 
-// start begins a life and waits until it serves.
+// start starts a process and waits until it serves.
 func (c *coordinator) start() error {
-	a := c.agent()
-	all, _ := c.soak.roster.at(c.known(), 0)
-	known, err := json.Marshal(listing{Rev: 1, All: true, Targets: all})
+	known, err := c.knownEndpoints()
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
 	addr := c.addr
 	c.mu.Unlock()
-	p, err := fake.Launch(fake.Options{Path: c.soak.options.Program, Name: c.name, Listen: addr, Discovery: a.addr(),
-		Settings: settings(c.soak.seed), Known: string(known), Sockets: 400, Env: []string{c.page.Variable()}, Args: []string{"-trace"}})
+	program, err := fake.Launch(fake.Options{
+		Path:      c.soak.options.Program,
+		Name:      c.name,
+		Listen:    addr,
+		Discovery: c.agent().addr(),
+		Settings:  settings(c.soak.seed),
+		Known:     known,
+		Sockets:   maxSockets,
+		Env:       []string{c.page.Variable()},
+		Args:      []string{"-trace"},
+	})
 	if err != nil {
 		return err
 	}
-	l := &life{program: p, began: c.soak.now()}
-	if err := p.WaitServing(); err != nil {
-		p.Stop()
+	started := c.soak.now()
+	if err := program.WaitServing(); err != nil {
+		program.Stop()
 		return fmt.Errorf("%s: %w", c.name, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addr, c.life, c.lives = p.Addr, l, append(c.lives, l)
+	c.addr = program.Addr
+	c.running = &process{program: program, started: started}
+	c.processes = append(c.processes, c.running)
 	return nil
 }
 
-// known is the revision of the list that a process is started with: some behind.
-func (c *coordinator) known() int {
-	a := c.agent()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return max(cells*replicasPerCell, a.learned-2)
+// knownEndpoints is the list that a process is started with: some revisions behind its agent, as a file on disk is.
+func (c *coordinator) knownEndpoints() (string, error) {
+	agent := c.agent()
+	agent.mu.Lock()
+	revision := max(cells*replicasPerCell, agent.revision-revisionsBehind)
+	agent.mu.Unlock()
+	all, _ := c.soak.endpoints.at(revision, 0)
+	known, err := json.Marshal(endpointList{Revision: 1, Full: true, Endpoints: all})
+	return string(known), err
 }
 
+// agent is the discovery agent that its configuration names.
 func (c *coordinator) agent() *agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.agents[len(c.agents)-1]
 }
 
-// takes tells whether the front sends new clients here, and to which life.
-func (c *coordinator) takes() (*life, string) {
+func (c *coordinator) addAgent(agent *agent) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.agents = append(c.agents, agent)
+}
+
+func (c *coordinator) allAgents() []*agent {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.agents)
+}
+
+// current is the process that runs; nil: none.
+func (c *coordinator) current() *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.running
+}
+
+func (c *coordinator) wasKilled(process *process) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.life
-	if l == nil || l.clientsTo > 0 && c.soak.now() > l.clientsTo {
+	return process.killed > 0
+}
+
+// takesClients is the process to which new clients are sent, with its address; nil: none are.
+func (c *coordinator) takesClients() (*process, string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.running == nil {
 		return nil, ""
 	}
-	return l, c.addr
+	if until := c.running.clientsUntil; until > 0 && c.soak.now() > until {
+		return nil, ""
+	}
+	return c.running, c.addr
 }
 
-// claim has one trouble at a time end or start it.
+// claim has one fault at a time end or start the coordinator; it tells whether the caller has it now.
 func (c *coordinator) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy || c.life == nil {
+	if c.claimed || c.running == nil {
 		return false
 	}
-	c.busy = true
+	c.claimed = true
 	return true
 }
 
 func (c *coordinator) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy = false
+	c.claimed = false
 }
 
-// terminate ends it as a planned restart does, and judges its end.
+// terminate ends the process as a planned restart does, and judges its end. New clients are sent to it for a while yet.
 func (c *coordinator) terminate(clientsFor time.Duration) {
 	c.mu.Lock()
-	l := c.life
-	l.told = c.soak.now()
-	l.clientsTo = l.told + clientsFor
+	process := c.running
+	process.terminated = c.soak.now()
+	process.clientsUntil = process.terminated + clientsFor
 	c.mu.Unlock()
-	l.program.Signal(syscall.SIGTERM)
+	process.program.Signal(syscall.SIGTERM)
 	select {
-	case <-l.program.Done():
-	case <-time.After(longestDeadline() + 700*time.Millisecond + writeTime):
-		c.soak.found("shutdown", "", "%s runs %v after SIGTERM", c.name, c.soak.now()-l.told)
-		l.program.Signal(syscall.SIGKILL)
-		<-l.program.Done()
-		l.killed = c.soak.now()
-	}
-	c.ends(l)
-	if state := l.program.State(); l.killed == 0 && !state.Success() {
-		c.soak.found("crash", "", "%s ended with %v: %s", c.name, state, lastLines(l.program.Log(), 20))
+	case <-process.program.Done():
+	case <-time.After(longestDeadline() + shutdownExtra + slowWriteTime):
+		c.soak.violated(RuleShutdown, "", "%s runs %v after SIGTERM", c.name, c.soak.now()-process.terminated)
+		process.program.Signal(syscall.SIGKILL)
+		<-process.program.Done()
+		c.mu.Lock()
+		process.killed = c.soak.now()
+		c.mu.Unlock()
+	}
+	c.noteEnd(process)
+	if state := process.program.State(); process.killed == 0 && !state.Success() {
+		c.soak.violated(RuleCrash, "", "%s ended with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
 	}
 }
 
-// writeTime is what an answer may take to be written to a client that reads slowly, beyond the longest deadline.
-const writeTime = 3*time.Second + 500*time.Millisecond
-
-// kill ends it without a word.
+// kill ends the process with SIGKILL.
 func (c *coordinator) kill() {
 	c.mu.Lock()
-	l := c.life
-	l.killed = c.soak.now()
-	l.clientsTo = l.killed
+	process := c.running
+	process.killed = c.soak.now()
+	process.clientsUntil = process.killed
 	c.mu.Unlock()
-	l.program.Signal(syscall.SIGKILL)
-	<-l.program.Done()
-	c.ends(l)
+	process.program.Signal(syscall.SIGKILL)
+	<-process.program.Done()
+	c.noteEnd(process)
 }
 
-func (c *coordinator) ends(l *life) {
-	c.soak.readLog(c, l)
+func (c *coordinator) noteEnd(process *process) {
+	c.soak.readLog(c, process)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.ended = c.soak.now()
-	c.life = nil
+	c.running = nil
 }
 
-// reload moves discovery to another agent.
+// reload moves discovery to another agent: a new configuration, then SIGHUP.
 func (c *coordinator) reload() error {
-	a, err := newAgent(c.soak)
+	agent, err := newAgent(c.soak)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	l := c.life
-	c.mu.Unlock()
-	if err := l.program.Configure(a.addr()); err != nil {
+	process := c.current()
+	if err := process.program.Configure(agent.addr()); err != nil {
 		return err
 	}
-	a.mu.Lock()
-	a.after = c.soak.now() + reloadCounts
-	for n := range a.notices {
-		a.notices[n].at = max(a.notices[n].at, a.after)
-	}
-	a.mu.Unlock()
-	c.mu.Lock()
-	c.agents = append(c.agents, a)
-	c.mu.Unlock()
-	return l.program.Signal(syscall.SIGHUP)
+	agent.startCountingAt(c.soak.now() + reloadTime)
+	c.addAgent(agent)
+	return process.program.Signal(syscall.SIGHUP)
 }
 
-// loopMargin is by how much the loop may be late and a query still be given up before its deadline: that is done at the first
-// look from 20 ms before it on, and looks are 10 ms apart.
-const loopMargin = 10 * time.Millisecond
-
-// Words of a program's log that are finds of their own.
-var findsInLogs = []string{"event=violation", "event=loop_panic", "event=client_panic", "panic:", "DATA RACE", "fatal error"}
-
-func (s *Soak) readLog(c *coordinator, l *life) {
-	log := l.program.Log()
-	for _, words := range findsInLogs {
-		if at := strings.Index(log, words); at >= 0 && !(s.options.Panics && words == "event=loop_panic") {
-			s.found("log", "", "%s says %s", c.name, lastLines(log[at:min(len(log), at+600)], 30))
-		}
-	}
-	for line := range strings.Lines(log) {
-		var late time.Duration
-		if _, words, ok := strings.Cut(strings.TrimSpace(line), "loop_late="); ok {
-			late, _ = time.ParseDuration(words)
-			if late < loopMargin {
-				s.found("log", "", "%s left a query open until its deadline: %s", c.name, line)
-			}
-		}
+// close ends whatever still runs.
+func (c *coordinator) close() {
+	for _, process := range c.processes {
+		process.program.Stop()
 	}
-	if s.options.Logs != "" {
-		name := filepath.Join(s.options.Logs, fmt.Sprintf("seed%d-%s-%d.log", s.seed, c.name, l.began.Milliseconds()))
-		if err := os.WriteFile(name, []byte(log), 0o600); err != nil {
-			s.found("soak", "", "log: %v", err)
-		}
+	for _, agent := range c.agents {
+		agent.close()
 	}
-}
-
-func lastLines(text string, most int) string {
-	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return strings.Join(lines[max(0, len(lines)-most):], " / ")
+	c.page.Close()
 }
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -3,15 +3,16 @@
 import (
 	"fmt"
 	"math"
+	"strings"
 	"time"
 )
 
 // class is a class of queries, as the settings have it.
 type class struct {
 	name       string
-	effect     string
+	effect     string // the settings' word for whether it may run more than once
 	deadline   time.Duration
-	leastShare float64
+	leastShare float64 // of the shards that an answer with success has to hold
 	idempotent bool
 }
 
@@ -21,21 +22,25 @@
 	cells            = 2
 	replicasPerCell  = 5
 	shardCount       = 24
-	batch            = 2
-	maxAttempts      = 3
-	connectTimeout   = 250 * time.Millisecond  // of seeds that are even
-	longConnect      = 1300 * time.Millisecond // of the others: a connection may come up at its second try
-	idleClose        = 3 * time.Second
-	drainGrace       = time.Second
-	tipMultiple      = 2.0
-	overloadWindow   = 1500 * time.Millisecond
-	startCapacity    = 0.1
-	warmAfter        = 20 * time.Second
-	budgetFree       = 3
-	budgetRatio      = 0.04
-	budgetSpan       = 5 * time.Second
-	replicaCores     = 3
-	meanWork         = 40 * time.Millisecond // of a subquery, on a core
+	batch            = 2 // subqueries that a frame may hold
+	maxAttempts      = 3 // of a subquery
+
+	connectTimeout     = 250 * time.Millisecond  // of even seeds
+	longConnectTimeout = 1300 * time.Millisecond // of odd seeds: a connection may come up at its second SYN
+	idleClose          = 3 * time.Second         // a connection to a replica is closed after so long without a frame
+	drainGrace         = time.Second             // after its notification a draining replica gets nothing new
+
+	replicaCores = 3
+	meanWork     = 40 * time.Millisecond // of a subquery, on a core
+
+	overloadMultiple = 2.0                     // a replica falls under this multiple of what it can do,
+	overloadWindow   = 1500 * time.Millisecond // over so long
+	startCapacity    = 0.1                     // share of its capacity that a replica has at its start
+	warmAfter        = 20 * time.Second        // age at which it has all
+
+	budgetFree  = 3    // attempts beyond the first in a budgetSpan, whatever was taken,
+	budgetRatio = 0.04 // and so many more for each query and subquery taken
+	budgetSpan  = 5 * time.Second
 )
 
 var classes = []*class{
@@ -46,25 +51,17 @@
 
 // longestDeadline is that of the class with the longest.
 func longestDeadline() (longest time.Duration) {
-	for _, c := range classes {
-		longest = max(longest, c.deadline)
+	for _, class := range classes {
+		longest = max(longest, class.deadline)
 	}
 	return longest
 }
 
 // settings are the deployment's as JSON.
 func settings(seed uint64) string {
-	connects := connectTimeout
+	connect := connectTimeout
 	if seed%2 == 1 {
-		connects = longConnect
-	}
-	lanes := ""
-	for n, c := range classes {
-		if n > 0 {
-			lanes += ","
-		}
-		lanes += fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"effect":%q}`, c.name, (c.deadline / 2).Microseconds(),
-			c.deadline.Microseconds(), c.effect)
+		connect = longConnectTimeout
 	}
 	return fmt.Sprintf(`{"balancers":%d,"bounds":{"connectTimeout":%d,"idleClose":%d,"maxAttempts":%d,"maxOpen":400,
 "mayCancel":true,"multiplex":8,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
@@ -73,25 +70,42 @@
 "guarantees":{"answerSlack":20000,"stopSendingWithin":%d,"tipMultiple":%v,"overloadFor":%d,"startCapacity":%v,
 "warmAfter":%d,"minExtra":%d,"extraRatio":%v,"ratioSpan":%d},
 "lanes":[%s],"orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`,
-		coordinatorCount, connects.Microseconds(), idleClose.Microseconds(), maxAttempts, batch, cells, shardCount,
-		drainGrace.Microseconds(), tipMultiple, overloadWindow.Microseconds(), startCapacity, warmAfter.Microseconds(),
-		budgetFree, budgetRatio, budgetSpan.Microseconds(), lanes)
+		coordinatorCount, connect.Microseconds(), idleClose.Microseconds(), maxAttempts,
+		batch, cells, shardCount,
+		drainGrace.Microseconds(), overloadMultiple, overloadWindow.Microseconds(), startCapacity,
+		warmAfter.Microseconds(), budgetFree, budgetRatio, budgetSpan.Microseconds(),
+		classSettings())
 }
 
-// allowedCold is how many subqueries of mean work the settings allow a replica in the window at an age, all co-ordinators
-// together; 0 once it is warm.
-func allowedCold(age time.Duration) float64 {
+// classSettings are the classes as the settings list them.
+func classSettings() string {
+	var all []string
+	for _, class := range classes {
+		objective := class.deadline / 2
+		all = append(all, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"effect":%q}`,
+			class.name, objective.Microseconds(), class.deadline.Microseconds(), class.effect))
+	}
+	return strings.Join(all, ",")
+}
+
+// warmUpAllowance is how many subqueries of mean work the settings allow a replica in the overload window at an age,
+// all coordinators together; 0 once it is warm.
+func warmUpAllowance(age time.Duration) float64 {
 	if age >= warmAfter+overloadWindow {
 		return 0
 	}
-	warmth := startCapacity + (1-startCapacity)*min(1, age.Seconds()/warmAfter.Seconds())
-	return tipMultiple * warmth * replicaCores * overloadWindow.Seconds() / meanWork.Seconds()
+	capacity := startCapacity + (1-startCapacity)*min(1, age.Seconds()/warmAfter.Seconds())
+	return overloadMultiple * capacity * replicaCores * overloadWindow.Seconds() / meanWork.Seconds()
 }
 
-// coldBound is the number of calls from which on a cold replica falls (STANDING.md).
-func coldBound(allowed float64) float64 {
-	if allowed < 30 {
-		return allowed + 3*math.Sqrt(allowed) + 3
+// manyArrivals is the allowance from which on the limit lies two standard deviations above it; below it is three.
+const manyArrivals = 30
+
+// warmUpLimit is the number of arrivals from which on a replica that warms up falls (STANDING.md): the work of so many
+// is above the allowance nearly for certain, though each one's work is drawn.
+func warmUpLimit(allowance float64) float64 {
+	if allowance < manyArrivals {
+		return allowance + 3*math.Sqrt(allowance) + 3
 	}
-	return allowed + 2*math.Sqrt(allowed) + 2
+	return allowance + 2*math.Sqrt(allowance) + 2
 }
--- /dev/null
+++ b/internal/soak/fault_client.go
@@ -0,0 +1,40 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// targetClients is the target of faults that strike all clients.
+const targetClients = "clients"
+
+func haveClientsLeave(soak *Soak, random *rand.Rand) string {
+	soak.clientsLeaving.Store(true)
+	time.Sleep(between(random, 200*time.Millisecond, time.Second))
+	soak.clientsLeaving.Store(false)
+	return targetClients
+}
+
+func sendBurst(soak *Soak, random *rand.Rand) string {
+	soak.burst.Store(true)
+	time.Sleep(between(random, 300*time.Millisecond, 1500*time.Millisecond))
+	soak.burst.Store(false)
+	return targetClients
+}
+
+// openIdleConnections opens many connections on which nothing comes, to all coordinators.
+func openIdleConnections(soak *Soak, random *rand.Rand) string {
+	coordinator := soak.drawCoordinator(random)
+	client := &client{soak: soak, random: random}
+	var idle []*clientConn
+	for range 20 * coordinatorCount {
+		if conn := client.dial(); conn != nil {
+			idle = append(idle, conn)
+		}
+	}
+	time.Sleep(between(random, 100*time.Millisecond, 1500*time.Millisecond))
+	for _, conn := range idle {
+		conn.Close()
+	}
+	return coordinator.name
+}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,3 +1,10 @@
+// Package soak plays seeded, overlapping faults against real coordinator processes on loopback and judges the rules of
+// the protocol page from outside: by what the replicas were sent, what the clients sent and were answered, and when the
+// discovery agents had each change. Nothing that a coordinator reports about itself takes part in that, except a line
+// in its log that a rule was violated, which is a violation of its own.
+//
+// The replicas, agents and clients live in the soak's own process and share one clock. The coordinators are built by
+// package faultbuild, so that their system calls can fail and their wall clocks can be stepped.
 package soak
 
 import (
@@ -14,190 +21,164 @@
 
 // Options say what is played.
 type Options struct {
-	Program string        // built by package faultbuild
-	Lasts   time.Duration // while clients ask
-	Beside  int           // troubles that overlap
-	Without []string      // kinds of trouble that are left out, to shrink a failure
-	Logs    string        // a folder for the programs' logs; empty: none
-	Rates   map[faultbuild.Setting]int64
-	Panics  bool // the program panics on purpose: that it says so is no find
-}
+	Program      string        // path of the program, built by package faultbuild
+	Duration     time.Duration // for how long clients send requests
+	FaultStreams int           // streams of faults that run side by side
+	Without      []FaultKind   // kinds of fault that are left out, to shrink a failure
+	LogFolder    string        // where the programs' logs are written; empty: nowhere
+
+	// Rates are the system calls that fail all the time, in calls of a million.
+	Rates map[faultbuild.Setting]int64
 
-// Find is a rule that was broken, or anything else that must not happen.
-type Find struct {
-	Rule  string
-	Query string
-	Words string
+	// Panics says that the program panics on purpose: a panic of the event loop in its log is no violation.
+	Panics bool
 }
 
-func (f Find) String() string { return fmt.Sprintf("%s %s: %s", f.Rule, f.Query, f.Words) }
+const (
+	clientsPerCoordinator = 5
+
+	// settleTime passes between the last request's deadline and the end, for late frames and closes to be seen.
+	settleTime = 700 * time.Millisecond
+
+	// maxIdleDescriptors is what a process may hold once its clients are gone: some of its own, and connections to
+	// replicas.
+	maxIdleDescriptors = 24 + 4*cells*replicasPerCell
+)
 
-// Soak is one run.
+// Soak is one run of one seed.
 type Soak struct {
 	clock
 	seed         uint64
 	options      Options
-	folder       string
+	folder       string        // for the fault pages; removed at the end
+	end          time.Duration // when clients stop sending, on the soak's clock
 	ledger       *ledger
-	roster       *roster
+	endpoints    *endpointHistory
 	coordinators []*coordinator
-	replicas     []*replica
-	spare        int // replicas so far, for names
 
-	burst, leaving atomic.Bool
-	lateFrames     atomic.Int64 // read by a replica so late that the time of their writing is not known
+	burst          atomic.Bool // clients send faster
+	clientsLeaving atomic.Bool // clients leave often
+	lateFrames     atomic.Int64
 
-	mu    sync.Mutex
-	finds []Find
+	mu             sync.Mutex
+	replicas       []*replica
+	replicasJoined int // replicas so far, for the names of those that join
+	violations     []Violation
 }
 
-const (
-	clientsOfEach = 5
-	settles       = 700 * time.Millisecond // from the last request to the end, beyond the longest deadline
-	mostFinds     = 200
-)
-
-// Result is what a soak has seen.
-type Result struct {
-	Seed     uint64
-	Finds    []Find
-	Counts   map[string]int // of what was judged, and of troubles
-	Crossed  map[string]map[string]int
-	Overlaps map[string]int
-}
-
-// Run plays a seed.
-func Run(seed uint64, o Options) (*Result, error) {
-	s := &Soak{clock: clock{time.Now()}, seed: seed, options: o, ledger: newLedger(), roster: &roster{}}
-	var err error
-	if s.folder, err = os.MkdirTemp("", "soak"); err != nil {
+// Run plays a seed and judges it. An error says that the seed could not be played; broken rules are in the result.
+func Run(seed uint64, options Options) (*Result, error) {
+	folder, err := os.MkdirTemp("", "soak")
+	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(s.folder)
-	defer s.close()
-	if err := s.begin(); err != nil {
+	defer os.RemoveAll(folder)
+	soak := &Soak{
+		clock:     clock{time.Now()},
+		seed:      seed,
+		options:   options,
+		folder:    folder,
+		ledger:    newLedger(),
+		endpoints: &endpointHistory{},
+	}
+	defer soak.close()
+	if err := soak.startAll(); err != nil {
 		return nil, err
 	}
-	s.play()
-	s.finish()
-	return s.judge(), nil
+	soak.play()
+	soak.terminateAll()
+	return soak.judge(), nil
 }
 
-func (s *Soak) begin() error {
-	for n := range cells * replicasPerCell {
-		r, err := newReplica(s, fmt.Sprint("s-", n), n%cells, -1)
-		if err != nil {
-			return err
-		}
-		s.replicas = append(s.replicas, r)
-		s.roster.change(r.target())
+// startAll starts the replicas, then all coordinators at once.
+func (s *Soak) startAll() error {
+	if err := s.startReplicas(); err != nil {
+		return err
 	}
-	s.spare = len(s.replicas)
 	s.coordinators = make([]*coordinator, coordinatorCount)
-	errs := make(chan error)
+	started := make(chan error)
 	for n := range s.coordinators {
 		go func() {
-			c, err := newCoordinator(s, n)
-			s.coordinators[n] = c
-			errs <- err
+			coordinator, err := newCoordinator(s, n)
+			s.coordinators[n] = coordinator
+			started <- err
 		}()
 	}
 	for range s.coordinators {
-		if e := <-errs; e != nil {
-			return e
+		if err := <-started; err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Soak) startReplicas() error {
+	for n := range cells * replicasPerCell {
+		replica, err := newReplica(s, fmt.Sprint("s-", n), n%cells, longRunning)
+		if err != nil {
+			return err
 		}
+		s.replicas = append(s.replicas, replica)
+		s.endpoints.publish(replica.endpoint())
 	}
+	s.replicasJoined = len(s.replicas)
 	return nil
 }
 
-// play has clients ask while troubles strike.
+// play has clients send requests while faults strike.
 func (s *Soak) play() {
-	began := s.now()
-	s.options.Lasts += began
-	var clients, troubles sync.WaitGroup
-	for n := range clientsOfEach * coordinatorCount {
-		k := &client{soak: s, name: fmt.Sprintf("c%d-%d", s.seed, n), chance: s.source(fmt.Sprint("client", n))}
-		clients.Go(k.run)
+	s.end = s.now() + s.options.Duration
+	var clients, streams sync.WaitGroup
+	for n := range clientsPerCoordinator * coordinatorCount {
+		client := &client{
+			soak:   s,
+			name:   fmt.Sprintf("c%d-%d", s.seed, n),
+			random: s.randomFor(fmt.Sprint("client", n)),
+		}
+		clients.Go(client.run)
 	}
-	for n := range s.options.Beside {
-		chance := s.source(fmt.Sprint("trouble", n))
-		troubles.Go(func() { s.makeTrouble(chance) })
+	for n := range s.options.FaultStreams {
+		random := s.randomFor(fmt.Sprint("trouble", n))
+		streams.Go(func() { s.injectFaults(random) })
 	}
-	troubles.Wait()
+	streams.Wait()
 	clients.Wait()
-	time.Sleep(longestDeadline() + settles)
+	time.Sleep(longestDeadline() + settleTime)
 }
 
-// finish ends every co-ordinator in the usual way, and judges what is left of it before.
-func (s *Soak) finish() {
+// terminateAll ends every coordinator as a planned restart does, and judges before what it still holds.
+func (s *Soak) terminateAll() {
 	var all sync.WaitGroup
-	for _, c := range s.coordinators {
+	for _, coordinator := range s.coordinators {
 		all.Go(func() {
-			if c.life == nil {
+			process := coordinator.current()
+			if process == nil {
 				return
 			}
-			if n := c.life.program.Descriptors(); n > mostDescriptors {
-				s.found("descriptors", "", "%s holds %d with no client", c.name, n)
+			if held := process.program.Descriptors(); held > maxIdleDescriptors {
+				s.violated(RuleDescriptors, "", "%s holds %d with no client", coordinator.name, held)
 			}
-			c.terminate(0)
+			coordinator.terminate(0)
 		})
 	}
 	all.Wait()
 }
 
-// mostDescriptors is what a process may hold once its clients are gone: some of its own, and connections to replicas.
-const mostDescriptors = 24 + 4*cells*replicasPerCell
-
+// close ends whatever still runs.
 func (s *Soak) close() {
-	for _, c := range s.coordinators {
-		if c == nil {
-			continue
-		}
-		for _, l := range c.lives {
-			l.program.Stop()
-		}
-		for _, a := range c.agents {
-			a.close()
+	for _, coordinator := range s.coordinators {
+		if coordinator != nil {
+			coordinator.close()
 		}
-		c.page.Close()
 	}
-	for _, r := range s.replicas {
-		r.stop()
-	}
-}
-
-// source is a source of chance of its own for each name.
-func (s *Soak) source(name string) *rand.Rand {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return rand.New(rand.NewPCG(s.seed, h.Sum64()))
-}
-
-// found notes a find. It may be called from any goroutine.
-func (s *Soak) found(rule, query, format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.finds) < mostFinds {
-		s.finds = append(s.finds, Find{rule, query, fmt.Sprintf(format, args...)})
-	}
-}
-
-// held is for how long a co-ordinator's process was stopped within a span.
-func (s *Soak) held(who string, from, to time.Duration) (sum time.Duration) {
-	s.ledger.mu.Lock()
-	defer s.ledger.mu.Unlock()
-	for _, t := range s.ledger.troubles {
-		if t.kind == "stop" && t.who == who {
-			sum += max(0, min(to, t.to)-max(from, t.from))
-		}
+	for _, replica := range s.replicas {
+		replica.stop()
 	}
-	return sum
 }
 
-// target is a replica as discovery tells it.
-func (r *replica) target() target {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return target{UID: r.uid, Endpoint: r.listener.Addr().String(), Zone: "west", Model: "m", Cell: r.cell, State: r.state,
-		Capacity: 1, BootMS: r.bootMS}
+// randomFor is a source of chance of its own for each name: the same seed and name draw the same.
+func (s *Soak) randomFor(name string) *rand.Rand {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return rand.New(rand.NewPCG(s.seed, hash.Sum64()))
 }
