--- a/internal/faultbuild/faultbuild.go
+++ b/internal/faultbuild/faultbuild.go
@@ -1,7 +1,8 @@
-// Package faultbuild builds a program of this module together with patched copies of a few files of the standard library,
-// so that system calls fail and the wall clock is stepped in that one build, without any privilege. The patched files are
-// derived from the installed tool chain by pattern and handed to "go build -overlay"; a pattern that no longer fits is an
-// error. The running program reads what is to fail from a page that it shares with whoever started it (see Page).
+// Package faultbuild builds a program of this module together with patched copies of a few files of the standard
+// library, so that system calls fail and the wall clock is stepped in that one build, without any privilege. The
+// patched files are derived from the installed tool chain by pattern and handed to "go build -overlay"; a pattern
+// that no longer fits is an error. The running program reads what is to fail from a page that it shares with whoever
+// started it (see Page).
 package faultbuild
 
 import (
@@ -21,7 +22,8 @@
 }
 
 // Build builds a package of the module to a file, with the faults in it and with patches of the module's own files.
-// Those break the program on purpose, to show that a check notices; nil: none. A patch that does not fit is a PatchError.
+// Those break the program on purpose, to show that a check notices; nil: none. A patch that does not fit is a
+// PatchError.
 func Build(module, pkg, to string, modulePatches []Patch) error {
 	folder, err := os.MkdirTemp("", "faultbuild")
 	if err != nil {
--- a/internal/faultbuild/overlay.go
+++ b/internal/faultbuild/overlay.go
@@ -16,6 +16,7 @@
 	Found int // how often the text stands there; once is wanted
 }
 
+// Error says which text was looked for, and how often it stands there.
 func (e *PatchError) Error() string {
 	return fmt.Sprintf("%s: %q occurs %d times: the patch does not fit", e.Path, e.Old, e.Found)
 }
--- a/internal/faultbuild/page.go
+++ b/internal/faultbuild/page.go
@@ -9,7 +9,10 @@
 // PageVariable names the environment variable with the path of a program's page.
 const PageVariable = "TERNTRAY_FAULT_PAGE"
 
-const pageBytes = 4096
+const (
+	pageBytes    = 4096
+	settingBytes = 8 // each is an int64 in the byte order of the machine
+)
 
 // Setting is a place in the page. All but WallStep are rates, in calls of a million.
 type Setting int
@@ -47,16 +50,16 @@
 }
 
 // Variable is the environment's entry that hands the page to a process.
-func (p *Page) Variable() string { return PageVariable + "=" + p.file.Name() }
+func (page *Page) Variable() string { return PageVariable + "=" + page.file.Name() }
 
 // Set changes a setting at once.
-func (p *Page) Set(s Setting, value int64) error {
-	_, err := p.file.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(value)), int64(s)*8)
+func (page *Page) Set(setting Setting, value int64) error {
+	_, err := page.file.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(value)), int64(setting)*settingBytes)
 	return err
 }
 
 // Step sets the wall clock off by a span.
-func (p *Page) Step(by time.Duration) error { return p.Set(WallStep, int64(by)) }
+func (page *Page) Step(by time.Duration) error { return p.Set(WallStep, int64(by)) }
 
 // Close lets go of the page; processes that have it keep what it says.
-func (p *Page) Close() error { return p.file.Close() }
+func (page *Page) Close() error { return page.file.Close() }
--- a/proofs/phases/measure.go
+++ b/proofs/phases/measure.go
@@ -2,22 +2,37 @@
 
 import (
 	"fmt"
+	"net/http"
 	"sync"
 	"time"
 )
 
-// measure tells what two phases save: the work of boxes (records looked at, a summary counts as one), attempts, and the share of
-// questions answered in the agreed time, two phases against one, by selectivity and number of blocks, quiet and jammed.
+const (
+	measureSeed            = 7
+	measureTime            = 3 * time.Second
+	measureRecordsPerShard = 40
+	measureBest            = 10
+	measureMaxIdle         = 256
+	shardRate              = 2000.0 // subqueries a second
+	jammedSpeed            = 1.5    // times as many, of replicas that share one core
+	callWork               = 50 * time.Microsecond
+	recordWork             = 20 * time.Microsecond
+)
+
+// measure tells what two phases save: the work of replicas (records looked at, a summary counts as one), attempts, and
+// the share of queries answered within their latency objective, two phases against one, by selectivity and number of
+// shards, with replicas of a core each and jammed on one core.
 func measure(program string) {
-	fmt.Println("| blocks | selectivity | fleet | work, two against one | legs, two against one | in time, one | in time, two | asked in two phases |")
+	fmt.Println("| blocks | selectivity | fleet | work, two against one | legs, two against one | in time, one | " +
+		"in time, two | asked in two phases |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, jam := range []bool{false, true} {
-		for _, blocks := range []int{8, 32, 128} {
+	for _, jammed := range []bool{false, true} {
+		for _, shards := range []int{8, 32, 128} {
 			for _, selectivity := range []float64{0.01, 0.1, 0.5, 1} {
-				if jam && (blocks != 32 || selectivity == 0.01) {
+				if jammed && (shards != 32 || selectivity == 0.01) {
 					continue
 				}
-				if err := compare(program, blocks, selectivity, jam); err != nil {
+				if err := compare(program, shards, selectivity, jammed); err != nil {
 					fmt.Println("could not be played:", err)
 				}
 			}
@@ -25,76 +40,100 @@
 	}
 }
 
-func compare(program string, blocks int, selectivity float64, jam bool) error {
-	var work, attempts, inTime [2]float64
-	two := 0.0
-	for n, maxAttempts := range []int{1, 3} { // with one attempt a part there can be no first phase
-		f, err := newFleet(program, 7, blocks, 40, selectivity, maxAttempts)
-		if err != nil {
-			return err
-		}
-		var box sync.Mutex
-		free := time.Now()
-		f.takes = func(summary bool, records int) time.Duration {
-			d := 50*time.Microsecond + time.Duration(records)*20*time.Microsecond
-			if summary {
-				d = 50 * time.Microsecond
-			}
-			if !jam {
-				return d
-			}
-			box.Lock() // all boxes share one core: asked for more than it does
-			defer box.Unlock()
-			if now := time.Now(); free.Before(now) {
-				free = now
-			}
-			free = free.Add(d)
-			return time.Until(free)
-		}
-		rate := 2000 / float64(blocks)
-		if jam {
-			rate *= 1.5
-		}
-		in, asked := f.load(rate, blocks, 3*time.Second)
-		counts := f.Counters()
-		f.end()
-		work[n] = float64(f.data.RecordsRead) / float64(asked)
-		attempts[n] = float64(counts["legs"]) / float64(asked)
-		inTime[n] = float64(in) / float64(asked)
-		if n == 1 {
-			two = float64(counts["two_phases"]) / float64(max(1, counts["questions"]))
-		}
+// cost is what a load cost, each for one query.
+type cost struct {
+	work          float64 // records looked at
+	attempts      float64
+	inTime        float64 // share within the latency objective
+	twoPhaseShare float64
+}
+
+// compare prints a line of the table: a load in one phase and the same in two.
+func compare(program string, shards int, selectivity float64, jammed bool) error {
+	data := dataset{shards: shards, recordsPerShard: measureRecordsPerShard, selectivity: selectivity}
+	one, err := measureLoad(program, data, 1, jammed) // with one attempt a subquery there can be no first phase
+	if err != nil {
+		return err
+	}
+	two, err := measureLoad(program, data, maxAttempts, jammed)
+	if err != nil {
+		return err
 	}
-	words := map[bool]string{false: "quiet", true: "jammed"}[jam]
-	fmt.Printf("| %d | %.2f | %s | %.2f | %.2f | %.3f | %.3f | %.2f |\n", blocks, selectivity, words, work[1]/work[0], attempts[1]/attempts[0],
-		inTime[0], inTime[1], two)
+	name := "quiet"
+	if jammed {
+		name = "jammed"
+	}
+	fmt.Printf("| %d | %.2f | %s | %.2f | %.2f | %.3f | %.3f | %.2f |\n", shards, selectivity, name,
+		two.work/one.work, two.attempts/one.attempts, one.inTime, two.inTime, two.twoPhaseShare)
 	return nil
 }
 
-// load asks the best 10 of all blocks, on an open-loop schedule; it returns how many were answered in the agreed time.
-func (f *fleet) load(rate float64, blocks int, lasts time.Duration) (inTime, asked int) {
-	var of []int
-	for n := range blocks {
-		of = append(of, n)
+func measureLoad(program string, data dataset, maxAttempts int, jammed bool) (cost, error) {
+	fleet, err := newFleet(program, measureSeed, data, maxAttempts)
+	if err != nil {
+		return cost{}, err
+	}
+	fleet.workTime = recordTime
+	rate := shardRate / float64(data.shards)
+	if jammed {
+		fleet.workTime = onOneCore(recordTime)
+		rate *= jammedSpeed
+	}
+	inTime, sent := fleet.load(rate, data.shards, measureTime)
+	counts := fleet.Counters()
+	fleet.Close()
+	return cost{
+		work:          float64(fleet.data.RecordsRead) / float64(sent),
+		attempts:      float64(counts["legs"]) / float64(sent),
+		inTime:        float64(inTime) / float64(sent),
+		twoPhaseShare: float64(counts["two_phases"]) / float64(max(1, counts["questions"])),
+	}, nil
+}
+
+// recordTime is the time of a core that a call takes.
+func recordTime(summary bool, records int) time.Duration {
+	if summary {
+		return callWork
+	}
+	return callWork + time.Duration(records)*recordWork
+}
+
+// onOneCore has all replicas share one core, which works off its calls one after the other.
+func onOneCore(work func(summary bool, records int) time.Duration) func(summary bool, records int) time.Duration {
+	var mu sync.Mutex
+	freeAt := time.Now()
+	return func(summary bool, records int) time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		if now := time.Now(); freeAt.Before(now) {
+			freeAt = now
+		}
+		freeAt = freeAt.Add(work(summary, records))
+		return time.Until(freeAt)
 	}
-	best := 10
-	idle := make(chan *conn, 256)
+}
+
+// load asks for the best records of all shards, on an open-loop schedule; it returns how many queries were answered
+// within their latency objective, and how many were sent.
+func (f *fleet) load(rate float64, shards int, duration time.Duration) (inTime, sent int) {
+	best := measureBest
+	client := newClient(f.Addr, measureMaxIdle)
 	var mu sync.Mutex
 	var open sync.WaitGroup
 	start := time.Now()
-	asked = int(lasts.Seconds() * rate)
-	for n := range asked {
-		due := start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
+	sent = int(duration.Seconds() * rate)
+	for n := range sent {
+		due := dueTime(start, n, rate)
 		time.Sleep(time.Until(due))
 		open.Go(func() {
-			status, _, err := ask(f.Addr, idle, fmt.Sprint("m", n), of, 0, &best)
+			status, _, err := client.send(query{id: fmt.Sprint("m", n), shards: shardRange(0, shards), best: &best})
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && status == 200 && time.Since(due) <= cutOff/2 {
+			if err == nil && status == http.StatusOK && time.Since(due) <= objective {
 				inTime++
 			}
 		})
 	}
 	open.Wait()
-	return inTime, asked
+	return inTime, sent
 }
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -10,7 +10,14 @@
 	{
 		File: "eventloop/loop.go",
 		Old:  "	event()\n	for len(l.received)",
-		New:  "	if l.now%353 == 0 {\n		panic(\"as if, before\")\n	}\n	event()\n	if l.now%353 == 1 {\n		panic(\"as if, behind\")\n	}\n	for len(l.received)",
+		New: "	if l.now%353 == 0 {\n" +
+			"		panic(\"as if, before\")\n" +
+			"	}\n" +
+			"	event()\n" +
+			"	if l.now%353 == 1 {\n" +
+			"		panic(\"as if, behind\")\n" +
+			"	}\n" +
+			"	for len(l.received)",
 	},
 }
 
@@ -33,21 +40,30 @@
 		{
 			File: "server/response.go",
 			Old:  "	if !client.write(response.bytes) {\n",
-			New:  "	if client.requestCount%23 == 7 {\n		return false\n	}\n	if !client.write(response.bytes) {\n",
+			New: "	if client.requestCount%23 == 7 {\n" +
+				"		return false\n" +
+				"	}\n" +
+				"	if !client.write(response.bytes) {\n",
 		},
 	}},
 	{"late_answer", soak.RuleAnswer, []faultbuild.Patch{
 		{
 			File: "server/response.go",
 			Old:  "	if !client.write(response.bytes) {\n",
-			New:  "	if client.requestCount%9 == 7 {\n		time.Sleep(4 * time.Second)\n	}\n	if !client.write(response.bytes) {\n",
+			New: "	if client.requestCount%9 == 7 {\n" +
+				"		time.Sleep(4 * time.Second)\n" +
+				"	}\n" +
+				"	if !client.write(response.bytes) {\n",
 		},
 	}},
 	{"two_answers", soak.RuleAnswer, []faultbuild.Patch{
 		{
 			File: "server/response.go",
 			Old:  "	if !client.write(response.bytes) {\n",
-			New:  "	if client.requestCount%9 == 7 {\n		response.bytes = append(response.bytes, response.bytes...)\n	}\n	if !client.write(response.bytes) {\n",
+			New: "	if client.requestCount%9 == 7 {\n" +
+				"		response.bytes = append(response.bytes, response.bytes...)\n" +
+				"	}\n" +
+				"	if !client.write(response.bytes) {\n",
 		},
 	}},
 	{"client_gone", soak.RuleClientThere, []faultbuild.Patch{
@@ -66,7 +82,11 @@
 		{
 			File: "coordinator/endpoints.go",
 			Old:  "	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState(",
-			New:  "	if endpoint.State == wire.Draining {\n		endpoint.State = wire.Ready\n	}\n	replica := c.replicas.EndpointOf(endpoint.UID)\n	replica.SetState(",
+			New: "	if endpoint.State == wire.Draining {\n" +
+				"		endpoint.State = wire.Ready\n" +
+				"	}\n" +
+				"	replica := c.replicas.EndpointOf(endpoint.UID)\n" +
+				"	replica.SetState(",
 		},
 	}},
 	{"effect", soak.RuleEffect, []faultbuild.Patch{
@@ -113,7 +133,9 @@
 		{
 			File: "server/shutdown.go",
 			Old:  "func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n	limit := start.Add(shutdownAcceptTime)\n",
-			New: "var processStart = time.Now()\n\nfunc (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
+			New: "var processStart = time.Now()\n" +
+				"\n" +
+				"func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
 				"	limit := processStart.Round(0).Add(start.Sub(processStart)).Add(shutdownAcceptTime)\n",
 		},
 	}},
--- a/proofs/soak/main.go
+++ b/proofs/soak/main.go
@@ -53,22 +53,23 @@
 }
 
 func parseFlags() *flags {
-	f := &flags{}
-	flag.Uint64Var(&f.firstSeed, "first", 1, "the first seed")
-	flag.IntVar(&f.seeds, "seeds", 2, "seeds to play, one after the other")
-	flag.DurationVar(&f.duration, "lasts", 9*time.Second, "how long clients ask in each")
-	flag.IntVar(&f.faultStreams, "beside", 5, "streams of faults side by side")
+	flags := &flags{}
+	flag.Uint64Var(&flags.firstSeed, "first", 1, "the first seed")
+	flag.IntVar(&flags.seeds, "seeds", 2, "seeds to play, one after the other")
+	flag.DurationVar(&flags.duration, "lasts", 9*time.Second, "how long clients ask in each")
+	flag.IntVar(&flags.faultStreams, "beside", 5, "streams of faults side by side")
 	without := flag.String("without", "", "kinds of fault to leave out, with commas between")
-	flag.StringVar(&f.logFolder, "logs", "", "a folder for the programs' logs")
-	flag.BoolVar(&f.breaks, "breaks", false, "play programs that break a rule on purpose, until each is caught")
-	flag.StringVar(&f.onlyBreak, "break", "", "of -breaks, this one alone")
-	flag.BoolVar(&f.shrink, "shrink", false, "play a seed that fails again, without one kind of fault after the other")
-	flag.StringVar(&f.module, "module", ".", "the tree whose program is played")
-	flag.BoolVar(&f.panics, "panics", false, "have the loop panic now and then, which has to break no rule")
-	flag.BoolVar(&f.tables, "tables", false, "print what crossed what")
+	flag.StringVar(&flags.logFolder, "logs", "", "a folder for the programs' logs")
+	flag.BoolVar(&flags.breaks, "breaks", false, "play programs that break a rule on purpose, until each is caught")
+	flag.StringVar(&flags.onlyBreak, "break", "", "of -breaks, this one alone")
+	flag.BoolVar(&flags.shrink, "shrink", false,
+		"play a seed that fails again, without one kind of fault after the other")
+	flag.StringVar(&flags.module, "module", ".", "the tree whose program is played")
+	flag.BoolVar(&flags.panics, "panics", false, "have the loop panic now and then, which has to break no rule")
+	flag.BoolVar(&flags.tables, "tables", false, "print what crossed what")
 	flag.Parse()
-	f.without = parseKinds(*without)
-	return f
+	flags.without = parseKinds(*without)
+	return flags
 }
 
 // parseKinds reads a list of kinds of fault; empty: none.
--- a/proofs/soak/proof.go
+++ b/proofs/soak/proof.go
@@ -138,8 +138,8 @@
 	return len(p.escaped) == 0
 }
 
-// catch plays a break until its rule is seen broken, and returns the seeds that it took; 0: it escaped all. An error says
-// that the break could not be built.
+// catch plays a break until its rule is seen broken, and returns the seeds that it took; 0: it escaped all. An error
+// says that the break could not be built.
 func (p *proof) catch(deliberate deliberateBreak) (seeds int, err error) {
 	program, err := p.build(deliberate.patches)
 	if err != nil {
