--- a/internal/faultbuild/page.go
+++ b/internal/faultbuild/page.go
@@ -59,7 +59,7 @@
 }
 
 // Step sets the wall clock off by a span.
-func (page *Page) Step(by time.Duration) error { return p.Set(WallStep, int64(by)) }
+func (page *Page) Step(by time.Duration) error { return page.Set(WallStep, int64(by)) }
 
 // Close lets go of the page; processes that have it keep what it says.
 func (page *Page) Close() error { return page.file.Close() }
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -9,15 +9,15 @@
 var panicking = []faultbuild.Patch{
 	{
 		File: "eventloop/loop.go",
-		Old:  "	event()\n	for len(l.received)",
-		New: "	if l.now%353 == 0 {\n" +
+		Old:  "	event()\n	for len(loop.received)",
+		New: "	if loop.now%353 == 0 {\n" +
 			"		panic(\"as if, before\")\n" +
 			"	}\n" +
 			"	event()\n" +
-			"	if l.now%353 == 1 {\n" +
+			"	if loop.now%353 == 1 {\n" +
 			"		panic(\"as if, behind\")\n" +
 			"	}\n" +
-			"	for len(l.received)",
+			"	for len(loop.received)",
 	},
 }
 
@@ -132,7 +132,8 @@
 	{"wall_clock", soak.RuleShutdown, []faultbuild.Patch{ // the limit is kept without its monotonic reading
 		{
 			File: "server/shutdown.go",
-			Old:  "func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n	limit := start.Add(shutdownAcceptTime)\n",
+			Old: "func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
+				"	limit := start.Add(shutdownAcceptTime)\n",
 			New: "var processStart = time.Now()\n" +
 				"\n" +
 				"func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
