--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -1,31 +1,46 @@
 // Command dialects plays the same seeded days once with frames alone and once with HTTP/2 alone: where no fault strikes
-// every query settles in the same way, and under faults no fewer are fulfilled; see docs/http2.md. With -measure it
-// measures what each dialect costs.
+// every query settles in the same way, and under faults no fewer succeed; see docs/http2.md. With -measure it measures
+// what each protocol costs.
 package main
 
 import (
 	"errors"
 	"flag"
 	"fmt"
-	"os"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"terntray/internal/fake"
+	"terntray/internal/proof"
 )
 
 const (
-	boxes    = 6
-	agreed   = 500 * time.Millisecond
+	replicaCount = 6
+	shardCount   = 24
+	objective    = 500 * time.Millisecond
+	deadline     = time.Second
+
 	settings = `{"balancers":1,"bounds":{"connectTimeout":150000,"idleClose":4000000,"maxAttempts":3,"maxOpen":20000,
 "mayCancel":true,"multiplex":16,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":1,"callCost":0,"cells":6,"classFetch":[0,0],"classNeed":[1.0,1.0],"ranges":24,"span":3},
 "lanes":[{"name":"look","aim":500000,"deadline":1000000,"effect":"pure"},
 {"name":"rider-claim","aim":500000,"deadline":1000000,"effect":"side_effect"}],
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
-	noise = 0.01 // share by which two days of one kind differ
+)
+
+// noise is the share by which two days of one kind differ.
+const noise = 0.01
+
+// daysBeside are days that are played side by side.
+const daysBeside = 4
+
+// Models of replicas, by the protocol that they speak.
+const (
+	modelFrames = "frames"
+	modelHTTP2  = "h2"
 )
 
 func main() {
@@ -36,11 +51,7 @@
 	measured := flag.Bool("measure", false, "measure costs instead")
 	rates := []float64{100, 1000, 6000, 12000}
 	flag.Func("rates", "parts a second to measure at, with commas", func(text string) (err error) {
-		rates = nil
-		for one := range strings.SplitSeq(text, ",") {
-			r, bad := strconv.ParseFloat(one, 64)
-			rates, err = append(rates, r), errors.Join(err, bad)
-		}
+		rates, err = parseRates(text)
 		return err
 	})
 	flag.Parse()
@@ -48,126 +59,90 @@
 		measure(*program, *against, rates)
 		return
 	}
-	same, differ := 0, 0
-	var faulty [2][2]int // by dialect: asked, fulfilled
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	places := make(chan struct{}, 4)
-	var errs []error
-	for n := range *seeds {
-		seed := *first + uint64(n)
-		for _, bad := range []bool{false, true} {
-			places <- struct{}{}
-			all.Go(func() {
-				defer func() { <-places }()
-				var got [2][]fake.LoadResult
-				for d, model := range []string{"frames", "h2"} {
-					answers, err := day(*program, seed, model, bad)
-					mu.Lock()
-					if got[d] = answers; err != nil {
-						errs = append(errs, err)
-					}
-					mu.Unlock()
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				for i := range min(len(got[0]), len(got[1])) {
-					a, b := got[0][i], got[1][i]
-					switch {
-					case bad:
-						for d, x := range []fake.LoadResult{a, b} {
-							if faulty[d][0]++; x.Status == 200 {
-								faulty[d][1]++
-							}
-						}
-					case a.Status == b.Status && a.WithinObjective(agreed) == b.WithinObjective(agreed):
-						same++
-					default:
-						differ++
-						fmt.Printf("seed %d, retrieval %d: frames %d in %v, HTTP/2 %d in %v\n", seed, i, a.Status, a.Took, b.Status, b.Took)
-					}
-				}
-			})
-		}
-	}
-	all.Wait()
-	share := func(d int) float64 { return float64(faulty[d][1]) / float64(max(1, faulty[d][0])) }
-	word, status := "PROVED", 0
-	if differ > 0 || same == 0 || len(errs) > 0 || share(1) < share(0)-noise {
-		word, status = "FAILED", 1
-	}
-	for _, err := range errs {
-		fmt.Println("could not be played:", err)
-	}
-	fmt.Printf("%s dialects seeds=%d same=%d differ=%d fulfilled_frames=%.3f fulfilled_http2=%.3f\n", word, *seeds, same, differ, share(0), share(1))
-	os.Exit(status)
+	comparison := &comparison{}
+	proof.Parallel(2**seeds, daysBeside, func(index int) {
+		seed := *first + uint64(index/2)
+		faulty := index%2 == 1
+		comparison.play(*program, seed, faulty)
+	})
+	comparison.close(*seeds)
 }
 
-// day plays one with boxes of one model; bad, with faults that both dialects know.
-func day(program string, seed uint64, model string, bad bool) (answers []fake.LoadResult, err error) {
-	chance := fake.NewRandom(seed)
-	ran := fake.NewExecutionLedger()
-	folder, err := os.MkdirTemp("", "terntray")
-	if err != nil {
-		return nil, err
+func parseRates(text string) (rates []float64, err error) {
+	for word := range strings.SplitSeq(text, ",") {
+		rate, malformed := strconv.ParseFloat(word, 64)
+		rates = append(rates, rate)
+		err = errors.Join(err, malformed)
 	}
-	defer os.RemoveAll(folder)
-	installation, err := fake.WriteHTTP2Config(folder)
-	if err != nil {
-		return nil, err
-	}
-	worse := 0
-	if bad {
-		worse = 20
+	return rates, err
+}
+
+// outcomes counts queries under faults.
+type outcomes struct{ sent, succeeded int }
+
+func (o *outcomes) add(results []fake.LoadResult) {
+	for _, result := range results {
+		o.sent++
+		if result.Status == http.StatusOK {
+			o.succeeded++
+		}
 	}
-	var all []*fake.Replica
-	for n := range boxes {
-		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.Unreliable(ran, chance, worse))
+}
+
+// share is that of queries that succeeded.
+func (o *outcomes) share() float64 { return float64(o.succeeded) / float64(max(1, o.sent)) }
+
+// comparison gathers what became of both protocols' queries.
+type comparison struct {
+	mu     sync.Mutex
+	same   int // queries without faults, that settled in the same way
+	differ int
+	frames outcomes // under faults
+	http2  outcomes
+	errs   []error
+}
+
+// play plays a day with each protocol, one after the other.
+func (c *comparison) play(program string, seed uint64, faulty bool) {
+	frames, framesErr := playDay(program, seed, modelFrames, faulty)
+	http2, http2Err := playDay(program, seed, modelHTTP2, faulty)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, err := range []error{framesErr, http2Err} {
 		if err != nil {
-			return nil, err
+			c.errs = append(c.errs, err)
 		}
-		defer b.Close()
-		b.NoLedger, b.Model = true, model
-		all = append(all, b)
-	}
-	roster, err := fake.NewDiscovery("127.0.0.1:0", all...)
-	if err != nil {
-		return nil, err
-	}
-	defer roster.Server.Close()
-	p, err := fake.StartProgram(program, settings, roster, "-installation", installation)
-	if err != nil {
-		return nil, err
 	}
-	defer p.Stop()
-	stop := make(chan struct{})
-	var peers sync.WaitGroup
-	if bad {
-		peers.Go(func() { cuts(all, fake.NewRandom(seed+1), stop) })
+	common := min(len(frames), len(http2))
+	if faulty {
+		c.frames.add(frames[:common])
+		c.http2.add(http2[:common])
+		return
 	}
-	var loads sync.WaitGroup
-	var got [2][]fake.LoadResult
-	for n, track := range []string{"look", "rider-claim"} {
-		loads.Go(func() {
-			l := fake.Load{Addr: p.Addr, Class: track, Name: track, Rate: 100, Subqueries: 3, Shards: 24, Deadline: time.Second,
-				Seed: seed, MaxConns: 500}
-			got[n] = l.Run(1500 * time.Millisecond)
-		})
+	for index := range common {
+		c.compare(seed, index, frames[index], http2[index])
 	}
-	loads.Wait()
-	close(stop)
-	peers.Wait()
-	return append(got[0], got[1]...), nil
 }
 
-// cuts cuts a box's connections off every now and then.
-func cuts(boxes []*fake.Replica, chance *fake.Random, stop <-chan struct{}) {
-	for {
-		select {
-		case <-stop:
-			return
-		case <-time.After(time.Duration(100+chance.IntN(100)) * time.Millisecond):
-			boxes[chance.IntN(len(boxes))].CloseConnections(chance.IntN(2) == 0)
-		}
+func (c *comparison) compare(seed uint64, index int, frames, http2 fake.LoadResult) {
+	sameStatus := frames.Status == http2.Status
+	if sameStatus && frames.WithinObjective(objective) == http2.WithinObjective(objective) {
+		c.same++
+		return
 	}
+	c.differ++
+	fmt.Printf("seed %d, retrieval %d: frames %d in %v, HTTP/2 %d in %v\n",
+		seed, index, frames.Status, frames.Took, http2.Status, http2.Took)
+}
+
+// proved tells whether no query differed, and under faults HTTP/2 did no worse than frames.
+func (c *comparison) proved() bool {
+	noWorse := c.http2.share() >= c.frames.share()-noise
+	return c.differ == 0 && c.same > 0 && len(c.errs) == 0 && noWorse
+}
+
+func (c *comparison) close(seeds int) {
+	proof.PrintUnplayed(c.errs)
+	proof.Close(c.proved(), "dialects", "seeds=%d same=%d differ=%d fulfilled_frames=%.3f fulfilled_http2=%.3f",
+		seeds, c.same, c.differ, c.frames.share(), c.http2.share())
 }
--- a/proofs/dialects/measure.go
+++ b/proofs/dialects/measure.go
@@ -7,92 +7,137 @@
 	"time"
 
 	"terntray/internal/fake"
+	"terntray/internal/proof"
 )
 
-// measure tells what each dialect costs at some rates, beside an earlier build with frames alone, if one is named: processor time and bytes a part, connections and descriptors, and
-// latencies as clients see them.
+const (
+	measureSubqueries = 3
+	measureTime       = 4 * time.Second
+	measureSeed       = 3
+	measureMaxConns   = 1000
+	measureTextBytes  = 100
+	measureWork       = 5 * time.Millisecond // of a replica, for a call
+)
+
+// contender is a program with one protocol.
+type contender struct {
+	program string // empty: it is not measured
+	model   string
+	name    string
+	earlier bool // an earlier build, which knows no configuration of its own
+}
+
+// measure tells what each protocol costs at some rates, beside an earlier build with frames alone, if one is named:
+// processor time and bytes a subquery, connections and descriptors, and latencies as clients see them.
 func measure(program, against string, rates []float64) {
-	fmt.Println("| parts a second | dialect | CPU a part | bytes a part | connections a box | descriptors | median | 99% | in time |")
+	contenders := []contender{
+		{against, modelFrames, "frames, before", true},
+		{program, modelFrames, "frames", program == against},
+		{program, modelHTTP2, "HTTP/2", program == against},
+	}
+	fmt.Println("| parts a second | dialect | CPU a part | bytes a part | connections a box | descriptors | median | " +
+		"99% | in time |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, rate := range rates {
-		for _, one := range []struct{ program, model, name string }{
-			{against, "frames", "frames, before"}, {program, "frames", "frames"}, {program, "h2", "HTTP/2"},
-		} {
-			if one.program == "" {
+		for _, contender := range contenders {
+			if contender.program == "" {
 				continue
 			}
-			if err := cost(one.program, one.model, one.name, rate, one.program != against); err != nil {
+			if err := contender.measure(rate); err != nil {
 				fmt.Println("could not be played:", err)
 			}
 		}
 	}
 }
 
-func cost(program, model, name string, rate float64, installed bool) error {
-	const parts, lasts = 3, 4 * time.Second
-	folder, err := os.MkdirTemp("", "terntray")
-	if err != nil {
-		return err
+// start starts the contender's fleet.
+func (c contender) start() (*proof.Fleet, error) {
+	options := proof.FleetOptions{
+		Program:  c.program,
+		Settings: settings,
+		Replicas: replicaCount,
+		Behavior: fake.After(measureWork, fake.Succeed),
+		Model:    func(int) string { return c.model },
 	}
-	defer os.RemoveAll(folder)
-	installation, err := fake.WriteHTTP2Config(folder)
-	if err != nil {
-		return err
-	}
-	var all []*fake.Replica
-	for n := range boxes {
-		b, err := fake.NewReplica(fmt.Sprintf("s-%d", n), n, fake.After(5*time.Millisecond, fake.Succeed))
-		if err != nil {
-			return err
-		}
-		defer b.Close()
-		b.NoLedger, b.Model = true, model
-		all = append(all, b)
+	if !c.earlier {
+		options.WriteConfig = fake.WriteHTTP2Config
 	}
-	roster, err := fake.NewDiscovery("127.0.0.1:0", all...)
+	return proof.StartFleet(options)
+}
+
+// measure prints a line of the table: the cost of so many subqueries a second.
+func (c contender) measure(rate float64) error {
+	fleet, err := c.start()
 	if err != nil {
 		return err
 	}
-	defer roster.Server.Close()
-	var args []string
-	if installed {
-		args = []string{"-installation", installation}
+	defer fleet.Close()
+	cpuBefore := fleet.CPUUsed()
+	load := fake.Load{
+		Addr:       fleet.Addr,
+		Class:      "look",
+		Name:       "m",
+		Rate:       rate / measureSubqueries,
+		Subqueries: measureSubqueries,
+		Shards:     shardCount,
+		Deadline:   deadline,
+		Seed:       measureSeed,
+		MaxConns:   measureMaxConns,
+		TextBytes:  measureTextBytes,
 	}
-	p, err := fake.StartProgram(program, settings, roster, args...)
-	if err != nil {
-		return err
-	}
-	idle := p.CPUUsed()
-	l := fake.Load{Addr: p.Addr, Class: "look", Name: "m", Rate: rate / parts, Subqueries: parts, Shards: 24, Deadline: time.Second,
-		Seed: 3, MaxConns: 1000, TextBytes: 100}
 	done := make(chan []fake.LoadResult)
-	go func() { done <- l.Run(lasts) }()
-	time.Sleep(lasts / 2)
-	descriptors := p.Descriptors()
-	answers := <-done
-	used, attempts := p.CPUUsed()-idle, p.Counters()["legs"]
+	go func() { done <- load.Run(measureTime) }()
+	time.Sleep(measureTime / 2)
+	descriptors := fleet.Descriptors()
+	results := <-done
+	cpu := fleet.CPUUsed() - cpuBefore
+	attempts := max(1, fleet.Counters()["legs"])
 	if os.Getenv("SHOW") != "" {
-		fmt.Println(p.Get("/counters"))
-		fmt.Println(p.Get("/beliefs"))
-		fmt.Println(p.Log())
+		fmt.Println(fleet.Get("/counters"))
+		fmt.Println(fleet.Get("/beliefs"))
+		fmt.Println(fleet.Log())
 	}
-	p.Stop()
-	in, conns := 0, 0
-	for _, b := range all {
-		bytes, n := b.Traffic()
-		in += bytes
-		conns += n
+	fleet.Stop()
+	bytes, conns := traffic(fleet.Replicas)
+	latency := summarize(results)
+	fmt.Printf("| %.0f | %s | %v | %d | %.1f | %d | %v | %v | %.3f |\n", rate, c.name,
+		(cpu / time.Duration(attempts)).Round(time.Microsecond), bytes/attempts, float64(conns)/replicaCount,
+		descriptors,
+		latency.median, latency.percentile99, latency.inTime)
+	return nil
+}
+
+// traffic is what all replicas have received.
+func traffic(replicas []*fake.Replica) (bytes, conns int) {
+	for _, replica := range replicas {
+		replicaBytes, replicaConns := replica.Traffic()
+		bytes += replicaBytes
+		conns += replicaConns
 	}
+	return bytes, conns
+}
+
+// latencySummary is of a load, as its clients see it.
+type latencySummary struct {
+	median       time.Duration
+	percentile99 time.Duration
+	inTime       float64 // share within the latency objective
+}
+
+func summarize(results []fake.LoadResult) latencySummary {
 	var took []time.Duration
 	inTime := 0
-	for _, a := range answers {
-		if took = append(took, a.Took); a.WithinObjective(agreed) {
+	for _, result := range results {
+		took = append(took, result.Took)
+		if result.WithinObjective(objective) {
 			inTime++
 		}
 	}
 	slices.Sort(took)
-	fmt.Printf("| %.0f | %s | %v | %d | %.1f | %d | %v | %v | %.3f |\n", rate, name, (used / time.Duration(max(1, attempts))).Round(time.Microsecond),
-		in/max(1, attempts), float64(conns)/boxes, descriptors, took[len(took)/2].Round(10*time.Microsecond),
-		took[len(took)*99/100].Round(10*time.Microsecond), float64(inTime)/float64(len(took)))
-	return nil
+	const precision = 10 * time.Microsecond
+	return latencySummary{
+		median:       took[len(took)/2].Round(precision),
+		percentile99: took[len(took)*99/100].Round(precision),
+		inTime:       float64(inTime) / float64(len(took)),
+	}
 }
