--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -63,7 +63,7 @@
 // admissionDecision says what becomes of a new query.
 type admissionDecision struct {
 	rejected     bool
-	retryAfter   time.Duration // the client may retry then; 0: no time is told
+	retryAfter   time.Duration // the client may retry then; 0: no time is named
 	beginsToShed bool          // it is the first rejection after a quiet time
 }
 
@@ -161,7 +161,7 @@
 	return query.admittedAsProbe
 }
 
-// probeOverdue tells whether an ejected holder of a subquery's shard has long been due for a probe, which a query
+// probeOverdue reports whether an ejected holder of a subquery's shard has long been due for a probe, which a query
 // brings.
 func (a *admissionController) probeOverdue(now time.Duration, subquery *subquery) bool {
 	for _, replica := range a.replicas.holders(subquery.shard) {
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// QueryArrives takes a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
+// QueryArrives handles a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
 func (c *Scheduler) QueryArrives(now time.Duration, arrival QueryArrival) {
 	c.clock(now)
 	class := &c.classes[arrival.Class]
@@ -34,7 +34,7 @@
 	c.retries.subqueryArrived(now)
 }
 
-// SubqueryArrives takes one subquery of the present phase of a query.
+// SubqueryArrives handles one subquery of the present phase of a query.
 func (c *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
 	c.clock(now)
 	query := c.queriesByNumber[arrival.Query]
@@ -63,7 +63,7 @@
 	c.slowStart.subqueryArrived(arrived.shard)
 }
 
-// UsePhases tells that a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
+// UsePhases makes a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
 // the first phase leaves each shard an attempt for the next.
 func (c *Scheduler) UsePhases(id RequestID, reserves bool) {
 	if query := c.queriesByID[id]; query != nil {
@@ -87,7 +87,7 @@
 	c.startPhase(query, subqueries)
 }
 
-// ClientDisconnects tells that nobody waits for a query any more. It does not count as late: that says nothing of the
+// ClientDisconnects ends a query for which nobody waits any more. It does not count as late: that says nothing of the
 // replicas.
 func (c *Scheduler) ClientDisconnects(now time.Duration, id RequestID) {
 	c.clock(now)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Wakeup takes a wakeup that the scheduler asked for.
+// Wakeup handles a wakeup that the scheduler asked for.
 func (c *Scheduler) Wakeup(now time.Duration, name string) {
 	c.clock(now)
 	if now >= c.wakeupAt {
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -27,12 +27,12 @@
 	replica *replicaState // which one that was
 }
 
-// suspectedDeadly tells whether a query may crash the replicas that work on it.
+// suspectedDeadly reports whether a query may crash the replicas that work on it.
 func (q *query) suspectedDeadly() bool {
 	return q.crashes.count > 0 && q.answered < answersPerCrash*q.crashes.count
 }
 
-// connectionReset takes that a connection was reset under an attempt that took so long. Several at one replica at one
+// connectionReset records that a connection was reset under an attempt that took so long. Several at one replica at one
 // time count as one crash.
 func (q *query) connectionReset(now time.Duration, replica *replicaState, took time.Duration) {
 	counted := q.crashes.lastAt == now && q.crashes.replica == replica
@@ -44,7 +44,7 @@
 	q.crashes.replica = replica
 }
 
-// answeredBy takes that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
+// answeredBy records that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
 // was sent, it lives: the connection alone was lost.
 func (q *query) answeredBy(attempt *attempt) {
 	if attempt.replica == q.crashes.replica && attempt.sentAt > q.crashes.lastAt {
@@ -52,7 +52,7 @@
 	}
 }
 
-// waitsForCanaries tells whether the next subquery of a large query waits for an answer to those ahead of it, or for
+// waitsForCanaries reports whether the next subquery of a large query waits for an answer to those ahead of it, or for
 // the next step. It is only of use among many co-ordinators, where each sees too few crashes to be warned by them.
 func (q *query) waitsForCanaries(now time.Duration, manyCoordinators bool) bool {
 	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -23,7 +23,8 @@
 	parameters *parameters
 }
 
-// replied takes a reply that the estimates have learned from. A limit is halved once in halvingInterval at the most.
+// replied adjusts the limit after a reply that the estimates have learned from. It halves the limit at most once in
+// halvingInterval.
 func (l *concurrencyLimiter) replied(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	switch {
 	case replica.recentLatency > latencyRise*max(1, replica.usualLatency):
@@ -41,13 +42,14 @@
 	replica.limitCeiling = min(maxLimit, replica.limitCeiling+ceilingGrowth)
 }
 
-// rejected takes that the replica rejected an attempt as it has too many; the attempt is no longer in flight.
+// rejected lowers the limit after the replica rejected an attempt as it has too many. That attempt no longer counts as
+// in flight.
 func (l *concurrencyLimiter) rejected(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	l.halve(now, replica, halvingInterval)
 	replica.limitCeiling = max(1, min(replica.limitCeiling, float64(len(replica.outstanding))))
 }
 
-// peersFill tells whether a replica that rejects attempts may be full of what other co-ordinators sent.
+// peersFill reports whether a replica that rejects attempts may be full of what other co-ordinators sent.
 func (l *concurrencyLimiter) peersFill() bool { return l.parameters.unseenLoadFactor > 1 }
 
 // backOff has a replica count as full for a while, of a length that chance spreads: a number from 0 to 1.
@@ -62,18 +64,18 @@
 	}
 }
 
-// restart begins anew with one attempt at a time, at a replica that was ejected.
+// restart sets a replica that is reinstated to one attempt at a time.
 func (l *concurrencyLimiter) restart(replica *replicaState) {
 	replica.recovering = true
 	replica.limit = 1
 }
 
-// atLimit tells whether as many attempts are in flight as the limit allows.
+// atLimit reports whether as many attempts are in flight as the limit allows.
 func (l *concurrencyLimiter) atLimit(replica *replicaState) bool {
 	return float64(len(replica.outstanding)) >= replica.limit
 }
 
-// full tells whether the replica is to get no attempt now. At its limit it still gets one each time that it has been
+// full reports whether the replica is to get no attempt now. At its limit it still gets one each time that it has been
 // silent and was sent nothing for silentAfter: attempts that were lost would hold all places for good.
 func (l *concurrencyLimiter) full(now time.Duration, replica *replicaState) bool {
 	if now < replica.fullUntil {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -18,15 +18,15 @@
 	keptDeadlines     = 16   // queries; the last ones, which tell with what deadlines first tries come
 )
 
-// clientRetryDetector tells clients' retries from first tries by the time that they have left: first tries of a
+// clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries of a
 // client come with one deadline, a retry with less. A retry has lost the time that the first try took; without this,
 // work would be done for objectives that are over.
 type clientRetryDetector struct {
 	shares []float64 // of their class's deadline that the last queries came with
 }
 
-// isRetry takes the share of its class's deadline that a query has left. It is a retry if most came with more of
-// late, and it alone with this.
+// isRetry reports whether a query with this share of its class's deadline left is a client's retry: most came with
+// more of late, and none with as much. It remembers the share.
 func (d *clientRetryDetector) isRetry(share float64) bool {
 	usual, more := false, false
 	for index, other := range d.shares {
@@ -90,8 +90,8 @@
 	return goesOn
 }
 
-// isDeadly tells whether a query that is suspected of crashing replicas must end: at a second crash, or as the replica
-// that seemed to crash is not in use.
+// isDeadly reports whether a query that is suspected of crashing replicas must end: at a second crash, or as the
+// replica that seemed to crash is not in use.
 func (q *query) isDeadly() bool {
 	return q.suspectedDeadly() && (q.crashes.count > 1 || !q.crashes.replica.inUse(q.class))
 }
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -42,7 +42,7 @@
 	typicalSize float64 // mean size of the replicas that are ready
 }
 
-// observedReply is a reply as the estimator is told of it.
+// observedReply is a reply, and what delayed it here.
 type observedReply struct {
 	attempt   *attempt
 	took      time.Duration // from its start to its end, or to when its reply was read
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -42,7 +42,7 @@
 	lastLoadReportAt time.Duration
 }
 
-// loadReported takes a replica's report of the share of its cores in use; replica is nil if it is not known.
+// loadReported records a replica's report of the share of its cores in use; replica is nil if it is not known.
 func (h *hedgePolicy) loadReported(now time.Duration, replica *replicaState, utilization float64) {
 	h.meanUtilization += utilizationStep * (utilization - h.meanUtilization)
 	h.lastLoadReportAt = now
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// wanted tells whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
+// wanted reports whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
 func (h *hedgePolicy) wanted(now time.Duration, attempt *attempt) bool {
 	subquery := attempt.subquery
 	settled := subquery.answered || subquery.abandoned || subquery.queued
@@ -127,7 +127,7 @@
 // fanout is the number of the query's subqueries over manySubqueries.
 func (q *query) fanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
 
-// nearlyAnswered tells whether no more than the last twelfth of a query, or than so many subqueries, are missing.
+// nearlyAnswered reports whether no more than the last twelfth of a query, or than so many subqueries, are missing.
 func (q *query) nearlyAnswered(subqueries float64) bool {
 	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShare)
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -82,7 +82,7 @@
 	return scale(maxProbeInterval, d.parameters.timeScale)
 }
 
-// replied takes that a replica has answered an attempt. Attempts that it was sent before that one are overtaken.
+// replied records that a replica has answered an attempt. Attempts that it was sent before that one count as overtaken.
 func (d *outlierDetector) replied(now time.Duration, answered *attempt) {
 	replica := answered.replica
 	state := replica.forClass(answered.subquery.query.class)
@@ -96,7 +96,8 @@
 	}
 }
 
-// failed takes that an attempt of a class ended at a replica without an answer. Those that end at one time count once.
+// failed records an attempt of a class that ended at a replica without an answer. Several that end at the same time
+// count once.
 func (d *outlierDetector) failed(now time.Duration, replica *replicaState, class *class) {
 	state := replica.forClass(class)
 	if replica.lastErrorAt != now {
@@ -126,13 +127,13 @@
 	}
 }
 
-// silent tells whether a replica has been silent since an attempt, for longer than a slow one is.
+// silent reports whether a replica has been silent since an attempt, for longer than a slow one is.
 func (d *outlierDetector) silent(now time.Duration, attempt *attempt) bool {
 	silence := now - max(attempt.sentAt, attempt.replica.lastReplyAt)
 	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentTimes)
 }
 
-// hangs tells whether an attempt can be given up for lost: its replica is ejected for its class, or has answered
+// hangs reports whether an attempt can be given up for lost: its replica is ejected for its class, or has answered
 // several later ones. Connections may fall silent, and replicas lose single attempts.
 func (d *outlierDetector) hangs(now time.Duration, attempt *attempt) bool {
 	if attempt.replica.forClass(attempt.subquery.query.class).ejected {
@@ -148,7 +149,7 @@
 	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
 
-// canSpare tells whether each shard that a replica holds has another holder in use. The last one may be silent
+// canSpare reports whether each shard that a replica holds has another holder in use. The last one may be silent
 // only because it carries the load of the others.
 func (d *outlierDetector) canSpare(replica *replicaState, class *class) bool {
 	for back := range d.replicas.cellsPerShard {
@@ -169,12 +170,12 @@
 	return false
 }
 
-// inUse tells whether a replica may get ordinary attempts of a class.
+// inUse reports whether a replica may get ordinary attempts of a class.
 func (r *replicaState) inUse(class *class) bool {
 	return r.state == Ready && !r.forClass(class).ejected
 }
 
-// mayProbe tells whether an attempt of a subquery may go as a probe. A query with less than half of its time left
+// mayProbe reports whether an attempt of a subquery may go as a probe. A query with less than half of its time left
 // would end before the probe's answer came.
 func (d *outlierDetector) mayProbe(now time.Duration, subquery *subquery, retries *retryBudget) bool {
 	query := subquery.query
@@ -219,7 +220,7 @@
 	}
 }
 
-// probeOverdue tells whether a replica that is ejected for a class has long been due for a probe.
+// probeOverdue reports whether a replica that is ejected for a class has long been due for a probe.
 func (d *outlierDetector) probeOverdue(now time.Duration, replica *replicaState, class *class) bool {
 	return replica.forClass(class).ejected && now >= replica.nextProbeAt+d.maxInterval()
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -20,7 +20,7 @@
 	hasRoom    func(*replicaState, *subquery) bool // within its slow-start budget
 }
 
-// usable tells whether a subquery may get an ordinary attempt at a replica.
+// usable reports whether a subquery may get an ordinary attempt at a replica.
 func (p *placement) usable(replica *replicaState, subquery *subquery) bool {
 	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
 }
@@ -52,7 +52,7 @@
 	})
 }
 
-// needsReplica tells whether a subquery waits for an attempt and is queued for no replica that it can go to.
+// needsReplica reports whether a subquery waits for an attempt and is queued for no replica that it can go to.
 func (p *placement) needsReplica(subquery *subquery) bool {
 	if subquery.answered || subquery.abandoned {
 		return false
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -106,7 +106,7 @@
 	return last
 }
 
-// inFlight tells whether an attempt has not ended.
+// inFlight reports whether an attempt has not ended.
 func (s *subquery) inFlight() bool { return s.lastInFlight() != nil }
 
 // firstThatMayHaveRun is the first attempt that may have run at its replica; nil: each provably never ran.
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// triedAt tells whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
+// triedAt reports whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
 func (s *subquery) triedAt(replica *replicaState, mayHaveRun bool) bool {
 	return slices.ContainsFunc(s.attempts, func(attempt *attempt) bool {
 		return attempt.replica == replica && (!mayHaveRun || attempt.mayHaveRun || !attempt.ended)
@@ -143,13 +143,13 @@
 	s.replica, s.queued = nil, false
 }
 
-// interchangeable tells whether two subqueries without attempts can go to the same replicas at the same cost.
+// interchangeable reports whether two subqueries without attempts can go to the same replicas at the same cost.
 func (s *subquery) interchangeable(other *subquery, cells int) bool {
 	unsent := len(s.attempts)+len(other.attempts) == 0
 	return unsent && s.work == other.work && int(s.shard)%cells == int(other.shard)%cells
 }
 
-// reachesMinimum tells whether the subqueries that pass weigh enough for an answer.
+// reachesMinimum reports whether the subqueries that pass weigh enough for an answer.
 func (q *query) reachesMinimum(pass func(*subquery) bool) bool {
 	passing := 0.0
 	for _, subquery := range q.subqueries {
@@ -164,8 +164,8 @@
 // unanswered is the number of subqueries without an answer.
 func (q *query) unanswered() float64 { return float64(len(q.subqueries)) - q.answered }
 
-// awaitsSubqueries tells whether subqueries of the present phase are still to arrive. Those of a second phase arrive in
-// one iteration, and may be fewer than expected.
+// awaitsSubqueries reports whether subqueries of the present phase are still to arrive. Those of a second phase
+// arrive in one iteration, and may be fewer than expected.
 func (q *query) awaitsSubqueries() bool {
 	if q.ended {
 		return true
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -24,7 +24,8 @@
 
 func burst(rate float64) float64 { return max(minQuotaBurst, rate*quotaBurst) }
 
-// take counts a query of a tenant and tells whether the tenant is over its quota. Unless the quota is enforced none is.
+// take counts a query of a tenant and reports whether the tenant is over its quota. Unless the quota is enforced none
+// is.
 func (q *tenantQuotas) take(tenant TenantIndex, enforced bool) (over bool) {
 	if int(tenant) >= len(q.rates) {
 		return false
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -38,7 +38,7 @@
 	r.queuedAhead[index] += subquery.work
 }
 
-// skips tells whether a pass that does not look at all need not look at a subquery.
+// skips reports whether a pass that does not look at all need not look at a subquery.
 func (r *releaseRound) skips(subquery *subquery) bool {
 	if r.all {
 		return false
@@ -64,7 +64,7 @@
 	}
 }
 
-// isReleasable tells whether a subquery is queued and its query's canaries do not hold it back.
+// isReleasable reports whether a subquery is queued and its query's canaries do not hold it back.
 func (c *Scheduler) isReleasable(subquery *subquery) bool {
 	query := subquery.query
 	if query.ended || !subquery.queued || query.waitsForCanaries(c.now, c.unseenLoadFactor > 1) {
@@ -97,7 +97,7 @@
 	c.probe(subquery) // of an ejected holder, beside the attempt
 }
 
-// mustWait tells whether a queued subquery cannot be sent to its replica now.
+// mustWait reports whether a queued subquery cannot be sent to its replica now.
 func (c *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
 	if c.limits.full(c.now, replica) || !c.slowStartAdmits(replica, subquery) {
 		return true
@@ -114,7 +114,7 @@
 	return noToken || c.retries.backsOff(c.now, replica, subquery, c.retries.onLastAttempt(subquery))
 }
 
-// tooLate tells whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
+// tooLate reports whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
 // the first phase, that is the query's objective, else its deadline.
 func (c *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
 	query, replica := subquery.query, subquery.replica
@@ -132,7 +132,7 @@
 	return scale(subquery.work+ahead, c.estimates.timePerWork(replica)) > left
 }
 
-// probe sends an attempt of a subquery to an ejected holder that is due for one, if any, and tells whether it did.
+// probe sends an attempt of a subquery to an ejected holder that is due for one, if any, and reports whether it did.
 func (c *Scheduler) probe(subquery *subquery) bool {
 	if !c.outliers.mayProbe(c.now, subquery, &c.retries) {
 		return false
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -63,12 +63,12 @@
 // forClass is what is known of the replica for the queries of a class.
 func (r *replicaState) forClass(of *class) *replicaClassState { return &r.classes[of.index] }
 
-// ejectedForAny tells whether the replica is ejected for one class at least.
+// ejectedForAny reports whether the replica is ejected for one class at least.
 func (r *replicaState) ejectedForAny() bool {
 	return slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return state.ejected })
 }
 
-// ejectedForAll tells whether the replica is ejected for every class.
+// ejectedForAll reports whether the replica is ejected for every class.
 func (r *replicaState) ejectedForAll() bool {
 	return !slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return !state.ejected })
 }
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// AttemptEnds takes the outcome of an attempt. One that is not known, or that has ended before, changes nothing.
+// AttemptEnds handles the end of an attempt. One that is not known, or that has ended before, changes nothing.
 func (c *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
 	c.clock(now)
 	subquery := c.subqueries[result.Subquery]
@@ -24,7 +24,7 @@
 	c.continueSubquery(subquery)
 }
 
-// bookEnd takes an attempt off its replica's load.
+// bookEnd takes an ended attempt off its replica's load.
 func (c *Scheduler) bookEnd(ended *attempt, outcome Outcome) {
 	ended.subquery.query.touched = true
 	ended.ended = true
@@ -37,7 +37,7 @@
 	}
 }
 
-// attemptSucceeded tells the policies of a reply, and counts the answer.
+// attemptSucceeded passes a reply to the policies, and counts the answer.
 func (c *Scheduler) attemptSucceeded(ended *attempt, took time.Duration) {
 	replica, subquery := ended.replica, ended.subquery
 	query := subquery.query
@@ -69,7 +69,7 @@
 	c.abandon(subquery)
 }
 
-// attemptFailed tells the policies of an attempt that brought no answer.
+// attemptFailed passes an attempt that brought no answer to the policies.
 func (c *Scheduler) attemptFailed(ended *attempt, outcome Outcome, took time.Duration) {
 	replica, query := ended.replica, ended.subquery.query
 	switch outcome {
@@ -107,13 +107,14 @@
 	}
 }
 
-// LoadReported takes the share of its cores that a replica has in use, from 0 to 1, as it reports itself.
+// LoadReported handles a load report: the share of its cores that a replica has in use, from 0 to 1, as it reports
+// itself.
 func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, utilization float64) {
 	c.clock(now)
 	c.hedges.loadReported(now, c.replicas.byID[id], utilization)
 }
 
-// ReadDelayed tells for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it that
+// ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it that
 // time would count as the replicas'.
 func (c *Scheduler) ReadDelayed(now, unread time.Duration) {
 	c.clock(now)
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -53,13 +53,13 @@
 	b.extras = notBefore(b.extras, now-span)
 }
 
-// hasRoom tells whether the budget allows a further attempt now.
+// hasRoom reports whether the budget allows a further attempt now.
 func (b *retryBudget) hasRoom() bool {
 	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.extras)+1) <= allowed
 }
 
-// allowsRepeat tells whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
+// allowsRepeat reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
 // of attempts that are allowed.
 func (b *retryBudget) allowsRepeat(now time.Duration, subquery *subquery) bool {
 	if len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts {
@@ -71,12 +71,12 @@
 		class.effect == invariant.Keyed && now < first.sentAt+class.keyWindow)
 }
 
-// onLastAttempt tells whether no more than one attempt of the subquery is left.
+// onLastAttempt reports whether no more than one attempt of the subquery is left.
 func (b *retryBudget) onLastAttempt(subquery *subquery) bool {
 	return len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts-1
 }
 
-// backsOff tells whether a further attempt at a replica waits, as the last one there failed a short while ago. The
+// backsOff reports whether a further attempt at a replica waits, as the last one there failed a short while ago. The
 // last attempt of a subquery waits until the replica has answered: else all attempts are gone at once where all
 // holders fail.
 func (b *retryBudget) backsOff(now time.Duration, replica *replicaState, subquery *subquery, last bool) bool {
@@ -86,7 +86,7 @@
 	return last || now-replica.lastErrorAt < scale(errorBackoff, b.parameters.timeScale)
 }
 
-// hasToken tells whether a replica has earned a further attempt.
+// hasToken reports whether a replica has earned a further attempt.
 func (b *retryBudget) hasToken(replica *replicaState) bool { return replica.retryTokens >= 1 }
 
 // attemptTimeout is the time after which an attempt is to end by itself so that a retry can follow, where no hedge
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// The scheduler's loop. Each event is told by one method; Decide decides, once all events of one time are told. The
+// The scheduler's loop. Each kind of event has a method; Decide decides, once all events of one time are in. The
 // policies decide, each in a file of its own; here they are asked in order, and what they decide is carried out through
 // the Host in host.go.
 
@@ -14,7 +14,7 @@
 const (
 	tickInterval = 10 * time.Millisecond // between looks at the clock: short beside any subquery's work
 
-	wakeupName = "look" // told to the host and back with each wakeup
+	wakeupName = "look" // handed to the host and back with each wakeup
 
 	// fewOpen is the number of open queries up to which all are looked at in each iteration.
 	fewOpen = 64
@@ -119,7 +119,7 @@
 	c.admission.outliers = &c.outliers
 }
 
-// Decide decides, once all events of this time are told. All queries are looked at in each iteration while few are
+// Decide decides, once all events of this time are in. All queries are looked at in each iteration while few are
 // open, else at each tick; between ticks those for which something came in.
 func (c *Scheduler) Decide(now time.Duration) {
 	c.clock(now)
