--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -31,7 +31,7 @@
 	c.open = append(c.open, arrived)
 	c.queriesByID[arrived.id] = arrived
 	c.queriesByNumber[arrived.number] = arrived
-	c.retries.subqueryArrived(now)
+	c.retries.countArrival(now)
 }
 
 // SubqueryArrives handles one subquery of the present phase of a query.
@@ -39,7 +39,7 @@
 	c.clock(now)
 	query := c.queriesByNumber[arrival.Query]
 	if query == nil || !query.callerEndsPhases || query.phase == 0 { // what a later phase asks again is not counted again
-		c.retries.subqueryArrived(now)
+		c.retries.countArrival(now)
 	}
 	if query == nil {
 		return
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -17,15 +17,15 @@
 	hedgePatience    = 6.0  // times the expected time after which a hedge is thought of
 	hedgeRoomTimes   = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
 
-	hedgeTokensPerReply = 0.3  // hedges that a reply earns, from whichever replica
-	maxHedgeTokens      = 24.0 // hedges that may be saved up
-	lastSubqueries      = 1.5  // subqueries; a hedge of a query's only missing one needs no token
-	lastStragglerAge    = 1.5  // times the expected time at a sound replica; what these wait
-	lastShare           = 12.0 // nor does a hedge of its last twelfth: each saves eleven others
-	idleUtilization     = 0.4  // share of the replicas' cores in use up to which hedges cost nobody anything
-	busyUtilization     = 0.7  // from here a queue forms, and each hedge makes it longer
-	utilizationStep     = 0.05 // weight of a load report in the mean utilization
-	loadReportsTimeout  = 5 * time.Second
+	hedgeTokensPerReply = 0.3             // hedges that a reply earns, from whichever replica
+	maxHedgeTokens      = 24.0            // hedges that may be saved up
+	lastSubqueries      = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
+	lastShare           = 12.0            // of a large query the last twelfth needs none either: each saves eleven others
+	lastStragglerAge    = 1.5             // times the expected time at a sound replica, from which one of these is a straggler
+	idleUtilization     = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
+	busyUtilization     = 0.7             // the same; from here a queue forms, and each hedge makes it longer
+	utilizationStep     = 0.05            // weight of a load report in the mean utilization
+	loadReportsTimeout  = 5 * time.Second // without any load report, after which replicas count as idle
 )
 
 // hedgePolicy decides on hedges.
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -16,7 +16,7 @@
 
 const (
 	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
-	silentTimes        = 4.0                    // times the straggler's age too: a slow replica is not a silent one
+	silentTimes        = 4.0                    // times the expected time as well: a slow replica is not a silent one
 	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost
 	errorLimit         = 3                      // attempts in a row that bring no answer
 	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -27,8 +27,8 @@
 	extras     []time.Duration // retries and hedges that were sent within it, in order
 }
 
-// subqueryArrived counts an arrival towards the budget; queries count as well.
-func (b *retryBudget) subqueryArrived(now time.Duration) { b.arrivals = append(b.arrivals, now) }
+// countArrival counts a query or subquery towards the budget.
+func (b *retryBudget) countArrival(now time.Duration) { b.arrivals = append(b.arrivals, now) }
 
 // sent counts an attempt that has just been sent, if it is a further one.
 func (b *retryBudget) sent(now time.Duration, subquery *subquery, replica *replicaState) {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -110,7 +110,7 @@
 			retryBudgetSpan: test.span, retryBudgetFree: 2, retryBudgetShare: 0.1, maxAttempts: 3,
 		}}
 		for range test.arrivals {
-			budget.subqueryArrived(0)
+			budget.countArrival(0)
 		}
 		replica := &replicaState{}
 		for range test.retries {
