--- a/connpool/host.go
+++ b/connpool/host.go
@@ -27,7 +27,7 @@
 	finished     bool          // its end is reported, or its sender no longer waits for it
 }
 
-// written is the stage from which on an attempt may have run; before, it cannot have.
+// written is the only stage in which an attempt may have run.
 const written = replicaproto.Written
 
 // EventKind says what happened to a connection, as it stands in the log.
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -47,7 +47,7 @@
 	return classes
 }
 
-// Ready tells whether queries can be served: the endpoint list is known.
+// Ready is what /up says: whether the endpoint list is known. Queries are taken whether or not it is.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
 // IsSheddingLoad tells whether this process is short of CPU, so that only a share of the arrivals is admitted.
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -47,7 +47,7 @@
 	endLifetime   context.CancelFunc
 
 	incarnations  *incarnation.Tracker
-	ready         atomic.Bool // queries can be served; read by any goroutine
+	ready         atomic.Bool // what /up says; read by any goroutine
 	clientsClosed bool        // no client is connected and none can connect any more
 }
 
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -35,8 +35,8 @@
 //	writes the answer <-------- Complete, Reject or Fail
 //
 // An attempt can also end without a reply: it times out, is cancelled, or its connection breaks. The scheduler is
-// notified of each end exactly once, in the iteration after it where the loop itself caused it, and may start
-// another attempt.
+// notified of each end exactly once and may then start another attempt. An end that the scheduler's own decision
+// caused, such as a cancellation, is notified in the next iteration, as the scheduler is not called while it decides.
 //
 // A query is open from acceptQuery to closeQuery. It closes with its answer or when its client disconnects; from
 // then on nothing of it is sent. Attempts that are out at that time are still known until they end.
@@ -46,12 +46,14 @@
 // Discovery posts each list, or change of it. The loop notes each replica's state (ready, draining, removed), which
 // mayWrite checks at the last moment, tells connpool, which closes what is no longer wanted, and then the
 // scheduler, which places no new attempt there. Where the list says that a replica's process is a new one, the
-// scheduler starts it slowly. Until the first list has come, or discovery has failed, the process is not ready.
+// scheduler starts it slowly. Until the first list has come, or discovery has failed while an older list is known,
+// /up says that the process is not ready; queries are taken at any time.
 //
 // # The way of a configuration
 //
-// New reads the configuration once: settings.go gives it its types. At SIGHUP, Reload reads the file anew and takes
-// up the address of discovery and the certificates; everything else needs a restart and is logged as such.
+// New reads the configuration once: settings.go gives it its types. At SIGHUP, Reload reads the platform file anew
+// and takes up the address of discovery, and has the TLS files read anew. Limits and settings that have changed are
+// logged as restart_needed; other changes are neither taken up nor logged.
 //
 // # Shutdown
 //
@@ -61,8 +63,10 @@
 //
 // # Failures of the process itself
 //
-// A panic in an iteration fails the open queries and starts a new scheduler; see recoverFromPanic. A query that the
-// scheduler leaves open is failed at its deadline; see deadlinePassed. After a stall of the process, times of
+// A panic in an iteration fails the open queries and starts a new scheduler; see recoverFromPanic. A panic in a
+// client connection's goroutine or in the reader of a replica's connection ends that connection alone. In any other
+// goroutine, such as the writer of a replica's connection, a panic ends the process. A query that the scheduler
+// leaves open is failed at its deadline; see deadlinePassed. After a stall of the process, times of
 // arrival count from its beginning; see eventloop.Loop.EarliestArrival.
 //
 // # Where to look
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -50,15 +50,14 @@
 	}
 }
 
-// EndpointsKnown takes the list as it was last known. Nobody is served by it alone, as a newer one may come at
-// once.
+// EndpointsKnown takes the list as it was last known. By it alone /up does not say that the process is ready, as a
+// newer list may come at once.
 func (handler endpointHandler) EndpointsKnown(list *wire.EndpointList) {
 	handler.c.observeWallClock()
 	handler.c.applyEndpoints(list, true)
 }
 
-// PollFailed counts a failure. From then on queries are served by the list as it was last known: an old list is
-// better than none.
+// PollFailed counts a failure. From then on /up says ready if any list is known: an old list is better than none.
 func (handler endpointHandler) PollFailed(isNews bool) {
 	c := handler.c
 	c.counts.EndpointListFailures++
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -9,11 +9,14 @@
 
 // recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it.
 // The state of the scheduler can then not be trusted, and without more each further iteration might panic as well.
-// So every client that waits gets an answer (500), every attempt that is out is abandoned, and a new scheduler
-// starts with the endpoint list as it is known.
+// So the open queries are failed (500), and so is the request that was looked at; the attempts of open queries'
+// present subqueries are abandoned; and a new scheduler starts with the endpoint list as it is known. The connection
+// pool is kept as it is, with its connections and all other attempts. After a second panic, in here, nothing is done
+// beyond going on with the next iteration.
 //
 // The new scheduler has learned nothing. What limits count (attempts against the retry budget, work sent to
-// starting replicas) goes on, as what was sent before counts for the same limits.
+// starting replicas) goes on, as what was sent before counts for the same limits. If no new scheduler can be made,
+// the old one goes on.
 func (c *Coordinator) recoverFromPanic(cause string) {
 	c.counts.Panics++
 	c.log.Printf("event=loop_panic cause=%q", cause)
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -252,7 +252,7 @@
 		class := c.twoPhase.classes[query.request.Class]
 		class.ObserveCost(state.canMatchWork.mean(), state.fetchWork.mean())
 	}
-	state.run.Close(c.loop.Now())
+	state.run.Close()
 	phases, fetched := state.run.Phases()
 	c.counts.TwoPhaseQueries++
 	if phases == 2 {
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -37,7 +37,7 @@
 	namedTimer map[string]*Timer // the one set last under each name
 
 	stall     stall
-	lateBy    time.Duration // how much later than due the present iteration began
+	lateBy    time.Duration // see LateBy
 	completed time.Duration // time of the last iteration that came to its end without a panic
 }
 
@@ -52,8 +52,9 @@
 }
 
 // Post has a function called in an iteration soon, in the order of posting. It may be called from any goroutine but
-// the loop's own, and blocks while the inbox is full. It reports whether the loop was still running; if not, the
-// function is never called.
+// the loop's own, which would wait for itself, as Post blocks while the inbox is full. False says that the loop has
+// ended and that the function is never called. True says no more than that the function is in the inbox: if the loop
+// ends first, it is not called either.
 func (loop *Loop) Post(do func()) bool {
 	select {
 	case loop.inbox <- do:
@@ -105,7 +106,7 @@
 	if loop.now > 0 {
 		loop.noteStall(loop.now)
 	}
-	lastTook := loop.lateBy
+	lastIterationTook := loop.lateBy
 	waitFrom := loop.Since(time.Now())
 	due := loop.nextDue(waitFrom)
 	clock.Reset(max(0, due-waitFrom))
@@ -115,7 +116,7 @@
 	case <-clock.C:
 	}
 	loop.noteStall(max(due, waitFrom))
-	loop.lateBy = max(loop.lateBy, lastTook)
+	loop.lateBy = max(loop.lateBy, lastIterationTook)
 }
 
 // nextDue is when the next iteration has to begin at the latest.
@@ -130,8 +131,9 @@
 	return due
 }
 
-// RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted.
-// Run passes an empty one; tests that drive a loop without Run pass what is to happen.
+// RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted;
+// Run passes an empty one, tests that drive a loop without Run pass what is to happen. What is posted while posted
+// functions run waits for the next iteration. A panic is passed on to the caller.
 func (loop *Loop) RunIteration(event, endIteration func()) {
 	loop.now = loop.Since(time.Now())
 	loop.current, loop.next = loop.next, nil
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -24,7 +24,8 @@
 	loop.stall = stall{from: due, until: loop.Since(time.Now())}
 }
 
-// LateBy is how much later than due the present iteration began.
+// LateBy is the larger of two spans: how much later than due the present iteration began, and how long the last one
+// took. Either delays whatever waits for the loop.
 func (loop *Loop) LateBy() time.Duration { return loop.lateBy }
 
 // StalledFor is for how long the process stood still before the present iteration, 0 if it did not.
--- a/eventloop/timer.go
+++ b/eventloop/timer.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Timers is how many timers are set, and when the last of them is due.
+// Timers is how many timers are set, and when the last of them is due. It is for tests.
 func (loop *Loop) Timers() (count int, last time.Duration) {
 	for _, timer := range loop.timers {
 		last = max(last, timer.due)
--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -25,18 +25,21 @@
 	// of it when the call's first byte is written.
 	Deadline time.Duration
 	// Permit is asked when the first byte is about to be written, under the connection's mutex. What it refuses is
-	// never written. Nil permits everything that has a millisecond left.
+	// never written. Nil permits everything that has MinTimeLeft.
 	Permit func(now time.Duration) bool
 
 	Stage  Stage
 	Stream uint32 // where the protocol has streams; 0: none yet
 }
 
+// MinTimeLeft is the least time until its deadline with which a call is of use: replicas are told whole milliseconds.
+const MinTimeLeft = time.Millisecond
+
 // Begin tells whether the first byte of a call may be written now and, if so, how many milliseconds the replica is told
 // that its reply is awaited. The call's stage is changed accordingly.
 func (call *Call) Begin(now time.Duration) (waitMS int64, permitted bool) {
 	waitMS = (call.Deadline - now).Milliseconds()
-	if call.Permit != nil && !call.Permit(now) || waitMS < 1 {
+	if call.Permit != nil && !call.Permit(now) || waitMS < MinTimeLeft.Milliseconds() {
 		call.Stage = Withheld
 		return 0, false
 	}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-// DropUnusable drops the endpoints that cannot be used and names them. One in an unknown state, as of a later
-// version, counts as draining: it gets nothing new. One odd entry must not make the whole list useless, and the
-// drains in it with it.
+// DropUnusable drops the endpoints that cannot be used, and returns their names. An endpoint in an unknown state, as of
+// a later version, is kept as draining, so that it gets nothing new; it is named as well. One odd entry must not make
+// the whole list useless, or the drains that it tells of would be missed.
 func (list *EndpointList) DropUnusable() (unusable []string) {
 	list.Endpoints = slices.DeleteFunc(list.Endpoints, func(endpoint Endpoint) bool {
 		if !endpoint.isUsable() {
@@ -29,7 +29,7 @@
 	return unusable
 }
 
-// isUsable tells whether a endpoint says which replica it is and, unless that is removed, how it is reached.
+// isUsable tells whether an endpoint says which replica it is and, unless that is removed, how it is reached.
 func (endpoint *Endpoint) isUsable() bool {
 	if endpoint.UID == "" {
 		return false
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -5,14 +5,20 @@
 // Each Check is a pure function of a snapshot: the package does no I/O, reads no clock and keeps no state. Callers ask
 // when they decide, and again at the moment of writing: a connection that comes up late, a full buffer or a stall of
 // the process may lie between the two. A refusal at the moment of writing is a race, and the attempt ends as never
-// sent; one of something that was decided all the same is a violation. Either is counted by the caller.
+// sent; one of something that was decided all the same is a violation. Either is counted by the caller. The check at
+// the moment of writing leaves Effect, Earlier and MaxAttempts out: what may be repeated is checked at the decision
+// alone.
 //
 // What may be sent again: of an idempotent or keyed subquery any number of attempts that MaxAttempts allows. Of a
-// non-idempotent one another attempt only if each earlier one provably never ran: Evidence is NeverRan, from package
-// connpool. The rule is Attempt.checkRepeat.
+// non-idempotent one another attempt only if each earlier one provably never ran: its Evidence, which
+// coordinator/invariants.go makes from the attempt's outcome, is NeverRan. The rule is Attempt.checkRepeat.
 package invariant
 
-import "time"
+import (
+	"time"
+
+	"terntray/internal/replicaproto"
+)
 
 // EndpointState is what the endpoint list says of a replica.
 type EndpointState int
@@ -44,9 +50,6 @@
 	MayRun                   // written whole, and nothing says that it did not run
 )
 
-// minTimeLeft is the least time with which an attempt is of use: replicas are told whole milliseconds.
-const minTimeLeft = time.Millisecond
-
 // Attempt is what is known when an attempt is about to be decided or written.
 type Attempt struct {
 	TimeLeft    time.Duration // until the client, or the attempt itself, stops waiting
@@ -65,7 +68,7 @@
 		return ClientGone
 	case attempt.QueryClosed:
 		return QueryClosed
-	case attempt.TimeLeft < minTimeLeft:
+	case attempt.TimeLeft < replicaproto.MinTimeLeft:
 		return DeadlinePassed
 	case attempt.Endpoint == Removed:
 		return EndpointRemoved
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"terntray/internal/replicaproto"
 )
 
 // allowedAttempt is an attempt that nothing speaks against.
@@ -14,7 +16,7 @@
 func TestEachConditionRefusesAnAttempt(t *testing.T) {
 	for want, change := range map[Reason]func(*Attempt){
 		Allowed:          func(*Attempt) {},
-		DeadlinePassed:   func(attempt *Attempt) { attempt.TimeLeft = minTimeLeft - 1 },
+		DeadlinePassed:   func(attempt *Attempt) { attempt.TimeLeft = replicaproto.MinTimeLeft - 1 },
 		ClientGone:       func(attempt *Attempt) { attempt.ClientGone = true },
 		QueryClosed:      func(attempt *Attempt) { attempt.QueryClosed = true },
 		EndpointDraining: func(attempt *Attempt) { attempt.Endpoint = Draining },
--- a/replicaconn/writer.go
+++ b/replicaconn/writer.go
@@ -9,8 +9,8 @@
 
 const (
 	// writeTimeout is how long the operating system may take for one write, the connect timeout if that is shorter.
-	// Together with coordinator's clientSeenFresh it keeps attempts from beginning later than 0.1 s after their client
-	// has left.
+	// An attempt may begin 0.1 s after its client has left at the latest. Whether the client is there was known up to
+	// 40 ms before the write (server's seenRecently); 40 ms and these 60 ms stay within that.
 	writeTimeout = 60 * time.Millisecond
 	// writeSize is about how many bytes are written at a time. What waits behind them can still be withdrawn.
 	writeSize = 16 << 10
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -23,7 +23,8 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// Turned away, unreachable and moot prove that an attempt never ran.
+// Overloaded, Unreachable and NeverSent prove that an attempt never ran. Overloaded also stands for attempts that a
+// drain, a GOAWAY or a full connection kept from being sent.
 const (
 	Succeeded Outcome = iota
 	Failed
--- a/server/presence.go
+++ b/server/presence.go
@@ -10,8 +10,9 @@
 // what tells of the leaving may wait behind a full inbox of the loop, or lie unread in the kernel while this
 // process stood still.
 
-// seenRecently is how old the knowledge that a client is there may be when an attempt is written: an attempt may
-// begin 100 ms after its client has gone at the latest, and this process may be held up in between.
+// seenRecently is how old the knowledge that a client is there may be when an attempt is written. An attempt may
+// begin 0.1 s after its client has left at the latest, and one write may take 60 ms (replicaconn's writeTimeout);
+// these 40 ms and those 60 ms stay within that.
 const seenRecently = 40 * time.Millisecond
 
 // HasLeft tells whether the client has left by a loop time that is about now. It asks the kernel where the last
--- a/server/server.go
+++ b/server/server.go
@@ -20,7 +20,7 @@
 
 // Loop is what the server needs of the event loop.
 type Loop interface {
-	// Post runs a function on the loop; false says that the loop has ended and never will.
+	// Post runs a function on the loop; false says that the loop has ended and never will run it.
 	Post(do func()) bool
 	// Since is the loop's time at a moment: the time since the process' start.
 	Since(at time.Time) time.Duration
@@ -28,7 +28,7 @@
 
 // Handler decides what becomes of requests.
 type Handler interface {
-	// Ready tells whether queries can be served. Any goroutine may call it, as the two that follow.
+	// Ready is what /up says; queries are taken at any time. Any goroutine may call it, as the two that follow.
 	Ready() bool
 	// IsSheddingLoad tells whether some arrivals are rejected at once.
 	IsSheddingLoad() bool
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -105,8 +105,8 @@
 	return query, nil
 }
 
-// Next returns the next step. Each step but Wait is returned once; after Done or Reject the query is over, and its
-// owner calls Close.
+// Next returns the next step. CanMatch, and Fetch of the same shards, are returned once. After Done or Reject the query
+// is over, a further call returns the same again, and its owner calls Close.
 func (query *Query) Next(now time.Duration) Step {
 	if query.rejection != "" {
 		return Step{Action: Reject, Reason: query.rejection}
@@ -288,7 +288,7 @@
 }
 
 // Close ends the query, however that came about, and has the class learn from it.
-func (query *Query) Close(_ time.Duration) {
+func (query *Query) Close() {
 	if query.phase == fetchPhase && query.twoPhases {
 		query.class.observePruning(len(query.shards), query.fetched)
 	}
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -357,7 +357,7 @@
 					}
 				}
 			}
-			query.Close(now)
+			query.Close()
 		}
 		return two
 	}
