--- a/cmd/terntray/commands.go
+++ b/cmd/terntray/commands.go
@@ -54,19 +54,19 @@
 	return ""
 }
 
-// configFlag declares the flag that names the deployment's own configuration file.
+// configFlag declares the flag that names the installation file.
 func configFlag(flags *flag.FlagSet) *string {
 	return flags.String("installation", "",
 		"the deployment's own configuration, as terntray-settings renders it; empty: none")
 }
 
-// readDeployment reads the platform's file, which the environment names, and the deployment's own.
+// readDeployment reads the platform file, which the environment names, and the installation file.
 func readDeployment(configFile string) (*coordinator.Deployment, error) {
 	deployment, err := coordinator.ReadDeployment(os.Getenv)
 	if err != nil {
 		return nil, err
 	}
-	deployment.Config, err = config.Read(configFile)
+	deployment.Installation, err = config.Read(configFile)
 	return deployment, err
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the deployment's own configuration file: what the platform's file (ROUTER_CONFIG) does not say.
+// Package config is the installation file, a deployment's own: what the platform file (ROUTER_CONFIG) does not say.
 // Operators write it as a Jsonnet template (deploy/terntray.jsonnet); terntray-settings renders it and checks it
 // against schema.json; the service reads the rendered JSON with Read. Without a file every replica is spoken to in
 // frames, without TLS, and co-ordinators send each other nothing.
--- a/connpool/cancel.go
+++ b/connpool/cancel.go
@@ -54,7 +54,7 @@
 	attempt.finished = true
 	conn := attempt.conn
 	if conn == nil || pool.host.Withdraw(conn.id, attempt) {
-		pool.release(attempt, false)
+		pool.release(attempt, unreplied)
 		return
 	}
 	if conn.state == closing {
@@ -88,7 +88,7 @@
 		cancelled := conn.cancels.pending[0]
 		conn.cancels.pending = conn.cancels.pending[1:]
 		pool.host.Abandon(conn.id, cancelled)
-		pool.release(cancelled, false)
+		pool.release(cancelled, unreplied)
 	}
 	pool.scheduleWakeup(conn)
 }
--- a/connpool/conn.go
+++ b/connpool/conn.go
@@ -33,7 +33,7 @@
 	establishedAt  time.Duration // when
 
 	// Each of these keeps new attempts away; the connection is closed once the last attempt on it is over.
-	suspect   bool // nothing came for an abandoned attempt, later attempts were answered elsewhere, or a write stalled
+	suspect   bool // nothing came for an abandoned attempt, later attempts were answered elsewhere, or a write failed
 	goingAway bool // the replica said that it takes nothing new here
 	failed    bool // closed, as what came on it cannot be used or a ping had no answer
 
--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -13,7 +13,7 @@
 // ends:
 //
 //	written whole   connection came up   then
-//	no              yes                  another connection carries the attempt, once (noRetransmit); else as below
+//	no              yes                  another connection carries the attempt, once (maySwitch); else as below
 //	no              no                   it never ran: Unreachable, or NeverSent if this machine lacked something
 //	yes             -                    it may have run: MalformedReply if only the connection is at fault (what came
 //	                                     cannot be used, or another connection to the replica is up), else
@@ -84,7 +84,8 @@
 		case pool.host.Stage(ended.id, attempt) == written:
 			maybeRan = append(maybeRan, attempt)
 		case ended.wasEstablished && mayRetransmit(attempt, ended.replica):
-			attempt.noRetransmit, attempt.conn = true, nil
+			attempt.hasSwitched = true
+			attempt.conn = nil
 			resetCall(attempt.Call)
 			unwritten = append(unwritten, attempt)
 		default:
@@ -96,7 +97,7 @@
 
 // mayRetransmit tells whether an attempt that was not written whole may go on another connection.
 func mayRetransmit(attempt *Attempt, replica *replicaState) bool {
-	return !attempt.noRetransmit && replica.takesNew()
+	return attempt.maySwitch() && replica.takesNew()
 }
 
 // retransmit has attempts go on other connections than the one they were on, or wait for a place. Those that can do
@@ -123,9 +124,16 @@
 	}
 }
 
-// requeueUnbegun has what was not begun on a connection, beyond a number of attempts, wait for a place again. Where the
-// connection is lost for them (it takes nothing new), they go on another only once.
-func (pool *Pool) requeueUnbegun(conn *connection, beyond int, connLost bool) {
+// requeueCause is why attempts are taken off a connection before they are begun.
+type requeueCause int
+
+const (
+	placeLost requeueCause = iota // the connection has fewer places, or its replica moved: any number of times
+	connLost                      // the replica takes nothing new on the connection: once for each attempt
+)
+
+// requeueUnbegun has what was not begun on a connection, beyond a number of attempts, wait for a place again.
+func (pool *Pool) requeueUnbegun(conn *connection, beyond int, cause requeueCause) {
 	var requeued []*Attempt
 	for _, attempt := range slices.Backward(slices.Clone(conn.outstanding)) {
 		if len(conn.outstanding) <= beyond {
@@ -136,42 +144,45 @@
 		}
 		conn.outstanding = without(conn.outstanding, attempt)
 		attempt.conn = nil
-		if connLost && attempt.noRetransmit {
-			pool.finish(attempt, scheduler.Overloaded, pool.now)
-			continue
+		if cause == connLost {
+			if !attempt.maySwitch() {
+				pool.finish(attempt, scheduler.Overloaded, pool.now)
+				continue
+			}
+			attempt.hasSwitched = true
 		}
-		attempt.noRetransmit = attempt.noRetransmit || connLost
 		requeued = append(requeued, attempt)
 	}
 	pool.requeue(conn.replica, requeued)
 }
 
-// WriteStalled tells that the operating system did not take in time what was to be written on a connection. Nothing new
-// goes there, and what was not begun goes on another connection at once: it would wait behind bytes that nobody takes.
-// If nothing can have run there, the connection is closed, which proves that nothing did.
-func (pool *Pool) WriteStalled(now time.Duration, id ConnID) {
+// WriteFailed tells that a write on a connection failed: the operating system did not take it in time, or reported an
+// error. Nothing new goes there, and what was not begun goes on another connection at once: it would wait behind bytes
+// that nobody takes. If nothing can have run there, the connection is closed, which proves that nothing did.
+func (pool *Pool) WriteFailed(now time.Duration, id ConnID) {
 	pool.now = now
-	stalled := pool.conns[id]
-	if stalled == nil || stalled.state == closing {
+	failed := pool.conns[id]
+	if failed == nil || failed.state == closing {
 		return
 	}
-	stalled.suspect = true
-	if len(stalled.outstanding) > 0 && !stalled.goingAway { // as where it ends by itself
-		pool.learnIdleTimeout(stalled)
+	failed.suspect = true
+	if len(failed.outstanding) > 0 && !failed.goingAway { // as where it ends by itself
+		pool.learnIdleTimeout(failed)
 	}
 	var unbegun []*Attempt
-	for _, attempt := range slices.Clone(stalled.outstanding) {
-		canMove := !attempt.finished && mayRetransmit(attempt, stalled.replica)
+	for _, attempt := range slices.Clone(failed.outstanding) {
+		canMove := !attempt.finished && mayRetransmit(attempt, failed.replica)
 		if canMove && pool.host.Withdraw(id, attempt) {
-			stalled.outstanding = without(stalled.outstanding, attempt)
-			attempt.noRetransmit, attempt.conn = true, nil
+			failed.outstanding = without(failed.outstanding, attempt)
+			attempt.hasSwitched = true
+			attempt.conn = nil
 			unbegun = append(unbegun, attempt)
 		}
 	}
-	if !slices.ContainsFunc(stalled.outstanding, pool.WrittenWhole) {
-		pool.close(stalled)
+	if !slices.ContainsFunc(failed.outstanding, pool.WrittenWhole) {
+		pool.close(failed)
 	}
-	pool.retransmit(stalled, unbegun, scheduler.Unreachable, now)
+	pool.retransmit(failed, unbegun, scheduler.Unreachable, now)
 }
 
 // WriteRefused tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere
@@ -179,12 +190,12 @@
 func (pool *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	pool.finish(attempt, scheduler.NeverSent, now)
-	pool.release(attempt, false)
+	pool.release(attempt, unreplied)
 }
 
 // NoRetransmit tells that no other connection may carry an attempt if its own ends before it is written. Otherwise an
 // attempt that cannot be withdrawn any more could go out after its query's answer, or for a client that has left.
-func (pool *Pool) NoRetransmit(attempt *Attempt) { attempt.noRetransmit = true }
+func (pool *Pool) NoRetransmit(attempt *Attempt) { attempt.unwanted = true }
 
 // remove takes a connection that has ended out of the pool.
 func (pool *Pool) remove(ended *connection) {
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -68,7 +68,7 @@
 	if reused != conn {
 		t.Fatal("it goes on another connection")
 	}
-	host.pool.WriteStalled(host.now, conn)
+	host.pool.WriteFailed(host.now, conn)
 	if host.pool.idleTimeout > 5*time.Second || host.pool.distrustIdleUntil <= host.now {
 		t.Errorf("connections may be idle for %v", host.pool.idleTimeout)
 	}
@@ -91,7 +91,7 @@
 			if mayHaveRun {
 				first.Call.Stage = replicaproto.Written
 			}
-			host.pool.WriteStalled(host.now, stalled)
+			host.pool.WriteFailed(host.now, stalled)
 			host.expect(first)
 			host.expect(begun)
 			host.expect(waiting)
--- a/connpool/host.go
+++ b/connpool/host.go
@@ -21,12 +21,16 @@
 	NonIdempotent bool               // it may not run twice
 	SentAt        time.Duration      // since the process' start
 
-	conn         *connection   // that carries it; nil while it waits for a place
-	replica      *replicaState // that it is for
-	noRetransmit bool          // no other connection may carry it: it has been moved once, or is not wanted any more
-	finished     bool          // its end is reported, or its sender no longer waits for it
+	conn        *connection   // that carries it; nil while it waits for a place
+	replica     *replicaState // that it is for
+	hasSwitched bool          // it was taken off a connection that was lost, to go on another; that happens once
+	unwanted    bool          // its query is over: no other connection may carry it
+	finished    bool          // its end is reported, or its sender no longer waits for it
 }
 
+// maySwitch tells whether another connection may carry the attempt where its own is lost before it was written whole.
+func (attempt *Attempt) maySwitch() bool { return !attempt.hasSwitched && !attempt.unwanted }
+
 // written is the only stage in which an attempt may have run.
 const written = replicaproto.Written
 
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -102,7 +102,7 @@
 	isLower := limit < conn.maxAttempts
 	conn.maxAttempts = min(limit, pool.limits.MaxStreamsPerConn)
 	if isLower {
-		pool.requeueUnbegun(conn, conn.maxAttempts, false)
+		pool.requeueUnbegun(conn, conn.maxAttempts, placeLost)
 	}
 	pool.fill(conn.replica)
 	pool.scheduleWakeup(conn)
@@ -118,7 +118,7 @@
 	}
 	conn.goingAway = true
 	pool.record(conn, GoingAway, goAwayError(detail))
-	pool.requeueUnbegun(conn, 0, true)
+	pool.requeueUnbegun(conn, 0, connLost)
 	if !conn.replica.takesNew() {
 		pool.rejectWaiting(conn.replica)
 	}
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -125,14 +125,22 @@
 func (pool *Pool) Forget(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	if attempt.conn == nil || !slices.Contains(attempt.conn.cancels.pending, attempt) {
-		pool.release(attempt, false)
+		pool.release(attempt, unreplied)
 	}
 }
 
+// replyState is whether a replica has ended an attempt that is released.
+type replyState int
+
+const (
+	unreplied replyState = iota // the replica may still work on it
+	replied
+)
+
 // release takes an attempt of which nothing more is awaited off its connection, or out of its replica's queue, and
 // gives its place to the next. Its subquery's id stays known there for a while: a reply that still comes for it is no
 // protocol error, and no other attempt with that id goes on this connection.
-func (pool *Pool) release(attempt *Attempt, replied bool) {
+func (pool *Pool) release(attempt *Attempt, state replyState) {
 	conn := attempt.conn
 	if conn == nil {
 		if attempt.replica != nil {
@@ -144,7 +152,7 @@
 		return
 	}
 	busyUntil := time.Duration(0)
-	if !replied && !conn.traits.LimitsStreams && pool.WrittenWhole(attempt) {
+	if state == unreplied && !conn.traits.LimitsStreams && pool.WrittenWhole(attempt) {
 		busyUntil = attempt.Call.Deadline
 	}
 	conn.remember(attempt.Call.SubqueryID, busyUntil)
--- a/connpool/replica.go
+++ b/connpool/replica.go
@@ -54,7 +54,7 @@
 	}
 	for _, conn := range slices.Clone(listed.conns) {
 		if conn.addr != addr {
-			pool.requeueUnbegun(conn, 0, false)
+			pool.requeueUnbegun(conn, 0, placeLost)
 		}
 		if !conn.atReplicasAddress() && len(conn.outstanding) == 0 {
 			pool.close(conn)
@@ -114,7 +114,7 @@
 	for _, conn := range replica.conns {
 		for _, attempt := range slices.Clone(conn.outstanding) {
 			if !attempt.finished && pool.host.Withdraw(conn.id, attempt) {
-				pool.release(attempt, false)
+				pool.release(attempt, unreplied)
 				pool.finish(attempt, scheduler.Overloaded, pool.now)
 			}
 		}
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -27,22 +27,22 @@
 		return nil, false
 	}
 	conn.noteBytes(at)
-	replied := conn.find(attempt, subquery)
-	if replied != nil && !replied.finished {
-		replied.finished = true
-		pool.release(replied, true)
-		pool.noteReply(conn, replied, at)
-		return replied, false
+	answered := conn.find(attempt, subquery)
+	if answered != nil && !answered.finished {
+		answered.finished = true
+		pool.release(answered, replied)
+		pool.noteReply(conn, answered, at)
+		return answered, false
 	}
 	before := conn.recentlySent(subquery)
-	if replied == nil && before == nil {
+	if answered == nil && before == nil {
 		pool.fail(conn, Malformed, unexpectedReply(subquery))
 		return nil, false
 	}
 	conn.lastReplyAt, conn.overtaken = at, 0
-	if replied != nil {
-		conn.cancels.pending = without(conn.cancels.pending, replied)
-		pool.release(replied, true)
+	if answered != nil {
+		conn.cancels.pending = without(conn.cancels.pending, answered)
+		pool.release(answered, replied)
 	} else {
 		before.busyUntil = 0
 	}
@@ -73,7 +73,7 @@
 		outcome = scheduler.Overloaded
 	}
 	pool.finish(settled, outcome, at)
-	pool.release(settled, true)
+	pool.release(settled, replied)
 }
 
 // MalformedReceived tells that what came on a connection cannot be used. Nothing that follows can be trusted, so the
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -34,7 +34,7 @@
 		}
 		pool.close(found.fallback) // it is idle and not trusted; a new one takes its place
 		return pool.open(replica)
-	case pool.mayOpen(replica, attempt, found.fallback == nil):
+	case pool.makeRoomForNew(replica, attempt, found.fallback == nil):
 		return pool.open(replica)
 	}
 	return found.fallback
@@ -114,9 +114,10 @@
 	return len(a.outstanding) > len(b.outstanding) || attempt.NonIdempotent && a.idleSince < b.idleSince
 }
 
-// mayOpen tells whether a connection may be opened for an attempt, and closes an idle one elsewhere if that is needed.
+// makeRoomForNew tells whether a connection may be opened for an attempt. Where the pool is full it closes an idle
+// connection elsewhere for it.
 // Without a fallback it may exceed the replica's share of the connections.
-func (pool *Pool) mayOpen(replica *replicaState, attempt *Attempt, noFallback bool) bool {
+func (pool *Pool) makeRoomForNew(replica *replicaState, attempt *Attempt, noFallback bool) bool {
 	needsFresh := pool.needsFreshConn(attempt)
 	if len(pool.conns) < pool.limits.MaxConns {
 		return needsFresh || noFallback || len(replica.conns) < pool.sharePerReplica()
--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -26,12 +26,12 @@
 func (c *Coordinator) answer(id scheduler.RequestID, result finalResult, render renderAnswer) {
 	query := c.queries[id]
 	if query == nil {
-		c.reportViolation(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), 0)
+		c.reportViolation(invariant.Answer{Answered: true}.Check(), "answer", fmt.Sprint(id), noReplica)
 		return
 	}
 	late := invariant.Answer{Late: c.loop.Now() - query.deadline, LoopStalled: c.loop.StalledFor()}
 	if reason := late.Check(); reason != invariant.Allowed {
-		c.reportViolation(reason, "answer", query.request.ID, 0)
+		c.reportViolation(reason, "answer", query.request.ID, noReplica)
 	}
 	c.countAnswer(query, result)
 	c.closeQuery(query)
@@ -111,7 +111,7 @@
 	c.log.Printf("event=overdue query=%s stalled=%v loop_late=%v",
 		query.request.ID, c.loop.StalledFor(), c.loop.LateBy())
 	c.Fail(query.id)
-	c.scheduler.ClientDisconnects(c.loop.Now(), query.id)
+	c.scheduler.ForgetQuery(c.loop.Now(), query.id)
 }
 
 // clientDisconnected closes the query of a client that is gone, if it has one open.
@@ -122,6 +122,6 @@
 	}
 	c.counts.Disconnected++
 	c.trace("query_disconnected=%s after=%v", query.request.ID, c.age(query))
-	c.scheduler.ClientDisconnects(c.loop.Now(), query.id)
+	c.scheduler.ForgetQuery(c.loop.Now(), query.id)
 	c.closeQuery(query)
 }
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -29,7 +29,7 @@
 	case c.isFull():
 		c.counts.RejectedFull++
 		c.rejectArrival(from, "too much is open")
-	case c.loop.EarliestArrival(receivedAt)+request.Deadline <= c.loop.Now():
+	case c.loop.EarliestArrival(receivedAt)+request.Timeout <= c.loop.Now():
 		c.counts.RejectedExpired++
 		c.rejectArrival(from, "its time was over before it was read")
 	default:
@@ -77,7 +77,7 @@
 		client:   from,
 		request:  request,
 		arrived:  arrived,
-		deadline: arrived + request.Deadline,
+		deadline: arrived + request.Timeout,
 	}
 	if request.TwoPhase != nil {
 		if err := c.beginTwoPhase(query); err != nil {
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -36,7 +36,7 @@
 func (c *Coordinator) serverClasses() map[string]server.Class {
 	classes := map[string]server.Class{}
 	secondSteps := strings.Split(c.deployment.settings["familyInfo.classFetch"], ",")
-	for n, class := range c.config.Classes {
+	for n, class := range c.schedulerConfig.Classes {
 		classes[class.Name] = server.Class{
 			MaxTimeout: maxTimeoutFactor * class.Deadline,
 			TwoPhase:   c.twoPhase.allowed[class.Name],
@@ -77,7 +77,7 @@
 	c := handler.c
 	c.counts.ClientConnsClosed[closed.Reason]++
 	if closed.Violation != invariant.Allowed {
-		c.reportViolation(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), 0)
+		c.reportViolation(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), noReplica)
 	}
 }
 
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -53,14 +53,14 @@
 
 // settings are what configure reads from the deployment; they do not change.
 type settings struct {
-	config  scheduler.Config
-	file    *config.Config    // the project's own configuration file; without one, the defaults
-	shadow  *scheduler.Config // under which decisions are counted and not acted on; nil: none
-	classes map[string]class  // by name
-	zones   map[string]scheduler.ZoneIndex
-	tenants map[string]scheduler.TenantIndex
-	shards  int
-	maxOpen int // of openWork
+	schedulerConfig scheduler.Config
+	installation    *config.Config    // the installation file; without one, the defaults
+	shadow          *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	classes         map[string]class  // by name
+	zones           map[string]scheduler.ZoneIndex
+	tenants         map[string]scheduler.TenantIndex
+	shards          int
+	maxOpen         int // of openWork
 }
 
 // openState is what is open. It belongs to the event loop.
@@ -110,7 +110,7 @@
 
 // startScheduler starts a scheduler that knows nothing but its configuration.
 func (c *Coordinator) startScheduler() error {
-	started, err := scheduler.New(c, c.deployment.seed(), c.config)
+	started, err := scheduler.New(c, c.deployment.seed(), c.schedulerConfig)
 	if err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
-	if err := c.startGossip(c.file.Gossip); err != nil {
+	if err := c.startGossip(c.installation.Gossip); err != nil {
 		_ = listener.Close()
 		return err
 	}
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -19,8 +19,8 @@
 	discoveryVariable = "ROUTER_DISCOVERY"
 )
 
-// Deployment is what a co-ordinator is told before it starts: the platform's configuration file, in which
-// environment variables may replace some values, and the project's own (package config).
+// Deployment is what a co-ordinator is told before it starts: the platform file (ROUTER_CONFIG), in which environment
+// variables may replace some values, and the installation file (package config).
 type Deployment struct {
 	Name           string            `json:"name"`
 	Listen         string            `json:"listen"`    // host:port for clients
@@ -30,11 +30,11 @@
 	KnownEndpoints wire.EndpointList `json:"known"` // the endpoint list as it was last known; may be old
 	SettingsJSON   json.RawMessage   `json:"settings"`
 
-	// Config is the project's own settings; nil: as without a file.
-	Config *config.Config `json:"-"`
+	// Installation is what the installation file says; nil: there is none.
+	Installation *config.Config `json:"-"`
 
 	settings        map[string]string // Nested, by path: see Flatten
-	path            string            // of the file
+	path            string            // of the platform file
 	discoveryInFile string            // Discovery before the environment replaced it
 }
 
@@ -45,8 +45,8 @@
 	Sockets  int     `json:"sockets"` // descriptors
 }
 
-// MissingVariableError says that an environment variable is not set, and that the configuration file does not have
-// what it says either.
+// MissingVariableError says that an environment variable is not set, and that the platform file does not have what it
+// says either.
 type MissingVariableError struct {
 	Variable string
 	Wanted   string // what it has to say
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Wanted)
 }
 
-// ReadDeployment reads the configuration file that the environment names. The latter is not read.
+// ReadDeployment reads the platform file, which the environment names. The installation file is not read.
 func ReadDeployment(env func(string) string) (*Deployment, error) {
 	path := env(configVariable)
 	if path == "" {
@@ -85,7 +85,7 @@
 	}
 }
 
-// readFile reads what the file alone says.
+// readFile reads what the platform file alone says.
 func readFile(path string) (*Deployment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -33,8 +33,8 @@
 	return discovery.Config{
 		Address:      c.deployment.Discovery,
 		Known:        c.deployment.KnownEndpoints,
-		OnDemand:     c.config.Discovery == scheduler.DiscoverySubscribe,
-		PollInterval: c.config.PollInterval,
+		OnDemand:     c.schedulerConfig.Discovery == scheduler.DiscoverySubscribe,
+		PollInterval: c.schedulerConfig.PollInterval,
 	}
 }
 
@@ -44,7 +44,7 @@
 	c.counts.EndpointLists++
 	now := c.observeWallClock()
 	c.incarnations.ListReceived(now)
-	c.applyEndpoints(list, false)
+	c.applyEndpoints(list, currentList)
 	if !c.discovery.IsEmpty() {
 		c.ready.Store(true)
 	}
@@ -54,7 +54,7 @@
 // newer list may come at once.
 func (handler endpointHandler) EndpointsKnown(list *wire.EndpointList) {
 	handler.c.observeWallClock()
-	handler.c.applyEndpoints(list, true)
+	handler.c.applyEndpoints(list, lastKnownList)
 }
 
 // PollFailed counts a failure. From then on /up says ready if any list is known: an old list is better than none.
@@ -77,11 +77,19 @@
 	return now
 }
 
-func (c *Coordinator) applyEndpoints(list *wire.EndpointList, isOld bool) {
+// listAge is how old an endpoint list may be.
+type listAge int
+
+const (
+	currentList   listAge = iota // discovery says so now
+	lastKnownList                // as it was known before; it may be old
+)
+
+func (c *Coordinator) applyEndpoints(list *wire.EndpointList, age listAge) {
 	if list.All {
 		c.removeUnlisted(list.Endpoints)
 	}
-	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, isOld)
+	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, age == lastKnownList)
 	for _, endpoint := range list.Endpoints {
 		c.applyEndpoint(endpoint)
 	}
@@ -103,10 +111,10 @@
 	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{
 		ID:      replica.ID(),
 		State:   schedulerStates[endpoint.State],
-		Started: c.startOf(replica, endpoint),
+		Started: c.observeStart(replica, endpoint),
 		Cell:    cellOf(endpoint),
 		Zone:    c.zoneOf(endpoint),
-		Size:    c.file.SizeOf(endpoint.Model),
+		Size:    c.installation.SizeOf(endpoint.Model),
 	})
 }
 
@@ -124,9 +132,9 @@
 	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
-// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the connections
-// closed from before that start: whatever is written to one of them is lost.
-func (c *Coordinator) startOf(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
+// observeStart has the connections to a replica closed that are from before its process started, as whatever is written
+// to one of them is lost. It returns that start, as far as it is told, in the loop's time.
+func (c *Coordinator) observeStart(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
 	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
 	}
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.replicas.Stop)
-	if err := c.startGossip(c.file.Gossip); err != nil {
+	if err := c.startGossip(c.installation.Gossip); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -93,7 +93,7 @@
 
 // newQuery is a query of class look for some shards of cell 0.
 func newQuery(id string, timeout time.Duration, shards ...int) *wire.Query {
-	query := &wire.Query{ID: id, Class: "look", Deadline: timeout}
+	query := &wire.Query{ID: id, Class: "look", Timeout: timeout}
 	for _, shard := range shards {
 		weight := 1 / float64(len(shards))
 		query.Subqueries = append(query.Subqueries, wire.Subquery{Shard: shard, Weight: weight})
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Config = installation
+		d.Installation = installation
 	}
 	return New(d, log.New(io.Discard, "", 0))
 }
@@ -46,7 +46,7 @@
 		d.settings["bounds.peers"] = "true"
 		d.settings["familyInfo.classFetch"] = "0,2"
 		if hasPeers {
-			d.Config, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
+			d.Installation, _ = config.Parse([]byte(peersFile("127.0.0.1:0", "127.0.0.1:9")))
 		}
 		var logged strings.Builder
 		c, err := New(d, log.New(&logged, "", 0))
@@ -55,8 +55,8 @@
 		}
 		c.replicas.Stop()
 		hasSecondStep := func(class scheduler.ClassConfig) bool { return class.FetchSubqueries != 0 }
-		if c.config.Gossip != hasPeers || slices.ContainsFunc(c.config.Classes, hasSecondStep) || c.config.Coordinators != 3 {
-			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.config)
+		if c.schedulerConfig.Gossip != hasPeers || slices.ContainsFunc(c.schedulerConfig.Classes, hasSecondStep) || c.schedulerConfig.Coordinators != 3 {
+			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.schedulerConfig)
 		}
 		if got := strings.Contains(logged.String(), `setting=bounds.peers value="true" effective="false"`); got == hasPeers {
 			t.Errorf("peers %t: it is logged: %s", hasPeers, logged.String())
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.startGossip(c.file.Gossip); err != nil || c.gossip != nil {
+	if err := c.startGossip(c.installation.Gossip); err != nil || c.gossip != nil {
 		t.Errorf("%v, gossip %v", err, c.gossip)
 	}
 	c.Broadcast([]byte{1}) // goes nowhere
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -74,7 +74,7 @@
 func (c *Coordinator) checkStart(attempt *attemptState, earlier []*attemptState) invariant.Reason {
 	snapshot := attempt.snapshot(c.loop.Now())
 	snapshot.Effect = c.effectOf(attempt.subquery.query)
-	snapshot.MaxAttempts = c.config.MaxAttempts
+	snapshot.MaxAttempts = c.schedulerConfig.MaxAttempts
 	for _, before := range earlier {
 		snapshot.Earlier = append(snapshot.Earlier, before.evidence())
 	}
@@ -126,6 +126,9 @@
 		attempt.subquery.query.request.ID, attempt.name(), c.replicas.UID(attempt.replica), reason, when)
 }
 
+// noReplica stands for the replica of a violation that concerns none.
+const noReplica scheduler.ReplicaID = 0
+
 // reportViolation counts and logs an action that an invariant forbids and that was about to happen, or has
 // happened. Each is a fault of this program.
 func (c *Coordinator) reportViolation(reason invariant.Reason, action, id string, to scheduler.ReplicaID) {
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -14,8 +14,8 @@
 
 var errNoDiscovery = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
 
-// Reload is called at SIGHUP. It reads the configuration file anew and takes up what can change while the service
-// runs: the address of discovery, and the certificates. It may be called from any goroutine and at any time; of
+// Reload is called at SIGHUP. It reads the platform file and the TLS files anew and takes up what can change while the
+// service runs: the address of discovery, and the certificates. It may be called from any goroutine and at any time; of
 // several calls the last counts.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
@@ -28,7 +28,7 @@
 	})
 }
 
-// readUntilUsable reads the file until it can be used, as it may be replaced just now. Until then the old
+// readUntilUsable reads the platform file until it can be used, as it may be replaced just now. Until then the old
 // configuration stays.
 func (c *Coordinator) readUntilUsable(ctx context.Context, path string) {
 	for attempt := range maxRereads {
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -16,8 +16,8 @@
 const (
 	// reservedSockets are descriptors for all that is no connection to a client or a replica.
 	reservedSockets = 24
-	// replicaConnShare says that one in so many of the other descriptors may be a connection to a replica.
-	replicaConnShare = 3
+	// replicaConnDivisor says that one in so many of the other descriptors may be a connection to a replica.
+	replicaConnDivisor = 3
 )
 
 // maxReplicaConns is how many connections to replicas the process' limit on descriptors leaves room for.
@@ -25,20 +25,20 @@
 	if sockets <= 0 {
 		return math.MaxInt
 	}
-	return max(2, (sockets-reservedSockets)/replicaConnShare)
+	return max(2, (sockets-reservedSockets)/replicaConnDivisor)
 }
 
 // configureReplicas makes the driver of connections to replicas.
 func (c *Coordinator) configureReplicas() error {
 	deployment := c.deployment
-	c.file = deployment.Config
-	if c.file == nil {
-		c.file, _ = config.Read("") // no file: the defaults
+	c.installation = deployment.Installation
+	if c.installation == nil {
+		c.installation, _ = config.Read("") // no file: the defaults
 	}
 	limits := connpool.Limits{
 		MaxConns:          maxReplicaConns(deployment.Limits.Sockets),
-		MaxStreamsPerConn: c.file.HTTP2.Streams,
-		MaxSharedConns:    c.file.HTTP2.Connections,
+		MaxStreamsPerConn: c.installation.HTTP2.Streams,
+		MaxSharedConns:    c.installation.HTTP2.Connections,
 	}
 	var timeoutErr, idleErr, attemptsErr, callsErr error
 	limits.ConnectTimeout, timeoutErr = deployment.duration("bounds.connectTimeout", time.Second)
@@ -47,7 +47,7 @@
 	limits.MaxAttemptsPerConn, attemptsErr = deployment.wholeNumber("bounds.multiplex", math.MaxInt32)
 	maxCalls, callsErr := deployment.wholeNumber("familyInfo.batch", 1)
 	driver, err := replicaconn.New(replicaconn.Config{
-		Replicas:         c.file,
+		Replicas:         c.installation,
 		Limits:           limits,
 		MaxCallsPerFrame: maxCalls,
 	}, c.loop, replicaHandler{c}, c.log)
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -32,7 +32,7 @@
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	var err error
-	c.config, c.shadow, err = deployment.schedulerConfigs()
+	c.schedulerConfig, c.shadow, err = deployment.schedulerConfigs()
 	if err != nil {
 		return err
 	}
@@ -40,17 +40,17 @@
 	c.configureNames()
 	shardsErr := c.configureLimits()
 	replicasErr := c.configureReplicas()
-	twoPhaseErr := c.twoPhase.begin(deployment, &c.config)
+	twoPhaseErr := c.twoPhase.begin(deployment, &c.schedulerConfig)
 	if err := errors.Join(shardsErr, replicasErr, twoPhaseErr); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	c.logUnsupportedSettings()
-	return deployment.validateConfig(c.file)
+	return deployment.validateInstallation(c.installation)
 }
 
 func (c *Coordinator) configureClasses() {
 	c.classes = map[string]class{}
-	for index, settings := range c.config.Classes {
+	for index, settings := range c.schedulerConfig.Classes {
 		c.classes[settings.Name] = class{
 			index:     scheduler.ClassIndex(index),
 			objective: settings.Objective,
@@ -82,7 +82,7 @@
 
 func (c *Coordinator) logUnsupportedSettings() {
 	deployment := c.deployment
-	unsupported := deployment.unsupportedSettings(len(c.file.Gossip.Peers) > 0)
+	unsupported := deployment.unsupportedSettings(len(c.installation.Gossip.Peers) > 0)
 	for _, key := range slices.Sorted(maps.Keys(unsupported)) {
 		c.log.Printf("event=unsupported_setting setting=%s value=%q effective=%q",
 			key, deployment.settings[key], unsupported[key])
@@ -245,16 +245,16 @@
 	return nil
 }
 
-// validateConfig refuses what the project's file says of co-ordinators and sizes if it does not fit the
+// validateInstallation refuses what the installation file says of co-ordinators and sizes if it does not fit the
 // settings.
-func (deployment *Deployment) validateConfig(file *config.Config) error {
+func (deployment *Deployment) validateInstallation(installation *config.Config) error {
 	var peersErr, sizesErr error
-	if len(file.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
+	if len(installation.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
 		peersErr = errPeersForbidden
 	}
 	weightKind := deployment.settings["weightKind"]
-	usesSizes := weightKind == "nominal" || weightKind == "rough" || file.Shadow.Settings["weightKind"] != ""
-	if len(file.Sizes) > 0 && !usesSizes {
+	usesSizes := weightKind == "nominal" || weightKind == "rough" || installation.Shadow.Settings["weightKind"] != ""
+	if len(installation.Sizes) > 0 && !usesSizes {
 		sizesErr = fmt.Errorf("installation: sizes: setting weightKind is %q, wanted nominal or rough", weightKind)
 	}
 	return errors.Join(peersErr, sizesErr)
@@ -264,21 +264,21 @@
 	"installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 
 // schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the
-// project's file asks for; nil: none.
+// installation file asks for; nil: none.
 func (deployment *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
-	file := deployment.Config
-	if file == nil {
-		file = &config.Config{}
+	installation := deployment.Installation
+	if installation == nil {
+		installation = &config.Config{}
 	}
-	settings := deployment.supportedSettings(len(file.Gossip.Peers) > 0)
+	settings := deployment.supportedSettings(len(installation.Gossip.Peers) > 0)
 	effective, err = scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if len(file.Shadow.Settings) == 0 {
+	if len(installation.Shadow.Settings) == 0 {
 		return effective, nil, nil
 	}
-	maps.Copy(settings, file.Shadow.Settings)
+	maps.Copy(settings, installation.Shadow.Settings)
 	evaluated, err := scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("installation: watch.settings: %w", err)
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -54,13 +54,13 @@
 // begin reads which classes may ask for two phases. The project's file names them; they have to be idempotent.
 func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
-	if deployment.Config == nil {
+	if deployment.Installation == nil {
 		return nil
 	}
-	queries.sharedVersions = deployment.Config.TwoPhase.SharedVersions
+	queries.sharedVersions = deployment.Installation.TwoPhase.SharedVersions
 	queries.maxAttempts = cmp.Or(config.MaxAttempts, unlimitedAttempts)
 	var invalid error
-	for _, name := range deployment.Config.TwoPhase.Classes {
+	for _, name := range deployment.Installation.TwoPhase.Classes {
 		hasName := func(class scheduler.ClassConfig) bool { return class.Name == name }
 		index := slices.IndexFunc(config.Classes, hasName)
 		if index < 0 || config.Classes[index].Effect != invariant.Idempotent {
@@ -182,7 +182,7 @@
 		c.counts.TwoPhaseRejected++
 		c.trace("two_phase_rejected=%s reason=%q", query.request.ID, step.Reason)
 		c.Reject(query.id, 0)
-		c.scheduler.ClientDisconnects(c.loop.Now(), query.id)
+		c.scheduler.ForgetQuery(c.loop.Now(), query.id)
 	}
 }
 
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -104,7 +104,7 @@
 // in the iteration before.
 func (loop *Loop) wait(clock *time.Timer) {
 	if loop.now > 0 {
-		loop.noteStall(loop.now)
+		loop.noteStallAndCatchUp(loop.now)
 	}
 	lastIterationTook := loop.lateBy
 	waitFrom := loop.Since(time.Now())
@@ -115,7 +115,7 @@
 		loop.received = append(loop.received, do)
 	case <-clock.C:
 	}
-	loop.noteStall(max(due, waitFrom))
+	loop.noteStallAndCatchUp(max(due, waitFrom))
 	loop.lateBy = max(loop.lateBy, lastIterationTook)
 }
 
--- a/eventloop/stall_test.go
+++ b/eventloop/stall_test.go
@@ -11,7 +11,7 @@
 func TestArrivalsReadAfterAStallCountFromItsBeginning(t *testing.T) {
 	loop := New()
 	loop.AdvanceClock(10 * time.Second)
-	loop.noteStall(9900 * time.Millisecond)
+	loop.noteStallAndCatchUp(9900 * time.Millisecond)
 	if read := loop.Since(time.Now()); loop.EarliestArrival(read) != 9900*time.Millisecond {
 		t.Errorf("read at %v, arrived at %v", read, loop.EarliestArrival(read))
 	}
@@ -21,7 +21,7 @@
 		}
 	}
 	punctual := New()
-	punctual.noteStall(punctual.Since(time.Now()))
+	punctual.noteStallAndCatchUp(punctual.Since(time.Now()))
 	if punctual.stall.until != 0 {
 		t.Error("an iteration in time counts as a stall")
 	}
--- a/internal/netconn/dial.go
+++ b/internal/netconn/dial.go
@@ -8,8 +8,6 @@
 	"slices"
 	"syscall"
 	"time"
-
-	"terntray/connpool"
 )
 
 const (
@@ -19,6 +17,10 @@
 	longestShortageWait = 80 * time.Millisecond
 )
 
+// ErrShortage is wrapped by the error of a connect that failed as this machine lacked something for it (descriptors,
+// ports, memory). It says nothing of the peer.
+var ErrShortage = errors.New("this machine lacks something for a connection")
+
 // shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) say that this machine lacks
 // something for the moment: descriptors, memory, buffers, ports. They say nothing of the peer, and nothing was
 // sent.
@@ -42,7 +44,7 @@
 
 // retryShortage repeats a call that fails as this machine lacks something, or a route, until a time or the
 // context's end. A shortage of a moment would otherwise count against the peer. One that lasts ends as a
-// connpool.ErrShortage, and the waits between keep it from using up the processor.
+// ErrShortage, and the waits between keep it from using up the processor.
 func retryShortage(ctx context.Context, until time.Time, call func() error) error {
 	for wait := firstShortageWait; ; wait = min(longestShortageWait, 2*wait) {
 		err := call()
@@ -52,7 +54,7 @@
 		}
 		if time.Now().Add(wait).After(until) {
 			if isShortage {
-				err = fmt.Errorf("%w: %w", connpool.ErrShortage, err)
+				err = fmt.Errorf("%w: %w", ErrShortage, err)
 			}
 			return err
 		}
--- a/internal/replicaproto/protocol.go
+++ b/internal/replicaproto/protocol.go
@@ -23,12 +23,25 @@
 	// LimitsStreams says that a replica may state how many attempts it takes at a time on a connection, and that an
 	// abandoned attempt frees its place.
 	LimitsStreams bool
+	// AnnouncesReady says that a replica states when calls may go (Ready); else they may as soon as it is connected.
+	AnnouncesReady bool
+	// AnnouncesClose says that a connection ends with a message to the replica.
+	AnnouncesClose bool
+	// RepliesToInput says that what comes may need an answer at once, or make room for output.
+	RepliesToInput bool
 }
 
 // TraitsOf gives a protocol's traits.
 func TraitsOf(protocol Protocol) Traits {
 	if protocol == HTTP2 {
-		return Traits{Multiplexed: true, Pings: true, LimitsStreams: true}
+		return Traits{
+			Multiplexed:    true,
+			Pings:          true,
+			LimitsStreams:  true,
+			AnnouncesReady: true,
+			AnnouncesClose: true,
+			RepliesToInput: true,
+		}
 	}
 	return Traits{}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -145,7 +145,7 @@
 type clientLeftEvent scheduler.RequestID
 
 func (e clientLeftEvent) apply(to *instance, now time.Duration) {
-	to.scheduler.ClientDisconnects(now, scheduler.RequestID(e))
+	to.scheduler.ForgetQuery(now, scheduler.RequestID(e))
 }
 
 func decodeClientLeft(_ *server, f *fields) event { return clientLeftEvent(f.id("requestId")) }
--- a/internal/wire/chunks.go
+++ b/internal/wire/chunks.go
@@ -9,7 +9,7 @@
 
 const (
 	maxChunkLine   = 1 << 10     // bytes of the line before a chunk
-	maxChunksBytes = 2 * maxBody // bytes of all chunks with their lines
+	maxChunksBytes = 2 * MaxBody // bytes of all chunks with their lines
 )
 
 // chunkedBody decodes a body in chunks (RFC 9112, section 7.1) while it comes in. Chunk extensions and trailers are
@@ -76,7 +76,7 @@
 	if err != nil {
 		return 0, badRequest("a chunk's length %.20q", digits)
 	}
-	if int(size) > maxBody-len(body.data) {
+	if int(size) > MaxBody-len(body.data) {
 		return 0, errBodyTooLarge
 	}
 	return int(size), nil
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -103,7 +103,7 @@
 	endsWithConn := length < 0 && !slices.Contains(head.TransferEncoding, "chunked")
 	if endsWithConn {
 		length = int64(reader.Buffered() - reader.headEnd)
-		if !reader.closed && length <= maxBody {
+		if !reader.closed && length <= MaxBody {
 			return nil, nil
 		}
 	}
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -41,7 +41,7 @@
 			len(one), one), "[41 true 1 true]"},
 		"an error":  {respond("500 no", one), "[error]"},
 		"no length": {"HTTP/1.1 200 OK\r\n\r\n" + one, "[]"}, // it is not known to be whole
-		"endless":   {"HTTP/1.1 200 OK\r\n\r\n" + one + strings.Repeat(" ", maxBody), "[error]"},
+		"endless":   {"HTTP/1.1 200 OK\r\n\r\n" + one + strings.Repeat(" ", MaxBody), "[error]"},
 		"no JSON":   {respond("200 OK", "{"), "[error]"},
 		"gone":      {respond("200 OK", `{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"gone"}]}`), "[43 false 1 false]"},
 	} {
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -61,8 +61,8 @@
 		return badRequest("no other Transfer-Encoding than chunked")
 	case hasLength && (length == "" || strings.Trim(length, "0123456789") != ""):
 		return badRequest("Content-Length is no number")
-	case hasLength && len(strings.TrimLeft(length, "0")) > len(strconv.Itoa(maxBody)):
-		return protocolError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBody)
+	case hasLength && len(strings.TrimLeft(length, "0")) > len(strconv.Itoa(MaxBody)):
+		return protocolError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
 	}
 	return nil
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxHead = 16 << 10 // bytes of a message's head
-	maxBody = 64 << 10 // bytes of a body, as the protocol says
+	MaxHead = 16 << 10 // bytes of a message's head
+	MaxBody = 64 << 10 // bytes of a body, as the protocol says
 )
 
 // messageReader cuts HTTP messages out of a buffer. It remembers how far it has looked, so that a message which
@@ -43,8 +43,8 @@
 	if end == 0 {
 		headLength = len(buffered) // at the least
 	}
-	if headLength > maxHead {
-		return false, protocolError(http.StatusRequestHeaderFieldsTooLarge, "the head is over %d bytes", maxHead)
+	if headLength > MaxHead {
+		return false, protocolError(http.StatusRequestHeaderFieldsTooLarge, "the head is over %d bytes", MaxHead)
 	}
 	if end > 0 {
 		reader.headEnd = headLength
@@ -84,7 +84,7 @@
 // body gives a copy of what follows the head, by the length and the encodings that the head states; nil without
 // an error means that more bytes must come in first.
 func (reader *messageReader) body(length int64, encodings []string) ([]byte, error) {
-	if length > maxBody {
+	if length > MaxBody {
 		return nil, errBodyTooLarge
 	}
 	if slices.Contains(encodings, "chunked") {
@@ -97,7 +97,7 @@
 	return append([]byte{}, reader.Bytes()[reader.headEnd:reader.length]...), nil
 }
 
-var errBodyTooLarge = protocolError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBody)
+var errBodyTooLarge = protocolError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
 
 func (reader *messageReader) chunkedBody() ([]byte, error) {
 	if reader.chunks == nil {
--- a/internal/wire/query.go
+++ b/internal/wire/query.go
@@ -23,7 +23,7 @@
 	ID         string
 	Class      string
 	Tenant     string        // who asks; empty: nobody says
-	Deadline   time.Duration // how long the client waits, from when it sent the query
+	Timeout    time.Duration // how long the client waits, from when it sent the query
 	Text       []byte
 	Subqueries []Subquery
 	TwoPhase   *TwoPhaseQuery // nil: none, or its class takes none
@@ -44,8 +44,8 @@
 
 // QueryRules are what the class of a query allows.
 type QueryRules struct {
-	MaxDeadline time.Duration
-	TwoPhase    bool // its queries may be two-phase queries
+	MaxTimeout time.Duration
+	TwoPhase   bool // its queries may be two-phase queries
 }
 
 // ReadQuery makes a query of a request. An error is a ProtocolError.
@@ -59,7 +59,7 @@
 		return nil, badRequest("Req-Id is missing or not of 1 to %d plain characters", maxIDLength)
 	}
 	var err error
-	if query.Deadline, err = readDeadline(request.Header.Get(headerDeadline), rules.MaxDeadline); err != nil {
+	if query.Timeout, err = readTimeout(request.Header.Get(headerDeadline), rules.MaxTimeout); err != nil {
 		return nil, err
 	}
 	body, err := readQueryBody(request.Body)
@@ -88,7 +88,7 @@
 	return id != "" && len(id) <= maxIDLength
 }
 
-func readDeadline(text string, most time.Duration) (time.Duration, error) {
+func readTimeout(text string, most time.Duration) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	isPlain := err == nil && strings.Trim(text, "0123456789.") == ""
 	if !isPlain || !(seconds > 0 && seconds <= most.Seconds()) {
--- a/internal/wire/query_test.go
+++ b/internal/wire/query_test.go
@@ -19,11 +19,11 @@
 		header.Set("Req-Deadline", deadline)
 		header.Set("Req-Owner", "a, b")
 		request := &Request{Method: "POST", Path: "/checkout/x", Header: header, Body: []byte(body)}
-		return ReadQuery(request, QueryRules{MaxDeadline: 10 * time.Second})
+		return ReadQuery(request, QueryRules{MaxTimeout: 10 * time.Second})
 	}
 	query, err := ask("9b1f", "0.480", good)
 	want := &Query{
-		ID: "9b1f", Class: "checkout", Tenant: "a, b", Deadline: 480 * time.Millisecond, Text: []byte("c4\né"),
+		ID: "9b1f", Class: "checkout", Tenant: "a, b", Timeout: 480 * time.Millisecond, Text: []byte("c4\né"),
 		Subqueries: []Subquery{{Shard: 3, Weight: 0.5, Hint: 9 * time.Millisecond}, {Shard: 9, Weight: 0.5}},
 	}
 	if err != nil || !reflect.DeepEqual(query, want) {
--- a/internal/wire/replies.go
+++ b/internal/wire/replies.go
@@ -11,7 +11,7 @@
 
 const (
 	frameLengthSize = 4           // bytes of the length before a frame
-	maxFrame        = 2 * maxBody // bytes; a longer one fits into no response
+	maxFrame        = 2 * MaxBody // bytes; a longer one fits into no response
 	maxQuoted       = 120         // bytes of a message that an error quotes
 )
 
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -67,7 +67,7 @@
 		return nil, 0
 	}
 	end := bytes.Index(buffered, []byte("\r\n\r\n"))
-	if end < 0 || end > maxHead {
+	if end < 0 || end > MaxHead {
 		return nil, 0
 	}
 	requestLine, fields, _ := bytes.Cut(buffered[:end+2], []byte("\r\n"))
@@ -100,7 +100,7 @@
 		switch {
 		case bytes.EqualFold(name, []byte("content-length")):
 			stated, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 17)
-			if err != nil || length >= 0 || stated > maxBody {
+			if err != nil || length >= 0 || stated > MaxBody {
 				return 0, false
 			}
 			length = int(stated)
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -70,7 +70,7 @@
 		"a bad length":    {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", []string{"fault 400"}},
 		"a bad chunk":     {"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", []string{"fault 400"}},
 		"too long a body": {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n", []string{"fault 413"}},
-		"too long a head": {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", maxHead) + "\r\n\r\n", []string{"fault 431"}},
+		"too long a head": {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", MaxHead) + "\r\n\r\n", []string{"fault 431"}},
 		"pipelined chunks": {strings.Repeat("POST /a HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			"2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n", 2) + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{post, post, get}},
 	} {
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/tls"
+	"errors"
 	"net"
 	"sync"
 	"time"
@@ -59,7 +60,7 @@
 	conn.outputReady.Signal()
 	switch {
 	case conn.socket == nil:
-	case conn.traits.Multiplexed && !conn.writerEnded:
+	case conn.traits.AnnouncesClose && !conn.writerEnded:
 		conn.socket.SetWriteDeadline(time.Now().Add(closeNotifyTimeout))
 	default:
 		conn.socket.Close()
@@ -85,6 +86,9 @@
 	driver := conn.driver
 	connectBy := time.Now().Add(driver.config.Limits.ConnectTimeout)
 	socket, err := netconn.Dial(driver.context, conn.addr, connectBy)
+	if errors.Is(err, netconn.ErrShortage) {
+		return &shortageError{err}
+	}
 	if err != nil {
 		return err
 	}
@@ -101,7 +105,7 @@
 		}
 	}
 	readyBy := time.Time{}
-	if conn.traits.Multiplexed { // the replica says when calls may go
+	if conn.traits.AnnouncesReady {
 		readyBy = connectBy
 	} else {
 		driver.loop.Post(func() { driver.ConnUp(conn.id) })
@@ -117,6 +121,13 @@
 	return cause
 }
 
+// shortageError is a connect that failed for want of something on this machine, as package connpool recognises it.
+type shortageError struct{ cause error }
+
+func (err *shortageError) Error() string { return err.cause.Error() }
+
+func (err *shortageError) Unwrap() []error { return []error{connpool.ErrShortage, err.cause} }
+
 // panicError is a panic of the reader, with its stack.
 type panicError string
 
--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -101,7 +101,7 @@
 		}
 		input.Events = append(input.Events, event)
 	}
-	if conn.traits.Multiplexed { // what came may need an answer, or make room for output
+	if conn.traits.RepliesToInput {
 		conn.outputReady.Signal()
 	}
 	input.midMessage = conn.session.MidMessage()
@@ -145,7 +145,7 @@
 // post gives the loop what it has to know. Where the protocol has pings, any bytes are a sign of life.
 func (reader *reader) post(input Input) {
 	conn := reader.conn
-	isSignOfLife := conn.traits.Multiplexed && input.bytes > 0
+	isSignOfLife := conn.traits.Pings && input.bytes > 0
 	if len(input.Events) > 0 || input.Malformed != nil || isSignOfLife {
 		conn.driver.loop.Post(func() { conn.driver.Received(conn.id, input) })
 	}
--- a/replicaconn/tls.go
+++ b/replicaconn/tls.go
@@ -65,7 +65,7 @@
 	loaded, err := driver.config.Replicas.LoadTLS()
 	driver.loop.Post(func() {
 		if err != nil {
-			driver.log.Printf("event=tls_reload_failed cause=%q words=%q",
+			driver.log.Printf("event=tls_reload_failed cause=%q detail=%q",
 				err, "what could not be read stays as it was")
 		}
 		all := maps.Clone(driver.tls)
--- a/replicaconn/writer.go
+++ b/replicaconn/writer.go
@@ -67,7 +67,7 @@
 		}
 		conn.outputReady.Wait()
 	}
-	if conn.traits.Multiplexed {
+	if conn.traits.AnnouncesClose {
 		buffer = conn.session.Output(buffer, writeSize, conn.now())
 	}
 	return buffer, true
@@ -100,7 +100,7 @@
 	}
 	if err != nil {
 		driver := conn.driver
-		driver.loop.Post(func() { driver.pool.WriteStalled(driver.loop.Now(), conn.id) })
+		driver.loop.Post(func() { driver.pool.WriteFailed(driver.loop.Now(), conn.id) })
 		return false
 	}
 	return true
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -15,7 +15,7 @@
 		m.iterate()
 		m.pass(10 * ms)
 		query.ended = true
-		m.scheduler.ClientDisconnects(m.now, query.id)
+		m.scheduler.ForgetQuery(m.now, query.id)
 		m.iterate()
 	}
 	if m.rejected > 0 || m.scheduler.classes[0].admission.latenessFactor > 1 {
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -87,9 +87,9 @@
 	c.startPhase(query, subqueries)
 }
 
-// ClientDisconnects tells that nobody waits for a query any more. It does not count as late: that says nothing of the
-// replicas.
-func (c *Scheduler) ClientDisconnects(now time.Duration, id RequestID) {
+// ForgetQuery ends a query of which nothing more is wanted: its client has disconnected, or the caller has answered
+// it without the scheduler. It does not count as late: that says nothing of the replicas.
+func (c *Scheduler) ForgetQuery(now time.Duration, id RequestID) {
 	c.clock(now)
 	if query := c.queriesByID[id]; query != nil {
 		query.judged = true
--- a/scheduler/model_fuzz_test.go
+++ b/scheduler/model_fuzz_test.go
@@ -69,7 +69,7 @@
 		for _, query := range slices.Sorted(maps.Keys(m.queries)) {
 			if !m.queries[query].ended && int(query)%8 == b%8 {
 				m.queries[query].ended = true
-				m.scheduler.ClientDisconnects(m.now, query)
+				m.scheduler.ForgetQuery(m.now, query)
 			}
 		}
 	default:
--- a/server/connection.go
+++ b/server/connection.go
@@ -29,7 +29,7 @@
 	holdsLargeSlot bool      // one of the slots for large requests
 	discardedBytes int       // that came beyond maxReadAhead: the connection ends with its response
 	waitingSince   time.Time // of accept, the last response, or the first byte of a request that is incomplete
-	finalPeekEnds  time.Time // end of the last wait before the connection closes; zero: it is not about to
+	finalWaitEnds  time.Time // end of the last wait before the connection closes; zero: it is not about to close
 	writeFailed    bool      // a response could not be written
 
 	responses          chan response // from the loop; one at the most
@@ -79,59 +79,64 @@
 		if !client.writePending() {
 			return client.endOfResponses()
 		}
-		next := client.takeRequest()
-		if next.ended {
-			return next.reason
+		step, reason := client.takeRequest()
+		if step == awaitMore {
+			if !client.reserveForLargeRequest() {
+				return client.endOfResponses()
+			}
+			step, reason = client.awaitBytes()
 		}
-		if next.handled {
-			continue
-		}
-		if !client.reserveForLargeRequest() {
-			return client.endOfResponses()
-		}
-		reason, ended := client.awaitBytes()
-		if ended {
+		if step == endConn {
 			return reason
 		}
 	}
 }
 
+// nextStep is what a connection's goroutine does next.
+type nextStep int
+
+const (
+	lookAgain nextStep = iota // for a response to write and a request to take
+	awaitMore                 // no request is in whole, or one is open
+	endConn                   // the reason is given with it
+)
+
 // writePending writes the response that the loop has made, if any; it tells whether the connection goes on.
 func (client *ClientConn) writePending() bool {
 	select {
 	case response := <-client.responses:
-		return client.finishRequest(response)
+		return client.writeResponse(response)
 	default:
 		return true
 	}
 }
 
-// awaitBytes reads what comes next, until the read deadline or until it is woken.
-func (client *ClientConn) awaitBytes() (reason CloseReason, ended bool) {
+// awaitBytes reads what comes next, until the read deadline or until it is woken. The step is lookAgain or endConn.
+func (client *ClientConn) awaitBytes() (step nextStep, reason CloseReason) {
 	deadline := client.readDeadline()
 	client.conn.SetReadDeadline(deadline)
 	if client.woken.Swap(false) {
-		return 0, false
+		return lookAgain, 0
 	}
 	count, err := client.read()
 	if err == nil {
-		return 0, false
+		return lookAgain, 0
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		client.leave()
-		return closedByClient, true
+		return endConn, closedByClient
 	}
-	wasWoken := client.requestOpen || count > 0 || time.Now().Before(deadline)
-	if wasWoken {
-		return 0, false
+	hasTimedOut := !client.requestOpen && count == 0 && !time.Now().Before(deadline)
+	if !hasTimedOut { // it was woken
+		return lookAgain, 0
 	}
-	// One more wait for a request that crosses the close, also where this process stood still over all of the
-	// first one.
-	if client.finalPeekEnds.IsZero() || netconn.Peek(client.conn) == netconn.Readable {
-		client.finalPeekEnds = time.Now().Add(finalPeekTime)
-		return 0, false
+	// The connection is about to close. A request may cross that, so the client is given finalWaitTime more; and that
+	// again for as long as something lies unread, as this process may have stood still over all of the first wait.
+	if client.finalWaitEnds.IsZero() || netconn.Peek(client.conn) == netconn.Readable {
+		client.finalWaitEnds = time.Now().Add(finalWaitTime)
+		return lookAgain, 0
 	}
-	return client.timeOut(), true
+	return endConn, client.timeOut()
 }
 
 // timeOut ends a connection on which nothing more came in time.
@@ -146,43 +151,38 @@
 	return reason
 }
 
-// nextRequest is what became of the look for a next request.
-type nextRequest struct {
-	handled bool // one was read and answered, or handed over
-	ended   bool // the connection ends
-	reason  CloseReason
-}
-
-// takeRequest takes the next request, if none is open and one is in whole.
-func (client *ClientConn) takeRequest() nextRequest {
+// takeRequest takes the next request, if none is open and one is in whole, and answers it or hands it over.
+func (client *ClientConn) takeRequest() (step nextStep, reason CloseReason) {
 	if client.requestOpen {
-		return nextRequest{}
+		return awaitMore, 0
 	}
 	if client.requests.Buffered() > 0 {
-		unread := client.hasUnread()
+		unread := client.peekForUnread()
 		if client.left.Load() {
-			return nextRequest{ended: true, reason: closedByClient}
+			return endConn, closedByClient
 		}
 		if unread {
-			return nextRequest{}
+			return awaitMore, 0
 		}
 	}
 	if !client.rejectWhileShedding() {
-		return nextRequest{ended: true, reason: client.endOfResponses()}
+		return endConn, client.endOfResponses()
 	}
 	request, expectsContinue, err := client.requests.Next()
 	if err != nil {
 		client.refuse(err)
-		return nextRequest{ended: true, reason: closedBadRequest}
+		return endConn, closedBadRequest
 	}
 	if expectsContinue {
 		client.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if request == nil {
-		return nextRequest{}
+		return awaitMore, 0
+	}
+	if !client.dispatch(request, client.receivedAt()) {
+		return endConn, client.endOfResponses()
 	}
-	goesOn := client.dispatch(request, client.receivedAt())
-	return nextRequest{handled: true, ended: !goesOn, reason: client.endOfResponses()}
+	return lookAgain, 0
 }
 
 // receivedAt is when the request that was just read came. A connection's first one may have waited for accept;
--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -124,7 +124,7 @@
 func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
 	crosses := map[string]func(client *ClientConn, far net.Conn) (inTime bool){
 		"a standstill": func(client *ClientConn, far net.Conn) bool {
-			client.finalPeekEnds = time.Now().Add(-time.Second)
+			client.finalWaitEnds = time.Now().Add(-time.Second)
 			io.WriteString(far, requestUp)
 			awaitState(t, client.conn, netconn.Readable)
 			go client.Serve()
@@ -134,10 +134,10 @@
 			io.WriteString(far, requestUp[:9])
 			awaitState(t, client.conn, netconn.Readable)
 			began := time.Now()
-			client.finalPeekEnds = began.Add(finalPeekTime)
+			client.finalWaitEnds = began.Add(finalWaitTime)
 			go client.Serve()
 			awaitState(t, client.conn, netconn.Quiet)
-			time.Sleep(2 * finalPeekTime) // it is over by then
+			time.Sleep(2 * finalWaitTime) // it is over by then
 			io.WriteString(far, requestUp[9:])
 			return time.Since(began) < lateRequestTime // else it may have come too late
 		},
--- a/server/limits.go
+++ b/server/limits.go
@@ -1,12 +1,16 @@
 package server
 
-import "time"
+import (
+	"time"
+
+	"terntray/internal/wire"
+)
 
 // Sizes of requests.
 const (
-	maxReadAhead      = 80 << 10         // bytes that a client may send ahead of a response: one request and more
-	maxRequestBytes   = 2 * maxReadAhead // bytes of one request on the wire, where it comes in many small chunks
-	largeRequestBytes = 16 << 10         // bytes from which on a request needs a large-request slot
+	maxReadAhead      = wire.MaxHead + wire.MaxBody // bytes that a client may send ahead of its response
+	maxRequestBytes   = 2 * maxReadAhead            // bytes of one request on the wire, where it comes in many small chunks
+	largeRequestBytes = 16 << 10                    // bytes from which on a request needs a large-request slot
 )
 
 // What a client sends beyond maxReadAhead is read and discarded, to notice its end.
@@ -15,6 +19,7 @@
 	maxDiscardedBytes  = 8 << 20          // bytes looked through for the client's end: more than two machines buffer
 	discardBurstBytes  = 256 << 10        // bytes between two pauses, so that no client keeps the core busy
 	discardPause       = time.Millisecond // between two bursts
+	maxLingerBytes     = 256 << 10        // bytes read after a connection's last response
 )
 
 // Times of a connection.
@@ -22,23 +27,22 @@
 	requestTimeout  = 1500 * time.Millisecond // from a request's first byte to its last; for the first one, from accept
 	idleTimeout     = 2000 * time.Millisecond // between two requests
 	writeTimeout    = 3 * time.Second         // for a response that the client does not read
-	finalPeekTime   = 5 * time.Millisecond    // for a request that crosses the close of its connection
+	finalWaitTime   = 5 * time.Millisecond    // for a request that crosses the close of its connection
 	lateRequestTime = 50 * time.Millisecond   // for the rest of a request of which only a piece has crossed the close
 	lingerTimeout   = 300 * time.Millisecond  // for what a client still sends after its last response
-	maxLingerBytes  = 256 << 10               // bytes of that
 )
 
 // Shares of the machine's limits that client connections may use.
 const (
-	connMemoryShare    = 2        // one part in so many of the memory may be client connections
-	connBytes          = 16 << 10 // bytes that the connection of a usual client takes
-	largeMemoryShare   = 8        // one part in so many of the memory may be large requests
-	activeSocketShare  = 3        // one part in so many of the sockets may be clients that send requests
-	activeKeptShare    = 0.7      // of those, so many may be open before the one idle for longest has to go
-	freeSlotShare      = 10       // one part in so many of the slots is kept free, as long as clients are idle
-	defaultMaxConns    = 1 << 16  // connections, where the machine sets no limit
-	silentIdleWeight   = 20       // times as long as others a connection counts as idle that has sent no request
-	leastConnsBySocket = 2        // connections, however few sockets the machine allows
+	connMemoryDivisor   = 2        // one part in so many of the memory may be client connections
+	connBytes           = 16 << 10 // bytes that the connection of a usual client takes
+	largeMemoryDivisor  = 8        // one part in so many of the memory may be large requests
+	activeSocketDivisor = 3        // one part in so many of the sockets may be clients that send requests
+	activeKeptShare     = 0.7      // of those, so many may be open before the one idle for longest has to go
+	freeSlotDivisor     = 10       // one part in so many of the slots is kept free, as long as clients are idle
+	defaultMaxConns     = 1 << 16  // connections, where the machine sets no limit
+	silentIdleWeight    = 20       // times as long as others a connection counts as idle that has sent no request
+	leastConnsBySocket  = 2        // connections, however few sockets the machine allows
 )
 
 // Times of the listener.
--- a/server/reading.go
+++ b/server/reading.go
@@ -38,14 +38,14 @@
 	if client.requestCount > 0 {
 		client.waitingSince = time.Now()
 	}
-	if client.finalPeekEnds.IsZero() {
+	if client.finalWaitEnds.IsZero() {
 		return
 	}
 	hasToGo := client.evicted.Load() || client.server.isShuttingDown()
 	if hasToGo {
-		client.finalPeekEnds = time.Now().Add(lateRequestTime)
+		client.finalWaitEnds = time.Now().Add(lateRequestTime)
 	} else {
-		client.finalPeekEnds = time.Time{}
+		client.finalWaitEnds = time.Time{}
 	}
 }
 
@@ -69,8 +69,8 @@
 	if client.requestOpen {
 		return time.Time{}
 	}
-	if !client.finalPeekEnds.IsZero() {
-		return client.finalPeekEnds
+	if !client.finalWaitEnds.IsZero() {
+		return client.finalWaitEnds
 	}
 	if client.evicted.Load() {
 		return longAgo
@@ -101,6 +101,6 @@
 		return true
 	}
 	client.postRefused()
-	client.finishRequest(response{Rejection("too many large requests")(true), true})
+	client.writeResponse(response{bytes: Rejection("too many large requests")(true), last: true})
 	return false
 }
--- a/server/response.go
+++ b/server/response.go
@@ -29,7 +29,7 @@
 // client's next request would be read and dropped.
 func (client *ClientConn) newResponse(build func(last bool) []byte) response {
 	last := client.isLastResponse()
-	return response{build(last), last}
+	return response{bytes: build(last), last: last}
 }
 
 // isLastResponse tells whether a response made now is the connection's last.
@@ -40,18 +40,20 @@
 
 // respondNow makes and writes a response; it tells whether the connection goes on.
 func (client *ClientConn) respondNow(build func(last bool) []byte) bool {
-	return client.finishRequest(client.newResponse(build))
+	return client.writeResponse(client.newResponse(build))
 }
 
 // refuse answers what is no request and ends the connection: where the next request begins is in doubt.
 func (client *ClientConn) refuse(err error) (goesOn bool) {
 	client.postRefused()
 	refused := wire.AsProtocolError(err)
-	return client.finishRequest(response{wire.TextResponse(refused.Status, refused.Message, true), true})
+	text := wire.TextResponse(refused.Status, refused.Message, true)
+	return client.writeResponse(response{bytes: text, last: true})
 }
 
-// finishRequest writes the response to the open request and tells whether the connection goes on.
-func (client *ClientConn) finishRequest(response response) bool {
+// writeResponse writes a response and tells whether the connection goes on. No request is open afterwards; none was
+// before where the response refuses what never became a request (refuse, reserveForLargeRequest).
+func (client *ClientConn) writeResponse(response response) bool {
 	if !client.write(response.bytes) {
 		client.writeFailed = true
 		return false
--- a/server/routes.go
+++ b/server/routes.go
@@ -58,7 +58,7 @@
 		client.server.noteFirstRequest(client)
 	}
 	client.requestOpen = true
-	client.finalPeekEnds = time.Time{}
+	client.finalWaitEnds = time.Time{}
 }
 
 // dispatchPage answers one of the operators' pages.
@@ -98,7 +98,7 @@
 // dispatchQuery reads a query and hands it over to the loop.
 func (client *ClientConn) dispatchQuery(request *wire.Request, class Class, receivedAt time.Duration) (goesOn bool) {
 	server := client.server
-	query, err := wire.ReadQuery(request, wire.QueryRules{MaxDeadline: class.MaxTimeout, TwoPhase: class.TwoPhase})
+	query, err := wire.ReadQuery(request, wire.QueryRules{MaxTimeout: class.MaxTimeout, TwoPhase: class.TwoPhase})
 	if err != nil {
 		return client.refuse(err)
 	}
--- a/server/slots.go
+++ b/server/slots.go
@@ -19,7 +19,7 @@
 // usable is how many slots may be taken before idle clients have to go.
 func (slots *connSlots) usable() int {
 	capacity := cap(slots.used)
-	return capacity - capacity/freeSlotShare - 1
+	return capacity - capacity/freeSlotDivisor - 1
 }
 
 // acquireSlot waits for a slot. Idle clients leave for it, and while none is free also those that get their
@@ -77,7 +77,7 @@
 func (config *Config) maxConns() int {
 	most := defaultMaxConns
 	if config.MemoryMB > 0 {
-		most = max(1, config.MemoryMB<<20/connMemoryShare/connBytes)
+		most = max(1, config.MemoryMB<<20/connMemoryDivisor/connBytes)
 	}
 	if config.Sockets > 0 {
 		most = min(most, max(leastConnsBySocket, config.Sockets-config.ReservedSockets))
@@ -90,7 +90,7 @@
 	if config.MemoryMB == 0 {
 		return maxConns
 	}
-	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryShare/maxRequestBytes))
+	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryDivisor/maxRequestBytes))
 }
 
 // maxActive is how many connections that have sent a request may be open.
@@ -98,5 +98,5 @@
 	if config.Sockets == 0 {
 		return maxConns
 	}
-	return max(1, int(activeKeptShare*float64(config.Sockets/activeSocketShare)))
+	return max(1, int(activeKeptShare*float64(config.Sockets/activeSocketDivisor)))
 }
