--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -41,7 +41,7 @@
 	discovery     *discovery.Watcher
 	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
-	stopReading   context.CancelFunc // ends the reading of the configuration file for a reload
+	stopReading   context.CancelFunc // ends the reading of the platform file for a reload
 	drivers       sync.WaitGroup
 	lifetime      context.Context // ends with Serve
 	endLifetime   context.CancelFunc
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// startGossip opens the socket, where the project's file names peers, and reads until it is closed.
+// startGossip opens the socket, where the installation file names peers, and reads until it is closed.
 func (c *Coordinator) startGossip(in config.Gossip) error {
 	opened, err := openGossip(in)
 	if opened == nil {
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// reservedSockets are descriptors for all that is no connection to a client or a replica.
+	// reservedSockets are descriptors for all that is no connection to a client or a replica: the listener, the
+	// connections to discovery, gossip, files, the log, and some to spare.
 	reservedSockets = 24
 	// replicaConnDivisor says that one in so many of the other descriptors may be a connection to a replica.
 	replicaConnDivisor = 3
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -51,7 +51,7 @@
 
 func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-// begin reads which classes may ask for two phases. The project's file names them; they have to be idempotent.
+// begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
 func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
 	if deployment.Installation == nil {
@@ -73,7 +73,7 @@
 	return invalid
 }
 
-// twoPhaseClassError says that the project's file names a class whose queries cannot have two phases.
+// twoPhaseClassError says that the installation file names a class whose queries cannot have two phases.
 type twoPhaseClassError struct{ class string }
 
 func (err *twoPhaseClassError) Error() string {
@@ -134,17 +134,20 @@
 	}
 }
 
-// phaseCall is what a call of the present phase carries to a replica of a shard. The two phases' ids on the wire
-// differ.
+// phaseCall is what a call of the present phase carries to a replica of a shard.
 func (c *Coordinator) phaseCall(query *queryState, shard twophase.Shard) (wireID string, text []byte) {
 	state := query.twoPhase
 	wireID = wire.SubqueryID(query.request.ID, int(shard))
 	if state.canMatch {
-		return wireID + "s", wire.CanMatchRequest(state.request, query.request.Text)
+		return canMatchID(wireID), wire.CanMatchRequest(state.request, query.request.Text)
 	}
 	return wireID, wire.FetchRequest(state.request, state.run.Version(shard), query.request.Text)
 }
 
+// canMatchID is the id on the wire of a subquery's can-match call. It differs from that of its fetch call, so that a
+// late reply to the one is not taken for a reply to the other.
+func canMatchID(subqueryID string) string { return subqueryID + "s" }
+
 // scheduleNextStep has a two-phase query's next step taken at the start of the next iteration.
 func (c *Coordinator) scheduleNextStep(query *queryState) {
 	state := query.twoPhase
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -14,9 +14,13 @@
 
 // How long a poll may take beyond the time for which the agent may hold it back.
 const (
-	listTimeout  = 2 * time.Second        // for the whole list
-	watchTimeout = 1 * time.Second        // for changes; what a lost poll misses is told 2 s later
-	agentTimeout = 500 * time.Millisecond // for both, where an agent on this machine pushes changes
+	// listTimeout is for a poll of the whole list, where changes come only to those who poll.
+	listTimeout = 2 * time.Second
+	// watchTimeout is for a poll of changes there. Every co-ordinator counts as knowing a change 2 s after the agent
+	// has it; a poll whose response is lost has to be noticed, and made again, before that.
+	watchTimeout = 1 * time.Second
+	// agentTimeout is for polls of either kind to an agent on this machine, which pushes changes.
+	agentTimeout = 500 * time.Millisecond
 )
 
 func (watcher *Watcher) responseTimeout() time.Duration {
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -13,8 +13,8 @@
 }
 
 // noteStallAndCatchUp measures how late the loop is against the time at which it was due. After a stall it sleeps for
-// catchUpPause, so that readers can post what has arrived. Without that, timers would report attempts as timed out whose replies have
-// arrived and are only unread.
+// catchUpPause, so that readers can post what has arrived. Without that, timers would report attempts as timed out
+// whose replies have arrived and are only unread.
 func (loop *Loop) noteStallAndCatchUp(due time.Duration) {
 	loop.lateBy = max(0, loop.Since(time.Now())-due)
 	if loop.lateBy <= stallThreshold {
--- a/internal/netconn/peek.go
+++ b/internal/netconn/peek.go
@@ -69,7 +69,8 @@
 }
 
 // HasEnded tells whether the peer has closed a connection, which the connection's reader may not have noticed yet.
-// It is asked before a write: a call that is written after the peer closed may have run as far as anybody can tell.
+// A writer asks before it writes a call. The kernel would still take the call's bytes after the peer has closed, and
+// the call would then count as one that may have run.
 func HasEnded(conn net.Conn) bool { return Peek(conn) == Ended }
 
 // States of a TCP connection as tcp_info gives them (linux/tcp.h, include/net/tcp_states.h).
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -39,10 +39,10 @@
 	// CertificatesExpiring tells how many certificates expire soon.
 	CertificatesExpiring(count int)
 
-	// HasRefusedCalls tells whether a Call's Permit has refused it and the loop is yet to be notified. It is called by
-	// writers, as the one that follows, the first under a connection's mutex.
+	// HasRefusedCalls tells whether there are calls that their Permit has refused and of which the loop is yet to be
+	// notified. Writers call it while they hold their connection's mutex.
 	HasRefusedCalls() bool
-	// NotifyRefusedCalls has the loop notified of them.
+	// NotifyRefusedCalls has the loop notified of these calls. Writers call it while they hold no mutex.
 	NotifyRefusedCalls()
 }
 
--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -11,12 +11,14 @@
 )
 
 const (
-	// minFragmentTimeout is the least time for a message that has begun to come to go on; the connect timeout if that
-	// is longer, as a fragment that was lost on its way comes within what a lost connect may take.
+	// minFragmentTimeout is the least time that a replica has to send the next bytes of a message that it has begun.
+	// Where the connect timeout is longer, the replica has that: it leaves time for the network to repeat a lost
+	// packet, be it of a connect or of a message.
 	minFragmentTimeout = 100 * time.Millisecond
 	// messageTimeoutFactor is how many fragment timeouts a message may take as a whole, from its first byte on.
 	messageTimeoutFactor = 4
-	// recheckWait is for reading what came while this process stood still, after a deadline that passed meanwhile.
+	// recheckWait is for one more read after a read deadline has passed: if this process stood still over the deadline,
+	// what the replica sent in time is still unread.
 	recheckWait = 5 * time.Millisecond
 )
 
--- a/server/limits.go
+++ b/server/limits.go
@@ -16,10 +16,9 @@
 // What a client sends beyond maxReadAhead is read and discarded, to notice its end.
 const (
 	discardBufferBytes = 16 << 10
-	maxDiscardedBytes  = 8 << 20          // bytes looked through for the client's end: more than two machines buffer
-	discardBurstBytes  = 256 << 10        // bytes between two pauses, so that no client keeps the core busy
-	discardPause       = time.Millisecond // between two bursts
-	maxLingerBytes     = 256 << 10        // bytes read after a connection's last response
+	maxDiscardedBytes  = 8 << 20   // bytes looked through for the client's end: more than two machines buffer
+	discardBurstBytes  = 256 << 10 // bytes between two pauses, so that no client keeps the core busy
+	maxLingerBytes     = 256 << 10 // bytes read after a connection's last response
 )
 
 // Times of a connection.
@@ -29,6 +28,7 @@
 	writeTimeout    = 3 * time.Second         // for a response that the client does not read
 	finalWaitTime   = 5 * time.Millisecond    // for a request that crosses the close of its connection
 	lateRequestTime = 50 * time.Millisecond   // for the rest of a request of which only a piece has crossed the close
+	discardPause    = time.Millisecond        // between two bursts of discarded bytes
 	lingerTimeout   = 300 * time.Millisecond  // for what a client still sends after its last response
 )
 
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -10,10 +10,16 @@
 )
 
 const (
-	phaseOverhead  = 2 * time.Millisecond // between phases, for gathering and pruning
-	maxWaves       = 3                    // waves of the fetch phase
-	minWaveShards  = 4                    // shards in a wave; a smaller one saves no work
-	quorumOfShards = 0.8                  // share of summaries after which stragglers get only the usual time
+	// phaseOverhead is the time that this process is expected to take between two phases or waves, for gathering and
+	// pruning. It is added to the estimate of a fetch wherever the time that is left is judged.
+	phaseOverhead = 2 * time.Millisecond
+	// maxWaves is how many waves the fetch phase may have: hits of one may prove that shards of the next add nothing.
+	maxWaves = 3
+	// minWaveShards is how many shards a wave has at the least, as smaller ones cost time and save little work.
+	minWaveShards = 4
+	// quorumOfShards is the share of summaries from which on missing ones are waited for only as long as a can-match
+	// phase usually takes (gather).
+	quorumOfShards = 0.8
 )
 
 // ErrInvalidOptions is returned by Begin for options that contradict themselves, or for no shards.
