--- a/cmd/terntray-settings/main.go
+++ b/cmd/terntray-settings/main.go
@@ -1,5 +1,6 @@
 // Terntray-settings renders and checks the installation file, a deployment's own configuration, and makes certificates
-// for trials with TLS. It is a program of its own so that the service carries neither the template language nor the schema's checker.
+// for trials with TLS. It is a program of its own so that the service carries neither the template language nor the
+// schema's checker.
 package main
 
 import (
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -132,8 +132,9 @@
 }
 
 // RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted;
-// Run passes an empty one, tests that drive a loop without Run pass what is to happen. What is posted while posted
-// functions run waits for the next iteration. A panic is passed on to the caller.
+// Run passes an empty one, tests that drive a loop without Run pass what is to happen. It takes as many
+// functions from the inbox as wait there when it comes to that; later ones wait for the next iteration. A panic is
+// passed on to the caller.
 func (loop *Loop) RunIteration(event, endIteration func()) {
 	loop.now = loop.Since(time.Now())
 	loop.current, loop.next = loop.next, nil
--- a/server/limits.go
+++ b/server/limits.go
@@ -9,7 +9,7 @@
 // Sizes of requests.
 const (
 	maxReadAhead      = wire.MaxHead + wire.MaxBody // bytes that a client may send ahead of its response
-	maxRequestBytes   = 2 * maxReadAhead            // bytes of one request on the wire, where it comes in many small chunks
+	maxRequestBytes   = 2 * maxReadAhead            // bytes of one request on the wire, if in many small chunks
 	largeRequestBytes = 16 << 10                    // bytes from which on a request needs a large-request slot
 )
 
