--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -51,16 +51,16 @@
 
 func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-// begin reads which classes may ask for two phases. The project's file names them; they have to be idempotent.
+// begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
 func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
-	if deployment.Config == nil {
+	if deployment.Installation == nil {
 		return nil
 	}
-	queries.sharedVersions = deployment.Config.TwoPhase.SharedVersions
+	queries.sharedVersions = deployment.Installation.TwoPhase.SharedVersions
 	queries.maxAttempts = cmp.Or(config.MaxAttempts, unlimitedAttempts)
 	var invalid error
-	for _, name := range deployment.Config.TwoPhase.Classes {
+	for _, name := range deployment.Installation.TwoPhase.Classes {
 		hasName := func(class scheduler.ClassConfig) bool { return class.Name == name }
 		index := slices.IndexFunc(config.Classes, hasName)
 		if index < 0 || config.Classes[index].Effect != invariant.Idempotent {
@@ -73,7 +73,7 @@
 	return invalid
 }
 
-// twoPhaseClassError says that the project's file names a class whose queries cannot have two phases.
+// twoPhaseClassError says that the installation file names a class whose queries cannot have two phases.
 type twoPhaseClassError struct{ class string }
 
 func (err *twoPhaseClassError) Error() string {
@@ -134,17 +134,20 @@
 	}
 }
 
-// phaseCall is what a call of the present phase carries to a replica of a shard. The two phases' ids on the wire
-// differ.
+// phaseCall is what a call of the present phase carries to a replica of a shard.
 func (c *Coordinator) phaseCall(query *queryState, shard twophase.Shard) (wireID string, text []byte) {
 	state := query.twoPhase
 	wireID = wire.SubqueryID(query.request.ID, int(shard))
 	if state.canMatch {
-		return wireID + "s", wire.CanMatchRequest(state.request, query.request.Text)
+		return canMatchID(wireID), wire.CanMatchRequest(state.request, query.request.Text)
 	}
 	return wireID, wire.FetchRequest(state.request, state.run.Version(shard), query.request.Text)
 }
 
+// canMatchID is the id on the wire of a subquery's can-match call. It differs from that of its fetch call, so that a
+// late reply to the one is not taken for a reply to the other.
+func canMatchID(subqueryID string) string { return subqueryID + "s" }
+
 // scheduleNextStep has a two-phase query's next step taken at the start of the next iteration.
 func (c *Coordinator) scheduleNextStep(query *queryState) {
 	state := query.twoPhase
@@ -182,7 +185,7 @@
 		c.counts.TwoPhaseRejected++
 		c.trace("two_phase_rejected=%s reason=%q", query.request.ID, step.Reason)
 		c.Reject(query.id, 0)
-		c.scheduler.ClientDisconnects(c.loop.Now(), query.id)
+		c.scheduler.ForgetQuery(c.loop.Now(), query.id)
 	}
 }
 
@@ -252,7 +255,7 @@
 		class := c.twoPhase.classes[query.request.Class]
 		class.ObserveCost(state.canMatchWork.mean(), state.fetchWork.mean())
 	}
-	state.run.Close(c.loop.Now())
+	state.run.Close()
 	phases, fetched := state.run.Phases()
 	c.counts.TwoPhaseQueries++
 	if phases == 2 {
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -12,10 +12,10 @@
 	from, until time.Duration
 }
 
-// noteStall measures how late the loop is against the time at which it was due. After a stall it pauses, so that
-// readers can post what has arrived. Without that, timers would report attempts as timed out whose replies have
-// arrived and are only unread.
-func (loop *Loop) noteStall(due time.Duration) {
+// noteStallAndCatchUp measures how late the loop is against the time at which it was due. After a stall it sleeps for
+// catchUpPause, so that readers can post what has arrived. Without that, timers would report attempts as timed out
+// whose replies have arrived and are only unread.
+func (loop *Loop) noteStallAndCatchUp(due time.Duration) {
 	loop.lateBy = max(0, loop.Since(time.Now())-due)
 	if loop.lateBy <= stallThreshold {
 		return
@@ -24,7 +24,8 @@
 	loop.stall = stall{from: due, until: loop.Since(time.Now())}
 }
 
-// LateBy is how much later than due the present iteration began.
+// LateBy is the larger of two spans: how much later than due the present iteration began, and how long the last one
+// took. Either delays whatever waits for the loop.
 func (loop *Loop) LateBy() time.Duration { return loop.lateBy }
 
 // StalledFor is for how long the process stood still before the present iteration, 0 if it did not.
--- a/server/presence.go
+++ b/server/presence.go
@@ -10,8 +10,9 @@
 // what tells of the leaving may wait behind a full inbox of the loop, or lie unread in the kernel while this
 // process stood still.
 
-// seenRecently is how old the knowledge that a client is there may be when an attempt is written: an attempt may
-// begin 100 ms after its client has gone at the latest, and this process may be held up in between.
+// seenRecently is how old the knowledge that a client is there may be when an attempt is written. An attempt may
+// begin 0.1 s after its client has left at the latest, and one write may take 60 ms (replicaconn's writeTimeout);
+// these 40 ms and those 60 ms stay within that.
 const seenRecently = 40 * time.Millisecond
 
 // HasLeft tells whether the client has left by a loop time that is about now. It asks the kernel where the last
@@ -31,10 +32,10 @@
 	return false
 }
 
-// hasUnread tells whether the kernel has more of the client to read before a request is looked at, and notes a
-// client that has left. Without it the requests would be run of clients that left while these waited unread,
-// behind a standstill or a crowd. What a client sends is read up to its end, as far as machines buffer.
-func (client *ClientConn) hasUnread() bool {
+// peekForUnread asks the kernel, before a request is taken, whether more of the client lies unread, and notes a client
+// that has left. Without it, requests would run whose clients left while the requests lay unread, after a stall of this
+// process or behind many others. What a client sends is read up to its end, as far as machines buffer.
+func (client *ClientConn) peekForUnread() bool {
 	switch netconn.Peek(client.conn) {
 	case netconn.Ended:
 		client.leave()
