--- a/connpool/fakehost_test.go
+++ b/connpool/fakehost_test.go
@@ -125,9 +125,9 @@
 // up has a connection come up.
 func (host *fakeHost) up(conn ConnID) { host.pool.ConnUp(host.now, conn) }
 
-// reply has a reply come. It names the attempt where the protocol is multiplexed, and else the attempt's subquery.
+// reply has a reply come. It names the attempt where the protocol has it so, and else the attempt's subquery.
 func (host *fakeHost) reply(conn ConnID, attempt *Attempt) (ended *Attempt, late bool) {
-	if replicaproto.TraitsOf(host.protocols[conn]).Multiplexed {
+	if replicaproto.TraitsOf(host.protocols[conn]).RepliesNameAttempts {
 		return host.pool.ReplyReceived(host.now, conn, attempt.ID, "", host.now)
 	}
 	return host.pool.ReplyReceived(host.now, conn, 0, attempt.Call.SubqueryID, host.now)
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -69,7 +69,7 @@
 	if len(conn.outstanding)+conn.abandonedRunning(pool.now) >= conn.maxAttempts {
 		return false
 	}
-	return conn.traits.Multiplexed || !conn.knows(attempt.Call.SubqueryID)
+	return conn.traits.RepliesNameAttempts || !conn.knows(attempt.Call.SubqueryID)
 }
 
 // shouldAvoid tells whether an attempt should rather go on another connection than one that has a place for it.
--- a/internal/replicaproto/protocol.go
+++ b/internal/replicaproto/protocol.go
@@ -15,9 +15,10 @@
 
 // Traits are the properties of a protocol that a choice of connections may rest on.
 type Traits struct {
-	// Multiplexed says that many attempts share a few connections: a reply names its attempt, and each attempt ends
-	// by itself.
+	// Multiplexed says that many attempts share a few connections, and that each ends by itself.
 	Multiplexed bool
+	// RepliesNameAttempts says that a reply names its attempt; else it names its subquery.
+	RepliesNameAttempts bool
 	// Pings says that a replica answers pings whatever else it is doing.
 	Pings bool
 	// LimitsStreams says that a replica may state how many attempts it takes at a time on a connection, and that an
@@ -35,12 +36,13 @@
 func TraitsOf(protocol Protocol) Traits {
 	if protocol == HTTP2 {
 		return Traits{
-			Multiplexed:    true,
-			Pings:          true,
-			LimitsStreams:  true,
-			AnnouncesReady: true,
-			AnnouncesClose: true,
-			RepliesToInput: true,
+			Multiplexed:         true,
+			RepliesNameAttempts: true,
+			Pings:               true,
+			LimitsStreams:       true,
+			AnnouncesReady:      true,
+			AnnouncesClose:      true,
+			RepliesToInput:      true,
 		}
 	}
 	return Traits{}
--- a/server/reading.go
+++ b/server/reading.go
@@ -101,6 +101,7 @@
 		return true
 	}
 	client.postRefused()
-	client.writeResponse(response{bytes: Rejection("too many large requests")(true), last: true})
+	rejection := Rejection("too many large requests")(lastResponse)
+	client.writeResponse(response{bytes: rejection, last: lastResponse})
 	return false
 }
--- a/server/response.go
+++ b/server/response.go
@@ -8,6 +8,9 @@
 	"terntray/internal/wire"
 )
 
+// lastResponse, for makers of responses, says that the connection ends with this one.
+const lastResponse = true
+
 // response is a response as it is written.
 type response struct {
 	bytes []byte
@@ -47,8 +50,8 @@
 func (client *ClientConn) refuse(err error) (goesOn bool) {
 	client.postRefused()
 	refused := wire.AsProtocolError(err)
-	text := wire.TextResponse(refused.Status, refused.Message, true)
-	return client.writeResponse(response{bytes: text, last: true})
+	text := wire.TextResponse(refused.Status, refused.Message, lastResponse)
+	return client.writeResponse(response{bytes: text, last: lastResponse})
 }
 
 // writeResponse writes a response and tells whether the connection goes on. No request is open afterwards; none was
