--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -10,15 +10,16 @@
 	"terntray/server"
 )
 
-// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at once,
-// or is open from then on; its client gets exactly one answer.
+// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at
+// once, or is open from then on; its client gets exactly one answer.
 //
-// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see recoverFromPanic.
+// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see
+// recoverFromPanic.
 func (c *Coordinator) queryArrives(from client, request *wire.Query, receivedAt time.Duration) {
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.HasGone(c.loop.Now()): // while the query waited for the loop
+	case from.HasLeft(c.loop.Now()): // while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
@@ -28,7 +29,7 @@
 	case c.isFull():
 		c.counts.RejectedFull++
 		c.rejectArrival(from, "too much is open")
-	case c.loop.EarliestArrival(receivedAt)+request.Deadline <= c.loop.Now():
+	case c.loop.EarliestArrival(receivedAt)+request.Timeout <= c.loop.Now():
 		c.counts.RejectedExpired++
 		c.rejectArrival(from, "its time was over before it was read")
 	default:
@@ -76,7 +77,7 @@
 		client:   from,
 		request:  request,
 		arrived:  arrived,
-		deadline: arrived + request.Deadline,
+		deadline: arrived + request.Timeout,
 	}
 	if request.TwoPhase != nil {
 		if err := c.beginTwoPhase(query); err != nil {
@@ -148,8 +149,8 @@
 	return max(0, query.deadline-c.loop.Now())
 }
 
-// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own; charging
-// it to another's would have that one's queries rejected.
+// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own;
+// charging it to another's would have that one's queries rejected.
 func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
 	if tenant, named := c.tenants[nameCharacters.Replace(request.Tenant)]; named {
 		return tenant
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -12,7 +12,7 @@
 // client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
 // time. Tests replace it.
 type client interface {
-	HasGone(now time.Duration) bool
+	HasLeft(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
@@ -28,7 +28,7 @@
 	limits := c.deployment.Limits
 	config := server.Config{Classes: c.serverClasses(), MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
 	if limits.Sockets > 0 {
-		config.ReservedSockets = spare + c.fleet.mostLinks
+		config.ReservedSockets = reservedSockets + maxReplicaConns(limits.Sockets)
 	}
 	return config
 }
@@ -36,7 +36,7 @@
 func (c *Coordinator) serverClasses() map[string]server.Class {
 	classes := map[string]server.Class{}
 	secondSteps := strings.Split(c.deployment.settings["familyInfo.classFetch"], ",")
-	for n, class := range c.config.Classes {
+	for n, class := range c.schedulerConfig.Classes {
 		classes[class.Name] = server.Class{
 			MaxTimeout: maxTimeoutFactor * class.Deadline,
 			TwoPhase:   c.twoPhase.allowed[class.Name],
@@ -47,7 +47,7 @@
 	return classes
 }
 
-// Ready tells whether queries can be served: the endpoint list is known.
+// Ready is what /up says: whether the endpoint list is known. Queries are taken whether or not it is.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
 // IsSheddingLoad tells whether this process is short of CPU, so that only a share of the arrivals is admitted.
@@ -77,7 +77,7 @@
 	c := handler.c
 	c.counts.ClientConnsClosed[closed.Reason]++
 	if closed.Violation != invariant.Allowed {
-		c.reportViolation(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), 0)
+		c.reportViolation(closed.Violation, "close", fmt.Sprint(closed.Address, " ", closed.Reason), noReplica)
 	}
 }
 
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -6,6 +6,7 @@
 	"terntray/discovery"
 	"terntray/internal/wire"
 	"terntray/invariant"
+	"terntray/replicaconn"
 	"terntray/scheduler"
 )
 
@@ -31,9 +32,9 @@
 func (c *Coordinator) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:      c.deployment.Discovery,
-		Known:        c.deployment.Known,
-		OnDemand:     c.config.Discovery == scheduler.DiscoverySubscribe,
-		PollInterval: c.config.PollInterval,
+		Known:        c.deployment.KnownEndpoints,
+		OnDemand:     c.schedulerConfig.Discovery == scheduler.DiscoverySubscribe,
+		PollInterval: c.schedulerConfig.PollInterval,
 	}
 }
 
@@ -43,20 +44,20 @@
 	c.counts.EndpointLists++
 	now := c.observeWallClock()
 	c.incarnations.ListReceived(now)
-	c.applyEndpoints(list, false)
+	c.applyEndpoints(list, currentList)
 	if !c.discovery.IsEmpty() {
 		c.ready.Store(true)
 	}
 }
 
-// EndpointsKnown takes the list as it was last known. Nobody is served by it alone, as a newer one may come at once.
+// EndpointsKnown takes the list as it was last known. By it alone /up does not say that the process is ready, as a
+// newer list may come at once.
 func (handler endpointHandler) EndpointsKnown(list *wire.EndpointList) {
 	handler.c.observeWallClock()
-	handler.c.applyEndpoints(list, true)
+	handler.c.applyEndpoints(list, lastKnownList)
 }
 
-// PollFailed counts a failure. From then on queries are served by the list as it was last known: an old list is
-// better than none.
+// PollFailed counts a failure. From then on /up says ready if any list is known: an old list is better than none.
 func (handler endpointHandler) PollFailed(isNews bool) {
 	c := handler.c
 	c.counts.EndpointListFailures++
@@ -76,85 +77,82 @@
 	return now
 }
 
-func (c *Coordinator) applyEndpoints(list *wire.EndpointList, isOld bool) {
+// listAge is how old an endpoint list may be.
+type listAge int
+
+const (
+	currentList   listAge = iota // discovery says so now
+	lastKnownList                // as it was known before; it may be old
+)
+
+func (c *Coordinator) applyEndpoints(list *wire.EndpointList, age listAge) {
 	if list.All {
-		c.removeUnlisted(list.Targets)
+		c.removeUnlisted(list.Endpoints)
 	}
-	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, isOld)
-	for _, target := range list.Targets {
-		c.applyEndpoint(target)
+	c.scheduler.EndpointListBegins(c.loop.Now(), list.All, age == lastKnownList)
+	for _, endpoint := range list.Endpoints {
+		c.applyEndpoint(endpoint)
 	}
 }
 
 // removeUnlisted has the replicas count as removed that a whole list does not name.
-func (c *Coordinator) removeUnlisted(targets []wire.Target) {
+func (c *Coordinator) removeUnlisted(endpoints []wire.Endpoint) {
 	isListed := map[string]bool{}
-	for _, target := range targets {
-		isListed[target.UID] = true
-	}
-	for _, replica := range c.fleet.all {
-		if !isListed[replica.uid] {
-			replica.state.Store(int32(invariant.Removed))
-			c.fleet.pool.ReplicaRemoved(c.loop.Now(), replica.id)
-		}
+	for _, endpoint := range endpoints {
+		isListed[endpoint.UID] = true
 	}
+	c.replicas.RemoveAllBut(isListed)
 }
 
-func (c *Coordinator) applyEndpoint(target wire.Target) {
-	replica := c.fleet.named(target.UID)
-	replica.state.Store(int32(invariantStates[target.State]))
-	c.listInPool(replica, target)
+func (c *Coordinator) applyEndpoint(endpoint wire.Endpoint) {
+	replica := c.replicas.EndpointOf(endpoint.UID)
+	replica.SetState(invariantStates[endpoint.State])
+	c.connectTo(replica, endpoint)
 	c.scheduler.EndpointListed(c.loop.Now(), scheduler.Endpoint{
-		ID:      replica.id,
-		State:   schedulerStates[target.State],
-		Started: c.startOf(replica, target),
-		Cell:    cellOf(target),
-		Zone:    c.zoneOf(target),
-		Size:    c.fleet.installation.SizeOf(target.Model),
+		ID:      replica.ID(),
+		State:   schedulerStates[endpoint.State],
+		Started: c.observeStart(replica, endpoint),
+		Cell:    cellOf(endpoint),
+		Zone:    c.zoneOf(endpoint),
+		Size:    c.installation.SizeOf(endpoint.Model),
 	})
 }
 
-// listInPool tells the connection pool of an endpoint.
-func (c *Coordinator) listInPool(replica *replica, target wire.Target) {
-	if target.State == wire.Removed {
-		c.fleet.pool.ReplicaRemoved(c.loop.Now(), replica.id)
+// connectTo tells the driver of connections where an endpoint is, or that it is removed.
+func (c *Coordinator) connectTo(replica *replicaconn.Endpoint, endpoint wire.Endpoint) {
+	if endpoint.State == wire.Removed {
+		c.replicas.Remove(replica)
 		return
 	}
-	if replica.addr != target.Endpoint {
+	if replica.Addr() != endpoint.Address {
 		c.log.Printf("event=endpoint_listed replica=%s id=%d addr=%s zone=%s",
-			target.UID, replica.id, target.Endpoint, target.Zone)
+			endpoint.UID, replica.ID(), endpoint.Address, endpoint.Zone)
 	}
-	replica.addr = target.Endpoint
-	protocol := c.fleet.speaks(replica, target.Model)
-	isDraining := target.State == wire.Draining
-	c.fleet.pool.ReplicaListed(c.loop.Now(), replica.id, replica.addr, protocol, isDraining)
+	isDraining := endpoint.State == wire.Draining
+	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
-// startOf is when a replica's process started, as far as that is told, in the loop's time. It has the pool close the
-// connections from before that start: whatever is written to one of them is lost.
-func (c *Coordinator) startOf(replica *replica, target wire.Target) time.Duration {
-	if target.BootMS <= 0 {
+// observeStart has the connections to a replica closed that are from before its process started, as whatever is written
+// to one of them is lost. It returns that start, as far as it is told, in the loop's time.
+func (c *Coordinator) observeStart(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
+	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
 	}
-	started, isExact := c.incarnations.StartOf(c.loop.Now(), target.UID, target.BootMS)
-	closeBefore := started
-	if !isExact { // a connection that is up by now may still be to the process before
-		closeBefore += c.fleet.connectWithin
-	}
-	c.fleet.pool.ReplicaRestarted(c.loop.Now(), replica.id, closeBefore)
+	started, isExact := c.incarnations.StartOf(c.loop.Now(), endpoint.UID, endpoint.BootMS)
+	c.replicas.Restarted(replica, started, isExact)
 	return started
 }
 
-func cellOf(target wire.Target) scheduler.CellNumber {
-	if target.Cell == nil {
+func cellOf(endpoint wire.Endpoint) scheduler.CellNumber {
+	if endpoint.Cell == nil {
 		return 0
 	}
-	return scheduler.CellNumber(*target.Cell)
+	return scheduler.CellNumber(*endpoint.Cell)
 }
 
 // zoneOf is the zone of an endpoint, -1 for one that the settings do not name.
-func (c *Coordinator) zoneOf(target wire.Target) scheduler.ZoneIndex {
-	if zone, named := c.zones[target.Zone]; named {
+func (c *Coordinator) zoneOf(endpoint wire.Endpoint) scheduler.ZoneIndex {
+	if zone, named := c.zones[endpoint.Zone]; named {
 		return zone
 	}
 	return -1
--- a/eventloop/stall_test.go
+++ b/eventloop/stall_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// The process stands still while a request arrives, and reads it only afterwards. What is read at the end of the stall may
-// have arrived at its beginning and counts from then; what is read well before or after it counts from its reading.
+// The process stands still while a request arrives, and reads it only afterwards. What is read at the end of the
+// stall may have arrived at its beginning and counts from then; what is read well before or after it counts from
+// its reading.
 func TestArrivalsReadAfterAStallCountFromItsBeginning(t *testing.T) {
 	loop := New()
 	loop.AdvanceClock(10 * time.Second)
-	loop.noteStall(9900 * time.Millisecond)
+	loop.noteStallAndCatchUp(9900 * time.Millisecond)
 	if read := loop.Since(time.Now()); loop.EarliestArrival(read) != 9900*time.Millisecond {
 		t.Errorf("read at %v, arrived at %v", read, loop.EarliestArrival(read))
 	}
@@ -20,14 +21,14 @@
 		}
 	}
 	punctual := New()
-	punctual.noteStall(punctual.Since(time.Now()))
+	punctual.noteStallAndCatchUp(punctual.Since(time.Now()))
 	if punctual.stall.until != 0 {
 		t.Error("an iteration in time counts as a stall")
 	}
 }
 
-// The process is stopped in the midst of an iteration. That is a stall as well: what arrived meanwhile counts from its
-// beginning, and nothing is timed out before it is read.
+// The process is stopped in the midst of an iteration. That is a stall as well: what arrived meanwhile counts from
+// its beginning, and nothing is timed out before it is read.
 func TestStallWithinAnIterationIsNoticed(t *testing.T) {
 	loop := New()
 	finished := false
--- a/internal/replicaproto/protocol.go
+++ b/internal/replicaproto/protocol.go
@@ -15,20 +15,35 @@
 
 // Traits are the properties of a protocol that a choice of connections may rest on.
 type Traits struct {
-	// Multiplexed says that many attempts share a few connections: a reply names its attempt, and each attempt ends
-	// by itself.
+	// Multiplexed says that many attempts share a few connections, and that each ends by itself.
 	Multiplexed bool
+	// RepliesNameAttempts says that a reply names its attempt; else it names its subquery.
+	RepliesNameAttempts bool
 	// Pings says that a replica answers pings whatever else it is doing.
 	Pings bool
 	// LimitsStreams says that a replica may state how many attempts it takes at a time on a connection, and that an
 	// abandoned attempt frees its place.
 	LimitsStreams bool
+	// AnnouncesReady says that a replica states when calls may go (Ready); else they may as soon as it is connected.
+	AnnouncesReady bool
+	// AnnouncesClose says that a connection ends with a message to the replica.
+	AnnouncesClose bool
+	// RepliesToInput says that what comes may need an answer at once, or make room for output.
+	RepliesToInput bool
 }
 
 // TraitsOf gives a protocol's traits.
 func TraitsOf(protocol Protocol) Traits {
 	if protocol == HTTP2 {
-		return Traits{Multiplexed: true, Pings: true, LimitsStreams: true}
+		return Traits{
+			Multiplexed:         true,
+			RepliesNameAttempts: true,
+			Pings:               true,
+			LimitsStreams:       true,
+			AnnouncesReady:      true,
+			AnnouncesClose:      true,
+			RepliesToInput:      true,
+		}
 	}
 	return Traits{}
 }
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -60,7 +60,7 @@
 	conn.outputReady.Signal()
 	switch {
 	case conn.socket == nil:
-	case conn.traits.Multiplexed && !conn.writerEnded:
+	case conn.traits.AnnouncesClose && !conn.writerEnded:
 		conn.socket.SetWriteDeadline(time.Now().Add(closeNotifyTimeout))
 	default:
 		conn.socket.Close()
@@ -86,6 +86,9 @@
 	driver := conn.driver
 	connectBy := time.Now().Add(driver.config.Limits.ConnectTimeout)
 	socket, err := netconn.Dial(driver.context, conn.addr, connectBy)
+	if errors.Is(err, netconn.ErrShortage) {
+		return &shortageError{err}
+	}
 	if err != nil {
 		return err
 	}
@@ -102,7 +105,7 @@
 		}
 	}
 	readyBy := time.Time{}
-	if conn.traits.Multiplexed { // the replica says when calls may go
+	if conn.traits.AnnouncesReady {
 		readyBy = connectBy
 	} else {
 		driver.loop.Post(func() { driver.ConnUp(conn.id) })
@@ -111,13 +114,25 @@
 	reader := &reader{conn: conn, stream: stream, readyBy: readyBy}
 	var cause error
 	if panicked := eventloop.Recover(func() { cause = reader.run() }); panicked != "" {
-		cause = errors.New(panicked)
+		cause = panicError(panicked)
 	}
 	conn.close()
 	<-writerDone
 	return cause
 }
 
+// shortageError is a connect that failed for want of something on this machine, as package connpool recognises it.
+type shortageError struct{ cause error }
+
+func (err *shortageError) Error() string { return err.cause.Error() }
+
+func (err *shortageError) Unwrap() []error { return []error{connpool.ErrShortage, err.cause} }
+
+// panicError is a panic of the reader, with its stack.
+type panicError string
+
+func (err panicError) Error() string { return string(err) }
+
 // setSocket notes that the connection is connected, and tells whether it is still wanted.
 func (conn *conn) setSocket(socket net.Conn) bool {
 	conn.mu.Lock()
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -17,14 +17,14 @@
 		m := newModel(t, 16)
 		m.settings["guarantees.askEvery"] = "20000000"
 		m.start(uint64(seed))
-		m.turn()
+		m.iterate()
 		longest := time.Duration(0)
 		for range 12 { // an outage of some minutes
-			before := len(m.asks)
-			m.c.EndpointPollFailed(m.now)
-			m.turn()
+			before := len(m.polls)
+			m.scheduler.EndpointPollFailed(m.now)
+			m.iterate()
 			failed := m.now
-			for len(m.asks) == before && m.now < failed+time.Minute {
+			for len(m.polls) == before && m.now < failed+time.Minute {
 				m.pass(10 * ms)
 			}
 			longest = max(longest, m.now-failed)
@@ -39,21 +39,21 @@
 
 func TestEndpointsArePolledAgainAfterAFailure(t *testing.T) {
 	m := newModel(t, 16)
-	if len(m.asks) != 1 {
-		t.Fatalf("polled %d times at the start", len(m.asks))
+	if len(m.polls) != 1 {
+		t.Fatalf("polled %d times at the start", len(m.polls))
 	}
-	m.c.EndpointPollFailed(m.now)
-	m.turn()
+	m.scheduler.EndpointPollFailed(m.now)
+	m.iterate()
 	m.pass(2 * time.Second)
-	if len(m.asks) < 2 {
+	if len(m.polls) < 2 {
 		t.Fatal("not polled again after a failure")
 	}
-	m.tell(false, false)
-	m.turn()
-	polls := len(m.asks)
+	m.list(false, false)
+	m.iterate()
+	polls := len(m.polls)
 	m.pass(20 * time.Second)
-	if len(m.asks) != polls {
-		t.Errorf("polled %d times more while following", len(m.asks)-polls)
+	if len(m.polls) != polls {
+		t.Errorf("polled %d times more while following", len(m.polls)-polls)
 	}
 }
 
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -22,8 +22,8 @@
 		estimates = append(estimates, ClassEstimate{
 			SubqueryWork:   class.subqueryWork,
 			WorkPerHint:    class.workPerHint,
-			LatenessFactor: class.latenessFactor,
-			ProbeLimit:     class.probeLimit,
+			LatenessFactor: class.admission.latenessFactor,
+			ProbeLimit:     class.admission.probeLimit,
 		})
 	}
 	return estimates
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -49,11 +49,12 @@
 // Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes. Overloaded, Unreachable and NeverSent prove that the attempt never ran.
+// The outcomes. Overloaded, Unreachable and NeverSent prove that the attempt never ran. Overloaded also stands for
+// attempts that a drain, a GOAWAY or a full connection kept from being sent.
 const (
 	Succeeded       Outcome = iota
 	Failed                  // the replica answered with an error
-	Overloaded              // the replica rejected it
+	Overloaded              // the replica, or what leads to it, rejected it
 	TimedOut                // its timeout passed
 	Unreachable             // no connection to the replica could be opened
 	ConnectionReset         // the connection ended before the reply was complete
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -17,15 +17,15 @@
 	hedgePatience    = 6.0  // times the expected time after which a hedge is thought of
 	hedgeRoomTimes   = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
 
-	hedgeTokensPerReply = 0.3  // hedges that a reply earns, from whichever replica
-	maxHedgeTokens      = 24.0 // hedges that may be saved up
-	lastSubqueries      = 1.5  // subqueries; a hedge of a query's only missing one needs no token
-	lastStragglerAge    = 1.5  // times the expected time at a sound replica; what these wait
-	lastShare           = 12.0 // nor does a hedge of its last twelfth: each saves eleven others
-	idleUtilization     = 0.4  // share of the replicas' cores in use up to which hedges cost nobody anything
-	busyUtilization     = 0.7  // from here a queue forms, and each hedge makes it longer
-	utilizationStep     = 0.05 // weight of a load report in the mean utilization
-	loadReportsTimeout  = 5 * time.Second
+	hedgeTokensPerReply = 0.3             // hedges that a reply earns, from whichever replica
+	maxHedgeTokens      = 24.0            // hedges that may be saved up
+	lastSubqueries      = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
+	lastShare           = 12.0            // of a large query the last twelfth needs none either: each saves eleven others
+	lastStragglerAge    = 1.5             // times the expected time at a sound replica, from which one of these is a straggler
+	idleUtilization     = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
+	busyUtilization     = 0.7             // the same; from here a queue forms, and each hedge makes it longer
+	utilizationStep     = 0.05            // weight of a load report in the mean utilization
+	loadReportsTimeout  = 5 * time.Second // without any load report, after which replicas count as idle
 )
 
 // hedgePolicy decides on hedges.
@@ -42,7 +42,7 @@
 	lastLoadReportAt time.Duration
 }
 
-// loadReported takes a replica's report of the share of its cores in use; replica is nil if it is not known.
+// loadReported records a replica's report of the share of its cores in use; replica is nil if it is not known.
 func (h *hedgePolicy) loadReported(now time.Duration, replica *replicaState, utilization float64) {
 	h.meanUtilization += utilizationStep * (utilization - h.meanUtilization)
 	h.lastLoadReportAt = now
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// wanted tells whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
+// wanted reports whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
 func (h *hedgePolicy) wanted(now time.Duration, attempt *attempt) bool {
 	subquery := attempt.subquery
 	settled := subquery.answered || subquery.abandoned || subquery.queued
@@ -127,7 +127,7 @@
 // fanout is the number of the query's subqueries over manySubqueries.
 func (q *query) fanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
 
-// nearlyAnswered tells whether no more than the last twelfth of a query, or than so many subqueries, are missing.
+// nearlyAnswered reports whether no more than the last twelfth of a query, or than so many subqueries, are missing.
 func (q *query) nearlyAnswered(subqueries float64) bool {
 	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShare)
 }
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -28,13 +28,7 @@
 	subqueryWork time.Duration // expected work of a subquery without a hint
 	workPerHint  float64       // expected work, for each unit of hint
 
-	// Admission control.
-	latenessFactor float64       // times the expected time that queries are taken to need, at least 1
-	lastJudgedAt   time.Duration // when a query last moved latenessFactor
-	lastRejectedAt time.Duration // when a query was last found too late for its objective; 0: never
-	probeLimit     float64       // queries that may be in flight against the estimate, at a replica
-	nextProbeAt    time.Duration // from when a query may be admitted against the estimate
-	probeInterval  time.Duration // from a late one of these to the next
+	admission classAdmission
 }
 
 // query is a client's query that is open.
@@ -68,10 +62,7 @@
 
 	attemptsUsed map[ShardNumber]int // attempts of earlier phases
 
-	// Suspicion that it crashes the replicas that work on it; see canary.go.
-	suspectedCrashes float64
-	suspectedCrashAt time.Duration // the last of them
-	suspectedReplica *replicaState // where that was
+	crashes crashSuspicion
 }
 
 // subquery is one shard's part of a query's present phase.
@@ -115,7 +106,7 @@
 	return last
 }
 
-// inFlight tells whether an attempt has not ended.
+// inFlight reports whether an attempt has not ended.
 func (s *subquery) inFlight() bool { return s.lastInFlight() != nil }
 
 // firstThatMayHaveRun is the first attempt that may have run at its replica; nil: each provably never ran.
@@ -128,7 +119,7 @@
 	return nil
 }
 
-// triedAt tells whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
+// triedAt reports whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
 func (s *subquery) triedAt(replica *replicaState, mayHaveRun bool) bool {
 	return slices.ContainsFunc(s.attempts, func(attempt *attempt) bool {
 		return attempt.replica == replica && (!mayHaveRun || attempt.mayHaveRun || !attempt.ended)
@@ -152,13 +143,13 @@
 	s.replica, s.queued = nil, false
 }
 
-// interchangeable tells whether two subqueries without attempts can go to the same replicas at the same cost.
+// interchangeable reports whether two subqueries without attempts can go to the same replicas at the same cost.
 func (s *subquery) interchangeable(other *subquery, cells int) bool {
 	unsent := len(s.attempts)+len(other.attempts) == 0
 	return unsent && s.work == other.work && int(s.shard)%cells == int(other.shard)%cells
 }
 
-// reachesMinimum tells whether the subqueries that pass weigh enough for an answer.
+// reachesMinimum reports whether the subqueries that pass weigh enough for an answer.
 func (q *query) reachesMinimum(pass func(*subquery) bool) bool {
 	passing := 0.0
 	for _, subquery := range q.subqueries {
@@ -173,8 +164,8 @@
 // unanswered is the number of subqueries without an answer.
 func (q *query) unanswered() float64 { return float64(len(q.subqueries)) - q.answered }
 
-// awaitsSubqueries tells whether subqueries of the present phase are still to arrive. Those of a second phase arrive in
-// one iteration, and may be fewer than expected.
+// awaitsSubqueries reports whether subqueries of the present phase are still to arrive. Those of a second phase
+// arrive in one iteration, and may be fewer than expected.
 func (q *query) awaitsSubqueries() bool {
 	if q.ended {
 		return true
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -12,30 +12,30 @@
 func TestShadowDecidesNothing(t *testing.T) {
 	run := func(enabled bool) (sent []RequestID, counts ShadowCounts) {
 		m := newModel(t, 0)
-		m.many(3, 0)
+		m.restartAsOneOf(3, 0)
 		if enabled {
 			other := maps.Clone(m.settings)
 			other["balancers"], other["weightKind"] = "400", "nominal"
-			if err := m.c.EnableShadow(configOf(t, other)); err != nil {
+			if err := m.scheduler.EnableShadow(configOf(t, other)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for n, id := range m.order {
 			r := m.replicas[id]
-			m.c.EndpointListed(m.now, Endpoint{
-				ID: id, State: r.life, Started: r.started, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
+			m.scheduler.EndpointListed(m.now, Endpoint{
+				ID: id, State: r.state, Started: r.startedAt, Cell: CellNumber(r.cell), Size: float64(1 + n%3)})
 		}
-		m.turn()
+		m.iterate()
 		for _, id := range m.order {
-			m.index(id).outstandingWork = 300 * ms
+			m.replica(id).outstandingWork = 300 * ms
 		}
 		for n := range 40 {
-			m.shard = n
-			m.ask(0, 1+n%4, 3*time.Second)
-			m.turn()
+			m.nextShard = n
+			m.newQuery(0, 1+n%4, 3*time.Second)
+			m.iterate()
 			m.pass(10 * ms)
 		}
-		counts, _ = m.c.ShadowCounts()
+		counts, _ = m.scheduler.ShadowCounts()
 		return m.sent, counts
 	}
 	sentAlone, none := run(false)
@@ -55,7 +55,7 @@
 func TestShadowIsRefusedWhereNothingCanBeCompared(t *testing.T) {
 	m := newModel(t, 0)
 	var invalid *SettingError
-	if err := m.c.EnableShadow(Config{Coordinators: 3}); !errors.As(err, &invalid) {
+	if err := m.scheduler.EnableShadow(Config{Coordinators: 3}); !errors.As(err, &invalid) {
 		t.Errorf("settings that lack most: %v", err)
 	}
 	for _, other := range []func(*Config){
@@ -65,11 +65,11 @@
 	} {
 		config := configOf(t, m.settings)
 		other(&config)
-		if err := m.c.EnableShadow(config); !errors.Is(err, ErrShadowMismatch) {
+		if err := m.scheduler.EnableShadow(config); !errors.Is(err, ErrShadowMismatch) {
 			t.Errorf("%+v: %v", config, err)
 		}
 	}
-	if _, enabled := m.c.ShadowCounts(); enabled {
+	if _, enabled := m.scheduler.ShadowCounts(); enabled {
 		t.Error("a refused shadow counts")
 	}
 }
@@ -84,14 +84,14 @@
 		m := newModel(t, bits)
 		other := maps.Clone(m.settings)
 		other["bounds.secondCopies"] = shadow
-		if err := m.c.EnableShadow(configOf(t, other)); err != nil {
+		if err := m.scheduler.EnableShadow(configOf(t, other)); err != nil {
 			t.Fatal(err)
 		}
-		q := m.ask(0, 1, 3*time.Second)
-		m.turn()
+		q := m.newQuery(0, 1, 3*time.Second)
+		m.iterate()
 		m.pass(2500 * ms)
-		counts, _ = m.c.ShadowCounts()
-		return counts, len(q.parts[0].attempts)
+		counts, _ = m.scheduler.ShadowCounts()
+		return counts, len(q.subqueries[0].attempts)
 	}
 	for _, test := range []struct {
 		allowed                               bool
--- a/server/response.go
+++ b/server/response.go
@@ -4,8 +4,13 @@
 	"errors"
 	"os"
 	"time"
+
+	"terntray/internal/wire"
 )
 
+// lastResponse, for makers of responses, says that the connection ends with this one.
+const lastResponse = true
+
 // response is a response as it is written.
 type response struct {
 	bytes []byte
@@ -27,7 +32,7 @@
 // client's next request would be read and dropped.
 func (client *ClientConn) newResponse(build func(last bool) []byte) response {
 	last := client.isLastResponse()
-	return response{build(last), last}
+	return response{bytes: build(last), last: last}
 }
 
 // isLastResponse tells whether a response made now is the connection's last.
@@ -38,18 +43,20 @@
 
 // respondNow makes and writes a response; it tells whether the connection goes on.
 func (client *ClientConn) respondNow(build func(last bool) []byte) bool {
-	return client.finishRequest(client.newResponse(build))
+	return client.writeResponse(client.newResponse(build))
 }
 
 // refuse answers what is no request and ends the connection: where the next request begins is in doubt.
 func (client *ClientConn) refuse(err error) (goesOn bool) {
 	client.postRefused()
-	status, text := statusOf(err)
-	return client.finishRequest(response{errorResponse(status, text, true), true})
+	refused := wire.AsProtocolError(err)
+	text := wire.TextResponse(refused.Status, refused.Message, lastResponse)
+	return client.writeResponse(response{bytes: text, last: lastResponse})
 }
 
-// finishRequest writes the response to the open request and tells whether the connection goes on.
-func (client *ClientConn) finishRequest(response response) bool {
+// writeResponse writes a response and tells whether the connection goes on. No request is open afterwards; none was
+// before where the response refuses what never became a request (refuse, reserveForLargeRequest).
+func (client *ClientConn) writeResponse(response response) bool {
 	if !client.write(response.bytes) {
 		client.writeFailed = true
 		return false
--- a/server/slots.go
+++ b/server/slots.go
@@ -8,18 +8,18 @@
 // connSlots bounds how many client connections are open. The listener takes a slot before it accepts; the
 // connection's end gives it back.
 type connSlots struct {
-	taken   chan struct{} // one element for each connection
-	waiting atomic.Bool   // the listener finds none free: clients that have got their response have to go; any goroutine
+	used    chan struct{} // one element for each connection
+	waiting atomic.Bool   // the listener finds none free: clients that have their response have to go; any goroutine
 }
 
-func newConnSlots(capacity int) connSlots { return connSlots{taken: make(chan struct{}, capacity)} }
+func newConnSlots(capacity int) connSlots { return connSlots{used: make(chan struct{}, capacity)} }
 
-func (slots *connSlots) release() { <-slots.taken }
+func (slots *connSlots) release() { <-slots.used }
 
 // usable is how many slots may be taken before idle clients have to go.
 func (slots *connSlots) usable() int {
-	capacity := cap(slots.taken)
-	return capacity - capacity/freeSlotShare - 1
+	capacity := cap(slots.used)
+	return capacity - capacity/freeSlotDivisor - 1
 }
 
 // acquireSlot waits for a slot. Idle clients leave for it, and while none is free also those that get their
@@ -31,7 +31,7 @@
 		for server.fewSlotsFree() && server.evictIdle() {
 		}
 		select {
-		case server.slots.taken <- struct{}{}:
+		case server.slots.used <- struct{}{}:
 			return waited
 		case <-time.After(slotRetryInterval):
 			server.slots.waiting.Store(true)
@@ -43,7 +43,7 @@
 // fewSlotsFree tells whether few slots are free or about to be. An evicted client that is idle is about to free
 // its slot; one with an open request does so only after its response.
 func (server *Server) fewSlotsFree() bool {
-	excess := len(server.slots.taken) - server.slots.usable()
+	excess := len(server.slots.used) - server.slots.usable()
 	if excess < 0 {
 		return false
 	}
@@ -77,7 +77,7 @@
 func (config *Config) maxConns() int {
 	most := defaultMaxConns
 	if config.MemoryMB > 0 {
-		most = max(1, config.MemoryMB<<20/connMemoryShare/connBytes)
+		most = max(1, config.MemoryMB<<20/connMemoryDivisor/connBytes)
 	}
 	if config.Sockets > 0 {
 		most = min(most, max(leastConnsBySocket, config.Sockets-config.ReservedSockets))
@@ -90,7 +90,7 @@
 	if config.MemoryMB == 0 {
 		return maxConns
 	}
-	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryShare/maxRequestBytes))
+	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryDivisor/maxRequestBytes))
 }
 
 // maxActive is how many connections that have sent a request may be open.
@@ -98,5 +98,5 @@
 	if config.Sockets == 0 {
 		return maxConns
 	}
-	return max(1, int(activeKeptShare*float64(config.Sockets/activeSocketShare)))
+	return max(1, int(activeKeptShare*float64(config.Sockets/activeSocketDivisor)))
 }
