--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -97,74 +97,74 @@
 }
 
 // settle ends a query, or its phase, if that is due.
-func (c *Scheduler) settle(query *query) {
-	next := query.outcome(c.now)
-	if !query.awaitsSubqueries() && c.now > query.objectiveAt {
-		c.admission.judge(c.now, query, false)
+func (scheduler *Scheduler) settle(query *query) {
+	next := query.outcome(scheduler.now)
+	if !query.awaitsSubqueries() && scheduler.now > query.objectiveAt {
+		scheduler.admission.judge(scheduler.now, query, false)
 	}
 	switch next {
 	case answersNow:
-		c.complete(query, query.phase == 0 || query.firstPhaseComplete)
+		scheduler.complete(query, query.phase == 0 || query.firstPhaseComplete)
 	case givesUpNow:
-		c.giveUp(query)
+		scheduler.giveUp(query)
 	case goesOn:
 	}
 }
 
 // complete answers the present phase of a query; without a next phase that ends it.
-func (c *Scheduler) complete(query *query, complete bool) {
-	c.host.Complete(query.id, complete)
+func (scheduler *Scheduler) complete(query *query, complete bool) {
+	scheduler.host.Complete(query.id, complete)
 	switch {
 	case query.callerEndsPhases:
 		query.expectedSubqueries = math.MaxInt // StartNextPhase comes in the next iteration
 	case query.class.fetchSubqueries == 0 || query.phase > 0:
-		c.end(query, c.now <= query.objectiveAt)
+		scheduler.end(query, scheduler.now <= query.objectiveAt)
 	default:
 		query.firstPhaseComplete = complete
-		c.startPhase(query, query.class.fetchSubqueries)
+		scheduler.startPhase(query, query.class.fetchSubqueries)
 	}
 }
 
 // giveUp ends a query with an incomplete answer if there is enough for one, else as failed.
-func (c *Scheduler) giveUp(query *query) {
+func (scheduler *Scheduler) giveUp(query *query) {
 	_, minimum := query.requiredWeights()
 	lastPhase := query.class.fetchSubqueries == 0 || query.phase > 0
 	if lastPhase && query.answeredWeight >= minimum {
-		c.host.Complete(query.id, false)
+		scheduler.host.Complete(query.id, false)
 	} else {
-		c.host.Fail(query.id)
+		scheduler.host.Fail(query.id)
 	}
-	c.end(query, false)
+	scheduler.end(query, false)
 }
 
 // giveUpIfHopeless ends a query if too many of its subqueries are abandoned for any answer.
-func (c *Scheduler) giveUpIfHopeless(query *query) {
+func (scheduler *Scheduler) giveUpIfHopeless(query *query) {
 	if query.ended || query.reservesAttempt && query.phase == 0 {
 		return
 	}
 	if !query.reachesMinimum(func(subquery *subquery) bool { return subquery.answered || !subquery.abandoned }) {
-		c.giveUp(query)
+		scheduler.giveUp(query)
 	}
 }
 
 // end closes a query that has its final outcome; inTime tells whether it met its objective.
-func (c *Scheduler) end(query *query, inTime bool) {
+func (scheduler *Scheduler) end(query *query, inTime bool) {
 	query.ended = true
-	c.admission.judge(c.now, query, inTime)
+	scheduler.admission.judge(scheduler.now, query, inTime)
 	for _, subquery := range query.subqueries {
-		c.abandon(subquery)
+		scheduler.abandon(subquery)
 	}
-	delete(c.queriesByID, query.id)
-	delete(c.queriesByNumber, query.number)
+	delete(scheduler.queriesByID, query.id)
+	delete(scheduler.queriesByNumber, query.number)
 }
 
 // startPhase ends the present phase of a query and awaits the subqueries of the next.
-func (c *Scheduler) startPhase(query *query, subqueries int) {
+func (scheduler *Scheduler) startPhase(query *query, subqueries int) {
 	if query.attemptsUsed == nil {
 		query.attemptsUsed = map[ShardNumber]int{}
 	}
 	for _, subquery := range query.subqueries {
-		c.abandon(subquery)
+		scheduler.abandon(subquery)
 		if query.callerEndsPhases {
 			query.attemptsUsed[subquery.shard] += len(subquery.attempts)
 		}
@@ -181,15 +181,15 @@
 }
 
 // abandon sends nothing more for a subquery, and cancels what is in flight for it.
-func (c *Scheduler) abandon(subquery *subquery) {
+func (scheduler *Scheduler) abandon(subquery *subquery) {
 	subquery.unqueue()
 	subquery.abandoned = subquery.abandoned || !subquery.answered
 	for number, attempt := range subquery.attempts {
-		if !attempt.ended && c.cancelAllowed {
-			c.host.CancelAttempt(subquery.id, AttemptNumber(number))
+		if !attempt.ended && scheduler.parameters.cancelAllowed {
+			scheduler.host.CancelAttempt(subquery.id, AttemptNumber(number))
 		}
 	}
 	if !subquery.inFlight() {
-		delete(c.subqueries, subquery.id)
+		delete(scheduler.subqueries, subquery.id)
 	}
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -72,54 +72,54 @@
 }
 
 // pollEndpoints polls the list if that is due, and asks to be woken for the next time.
-func (c *Scheduler) pollEndpoints() {
-	if !c.poller.waiting() {
+func (scheduler *Scheduler) pollEndpoints() {
+	if !scheduler.poller.waiting() {
 		return
 	}
-	if c.poller.due(c.now) {
-		c.host.PollEndpoints()
+	if scheduler.poller.due(scheduler.now) {
+		scheduler.host.PollEndpoints()
 	}
-	c.wakeBy(c.poller.nextPollAt)
+	scheduler.wakeBy(scheduler.poller.nextPollAt)
 }
 
 // EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in it
 // are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this Scheduler was
 // made; it is no news of discovery.
-func (c *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
-	c.clock(now)
-	c.replicas.listChanged()
+func (scheduler *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
+	scheduler.clock(now)
+	scheduler.replicas.listChanged()
 	if restored {
-		c.lastTickAt = now
+		scheduler.lastTickAt = now
 	} else {
-		c.poller.listed()
+		scheduler.poller.listed()
 	}
 	if full {
-		for _, replica := range c.replicas.all {
+		for _, replica := range scheduler.replicas.all {
 			replica.state = Removed
 		}
 	}
 }
 
 // EndpointListed takes one entry of the list that EndpointListBegins opened.
-func (c *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
-	c.replicas.listChanged()
-	replica, known := c.replicas.byID[endpoint.ID]
+func (scheduler *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
+	scheduler.replicas.listChanged()
+	replica, known := scheduler.replicas.byID[endpoint.ID]
 	if !known {
-		replica = c.addReplica(now, endpoint.ID)
+		replica = scheduler.addReplica(now, endpoint.ID)
 	}
 	replica.state = endpoint.State
 	replica.cell = endpoint.Cell
 	replica.zone = endpoint.Zone
 	replica.size = cmp.Or(max(0, endpoint.Size), 1)
 	if endpoint.Started > replica.startedAt {
-		c.replicaStarted(replica, endpoint.Started)
+		scheduler.replicaStarted(replica, endpoint.Started)
 	}
 }
 
 // addReplica gives a replica that is listed for the first time its state.
-func (c *Scheduler) addReplica(now time.Duration, id ReplicaID) *replicaState {
-	replica := c.replicas.newState(now, c.oldestArrival())
-	c.replicas.byID[id] = replica
+func (scheduler *Scheduler) addReplica(now time.Duration, id ReplicaID) *replicaState {
+	replica := scheduler.replicas.newState(now, scheduler.oldestArrival())
+	scheduler.replicas.byID[id] = replica
 	replica.id = id
 	replica.startedAt = StartUnknown
 	replica.recovering = false
@@ -132,25 +132,25 @@
 	replica.utilizationAt = 0
 	replica.peerWork = 0
 	replica.fullUntil = 0
-	c.slowStart.listed(replica)
-	c.outliers.forget(replica)
+	scheduler.slowStart.listed(replica)
+	scheduler.outliers.forget(replica)
 	return replica
 }
 
 // replicaStarted forgets what held for an earlier incarnation of a replica.
-func (c *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
+func (scheduler *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
 	replica.startedAt = startedAt
 	replica.limit = initialLimit
-	c.outliers.forget(replica)
-	if c.slowStart.warmingUp(replica, c.now) {
-		replica.slowdown = 1 / math.Sqrt(c.slowStart.capacity(replica, c.now))
+	scheduler.outliers.forget(replica)
+	if scheduler.slowStart.warmingUp(replica, scheduler.now) {
+		replica.slowdown = 1 / math.Sqrt(scheduler.slowStart.capacity(replica, scheduler.now))
 		replica.usualLatency = 1
-		c.host.Log(fmt.Sprintf("replica %d is warming up: slow start", replica.id))
+		scheduler.host.Log(fmt.Sprintf("replica %d is warming up: slow start", replica.id))
 	}
 }
 
 // EndpointPollFailed tells that a poll of the list has failed, or that its changes do not come any more.
-func (c *Scheduler) EndpointPollFailed(now time.Duration) {
-	c.clock(now)
-	c.poller.failed(now, c.random.next())
+func (scheduler *Scheduler) EndpointPollFailed(now time.Duration) {
+	scheduler.clock(now)
+	scheduler.poller.failed(now, scheduler.random.next())
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -59,60 +59,60 @@
 }
 
 // broadcast sends what is due and asks to be woken for the rest.
-func (c *Scheduler) broadcast() {
+func (scheduler *Scheduler) broadcast() {
 	for event := range attemptEvents {
-		tally := &c.gossip.pending[event]
+		tally := &scheduler.gossip.pending[event]
 		due := tally.since + gossipDelay
 		switch {
-		case event == attemptsSent || c.now >= due:
-			for _, message := range tally.take(event, c.cells, c.estimates.parallelism) {
-				c.host.Broadcast(message)
+		case event == attemptsSent || scheduler.now >= due:
+			for _, message := range tally.take(event, scheduler.parameters.cells, scheduler.estimates.parallelism) {
+				scheduler.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
-			c.wakeBy(due)
+			scheduler.wakeBy(due)
 		}
 	}
 }
 
 // GossipReceived takes a message of another co-ordinator. One that cannot be read changes nothing; the error wraps a
 // *GossipError.
-func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
-	c.clock(now)
-	decoded, err := decodeGossip(message, c.cells)
+func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
+	scheduler.clock(now)
+	decoded, err := decodeGossip(message, scheduler.parameters.cells)
 	if err != nil {
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
 	for _, tenant := range decoded.tenants {
-		c.quotas.peerTook(tenant)
+		scheduler.quotas.peerTook(tenant)
 	}
 	for _, told := range decoded.cells {
-		for _, replica := range c.replicas.holders(ShardNumber(told.cell)) {
+		for _, replica := range scheduler.replicas.holders(ShardNumber(told.cell)) {
 			if replica.cell == told.cell {
-				c.takePeerAttempts(replica, decoded, told.attempts)
+				scheduler.takePeerAttempts(replica, decoded, told.attempts)
 			}
 		}
 	}
-	c.gossip.heardAt = now
+	scheduler.gossip.heardAt = now
 	return nil
 }
 
 // takePeerAttempts applies what a peer tells of attempts at a replica.
-func (c *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
+func (scheduler *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
-		c.estimates.parallelism = min(maxParallelism, c.estimates.parallelism*math.Pow(message.parallelism/c.estimates.parallelism, parallelismStep))
+		scheduler.estimates.parallelism = min(maxParallelism, scheduler.estimates.parallelism*math.Pow(message.parallelism/scheduler.estimates.parallelism, parallelismStep))
 	}
 	if message.event != attemptsSent {
 		work = -work
-		c.takePeerLatency(replica, message, attempts)
+		scheduler.takePeerLatency(replica, message, attempts)
 	}
-	most := scale(c.shortestObjective, c.estimates.parallelism)
-	replica.peerWork = max(0, min(most, replica.peerBacklog(c.now)+work))
-	replica.peerWorkAt = c.now
+	most := scale(scheduler.parameters.shortestObjective, scheduler.estimates.parallelism)
+	replica.peerWork = max(0, min(most, replica.peerBacklog(scheduler.now)+work))
+	replica.peerWorkAt = scheduler.now
 }
 
 // takePeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
-func (c *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
+func (scheduler *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
 	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
 	if message.event != attemptsLate && surprise >= 0 {
 		return
@@ -129,9 +129,9 @@
 }
 
 // unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
-func (c *Scheduler) unseenLoad() float64 {
-	if c.gossip.heard(c.now) {
+func (scheduler *Scheduler) unseenLoad() float64 {
+	if scheduler.gossip.heard(scheduler.now) {
 		return 1
 	}
-	return c.unseenLoadFactor
+	return scheduler.parameters.unseenLoadFactor
 }
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -193,7 +193,7 @@
 		if (err == nil) != (m.scheduler.gossip.heardAt != before) {
 			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.heardAt)
 		}
-		most := scale(m.scheduler.shortestObjective, m.scheduler.estimates.parallelism)
+		most := scale(m.scheduler.parameters.shortestObjective, m.scheduler.estimates.parallelism)
 		for _, replica := range m.scheduler.replicas.all {
 			backlog := replica.peerBacklog(m.scheduler.now)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -15,18 +15,18 @@
 }
 
 // Ledger is a copy of what has been counted so far.
-func (c *Scheduler) Ledger() Ledger {
+func (scheduler *Scheduler) Ledger() Ledger {
 	return Ledger{
-		arrivals:  slices.Clone(c.retries.arrivals),
-		retries:   slices.Clone(c.retries.extras),
-		slowStart: c.slowStart.snapshot(c.replicas.byID),
+		arrivals:  slices.Clone(scheduler.retries.arrivals),
+		retries:   slices.Clone(scheduler.retries.extras),
+		slowStart: scheduler.slowStart.snapshot(scheduler.replicas.byID),
 	}
 }
 
 // Resume has a Scheduler that was just made go on with another's ledger, of the same configuration and process. It is
 // called before any event.
-func (c *Scheduler) Resume(ledger Ledger) {
-	c.retries.arrivals = ledger.arrivals
-	c.retries.extras = ledger.retries
-	c.slowStart.resume(ledger.slowStart)
+func (scheduler *Scheduler) Resume(ledger Ledger) {
+	scheduler.retries.arrivals = ledger.arrivals
+	scheduler.retries.extras = ledger.retries
+	scheduler.slowStart.resume(ledger.slowStart)
 }
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -14,11 +14,11 @@
 	open        int             // replicas that are not blocked
 }
 
-func (c *Scheduler) newReleaseRound(all bool) *releaseRound {
-	count := len(c.replicas.all)
+func (scheduler *Scheduler) newReleaseRound(all bool) *releaseRound {
+	count := len(scheduler.replicas.all)
 	round := &releaseRound{all: all, blocked: make([]bool, count), queuedAhead: make([]time.Duration, count)}
-	for _, replica := range c.replicas.all {
-		blocked := !all && (replica.queuedWork == 0 || c.limits.full(c.now, replica))
+	for _, replica := range scheduler.replicas.all {
+		blocked := !all && (replica.queuedWork == 0 || scheduler.limits.full(scheduler.now, replica))
 		round.blocked[replica.index] = blocked
 		if !blocked {
 			round.open++
@@ -47,9 +47,9 @@
 }
 
 // release sends queued subqueries; unless all are looked at, only those for replicas that have room.
-func (c *Scheduler) release(all bool) {
-	round := c.newReleaseRound(all)
-	for _, query := range c.open {
+func (scheduler *Scheduler) release(all bool) {
+	round := scheduler.newReleaseRound(all)
+	for _, query := range scheduler.open {
 		if query.awaitsSubqueries() {
 			continue
 		}
@@ -57,118 +57,118 @@
 			return
 		}
 		for _, subquery := range query.subqueries {
-			if !round.skips(subquery) && c.isReleasable(subquery) {
-				c.releaseOne(round, subquery)
+			if !round.skips(subquery) && scheduler.isReleasable(subquery) {
+				scheduler.releaseOne(round, subquery)
 			}
 		}
 	}
 }
 
 // isReleasable reports whether a subquery is queued and its query's canaries do not hold it back.
-func (c *Scheduler) isReleasable(subquery *subquery) bool {
+func (scheduler *Scheduler) isReleasable(subquery *subquery) bool {
 	query := subquery.query
-	if query.ended || !subquery.queued || query.waitsForCanaries(c.now, c.unseenLoadFactor > 1) {
+	if query.ended || !subquery.queued || query.waitsForCanaries(scheduler.now, scheduler.parameters.unseenLoadFactor > 1) {
 		return false
 	}
 	return !query.suspectedDeadly() || len(subquery.attempts) > 0
 }
 
 // releaseOne abandons, probes with, passes over or sends a queued subquery.
-func (c *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
+func (scheduler *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
 	further := !first || subquery.isRetry
-	if c.tooLate(subquery, round.queuedAhead) || further && !c.retries.allowsRepeat(c.now, subquery) {
-		c.abandon(subquery)
-		c.giveUpIfHopeless(subquery.query)
+	if scheduler.tooLate(subquery, round.queuedAhead) || further && !scheduler.retries.allowsRepeat(scheduler.now, subquery) {
+		scheduler.abandon(subquery)
+		scheduler.giveUpIfHopeless(subquery.query)
 		return
 	}
-	if (first || replica == nil) && c.probe(subquery) {
+	if (first || replica == nil) && scheduler.probe(subquery) {
 		return
 	}
 	if replica == nil {
 		return // no holder is in use
 	}
-	if round.blocked[replica.index] || c.mustWait(subquery, replica) {
+	if round.blocked[replica.index] || scheduler.mustWait(subquery, replica) {
 		round.passOver(subquery)
 		return
 	}
-	c.startAttempt(subquery, replica)
-	c.probe(subquery) // of an ejected holder, beside the attempt
+	scheduler.startAttempt(subquery, replica)
+	scheduler.probe(subquery) // of an ejected holder, beside the attempt
 }
 
 // mustWait reports whether a queued subquery cannot be sent to its replica now.
-func (c *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
-	if c.limits.full(c.now, replica) || !c.slowStartAdmits(replica, subquery) {
+func (scheduler *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
+	if scheduler.limits.full(scheduler.now, replica) || !scheduler.slowStartAdmits(replica, subquery) {
 		return true
 	}
 	retry := len(subquery.attempts) > 0
-	if (retry || subquery.isRetry) && !c.retries.hasRoom() {
+	if (retry || subquery.isRetry) && !scheduler.retries.hasRoom() {
 		return true
 	}
 	if !retry {
 		return false
 	}
 	// One without a token goes once nothing is in flight there: else nothing would ever earn any.
-	noToken := !c.retries.hasToken(replica) && len(replica.outstanding) > 0
-	return noToken || c.retries.backsOff(c.now, replica, subquery, c.retries.onLastAttempt(subquery))
+	noToken := !scheduler.retries.hasToken(replica) && len(replica.outstanding) > 0
+	return noToken || scheduler.retries.backsOff(scheduler.now, replica, subquery, scheduler.retries.onLastAttempt(subquery))
 }
 
 // tooLate reports whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
 // the first phase, that is the query's objective, else its deadline.
-func (c *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
+func (scheduler *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
 	query, replica := subquery.query, subquery.replica
-	left := query.deadlineAt - c.now
+	left := query.deadlineAt - scheduler.now
 	if query.admittedAsProbe {
-		return c.now >= query.objectiveAt // what is expected is in doubt
+		return scheduler.now >= query.objectiveAt // what is expected is in doubt
 	}
 	if replica == nil {
 		return subquery.work > left
 	}
-	if c.limits.atLimit(replica) && query.phase == 0 {
-		left = min(left, query.objectiveAt-c.now)
+	if scheduler.limits.atLimit(replica) && query.phase == 0 {
+		left = min(left, query.objectiveAt-scheduler.now)
 	}
-	ahead := scale(replica.outstandingWork+queuedAhead[replica.index], 1/c.estimates.parallelism)
-	return scale(subquery.work+ahead, c.estimates.timePerWork(replica)) > left
+	ahead := scale(replica.outstandingWork+queuedAhead[replica.index], 1/scheduler.estimates.parallelism)
+	return scale(subquery.work+ahead, scheduler.estimates.timePerWork(replica)) > left
 }
 
 // probe sends an attempt of a subquery to an ejected holder that is due for one, if any, and reports whether it did.
-func (c *Scheduler) probe(subquery *subquery) bool {
-	if !c.outliers.mayProbe(c.now, subquery, &c.retries) {
+func (scheduler *Scheduler) probe(subquery *subquery) bool {
+	if !scheduler.outliers.mayProbe(scheduler.now, subquery, &scheduler.retries) {
 		return false
 	}
-	replica := c.outliers.takeProbe(c.now, subquery)
+	replica := scheduler.outliers.takeProbe(scheduler.now, subquery)
 	if replica == nil {
 		return false
 	}
-	c.startAttempt(subquery, replica)
+	scheduler.startAttempt(subquery, replica)
 	return true
 }
 
 // startAttempt sends an attempt of a subquery to a replica.
-func (c *Scheduler) startAttempt(subquery *subquery, replica *replicaState) {
+func (scheduler *Scheduler) startAttempt(subquery *subquery, replica *replicaState) {
 	subquery.unqueue()
 	query := subquery.query
 	started := &attempt{
 		subquery: subquery,
 		replica:  replica,
-		sentAt:   c.now,
+		sentAt:   scheduler.now,
 		work:     subquery.work,
-		expected: c.estimates.expectedLatency(c.now, replica, subquery.work),
+		expected: scheduler.estimates.expectedLatency(scheduler.now, replica, subquery.work),
 	}
-	if c.gossipEnabled {
-		c.gossip.attemptSent(c.now, replica.cell, subquery.work)
-		if query.attemptsSent == 0 && len(c.tenantQuotas) > 0 {
-			c.gossip.queryAdmitted(query.tenant)
+	if scheduler.parameters.gossipEnabled {
+		scheduler.gossip.attemptSent(scheduler.now, replica.cell, subquery.work)
+		if query.attemptsSent == 0 && len(scheduler.parameters.tenantQuotas) > 0 {
+			scheduler.gossip.queryAdmitted(query.tenant)
 		}
 	}
 	subquery.attempts = append(subquery.attempts, started)
 	query.attemptsSent++
 	replica.outstanding = append(replica.outstanding, started)
 	replica.outstandingWork += subquery.work
-	c.retries.sent(c.now, subquery, replica)
-	c.slowStart.attemptStarted(replica, subquery.work, c.estimates.parallelism, c.now)
-	timeout := c.retries.attemptTimeout(started, c.unseenLoad())
-	c.host.StartAttempt(subquery.id, replica.id, timeout)
-	c.shadowAttempt(started, timeout)
+	scheduler.retries.sent(scheduler.now, subquery, replica)
+	scheduler.slowStart.attemptStarted(replica, subquery.work, scheduler.estimates.parallelism, scheduler.now)
+	timeout := scheduler.retries.attemptTimeout(started, scheduler.unseenLoad())
+	scheduler.host.StartAttempt(subquery.id, replica.id, timeout)
+	scheduler.shadowAttempt(started, timeout)
 }
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -5,58 +5,58 @@
 import "time"
 
 // AttemptEnds handles the end of an attempt. One that is not known, or that has ended before, changes nothing.
-func (c *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
-	c.clock(now)
-	subquery := c.subqueries[result.Subquery]
+func (scheduler *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
+	scheduler.clock(now)
+	subquery := scheduler.subqueries[result.Subquery]
 	number := int(result.Attempt)
 	if subquery == nil || number < 0 || number >= len(subquery.attempts) || subquery.attempts[number].ended {
 		return
 	}
 	ended := subquery.attempts[number]
-	c.bookEnd(ended, result.Outcome)
+	scheduler.bookEnd(ended, result.Outcome)
 	switch result.Outcome {
 	case Succeeded:
-		c.attemptSucceeded(ended, result.Took)
+		scheduler.attemptSucceeded(ended, result.Took)
 	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
-		c.attemptFailed(ended, result.Outcome, result.Took)
+		scheduler.attemptFailed(ended, result.Outcome, result.Took)
 	case Cancelled, NeverSent: // says nothing of the replica
 	}
-	c.continueSubquery(subquery)
+	scheduler.continueSubquery(subquery)
 }
 
 // bookEnd takes an ended attempt off its replica's load.
-func (c *Scheduler) bookEnd(ended *attempt, outcome Outcome) {
+func (scheduler *Scheduler) bookEnd(ended *attempt, outcome Outcome) {
 	ended.subquery.query.touched = true
 	ended.ended = true
 	ended.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NeverSent
 	ended.replica.unload(func(other *attempt) bool { return other == ended })
-	if c.gossipEnabled {
-		age := c.now - ended.sentAt - c.stalled
+	if scheduler.parameters.gossipEnabled {
+		age := scheduler.now - ended.sentAt - scheduler.stalled
 		lateness := float64(age+latencyJitter) / float64(ended.expected+latencyJitter)
-		c.gossip.attemptEnded(c.now, ended, lateness, c.readDelay != 0, outcome == Cancelled)
+		scheduler.gossip.attemptEnded(scheduler.now, ended, lateness, scheduler.readDelay != 0, outcome == Cancelled)
 	}
 }
 
 // attemptSucceeded passes a reply to the policies, and counts the answer.
-func (c *Scheduler) attemptSucceeded(ended *attempt, took time.Duration) {
+func (scheduler *Scheduler) attemptSucceeded(ended *attempt, took time.Duration) {
 	replica, subquery := ended.replica, ended.subquery
 	query := subquery.query
-	c.slowStart.answered(replica, c.now)
-	c.outliers.replied(c.now, ended)
-	c.retries.earn(replica)
-	c.limits.raiseCeiling(replica)
-	c.hedges.earn(c.now, replica)
-	c.estimates.learn(c.now, observedReply{
+	scheduler.slowStart.answered(replica, scheduler.now)
+	scheduler.outliers.replied(scheduler.now, ended)
+	scheduler.retries.earn(replica)
+	scheduler.limits.raiseCeiling(replica)
+	scheduler.hedges.earn(scheduler.now, replica)
+	scheduler.estimates.learn(scheduler.now, observedReply{
 		attempt:   ended,
 		took:      took,
-		paused:    c.stalled,
-		readDelay: c.readDelay,
-		warmingUp: c.slowStart.warmingUp(replica, c.now),
+		paused:    scheduler.stalled,
+		readDelay: scheduler.readDelay,
+		warmingUp: scheduler.slowStart.warmingUp(replica, scheduler.now),
 	})
 	if replica.forClass(query.class).ejected {
-		c.outliers.reinstate(replica, query.class)
+		scheduler.outliers.reinstate(replica, query.class)
 	} else {
-		c.limits.replied(c.now, replica, c.halvingInterval(replica))
+		scheduler.limits.replied(scheduler.now, replica, scheduler.halvingInterval(replica))
 	}
 	query.answeredBy(ended)
 	if subquery.answered || subquery.abandoned || query.ended {
@@ -66,57 +66,57 @@
 	query.answered++
 	query.answeredWeight += subquery.weight
 	query.latenessSum += float64(took) / float64(scale(ended.expected, replica.slowdown)+1)
-	c.abandon(subquery)
+	scheduler.abandon(subquery)
 }
 
 // attemptFailed passes an attempt that brought no answer to the policies.
-func (c *Scheduler) attemptFailed(ended *attempt, outcome Outcome, took time.Duration) {
+func (scheduler *Scheduler) attemptFailed(ended *attempt, outcome Outcome, took time.Duration) {
 	replica, query := ended.replica, ended.subquery.query
 	switch outcome {
 	case Overloaded:
-		c.limits.rejected(c.now, replica, c.halvingInterval(replica))
-		if c.limits.peersFill() {
-			c.limits.backOff(c.now, replica, c.random.next())
+		scheduler.limits.rejected(scheduler.now, replica, scheduler.halvingInterval(replica))
+		if scheduler.limits.peersFill() {
+			scheduler.limits.backOff(scheduler.now, replica, scheduler.random.next())
 		}
 	case Unreachable:
-		c.outliers.eject(c.now, replica, nil, ejectedUnreachable)
+		scheduler.outliers.eject(scheduler.now, replica, nil, ejectedUnreachable)
 	case ConnectionReset:
-		query.connectionReset(c.now, replica, took)
+		query.connectionReset(scheduler.now, replica, took)
 	}
-	c.outliers.failed(c.now, replica, query.class)
+	scheduler.outliers.failed(scheduler.now, replica, query.class)
 }
 
 // halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's.
-func (c *Scheduler) halvingInterval(replica *replicaState) time.Duration {
-	return scale(c.classes[0].subqueryWork, replica.slowdown)
+func (scheduler *Scheduler) halvingInterval(replica *replicaState) time.Duration {
+	return scale(scheduler.classes[0].subqueryWork, replica.slowdown)
 }
 
 // continueSubquery queues a subquery for a retry after the end of an attempt, or abandons it if it may have none.
-func (c *Scheduler) continueSubquery(subquery *subquery) {
+func (scheduler *Scheduler) continueSubquery(subquery *subquery) {
 	if subquery.inFlight() || subquery.queued {
 		return
 	}
 	switch {
 	case subquery.answered || subquery.abandoned:
-		delete(c.subqueries, subquery.id)
-	case c.retries.allowsRepeat(c.now, subquery):
+		delete(scheduler.subqueries, subquery.id)
+	case scheduler.retries.allowsRepeat(scheduler.now, subquery):
 		subquery.queueFor(nil)
 	default:
-		c.abandon(subquery)
-		c.giveUpIfHopeless(subquery.query)
+		scheduler.abandon(subquery)
+		scheduler.giveUpIfHopeless(subquery.query)
 	}
 }
 
 // LoadReported handles a load report: the share of its cores that a replica has in use, from 0 to 1, as it reports
 // itself.
-func (c *Scheduler) LoadReported(now time.Duration, id ReplicaID, utilization float64) {
-	c.clock(now)
-	c.hedges.loadReported(now, c.replicas.byID[id], utilization)
+func (scheduler *Scheduler) LoadReported(now time.Duration, id ReplicaID, utilization float64) {
+	scheduler.clock(now)
+	scheduler.hedges.loadReported(now, scheduler.replicas.byID[id], utilization)
 }
 
 // ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it that
 // time would count as the replicas'.
-func (c *Scheduler) ReadDelayed(now, unread time.Duration) {
-	c.clock(now)
-	c.readDelay = unread
+func (scheduler *Scheduler) ReadDelayed(now, unread time.Duration) {
+	scheduler.clock(now)
+	scheduler.readDelay = unread
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -48,7 +48,7 @@
 // its replica was with others.
 func TestTimeoutLeavesAnAttemptItsOwnWork(t *testing.T) {
 	m := newModel(t, 0)
-	m.scheduler.hedgeAllowed = false
+	m.scheduler.parameters.hedgeAllowed = false
 	for _, replica := range m.scheduler.replicas.all {
 		replica.slowdown = 0.05
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -24,9 +24,9 @@
 // events at the same times give the same decisions. Its methods are to be called from one goroutine, with times that
 // do not go back.
 type Scheduler struct {
-	parameters
-	host   Host
-	random random
+	parameters parameters
+	host       Host
+	random     random
 
 	// What the scheduler knows of.
 	classes         []class
@@ -65,7 +65,7 @@
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Scheduler{
+	scheduler := &Scheduler{
 		parameters:      newParameters(&config),
 		host:            host,
 		random:          random{seed: seed, selfIndex: config.SelfIndex},
@@ -78,168 +78,168 @@
 		poller:          newEndpointPoller(&config),
 		slowStart:       newSlowStart(&config),
 	}
-	c.estimates.parallelism = initialParallelism
-	c.estimates.typicalSize = 1
-	c.hedges.tokens = maxHedgeTokens * c.hedgeScale
-	c.quotas = newTenantQuotas(c.tenantQuotas)
-	c.connectPolicies()
-	return c, nil
+	scheduler.estimates.parallelism = initialParallelism
+	scheduler.estimates.typicalSize = 1
+	scheduler.hedges.tokens = maxHedgeTokens * scheduler.parameters.hedgeScale
+	scheduler.quotas = newTenantQuotas(scheduler.parameters.tenantQuotas)
+	scheduler.connectPolicies()
+	return scheduler, nil
 }
 
 // connectPolicies hands each policy what it asks: the parameters and other policies of this Scheduler. A copy of a
 // Scheduler has to be connected again.
-func (c *Scheduler) connectPolicies() {
-	parameters := &c.parameters
-	c.estimates.parameters = parameters
-	c.limits.parameters = parameters
-	c.retries.parameters = parameters
-	c.outliers = outlierDetector{
+func (scheduler *Scheduler) connectPolicies() {
+	parameters := &scheduler.parameters
+	scheduler.estimates.parameters = parameters
+	scheduler.limits.parameters = parameters
+	scheduler.retries.parameters = parameters
+	scheduler.outliers = outlierDetector{
 		parameters: parameters,
-		replicas:   &c.replicas,
-		classes:    len(c.classes),
-		limits:     &c.limits,
-		hasRoom:    c.slowStartAdmits,
-		log:        c.host.Log,
+		replicas:   &scheduler.replicas,
+		classes:    len(scheduler.classes),
+		limits:     &scheduler.limits,
+		hasRoom:    scheduler.slowStartAdmits,
+		log:        scheduler.host.Log,
 	}
-	c.placement = placement{
+	scheduler.placement = placement{
 		parameters: parameters,
-		replicas:   &c.replicas,
-		estimates:  &c.estimates,
-		hasRoom:    c.slowStartAdmits,
-	}
-	c.hedges.parameters = parameters
-	c.hedges.estimates = &c.estimates
-	c.hedges.limits = &c.limits
-	c.hedges.outliers = &c.outliers
-	c.hedges.retries = &c.retries
-	c.hedges.placement = &c.placement
-	c.admission.parameters = parameters
-	c.admission.estimates = &c.estimates
-	c.admission.replicas = &c.replicas
-	c.admission.outliers = &c.outliers
+		replicas:   &scheduler.replicas,
+		estimates:  &scheduler.estimates,
+		hasRoom:    scheduler.slowStartAdmits,
+	}
+	scheduler.hedges.parameters = parameters
+	scheduler.hedges.estimates = &scheduler.estimates
+	scheduler.hedges.limits = &scheduler.limits
+	scheduler.hedges.outliers = &scheduler.outliers
+	scheduler.hedges.retries = &scheduler.retries
+	scheduler.hedges.placement = &scheduler.placement
+	scheduler.admission.parameters = parameters
+	scheduler.admission.estimates = &scheduler.estimates
+	scheduler.admission.replicas = &scheduler.replicas
+	scheduler.admission.outliers = &scheduler.outliers
 }
 
 // Decide decides, once all events of this time are in. All queries are looked at in each iteration while few are
 // open, else at each tick; between ticks those for which something came in.
-func (c *Scheduler) Decide(now time.Duration) {
-	c.clock(now)
-	c.pollEndpoints()
-	c.retries.expire(now)
-	all := len(c.open) <= fewOpen || now >= c.lastTickAt+tickInterval
+func (scheduler *Scheduler) Decide(now time.Duration) {
+	scheduler.clock(now)
+	scheduler.pollEndpoints()
+	scheduler.retries.expire(now)
+	all := len(scheduler.open) <= fewOpen || now >= scheduler.lastTickAt+tickInterval
 	if all {
-		c.tick()
+		scheduler.tick()
 	}
-	for _, query := range c.open {
+	for _, query := range scheduler.open {
 		if all || query.touched {
-			c.settle(query)
-			c.place(query)
+			scheduler.settle(query)
+			scheduler.place(query)
 		}
 	}
-	c.release(all)
-	for _, query := range c.open {
+	scheduler.release(all)
+	for _, query := range scheduler.open {
 		if all || query.touched {
-			c.hedge(query)
+			scheduler.hedge(query)
 		}
 		query.touched = false
 	}
-	c.open = slices.DeleteFunc(c.open, func(query *query) bool { return query.ended })
-	c.broadcast()
-	if len(c.open) > 0 {
-		c.wakeBy(now + tickInterval)
+	scheduler.open = slices.DeleteFunc(scheduler.open, func(query *query) bool { return query.ended })
+	scheduler.broadcast()
+	if len(scheduler.open) > 0 {
+		scheduler.wakeBy(now + tickInterval)
 	}
 }
 
 // tick lets go of what time takes away and looks after the replicas.
-func (c *Scheduler) tick() {
-	passed := c.now - c.lastTickAt
+func (scheduler *Scheduler) tick() {
+	passed := scheduler.now - scheduler.lastTickAt
 	seconds := passed.Seconds()
-	c.lastTickAt = c.now
-	c.quotas.refill(passed)
-	for index := range c.classes {
-		c.classes[index].admission.fadeLatenessFactor(seconds)
+	scheduler.lastTickAt = scheduler.now
+	scheduler.quotas.refill(passed)
+	for index := range scheduler.classes {
+		scheduler.classes[index].admission.fadeLatenessFactor(seconds)
 	}
-	c.slowStart.fade(seconds)
-	c.hedges.forgetLoad(c.now)
+	scheduler.slowStart.fade(seconds)
+	scheduler.hedges.forgetLoad(scheduler.now)
 	kept := slowdownKept(seconds)
-	for _, replica := range c.replicas.all {
+	for _, replica := range scheduler.replicas.all {
 		if replica.state == Ready {
-			c.slowStart.readyReplica(replica, c.now)
+			scheduler.slowStart.readyReplica(replica, scheduler.now)
 		}
-		c.outliers.detect(c.now, replica)
-		c.outliers.releaseLost(c.now, replica)
+		scheduler.outliers.detect(scheduler.now, replica)
+		scheduler.outliers.releaseLost(scheduler.now, replica)
 		replica.fadeSlowdown(kept)
 		if replica.state != Removed {
-			replica.lastListedAt = c.now
+			replica.lastListedAt = scheduler.now
 		}
 	}
-	c.estimates.typicalSize = c.replicas.meanSize(c.estimates.typicalSize)
+	scheduler.estimates.typicalSize = scheduler.replicas.meanSize(scheduler.estimates.typicalSize)
 }
 
 // place queues a query's subqueries for replicas, and admits or rejects a new query by where they are.
-func (c *Scheduler) place(query *query) {
+func (scheduler *Scheduler) place(query *query) {
 	if query.awaitsSubqueries() {
 		return
 	}
-	placed := c.placement.place(c.now, query)
+	placed := scheduler.placement.place(scheduler.now, query)
 	if query.admitted {
 		return
 	}
 	query.admitted = true
 	slices.SortStableFunc(query.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
-	c.shadowQuery(query, placed)
-	decision := c.admission.decide(c.now, query, placed, c.unseenLoad())
+	scheduler.shadowQuery(query, placed)
+	decision := scheduler.admission.decide(scheduler.now, query, placed, scheduler.unseenLoad())
 	if decision.rejected {
-		c.reject(query, decision)
+		scheduler.reject(query, decision)
 	}
 }
 
-func (c *Scheduler) reject(query *query, decision admissionDecision) {
+func (scheduler *Scheduler) reject(query *query, decision admissionDecision) {
 	if decision.beginsToShed {
-		c.host.Log("rejecting queries: expected times exceed their objectives")
+		scheduler.host.Log("rejecting queries: expected times exceed their objectives")
 	}
-	c.host.Reject(query.id, decision.retryAfter)
-	c.end(query, false)
+	scheduler.host.Reject(query.id, decision.retryAfter)
+	scheduler.end(query, false)
 }
 
 // hedge sends a second attempt for each straggler of a query.
-func (c *Scheduler) hedge(query *query) {
+func (scheduler *Scheduler) hedge(query *query) {
 	for _, subquery := range query.subqueries {
 		straggler := subquery.lastInFlight()
 		if straggler == nil || query.ended || query.suspectedDeadly() {
 			continue
 		}
-		target := c.hedges.target(c.now, straggler)
-		c.shadowHedge(straggler, target)
+		target := scheduler.hedges.target(scheduler.now, straggler)
+		scheduler.shadowHedge(straggler, target)
 		if target != nil {
-			c.hedges.spend()
-			c.startAttempt(subquery, target)
+			scheduler.hedges.spend()
+			scheduler.startAttempt(subquery, target)
 		}
 	}
 }
 
 // clock takes the time, and for how long this co-ordinator stood still: a wakeup that it asked for is late. Without
 // that a pause of its own would look like slow replicas.
-func (c *Scheduler) clock(now time.Duration) {
-	if now > c.now {
-		c.now = now
-		c.stalled = max(0, now-c.wakeupAt-tickInterval)
+func (scheduler *Scheduler) clock(now time.Duration) {
+	if now > scheduler.now {
+		scheduler.now = now
+		scheduler.stalled = max(0, now-scheduler.wakeupAt-tickInterval)
 	}
 }
 
 // wakeBy asks for a wakeup at a time, unless one before it is due.
-func (c *Scheduler) wakeBy(at time.Duration) {
-	if at < c.wakeupAt {
-		c.wakeupAt = max(at, c.now+time.Millisecond)
-		c.host.ScheduleWakeup(wakeupName, c.wakeupAt-c.now)
+func (scheduler *Scheduler) wakeBy(at time.Duration) {
+	if at < scheduler.wakeupAt {
+		scheduler.wakeupAt = max(at, scheduler.now+time.Millisecond)
+		scheduler.host.ScheduleWakeup(wakeupName, scheduler.wakeupAt-scheduler.now)
 	}
 }
 
 // oldestArrival is when the oldest open query arrived; the end of time if none is open.
-func (c *Scheduler) oldestArrival() time.Duration {
-	if len(c.open) == 0 {
+func (scheduler *Scheduler) oldestArrival() time.Duration {
+	if len(scheduler.open) == 0 {
 		return math.MaxInt64
 	}
-	return c.open[0].arrivedAt
+	return scheduler.open[0].arrivedAt
 }
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -35,14 +35,14 @@
 
 // EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid, or
 // with ErrShadowMismatch.
-func (c *Scheduler) EnableShadow(config Config) error {
+func (scheduler *Scheduler) EnableShadow(config Config) error {
 	if err := config.Validate(); err != nil {
 		return err
 	}
-	if len(config.Classes) != len(c.classes) || config.Cells != c.cells || config.CellsPerShard != c.cellsPerShard {
+	if len(config.Classes) != len(scheduler.classes) || config.Cells != scheduler.parameters.cells || config.CellsPerShard != scheduler.parameters.cellsPerShard {
 		return ErrShadowMismatch
 	}
-	c.shadow = &shadow{
+	scheduler.shadow = &shadow{
 		parameters: newParameters(&config),
 		slowStart:  newSlowStart(&config).settings,
 		classes:    newClasses(config.Classes),
@@ -51,11 +51,11 @@
 }
 
 // ShadowCounts tells the counts so far; enabled is false if there is no other configuration.
-func (c *Scheduler) ShadowCounts() (counts ShadowCounts, enabled bool) {
-	if c.shadow == nil {
+func (scheduler *Scheduler) ShadowCounts() (counts ShadowCounts, enabled bool) {
+	if scheduler.shadow == nil {
 		return ShadowCounts{}, false
 	}
-	return c.shadow.counts, true
+	return scheduler.shadow.counts, true
 }
 
 // scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with it,
@@ -64,7 +64,7 @@
 	other := *decides
 	other.parameters = s.parameters
 	other.slowStart.settings = s.slowStart
-	if other.gossipEnabled {
+	if other.parameters.gossipEnabled {
 		other.gossip.heardAt = decides.now // as if peers told what they send
 	}
 	other.connectPolicies()
@@ -72,45 +72,45 @@
 }
 
 // shadowAttempt compares the time-out of an attempt that was just started.
-func (c *Scheduler) shadowAttempt(started *attempt, timeout time.Duration) {
-	if c.shadow == nil {
+func (scheduler *Scheduler) shadowAttempt(started *attempt, timeout time.Duration) {
+	if scheduler.shadow == nil {
 		return
 	}
-	c.shadow.counts.Attempts++
-	other := c.shadow.scheduler(c)
+	scheduler.shadow.counts.Attempts++
+	other := scheduler.shadow.scheduler(scheduler)
 	if timeout != other.retries.attemptTimeout(started, other.unseenLoad()) {
-		c.shadow.counts.WouldTimeOutOtherwise++
+		scheduler.shadow.counts.WouldTimeOutOtherwise++
 	}
 }
 
 // shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge that
 // it did not get.
-func (c *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
-	if c.shadow == nil {
+func (scheduler *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
+	if scheduler.shadow == nil {
 		return
 	}
-	other := c.shadow.scheduler(c)
+	other := scheduler.shadow.scheduler(scheduler)
 	otherTarget := other.hedges.target(other.now, straggler)
 	switch {
 	case target != nil && otherTarget == nil:
-		c.shadow.counts.WouldNotHedge++
+		scheduler.shadow.counts.WouldNotHedge++
 	case target == nil && otherTarget != nil && !straggler.shadowCounted:
 		straggler.shadowCounted = true
-		c.shadow.counts.WouldHedge++
+		scheduler.shadow.counts.WouldHedge++
 	}
 }
 
 // shadowQuery compares the admission of a query that was just placed, and the placement of its subqueries.
-func (c *Scheduler) shadowQuery(q *query, placed []*subquery) {
-	if c.shadow == nil {
+func (scheduler *Scheduler) shadowQuery(q *query, placed []*subquery) {
+	if scheduler.shadow == nil {
 		return
 	}
-	other := c.shadow.scheduler(c)
-	counts := &c.shadow.counts
+	other := scheduler.shadow.scheduler(scheduler)
+	counts := &scheduler.shadow.counts
 	counts.Queries++
 	counts.Subqueries += len(placed)
-	excess, _ := c.admission.expectedExcess(c.now, q, c.unseenLoad())
-	otherExcess, _ := other.admission.expectedExcess(other.now, c.shadow.query(q), other.unseenLoad())
+	excess, _ := scheduler.admission.expectedExcess(scheduler.now, q, scheduler.unseenLoad())
+	otherExcess, _ := other.admission.expectedExcess(other.now, scheduler.shadow.query(q), other.unseenLoad())
 	switch {
 	case excess <= 0 && otherExcess > 0:
 		counts.WouldReject++
@@ -118,7 +118,7 @@
 		counts.WouldAdmit++
 	}
 	for _, p := range placed {
-		if c.placement.fastest(p) != other.placement.fastest(p) {
+		if scheduler.placement.fastest(p) != other.placement.fastest(p) {
 			counts.WouldPlaceElsewhere++
 		}
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -197,6 +197,6 @@
 
 // slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any may
 // at some time.
-func (c *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
-	return p == nil || c.slowStart.admits(replica, p, c.estimates.parallelism, c.now, &c.random)
+func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
+	return p == nil || scheduler.slowStart.admits(replica, p, scheduler.estimates.parallelism, scheduler.now, &scheduler.random)
 }
