--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,14 +2,24 @@
 
 // Admission: which queries are rejected on arrival because they cannot be expected to meet their latency objective.
 //
-// A new query that has just been placed is expected to take the mean of its replicas' expected finish, times what the
-// slowest of so many takes. It is rejected if that is more than the time to its objective, over the class's lateness
-// factor: a factor that grows with each query that ends late and shrinks with each in time, so that about one in
-// twenty is late. A tenant above its quota gets a share of that time only. The client is told to retry after the
-// excess.
+// A query whose subqueries have just been placed at n replicas is rejected if
+//
+//	mean(finish) x slowestFactor(n)  >  (time to the objective) / latenessFactor     [x overQuotaShare over quota]
+//
+// or if the replicas that finish within the right-hand side hold too little weight for any answer. finish is a replica's
+// expected finish, slowestFactor what the slowest of n takes (estimate.go). A query with a second phase to come adds
+// that phase's slowestFactor on the left, and takes an allowance for its work off the time on the right. latenessFactor
+// grows with each query that ends late and shrinks with each in time, so that about one in twenty is late.
+//
+// The rejection carries the time after which the client may retry: by how much the left side is larger, at most
+// Config.MaxRetryAfter. 0 means that no time is told.
+//
+// Where peers are silent, both sides are divided by unseenLoad, which multiplies expected times for what they may have
+// sent: it cancels out of the comparison above. It does remain in the second phase's allowance, in the bound on each
+// replica's finish, in the bound that a trial is judged by, and in the time after which the client may retry.
 //
 // Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is admitted
-// against the estimate, as a probe of it.
+// against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected replica.
 
 import (
 	"math"
@@ -28,11 +38,11 @@
 	latenessFade          = 8.0 // seconds in which what it is over 1 fades to a third
 	maxLatenessFactor     = 6.0
 
-	// Probes of the estimate.
-	firstAdmissionProbe = 500 * time.Millisecond // from the first rejection to the first probe
-	maxAdmissionProbe   = 2 * time.Second        // longest wait for the next after a late one
-	rarestProbes        = 60.0                   // times these, among many co-ordinators: about a minute
-	maxProbeLimit       = 64.0                   // probes in flight; from then on enough is learned
+	// Trials of the estimate.
+	firstTrialInterval     = 500 * time.Millisecond // from the first rejection to the first trial
+	maxTrialInterval       = 2 * time.Second        // longest wait for the next after a late one
+	maxTrialIntervalFactor = 60.0                   // times these, with very many co-ordinators or subqueries
+	maxTrialLimit          = 64.0                   // trials in flight; from then on enough is learned
 
 	sheddingQuiet = 5 * time.Second // without a rejection, after which shedding counts as ended
 
@@ -43,12 +53,12 @@
 type classAdmission struct {
 	latenessFactor float64       // times the expected time that queries are taken to need, at least 1
 	lastJudgedAt   time.Duration // when a query last moved latenessFactor
-	lastLateAt     time.Duration // when a new query was last expected to be late; 0: never
+	lastExcessAt   time.Duration // when a new query last exceeded its bound; 0: never
 
-	// Probes of the estimate.
-	probeLimit    float64       // that may be in flight at a replica
-	nextProbeAt   time.Duration // from when one may be admitted
-	probeInterval time.Duration // from a late one to the next
+	// Trials of the estimate.
+	trialLimit    float64       // attempts in flight at a slow replica, from which no trial goes there
+	nextTrialAt   time.Duration // from when one may be admitted
+	trialInterval time.Duration // from a late trial to the next
 }
 
 // admissionController decides whether a new query is admitted. Its state for each class is in classAdmission.
@@ -68,12 +78,12 @@
 }
 
 // decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for
-// what silent peers may have sent.
+// what silent peers may have sent; 1: the peers tell.
 func (a *admissionController) decide(
 	now time.Duration, query *query, placed []*subquery, unseenLoad float64,
 ) admissionDecision {
 	excess, bound := a.expectedExcess(now, query, unseenLoad)
-	if excess <= 0 || a.admitAsProbe(now, query, placed, bound) {
+	if excess <= 0 || a.admitAsTrial(now, query, placed, bound) {
 		return admissionDecision{}
 	}
 	begins := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuiet
@@ -85,36 +95,54 @@
 	}
 }
 
-// expectedExcess is by how much a query is expected to miss the bound that its objective sets to its expected time; 0
-// or less: it meets it. It changes nothing.
+// expectedExcess is by how much a query is expected to miss the bound on its expected time; 0 or less: it meets it. It
+// changes nothing.
 func (a *admissionController) expectedExcess(
 	now time.Duration, query *query, unseenLoad float64,
 ) (excess, bound time.Duration) {
-	left := query.objectiveAt - query.arrivedAt
-	fetchFactor := 0.0
-	if query.class.fetchSubqueries > 0 && query.phase == 0 {
-		// The second phase's subqueries take as long as the first's.
-		fetchFactor = a.estimates.slowestFactor(query.class.fetchSubqueries)
-		left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
-	}
-	bound = scale(left, 1/(query.class.admission.latenessFactor*unseenLoad))
-	if query.overQuota {
-		bound = scale(bound, overQuotaShare)
-	}
+	fetchFactor := a.fetchFactor(query)
+	bound = finishBound(query, fetchFactor, unseenLoad)
 	replicas, sum := a.expectedSum(now, query)
 	factor := fetchFactor + a.estimates.slowestFactor(len(replicas))
 	excess = scale(sum, factor/(unseenLoad*float64(max(1, len(replicas))))) - bound
-	inTime := func(subquery *subquery) bool {
-		return subquery.replica == nil || a.finish(now, subquery.replica) <= bound
+	if a.minimumInTime(now, query, bound) {
+		return excess, bound
 	}
-	if !query.reachesMinimum(inTime) {
-		for _, replica := range replicas {
-			excess = max(excess, a.finish(now, replica)-bound)
-		}
+	for _, replica := range replicas {
+		excess = max(excess, a.finish(now, replica)-bound)
 	}
 	return excess, bound
 }
 
+// fetchFactor is the slowest factor of a second phase that is still to come; 0: none is. Its subqueries are taken to
+// need as long as the first phase's.
+func (a *admissionController) fetchFactor(query *query) float64 {
+	if query.class.fetchSubqueries == 0 || query.phase > 0 {
+		return 0
+	}
+	return a.estimates.slowestFactor(query.class.fetchSubqueries)
+}
+
+// finishBound is the bound on a query's expected time, of which unseenLoad is left out: the time to the objective less
+// the second phase's work, over the lateness factor, and a share of that beyond the tenant's quota.
+func finishBound(query *query, fetchFactor, unseenLoad float64) time.Duration {
+	left := query.objectiveAt - query.arrivedAt
+	left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
+	bound := scale(left, 1/(query.class.admission.latenessFactor*unseenLoad))
+	if query.overQuota {
+		bound = scale(bound, overQuotaShare)
+	}
+	return bound
+}
+
+// minimumInTime reports whether the subqueries whose replicas are expected to finish within the bound, and those that
+// are queued for none, weigh enough for an answer.
+func (a *admissionController) minimumInTime(now time.Duration, query *query, bound time.Duration) bool {
+	return query.reachesMinimum(func(subquery *subquery) bool {
+		return subquery.replica == nil || a.finish(now, subquery.replica) <= bound
+	})
+}
+
 // expectedSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes.
 // Subqueries at one replica end together.
 func (a *admissionController) expectedSum(
@@ -134,31 +162,31 @@
 	return a.estimates.expectedFinish(now, replica, 0)
 }
 
-// admitAsProbe admits a query that would be rejected, to learn whether the replicas that speak against it are as slow
-// as is estimated, or as a replica that it could probe is long due for that. While such a query is in flight at a
-// replica no other goes; each that ends in time doubles how many may, a late one begins anew after a wait.
-func (a *admissionController) admitAsProbe(
+// admitAsTrial admits a query that would be rejected, as a trial of the estimate at the replicas whose expected finish
+// exceeds the bound, or to bring an ejected replica its long overdue probe. No trial goes to a slow replica with
+// trialLimit attempts in flight; each trial that ends in time doubles that limit, a late one begins anew after a wait.
+func (a *admissionController) admitAsTrial(
 	now time.Duration, query *query, placed []*subquery, bound time.Duration,
 ) bool {
 	state := &query.class.admission
-	if state.lastLateAt == 0 || now > state.lastLateAt+sheddingQuiet {
-		wait := scale(firstAdmissionProbe, a.probeIntervalFactor(query))
-		state.probeLimit = 1
-		state.probeInterval = wait
-		state.nextProbeAt = now + wait
-	}
-	state.lastLateAt = now
-	bound = scale(bound, state.latenessFactor) // the lateness factor fades by itself and needs no probe
+	if state.lastExcessAt == 0 || now > state.lastExcessAt+sheddingQuiet {
+		wait := scale(firstTrialInterval, a.trialIntervalFactor(query))
+		state.trialLimit = 1
+		state.trialInterval = wait
+		state.nextTrialAt = now + wait
+	}
+	state.lastExcessAt = now
+	bound = scale(bound, state.latenessFactor) // the lateness factor fades by itself and needs no trial
 	tooSlow := func(subquery *subquery) bool {
 		return subquery.replica != nil && a.finish(now, subquery.replica) > bound
 	}
-	worthProbing := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
-	probed := func(subquery *subquery) bool {
-		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= state.probeLimit
+	worthATrial := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
+	atTrialLimit := func(subquery *subquery) bool {
+		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= state.trialLimit
 	}
-	query.admittedAsProbe = now >= state.nextProbeAt &&
-		slices.ContainsFunc(placed, worthProbing) && !slices.ContainsFunc(placed, probed)
-	return query.admittedAsProbe
+	query.admittedAsTrial = now >= state.nextTrialAt &&
+		slices.ContainsFunc(placed, worthATrial) && !slices.ContainsFunc(placed, atTrialLimit)
+	return query.admittedAsTrial
 }
 
 // probeOverdue reports whether an ejected holder of a subquery's shard has long been due for a probe, which a query
@@ -172,12 +200,12 @@
 	return false
 }
 
-// probeIntervalFactor multiplies the times between probes of the estimate: other co-ordinators admit some as well, and
+// trialIntervalFactor multiplies the times between trials of the estimate: other co-ordinators admit some as well, and
 // all of them load the same replicas; large queries load them more.
-func (a *admissionController) probeIntervalFactor(query *query) float64 {
+func (a *admissionController) trialIntervalFactor(query *query) float64 {
 	crowd := max(1, float64(a.parameters.coordinators)/fewCoordinators)
 	size := max(1, float64(len(query.subqueries))/canaryThreshold)
-	return a.parameters.timeScale * min(rarestProbes, crowd*math.Pow(size, 2))
+	return a.parameters.timeScale * min(maxTrialIntervalFactor, crowd*math.Pow(size, 2))
 }
 
 // judge counts whether a query met its objective, once, as soon as that is known.
@@ -186,28 +214,28 @@
 		return
 	}
 	query.judged = true
-	if query.admittedAsProbe {
-		a.judgeProbe(now, query, inTime)
+	if query.admittedAsTrial {
+		a.judgeTrial(now, query, inTime)
 	}
 	rejectedOnArrival := now <= query.arrivedAt
-	lateProbe := query.admittedAsProbe && !inTime
-	if !rejectedOnArrival && !lateProbe {
+	lateTrial := query.admittedAsTrial && !inTime
+	if !rejectedOnArrival && !lateTrial {
 		query.class.admission.moveLatenessFactor(now, inTime)
 	}
 }
 
-// judgeProbe lets more probes go after one in time; after a late one it waits, longer each time.
-func (a *admissionController) judgeProbe(now time.Duration, query *query, inTime bool) {
+// judgeTrial lets more trials go after one in time; after a late one it waits, longer each time.
+func (a *admissionController) judgeTrial(now time.Duration, query *query, inTime bool) {
 	state := &query.class.admission
-	factor := a.probeIntervalFactor(query)
+	factor := a.trialIntervalFactor(query)
 	if inTime {
-		state.probeLimit = min(maxProbeLimit, 2*state.probeLimit)
-		state.probeInterval = scale(firstAdmissionProbe, factor)
+		state.trialLimit = min(maxTrialLimit, 2*state.trialLimit)
+		state.trialInterval = scale(firstTrialInterval, factor)
 		return
 	}
-	state.probeLimit = 1
-	state.nextProbeAt = now + state.probeInterval
-	state.probeInterval = min(scale(maxAdmissionProbe, factor), 2*state.probeInterval)
+	state.trialLimit = 1
+	state.nextTrialAt = now + state.trialInterval
+	state.trialInterval = min(scale(maxTrialInterval, factor), 2*state.trialInterval)
 }
 
 // moveLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -64,9 +64,9 @@
 }
 
 // Each of many co-ordinators admits a query now and then against its estimate. If each did so as often as one alone,
-// all together would keep a jam up for good. So the more there are the rarer their probes, and far rarer those with
+// all together would keep a jam up for good. So the more there are the rarer their trials, and far rarer those with
 // large queries; but small ones not so rare that a wrong estimate stands for long.
-func TestManyCoordinatorsProbeAsRarelyTogetherAsFew(t *testing.T) {
+func TestManyCoordinatorsTryAsRarelyTogetherAsFew(t *testing.T) {
 	admitted := func(coordinators, subqueries int) (n int) {
 		m := newModel(t, 0)
 		m.restartAsOneOf(coordinators, 0)
@@ -106,7 +106,7 @@
 
 // Work is taken for far longer than it is, so that all queries look late. Nothing would ever correct that but queries
 // that are admitted against the estimate.
-func TestEstimateOfLongWorkIsCorrectedByProbes(t *testing.T) {
+func TestEstimateOfLongWorkIsCorrectedByTrials(t *testing.T) {
 	m := newModel(t, 0)
 	m.scheduler.classes[0].subqueryWork, m.scheduler.classes[0].workPerHint = 5*time.Second, 60
 	served := 0
@@ -123,8 +123,8 @@
 	}
 }
 
-// Nothing answers. Probes against the estimate must stay few, as each of them fails.
-func TestProbesAreFewWhileTheJamIsReal(t *testing.T) {
+// Nothing answers. Trials against the estimate must stay few, as each of them fails.
+func TestTrialsAreFewWhileTheJamIsReal(t *testing.T) {
 	m := newModel(t, 0)
 	m.scheduler.classes[0].subqueryWork, m.scheduler.classes[0].workPerHint = 5*time.Second, 60
 	admitted := 0
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -21,7 +21,7 @@
 	var all []ClassEstimate
 	for n := range scheduler.classes {
 		t := &scheduler.classes[n]
-		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.admission.latenessFactor, ProbeLimit: t.admission.probeLimit})
+		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.admission.latenessFactor, ProbeLimit: t.admission.trialLimit})
 	}
 	return all
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -65,7 +65,7 @@
 		due := tally.since + gossipDelay
 		switch {
 		case event == attemptsSent || scheduler.now >= due:
-			for _, message := range tally.take(event, scheduler.parameters.cells, scheduler.estimates.parallelism) {
+			for _, message := range tally.take(event, scheduler.parameters.layout.cells, scheduler.estimates.parallelism) {
 				scheduler.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
@@ -78,7 +78,7 @@
 // *GossipError.
 func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
 	scheduler.clock(now)
-	decoded, err := decodeGossip(message, scheduler.parameters.cells)
+	decoded, err := decodeGossip(message, scheduler.parameters.layout.cells)
 	if err != nil {
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
@@ -86,7 +86,7 @@
 		scheduler.quotas.peerTook(tenant)
 	}
 	for _, told := range decoded.cells {
-		for _, replica := range scheduler.replicas.holders(ShardNumber(told.cell)) {
+		for _, replica := range scheduler.replicas.holdersOfCell(told.cell) {
 			if replica.cell == told.cell {
 				scheduler.takePeerAttempts(replica, decoded, told.attempts)
 			}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -152,17 +152,16 @@
 // canSpare reports whether each shard that a replica holds has another holder in use. The last one may be silent
 // only because it carries the load of the others.
 func (d *outlierDetector) canSpare(replica *replicaState, class *class) bool {
-	for back := range d.replicas.cellsPerShard {
-		shard := ShardNumber(int(replica.cell) - back + d.replicas.cells)
-		if !d.hasOtherHolder(shard, replica, class) {
+	for cell := range d.replicas.layout.heldBy(replica.cell) {
+		if !d.hasOtherHolder(cell, replica, class) {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *outlierDetector) hasOtherHolder(shard ShardNumber, replica *replicaState, class *class) bool {
-	for _, other := range d.replicas.holders(shard) {
+func (d *outlierDetector) hasOtherHolder(cell CellNumber, replica *replicaState, class *class) bool {
+	for _, other := range d.replicas.holdersOfCell(cell) {
 		if other != replica && other.inUse(class) {
 			return true
 		}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -177,7 +177,7 @@
 		{"overdue, in place of an attempt elsewhere", true, now - maxProbeInterval, true, 0, true, 2 * firstProbeInterval},
 		{"due, no holder in use", true, now, false, 0, true, firstProbeInterval},
 	} {
-		replicas := newReplicaSet(1, 1)
+		replicas := newReplicaSet(cellLayout{cells: 1, cellsPerShard: 1})
 		ejected := replicas.newState(now, 0)
 		ejected.state = Ready
 		ejected.classes = []replicaClassState{{ejected: test.ejected}}
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -31,10 +31,9 @@
 // parameters are the settings in the form that the policies use, and what follows from settings alone. They do not
 // change while the Scheduler lives.
 type parameters struct {
-	coordinators  int // how many there are
-	cells         int // how many there are
-	cellsPerShard int // successive cells that hold a shard
-	ownZone       ZoneIndex
+	coordinators int // how many there are
+	layout       cellLayout
+	ownZone      ZoneIndex
 
 	maxAttempts   int // of a subquery, the first included; math.MaxInt: any number
 	cancelAllowed bool
@@ -72,10 +71,9 @@
 // newParameters derives them from a valid Config.
 func newParameters(config *Config) parameters {
 	derived := parameters{
-		coordinators:  config.Coordinators,
-		cells:         config.Cells,
-		cellsPerShard: config.CellsPerShard,
-		ownZone:       config.Zone,
+		coordinators: config.Coordinators,
+		layout:       config.cellLayout(),
+		ownZone:      config.Zone,
 
 		maxAttempts:   cmp.Or(config.MaxAttempts, math.MaxInt),
 		cancelAllowed: config.CancelAllowed,
@@ -96,6 +94,10 @@
 	return derived
 }
 
+func (config *Config) cellLayout() cellLayout {
+	return cellLayout{cells: config.Cells, cellsPerShard: config.CellsPerShard}
+}
+
 func (derived *parameters) setTimes(config *Config) {
 	derived.shortestObjective = math.MaxInt64
 	for _, class := range config.Classes {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -121,7 +121,7 @@
 		if subquery.replica != from || subquery.query.suspectedDeadly() {
 			continue
 		}
-		if last != nil && subquery.interchangeable(last, p.parameters.cells) {
+		if last != nil && subquery.interchangeable(last, p.parameters.layout) {
 			continue
 		}
 		last = subquery
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -44,9 +44,9 @@
 	callerEndsPhases   bool          // StartNextPhase alone ends a phase, and each phase needs all of its subqueries
 	reservesAttempt    bool          // the first phase leaves each shard an attempt for the next
 	overQuota          bool          // its tenant sends more than its quota
-	admitted           bool          // admission has been decided
-	admittedAsProbe    bool          // though the estimate says that it will be late
-	judged             bool          // whether it met its objective is counted, or is not to be counted
+	admissionDecided   bool
+	admittedAsTrial    bool // though the estimate says that it will be late
+	judged             bool // whether it met its objective is counted, or is not to be counted
 	ended              bool
 	touched            bool // something has come in for it in this iteration
 	firstPhaseComplete bool
@@ -144,9 +144,9 @@
 }
 
 // interchangeable reports whether two subqueries without attempts can go to the same replicas at the same cost.
-func (s *subquery) interchangeable(other *subquery, cells int) bool {
+func (s *subquery) interchangeable(other *subquery, layout cellLayout) bool {
 	unsent := len(s.attempts)+len(other.attempts) == 0
-	return unsent && s.work == other.work && int(s.shard)%cells == int(other.shard)%cells
+	return unsent && s.work == other.work && layout.cellOf(s.shard) == layout.cellOf(other.shard)
 }
 
 // reachesMinimum reports whether the subqueries that pass weigh enough for an answer.
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -119,7 +119,7 @@
 func (scheduler *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
 	query, replica := subquery.query, subquery.replica
 	left := query.deadlineAt - scheduler.now
-	if query.admittedAsProbe {
+	if query.admittedAsTrial {
 		return scheduler.now >= query.objectiveAt // what is expected is in doubt
 	}
 	if replica == nil {
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"iter"
 	"slices"
 	"time"
 )
@@ -13,7 +14,7 @@
 	// As the endpoint list has it.
 	id           ReplicaID
 	state        EndpointState
-	cell         CellNumber // first of the cells whose shards it holds
+	cell         CellNumber // the last of the cells whose shards it holds: see cellLayout
 	zone         ZoneIndex
 	size         float64       // relative to the other replicas, above 0
 	startedAt    time.Duration // of its present incarnation; StartUnknown where no start is known
@@ -85,22 +86,47 @@
 	})
 }
 
-// replicaSet holds the state of each replica, in the order in which they were first listed.
-type replicaSet struct {
+// cellLayout says which shards the replicas of a cell hold. The cells form a ring; a shard is held by the cell of its
+// number, modulo cells, and by those after it. So a replica of a cell holds the shards of that cell and of those before.
+type cellLayout struct {
 	cells         int // into which replicas are grouped
 	cellsPerShard int // successive cells that hold a shard
+}
+
+// cellOf is the first of the cells that hold a shard.
+func (l cellLayout) cellOf(shard ShardNumber) CellNumber { return CellNumber(int(shard) % l.cells) }
+
+// holds reports whether the replicas of one cell hold the shards of another.
+func (l cellLayout) holds(holder, cell CellNumber) bool {
+	behind := (int(holder) - int(cell) + l.cells) % l.cells
+	return behind < l.cellsPerShard
+}
+
+// heldBy yields the cells whose shards the replicas of a cell hold: that cell first, then those before it.
+func (l cellLayout) heldBy(holder CellNumber) iter.Seq[CellNumber] {
+	return func(yield func(CellNumber) bool) {
+		for back := range l.cellsPerShard {
+			if !yield(CellNumber((int(holder) - back + l.cells) % l.cells)) {
+				return
+			}
+		}
+	}
+}
+
+// replicaSet holds the state of each replica, in the order in which they were first listed.
+type replicaSet struct {
+	layout cellLayout
 
 	all           []*replicaState
 	byID          map[ReplicaID]*replicaState
 	holdersByCell [][]*replicaState // the holders of a cell's shards; nil: to be made from the list
 }
 
-func newReplicaSet(cells, cellsPerShard int) replicaSet {
+func newReplicaSet(layout cellLayout) replicaSet {
 	return replicaSet{
-		cells:         cells,
-		cellsPerShard: cellsPerShard,
+		layout:        layout,
 		byID:          map[ReplicaID]*replicaState{},
-		holdersByCell: make([][]*replicaState, cells),
+		holdersByCell: make([][]*replicaState, layout.cells),
 	}
 }
 
@@ -124,12 +150,15 @@
 // holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result
 // holds until listChanged.
 func (s *replicaSet) holders(shard ShardNumber) []*replicaState {
-	cell := int(shard) % s.cells
+	return s.holdersOfCell(s.layout.cellOf(shard))
+}
+
+// holdersOfCell is holders for any shard of a cell.
+func (s *replicaSet) holdersOfCell(cell CellNumber) []*replicaState {
 	if s.holdersByCell[cell] == nil {
 		s.holdersByCell[cell] = []*replicaState{}
 		for _, replica := range s.all {
-			behind := (int(replica.cell) - cell + s.cells) % s.cells
-			if replica.state == Ready && behind < s.cellsPerShard {
+			if replica.state == Ready && s.layout.holds(replica.cell, cell) {
 				s.holdersByCell[cell] = append(s.holdersByCell[cell], replica)
 			}
 		}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -70,7 +70,7 @@
 		host:            host,
 		random:          random{seed: seed, selfIndex: config.SelfIndex},
 		classes:         newClasses(config.Classes),
-		replicas:        newReplicaSet(config.Cells, config.CellsPerShard),
+		replicas:        newReplicaSet(config.cellLayout()),
 		queriesByID:     map[RequestID]*query{},
 		queriesByNumber: map[QueryNumber]*query{},
 		subqueries:      map[RequestID]*subquery{},
@@ -181,10 +181,10 @@
 		return
 	}
 	placed := scheduler.placement.place(scheduler.now, query)
-	if query.admitted {
+	if query.admissionDecided {
 		return
 	}
-	query.admitted = true
+	query.admissionDecided = true
 	slices.SortStableFunc(query.subqueries, func(a, b *subquery) int { return cmp.Compare(a.work, b.work) })
 	scheduler.shadowQuery(query, placed)
 	decision := scheduler.admission.decide(scheduler.now, query, placed, scheduler.unseenLoad())
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -39,7 +39,7 @@
 	if err := config.Validate(); err != nil {
 		return err
 	}
-	if len(config.Classes) != len(scheduler.classes) || config.Cells != scheduler.parameters.cells || config.CellsPerShard != scheduler.parameters.cellsPerShard {
+	if len(config.Classes) != len(scheduler.classes) || config.cellLayout() != scheduler.parameters.layout {
 		return ErrShadowMismatch
 	}
 	scheduler.shadow = &shadow{
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -53,9 +53,8 @@
 // slowStartSettings do not change while the Scheduler lives.
 type slowStartSettings struct {
 	SlowStartConfig
-	coordinators  float64
-	cells         int
-	cellsPerShard int
+	coordinators float64
+	layout       cellLayout
 }
 
 func newSlowStart(config *Config) slowStart {
@@ -63,8 +62,7 @@
 		settings: slowStartSettings{
 			SlowStartConfig: config.SlowStart,
 			coordinators:    float64(config.Coordinators),
-			cells:           config.Cells,
-			cellsPerShard:   config.CellsPerShard,
+			layout:          config.cellLayout(),
 		},
 		unobserved: 1,
 		arrivals:   make([]float64, config.Cells),
@@ -114,8 +112,8 @@
 // arrivalsFor is the number of subqueries that came within the memory's time for the shards that a replica holds.
 func (s *slowStart) arrivalsFor(replica *replicaState) float64 {
 	arrivals := 0.0
-	for back := range s.settings.cellsPerShard {
-		arrivals += s.arrivals[(int(replica.cell)-back+s.settings.cells)%s.settings.cells]
+	for cell := range s.settings.layout.heldBy(replica.cell) {
+		arrivals += s.arrivals[cell]
 	}
 	return arrivals
 }
@@ -129,7 +127,7 @@
 }
 
 // subqueryArrived notes a subquery for a shard.
-func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[int(shard)%s.settings.cells]++ }
+func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[s.settings.layout.cellOf(shard)]++ }
 
 // attemptStarted notes that a subquery's work goes to a replica.
 func (s *slowStart) attemptStarted(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) {
