--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -15,30 +15,31 @@
 	answerMargin = 20 * time.Millisecond // a final outcome leaves this long before the deadline: two ticks
 
 	sameDeadlineShare = 0.01 // of the class's deadline; first tries differ by less on their way
-	keptDeadlines     = 16   // queries; the last ones, which tell with what deadlines first tries come
+	keptShares        = 16   // queries whose shares are remembered
 )
 
 // clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries of a
 // client come with one deadline, a retry with less. A retry has lost the time that the first try took; without this,
 // work would be done for objectives that are over.
 type clientRetryDetector struct {
-	shares []float64 // of their class's deadline that the last queries came with
+	shares []float64 // of their class's deadline that the last keptShares queries came with, in order
 }
 
-// isRetry reports whether a query with this share of its class's deadline left is a client's retry: most came with
-// more of late, and none with as much. It remembers the share.
+// isRetry reports whether a query with this share of its class's deadline left is a client's retry: among the last
+// keptShares queries some larger share came at least twice, and none came that is alike. It remembers the share.
 func (d *clientRetryDetector) isRetry(share float64) bool {
-	usual, more := false, false
+	seenAlike := false
+	largerSeenTwice := false
 	for index, other := range d.shares {
-		usual = usual || alikeShares(other, share)
+		seenAlike = seenAlike || alikeShares(other, share)
 		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool { return alikeShares(earlier, other) })
-		more = more || other > share && repeated
+		largerSeenTwice = largerSeenTwice || other > share && repeated
 	}
 	d.shares = append(d.shares, share)
-	if len(d.shares) > keptDeadlines {
+	if len(d.shares) > keptShares {
 		d.shares = d.shares[1:]
 	}
-	return more && !usual
+	return largerSeenTwice && !seenAlike
 }
 
 func alikeShares(a, b float64) bool { return math.Abs(a-b) < sameDeadlineShare }
@@ -73,9 +74,12 @@
 
 // outcome decides it.
 func (q *query) outcome(now time.Duration) outcome {
+	if q.ended {
+		return goesOn
+	}
 	timeIsOver := now >= q.deadlineAt-answerMargin
 	if q.awaitsSubqueries() {
-		if timeIsOver && !q.ended {
+		if timeIsOver {
 			return givesUpNow
 		}
 		return goesOn
@@ -99,28 +103,28 @@
 // settle ends a query, or its phase, if that is due.
 func (scheduler *Scheduler) settle(query *query) {
 	next := query.outcome(scheduler.now)
-	if !query.awaitsSubqueries() && scheduler.now > query.objectiveAt {
+	if query.isActive() && scheduler.now > query.objectiveAt {
 		scheduler.admission.judge(scheduler.now, query, false)
 	}
 	switch next {
 	case answersNow:
-		scheduler.complete(query, query.phase == 0 || query.firstPhaseComplete)
+		scheduler.answerPhase(query, query.phase == 0 || query.firstPhaseComplete)
 	case givesUpNow:
 		scheduler.giveUp(query)
 	case goesOn:
 	}
 }
 
-// complete answers the present phase of a query; without a next phase that ends it.
-func (scheduler *Scheduler) complete(query *query, complete bool) {
-	scheduler.host.Complete(query.id, complete)
+// answerPhase answers the present phase of a query; without a next phase that ends it.
+func (scheduler *Scheduler) answerPhase(query *query, isComplete bool) {
+	scheduler.host.Complete(query.id, isComplete)
 	switch {
 	case query.callerEndsPhases:
-		query.expectedSubqueries = math.MaxInt // StartNextPhase comes in the next iteration
+		query.awaitsNextPhase = true // StartNextPhase comes in the next iteration
 	case query.class.fetchSubqueries == 0 || query.phase > 0:
 		scheduler.end(query, scheduler.now <= query.objectiveAt)
 	default:
-		query.firstPhaseComplete = complete
+		query.firstPhaseComplete = isComplete
 		scheduler.startPhase(query, query.class.fetchSubqueries)
 	}
 }
@@ -152,7 +156,7 @@
 	query.ended = true
 	scheduler.admission.judge(scheduler.now, query, inTime)
 	for _, subquery := range query.subqueries {
-		scheduler.abandon(subquery)
+		scheduler.stopSending(subquery)
 	}
 	delete(scheduler.queriesByID, query.id)
 	delete(scheduler.queriesByNumber, query.number)
@@ -164,12 +168,13 @@
 		query.attemptsUsed = map[ShardNumber]int{}
 	}
 	for _, subquery := range query.subqueries {
-		scheduler.abandon(subquery)
+		scheduler.stopSending(subquery)
 		if query.callerEndsPhases {
 			query.attemptsUsed[subquery.shard] += len(subquery.attempts)
 		}
 	}
 	query.phase++
+	query.awaitsNextPhase = false
 	query.expectedSubqueries = subqueries
 	query.subqueries = nil
 	query.touched = true
@@ -180,8 +185,9 @@
 	query.crashes.count = 0
 }
 
-// abandon sends nothing more for a subquery, and cancels what is in flight for it.
-func (scheduler *Scheduler) abandon(subquery *subquery) {
+// stopSending sends nothing more for a subquery, answered or not, and cancels what is in flight for it. One without an
+// answer is abandoned by that.
+func (scheduler *Scheduler) stopSending(subquery *subquery) {
 	subquery.unqueue()
 	subquery.abandoned = subquery.abandoned || !subquery.answered
 	for number, attempt := range subquery.attempts {
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -73,10 +73,10 @@
 		}
 	}
 	detector := clientRetryDetector{}
-	for range 10 * keptDeadlines {
+	for range 10 * keptShares {
 		detector.isRetry(1)
 	}
-	if len(detector.shares) != keptDeadlines {
+	if len(detector.shares) != keptShares {
 		t.Errorf("%d shares kept", len(detector.shares))
 	}
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -1,5 +1,8 @@
 package scheduler
 
+// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when the
+// list is polled.
+
 import (
 	"cmp"
 	"fmt"
@@ -7,9 +10,6 @@
 	"time"
 )
 
-// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when the
-// list is polled.
-
 const (
 	// firstPollBackoff is the mean time from a failed poll to the next; it doubles with each failure in a row.
 	firstPollBackoff = 500 * time.Millisecond
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -29,9 +29,6 @@
 	slowdownPull = 0.01             // pull of a replica's slowdown towards 1 with each reply
 	maxSurprise  = 2.0              // logarithm; one reply counts for no more: about 7 times
 
-	// reportFresh is the time for which a replica's own report tells more than the mean of all.
-	reportFresh = 2 * time.Second
-
 	slowdownFade = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
 )
 
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -29,7 +29,7 @@
 // DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
 func (scheduler *Scheduler) DescribeReplicas() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", scheduler.estimates.parallelism, scheduler.hedges.tokens, len(scheduler.retries.extras), len(scheduler.retries.arrivals),
+	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", scheduler.estimates.parallelism, scheduler.hedges.tokens, len(scheduler.retries.furtherAttempts), len(scheduler.retries.arrivals),
 		len(scheduler.open))
 	for _, r := range scheduler.replicas.all {
 		if r.state == Removed {
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,20 +1,23 @@
 package scheduler
 
+// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
+// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
+// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
+// doubled or late: what they tell fades with time. gossip_message.go has their form.
+
 import (
 	"fmt"
 	"math"
 	"time"
 )
 
-// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
-// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
-// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
-// doubled or late: what they tell fades with time. gossip_message.go has their form.
-
 const (
 	// peerTimeout is the time without any message after which the others count as silent.
 	peerTimeout = 1 * time.Second
 
+	// peerWorkFade is the time in which the work that peers told of fades to a third.
+	peerWorkFade = 2 * time.Second
+
 	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
 	lateAttempt = 2.0
 
@@ -100,7 +103,9 @@
 func (scheduler *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
-		scheduler.estimates.parallelism = min(maxParallelism, scheduler.estimates.parallelism*math.Pow(message.parallelism/scheduler.estimates.parallelism, parallelismStep))
+		estimates := &scheduler.estimates
+		step := math.Pow(message.parallelism/estimates.parallelism, parallelismStep)
+		estimates.parallelism = min(maxParallelism, estimates.parallelism*step)
 	}
 	if message.event != attemptsSent {
 		work = -work
@@ -125,7 +130,7 @@
 // of an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
-	return scale(r.peerWork, math.Exp(-float64(age)/float64(reportFresh)))
+	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkFade)))
 }
 
 // unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -1,12 +1,5 @@
 package scheduler
 
-import (
-	"encoding/binary"
-	"fmt"
-	"math"
-	"time"
-)
-
 // Messages between co-ordinators tell what became of attempts, so that each knows what the others have in flight. A
 // message is one datagram of at most 256 bytes, in version 2 of its form:
 //
@@ -22,6 +15,13 @@
 //
 // The cells are a map where that is shorter and fits. What does not fit in one message goes in a further one.
 
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"time"
+)
+
 // PeerIndex is a co-ordinator's number among all.
 type PeerIndex int
 
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -4,6 +4,16 @@
 // straggler takes several times the expected time while most of its query is answered, or hangs. Inputs are the
 // attempt's age, the time left to the objective, the retry budget and tokens (retry.go), the replicas' reported
 // utilization and the hedge tokens that replies earn. The attempt in flight goes on; the first answer counts.
+//
+//	case                                  age of the attempt                            hedge token
+//	straggler                             hedgePatience x expected time x slowdown;     one
+//	                                      less in a query of many subqueries
+//	straggler, of the last twelfth        lastStragglerAge x expected time              none
+//	straggler, the only one missing       as any straggler                              none
+//	attempt that hangs (outlier.go)       any, once it counts as lost                   as above
+//
+// Ages of stragglers are multiplied by how late the query's other subqueries were as well. All need a retry token of
+// the hedge's replica and a place in the retry budget.
 
 import (
 	"math"
@@ -21,10 +31,11 @@
 	maxHedgeTokens      = 24.0            // hedges that may be saved up
 	lastSubqueries      = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
 	lastShare           = 12.0            // of a large query the last twelfth needs none either: each saves eleven others
-	lastStragglerAge    = 1.5             // times the expected time at a sound replica, from which one of these is a straggler
+	lastStragglerAge    = 1.5             // times the expected time at a sound replica, for the last twelfth
 	idleUtilization     = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
 	busyUtilization     = 0.7             // the same; from here a queue forms, and each hedge makes it longer
 	utilizationStep     = 0.05            // weight of a load report in the mean utilization
+	loadReportFresh     = 2 * time.Second // for which a replica's own report tells more than the mean of all
 	loadReportsTimeout  = 5 * time.Second // without any load report, after which replicas count as idle
 )
 
@@ -65,14 +76,14 @@
 	h.tokens = min(maxHedgeTokens*h.parameters.hedgeScale, h.tokens+earned)
 }
 
-// spend takes a token for a hedge that is sent.
+// spend takes a token for a hedge that is sent. One that needs no token takes what there is.
 func (h *hedgePolicy) spend() { h.tokens = max(0, h.tokens-1) }
 
 // room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean of
 // all. One of many co-ordinators does not see by itself that hedges make a jam.
 func (h *hedgePolicy) room(now time.Duration, replica *replicaState) float64 {
 	utilization := h.meanUtilization
-	if replica.utilizationAt > 0 && now-replica.utilizationAt < reportFresh {
+	if replica.utilizationAt > 0 && now-replica.utilizationAt < loadReportFresh {
 		utilization = replica.utilization
 	}
 	return max(0, min(1, (busyUtilization-utilization)/(busyUtilization-idleUtilization)))
@@ -96,30 +107,29 @@
 func (h *hedgePolicy) wanted(now time.Duration, attempt *attempt) bool {
 	subquery := attempt.subquery
 	settled := subquery.answered || subquery.abandoned || subquery.queued
-	if !h.parameters.hedgeAllowed || settled || !h.retries.allowsRepeat(now, subquery) || !h.retries.hasRoom() {
+	if !h.parameters.hedgeAllowed || settled || !h.retries.allowsFurther(now, subquery) || !h.retries.hasRoom() {
 		return false
 	}
 	return now-attempt.sentAt >= attempt.stragglerAge(hedgePatience) || h.outliers.hangs(now, attempt)
 }
 
-// cost is the expected time of a hedge at a replica; below 0: it must not go there, or the first attempt is better
-// waited for.
+// cost is the expected time of a hedge at a replica; forbiddenCost: it must not go there, or the first attempt is
+// better waited for.
 func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
-	const forbidden = -1
 	subquery := attempt.subquery
 	query := subquery.query
-	if subquery.triedAt(replica, true) || !h.retries.hasToken(replica) || h.limits.atLimit(replica) ||
-		h.retries.backsOff(now, replica, subquery, false) {
-		return forbidden
+	mayGo := h.retries.hasToken(replica) && !h.limits.atLimit(replica) && !h.retries.backsOff(now, replica, subquery, false)
+	if subquery.mayHaveRunAt(replica) || !mayGo {
+		return forbiddenCost
 	}
 	age := now - attempt.sentAt
 	finish := h.estimates.expectedFinish(now, replica, subquery.work)
 	if finish >= min(query.deadlineAt-now, max(age, 2*attempt.expected)) {
-		return forbidden
+		return forbiddenCost
 	}
 	urgent := h.outliers.hangs(now, attempt) && h.room(now, replica) > 0
 	if !urgent && now+scale(finish, hedgeRoomTimes*max(1, query.fanout())) <= query.objectiveAt {
-		return forbidden
+		return forbiddenCost
 	}
 	return finish
 }
@@ -142,11 +152,11 @@
 		return math.MaxInt64
 	}
 	slowdown := a.replica.slowdown
-	times = max(minStragglerAge, times/max(1, fanout))
+	multiple := max(minStragglerAge, times/max(1, fanout))
 	if query.nearlyAnswered(0) {
-		times = lastStragglerAge
+		multiple = lastStragglerAge
 		slowdown = min(1, slowdown)
 	}
 	lateness := max(1, (1+query.latenessSum)/(1+query.answered))
-	return scale(a.expected, times*slowdown*lateness)
+	return scale(a.expected, multiple*slowdown*lateness)
 }
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -142,8 +142,8 @@
 		{"all busy", busyUtilization, 0, 0, 0},
 		{"all more than busy", 1, 0, 0, 0},
 		{"half way", (idleUtilization + busyUtilization) / 2, 0, 0, 0.5},
-		{"busy itself", 0, 1, now - reportFresh + 1, 0},
-		{"was busy itself", 0, 1, now - reportFresh, 1},
+		{"busy itself", 0, 1, now - loadReportFresh + 1, 0},
+		{"was busy itself", 0, 1, now - loadReportFresh, 1},
 		{"idle itself", 1, 0, now - 1, 1},
 	} {
 		hedges := hedgePolicy{parameters: &parameters{}, meanUtilization: test.mean}
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -18,7 +18,7 @@
 func (scheduler *Scheduler) Ledger() Ledger {
 	return Ledger{
 		arrivals:  slices.Clone(scheduler.retries.arrivals),
-		retries:   slices.Clone(scheduler.retries.extras),
+		retries:   slices.Clone(scheduler.retries.furtherAttempts),
 		slowStart: scheduler.slowStart.snapshot(scheduler.replicas.byID),
 	}
 }
@@ -27,6 +27,6 @@
 // called before any event.
 func (scheduler *Scheduler) Resume(ledger Ledger) {
 	scheduler.retries.arrivals = ledger.arrivals
-	scheduler.retries.extras = ledger.retries
+	scheduler.retries.furtherAttempts = ledger.retries
 	scheduler.slowStart.resume(ledger.slowStart)
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -1,11 +1,13 @@
 package scheduler
 
 // Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound
-// again. A replica is ejected when it cannot be reached, when several attempts in a row bring no answer, when it is
-// silent with attempts in flight, or when it answers other classes only. Subqueries queued for it are placed anew.
-// While it is ejected it gets a probe now and then: a live attempt. Its next answer reinstates it, with a concurrency
-// limit of one. Inputs are the ends of attempts and the time since replies; the last usable holder of a shard is
-// never ejected for silence.
+// again. A replica is ejected for all classes when it cannot be reached or is silent with attempts in flight, and for
+// one class when several of its attempts in a row bring no answer or when it answers other classes only. Subqueries
+// queued for it are placed anew. The last usable holder of a shard is never ejected for silence.
+//
+// While a replica is ejected it gets a probe now and then: an attempt of a live query. An answer reinstates it for the
+// class that it answered; one that was ejected for all classes it reinstates for all, with a concurrency limit of one.
+// A new start of the replica reinstates it at once. Inputs are the ends of attempts and the time since replies.
 
 import (
 	"fmt"
@@ -56,7 +58,8 @@
 	}
 }
 
-// reinstate takes a replica back into use for a class that it has answered.
+// reinstate takes an ejected replica back into use for a class that it has answered. One that was ejected for all
+// classes is back for all, with a concurrency limit of one.
 func (d *outlierDetector) reinstate(replica *replicaState, class *class) {
 	if replica.ejectedForAll() {
 		d.limits.restart(replica)
@@ -82,7 +85,8 @@
 	return scale(maxProbeInterval, d.parameters.timeScale)
 }
 
-// replied records that a replica has answered an attempt. Attempts that it was sent before that one count as overtaken.
+// replied records that a replica has answered an attempt: of its class's errors none counts any more, and the attempts
+// in flight there that were sent before are overtaken once more.
 func (d *outlierDetector) replied(now time.Duration, answered *attempt) {
 	replica := answered.replica
 	state := replica.forClass(answered.subquery.query.class)
@@ -182,39 +186,40 @@
 	if tooOld || query.suspectedDeadly() {
 		return false
 	}
-	further := len(subquery.attempts) > 0 || subquery.isRetry
-	if further && !retries.hasRoom() {
+	if subquery.nextIsFurther() && !retries.hasRoom() {
 		return false
 	}
-	hedge := query.class.effect == invariant.Idempotent && d.parameters.hedgeAllowed && !retries.onLastAttempt(subquery)
-	return hedge || !subquery.inFlight()
+	idempotent := query.class.effect == invariant.Idempotent
+	mayHedge := idempotent && d.parameters.hedgeAllowed && !retries.atMostOneLeft(subquery)
+	return mayHedge || !subquery.inFlight()
 }
 
-// takeProbe gives the holder that a subquery is to probe now, and sets its next probe; nil: none is due. A subquery
-// that can go elsewhere is sent as a probe itself, in place of a copy of it, only once a probe is long overdue.
-func (d *outlierDetector) takeProbe(now time.Duration, subquery *subquery) *replicaState {
+// claimProbe gives the ejected holder that a subquery is to probe now, and sets its next probe; nil: none is due. Where
+// hedges are allowed, the first attempt of a subquery that is queued for a usable replica goes there, and a second one
+// beside it probes. Only when the probe is overdue by maxProbeInterval does the first attempt itself probe.
+func (d *outlierDetector) claimProbe(now time.Duration, subquery *subquery) *replicaState {
 	class := subquery.query.class
-	elsewhere := subquery.replica != nil
+	queuedElsewhere := subquery.replica != nil
+	delay := time.Duration(0)
+	if len(subquery.attempts) == 0 && queuedElsewhere && d.parameters.hedgeAllowed {
+		delay = d.maxInterval()
+	}
 	for _, replica := range d.replicas.holders(subquery.shard) {
-		due := replica.nextProbeAt
-		if len(subquery.attempts) == 0 && elsewhere && d.parameters.hedgeAllowed {
-			due += d.maxInterval()
-		}
-		if !replica.forClass(class).ejected || subquery.triedAt(replica, true) || now < due ||
-			!d.hasRoom(replica, subquery) {
-			continue
+		due := now >= replica.nextProbeAt+delay && replica.forClass(class).ejected
+		if due && !subquery.mayHaveRunAt(replica) && d.hasRoom(replica, subquery) {
+			d.scheduleNextProbe(now, replica, queuedElsewhere)
+			return replica
 		}
-		d.probeSent(now, replica, elsewhere)
-		return replica
 	}
 	return nil
 }
 
-// probeSent sets a replica's next probe: later each time, but soon while no holder is in use.
-func (d *outlierDetector) probeSent(now time.Duration, replica *replicaState, otherInUse bool) {
+// scheduleNextProbe sets a replica's next probe. The interval grows with each subquery that is queued for another
+// replica when it probes; by one that is not, it begins anew. One whose first attempt was just sent is queued for none.
+func (d *outlierDetector) scheduleNextProbe(now time.Duration, replica *replicaState, queuedElsewhere bool) {
 	replica.nextProbeAt = now + replica.probeInterval
 	replica.probeInterval = min(d.maxInterval(), 2*replica.probeInterval)
-	if !otherInUse {
+	if !queuedElsewhere {
 		replica.probeInterval = d.initialInterval()
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -195,7 +195,7 @@
 		for range test.attempts {
 			subquery.attempts = append(subquery.attempts, &attempt{})
 		}
-		got := detector.takeProbe(now, subquery)
+		got := detector.claimProbe(now, subquery)
 		if (got != nil) != test.want {
 			t.Errorf("%s: probe %v", test.name, got != nil)
 		}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -12,6 +12,9 @@
 // movesPerSubquery bounds the greedy: moves for each subquery of a query.
 const movesPerSubquery = 2
 
+// forbiddenCost is a cost that forbids a replica, as any below 0 does.
+const forbiddenCost time.Duration = -1
+
 // placement chooses replicas. It has no state of its own.
 type placement struct {
 	parameters *parameters
@@ -25,16 +28,16 @@
 	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
 }
 
-// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One whose
-// cost is below 0 is out of the question. nil: there is none.
+// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One of
+// forbiddenCost is out of the question. nil: there is none.
 func (p *placement) cheapest(subquery *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
 	least := time.Duration(math.MaxInt64)
 	for _, replica := range p.replicas.holders(subquery.shard) {
-		its := cost(replica)
-		if its >= 0 && its < least && p.usable(replica, subquery) {
+		candidate := cost(replica)
+		if candidate >= 0 && candidate < least && p.usable(replica, subquery) {
 			best = replica
-			least = its
+			least = candidate
 		}
 	}
 	return best
@@ -45,7 +48,7 @@
 // other way round.
 func (p *placement) fastest(subquery *subquery) *replicaState {
 	return p.cheapest(subquery, func(replica *replicaState) time.Duration {
-		if subquery.triedAt(replica, false) != subquery.query.suspectedDeadly() {
+		if subquery.triedAt(replica) != subquery.query.suspectedDeadly() {
 			return subquery.query.class.deadline
 		}
 		return scale(subquery.work, p.estimates.timePerWork(replica))
@@ -133,7 +136,7 @@
 			there := p.estimates.expectedFinish(now, replica, subquery.work)
 			larger := max(remaining, there)
 			better := larger < least || larger == least && moved != nil && there < soonest
-			if better && p.usable(replica, subquery) && !subquery.triedAt(replica, false) {
+			if better && p.usable(replica, subquery) && !subquery.triedAt(replica) {
 				moved, to = subquery, replica
 				least = larger
 				soonest = there
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -1,5 +1,7 @@
 package scheduler
 
+// Queries, their subqueries and the attempts at these: what is known of each. Nothing here chooses anything.
+
 import (
 	"slices"
 	"time"
@@ -7,8 +9,6 @@
 	"terntray/invariant"
 )
 
-// Queries, their subqueries and the attempts at these: what is known of each. Nothing here chooses anything.
-
 // weightTolerance is half of what rounding may make a sum of weights fall short by.
 const weightTolerance = 0.00005
 
@@ -52,7 +52,8 @@
 	firstPhaseComplete bool
 
 	// The present phase.
-	phase              int // from 0
+	phase              int  // from 0
+	awaitsNextPhase    bool // it is answered; StartNextPhase says how many subqueries the next has
 	expectedSubqueries int
 	subqueries         []*subquery
 	answered           float64 // subqueries that are answered
@@ -95,6 +96,9 @@
 	shadowCounted bool // shadow evaluation has counted that others would hedge it
 }
 
+// couldHaveRun reports whether the attempt is in flight, or has ended without proof that the replica never ran it.
+func (a *attempt) couldHaveRun() bool { return a.mayHaveRun || !a.ended }
+
 // lastInFlight is the last attempt that has not ended; nil: there is none. An earlier one may be in flight while a
 // hedge of it has failed.
 func (s *subquery) lastInFlight() (last *attempt) {
@@ -112,17 +116,26 @@
 // firstThatMayHaveRun is the first attempt that may have run at its replica; nil: each provably never ran.
 func (s *subquery) firstThatMayHaveRun() *attempt {
 	for _, attempt := range s.attempts {
-		if attempt.mayHaveRun || !attempt.ended {
+		if attempt.couldHaveRun() {
 			return attempt
 		}
 	}
 	return nil
 }
 
-// triedAt reports whether there was an attempt at a replica; with mayHaveRun, only one that may have run counts.
-func (s *subquery) triedAt(replica *replicaState, mayHaveRun bool) bool {
+// nextIsFurther reports whether the next attempt of the subquery is a further one: a retry or a hedge, here or of an
+// earlier phase.
+func (s *subquery) nextIsFurther() bool { return len(s.attempts) > 0 || s.isRetry }
+
+// triedAt reports whether there was an attempt at a replica.
+func (s *subquery) triedAt(replica *replicaState) bool {
+	return slices.ContainsFunc(s.attempts, func(attempt *attempt) bool { return attempt.replica == replica })
+}
+
+// mayHaveRunAt reports whether there was an attempt at a replica that may have run there.
+func (s *subquery) mayHaveRunAt(replica *replicaState) bool {
 	return slices.ContainsFunc(s.attempts, func(attempt *attempt) bool {
-		return attempt.replica == replica && (!mayHaveRun || attempt.mayHaveRun || !attempt.ended)
+		return attempt.replica == replica && attempt.couldHaveRun()
 	})
 }
 
@@ -164,10 +177,13 @@
 // unanswered is the number of subqueries without an answer.
 func (q *query) unanswered() float64 { return float64(len(q.subqueries)) - q.answered }
 
-// awaitsSubqueries reports whether subqueries of the present phase are still to arrive. Those of a second phase
-// arrive in one iteration, and may be fewer than expected.
+// isActive reports whether the query is open and its present phase's subqueries are here.
+func (q *query) isActive() bool { return !q.ended && !q.awaitsSubqueries() }
+
+// awaitsSubqueries reports whether subqueries of the present phase, or of the one that follows it, are still to arrive.
+// Those of a second phase arrive in one iteration, and may be fewer than expected.
 func (q *query) awaitsSubqueries() bool {
-	if q.ended {
+	if q.awaitsNextPhase {
 		return true
 	}
 	allExpected := q.phase == 0 || q.callerEndsPhases || len(q.subqueries) == 0
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -50,7 +50,7 @@
 func (scheduler *Scheduler) release(all bool) {
 	round := scheduler.newReleaseRound(all)
 	for _, query := range scheduler.open {
-		if query.awaitsSubqueries() {
+		if !query.isActive() {
 			continue
 		}
 		if round.open == 0 && !all {
@@ -77,9 +77,9 @@
 func (scheduler *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
-	further := !first || subquery.isRetry
-	if scheduler.tooLate(subquery, round.queuedAhead) || further && !scheduler.retries.allowsRepeat(scheduler.now, subquery) {
-		scheduler.abandon(subquery)
+	forbidden := subquery.nextIsFurther() && !scheduler.retries.allowsFurther(scheduler.now, subquery)
+	if forbidden || scheduler.tooLate(subquery, round.queuedAhead) {
+		scheduler.stopSending(subquery)
 		scheduler.giveUpIfHopeless(subquery.query)
 		return
 	}
@@ -102,16 +102,16 @@
 	if scheduler.limits.full(scheduler.now, replica) || !scheduler.slowStartAdmits(replica, subquery) {
 		return true
 	}
-	retry := len(subquery.attempts) > 0
-	if (retry || subquery.isRetry) && !scheduler.retries.hasRoom() {
+	if subquery.nextIsFurther() && !scheduler.retries.hasRoom() {
 		return true
 	}
-	if !retry {
+	if len(subquery.attempts) == 0 {
 		return false
 	}
 	// One without a token goes once nothing is in flight there: else nothing would ever earn any.
 	noToken := !scheduler.retries.hasToken(replica) && len(replica.outstanding) > 0
-	return noToken || scheduler.retries.backsOff(scheduler.now, replica, subquery, scheduler.retries.onLastAttempt(subquery))
+	last := scheduler.retries.atMostOneLeft(subquery)
+	return noToken || scheduler.retries.backsOff(scheduler.now, replica, subquery, last)
 }
 
 // tooLate reports whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
@@ -137,7 +137,7 @@
 	if !scheduler.outliers.mayProbe(scheduler.now, subquery, &scheduler.retries) {
 		return false
 	}
-	replica := scheduler.outliers.takeProbe(scheduler.now, subquery)
+	replica := scheduler.outliers.claimProbe(scheduler.now, subquery)
 	if replica == nil {
 		return false
 	}
@@ -162,11 +162,11 @@
 			scheduler.gossip.queryAdmitted(query.tenant)
 		}
 	}
+	scheduler.retries.countAttempt(scheduler.now, subquery, replica)
 	subquery.attempts = append(subquery.attempts, started)
 	query.attemptsSent++
 	replica.outstanding = append(replica.outstanding, started)
 	replica.outstandingWork += subquery.work
-	scheduler.retries.sent(scheduler.now, subquery, replica)
 	scheduler.slowStart.attemptStarted(replica, subquery.work, scheduler.estimates.parallelism, scheduler.now)
 	timeout := scheduler.retries.attemptTimeout(started, scheduler.unseenLoad())
 	scheduler.host.StartAttempt(subquery.id, replica.id, timeout)
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -66,7 +66,7 @@
 	query.answered++
 	query.answeredWeight += subquery.weight
 	query.latenessSum += float64(took) / float64(scale(ended.expected, replica.slowdown)+1)
-	scheduler.abandon(subquery)
+	scheduler.stopSending(subquery)
 }
 
 // attemptFailed passes an attempt that brought no answer to the policies.
@@ -99,10 +99,10 @@
 	switch {
 	case subquery.answered || subquery.abandoned:
 		delete(scheduler.subqueries, subquery.id)
-	case scheduler.retries.allowsRepeat(scheduler.now, subquery):
+	case scheduler.retries.allowsFurther(scheduler.now, subquery):
 		subquery.queueFor(nil)
 	default:
-		scheduler.abandon(subquery)
+		scheduler.stopSending(subquery)
 		scheduler.giveUpIfHopeless(subquery.query)
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,10 +1,12 @@
 package scheduler
 
-// Retries: whether a subquery may be sent again, and within which budgets. A further attempt of an idempotent
-// subquery may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no earlier
-// attempt can have run. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment
-// (a share of the subqueries that came within a span of time) and by the tokens that each replica earns with its
-// replies.
+// Retries: whether a subquery may be sent again, and within which budgets. A further attempt is any after the first: a
+// retry, which follows the end of all before it, or a hedge (hedge.go), which goes beside one in flight. That of an
+// idempotent subquery may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no
+// earlier attempt can have run. All are limited by the attempts allowed for a subquery, by the retry budget of the
+// deployment (a share of the subqueries that came within a span of time) and by the tokens that each replica earns with
+// its replies. A retry without a token goes once nothing is in flight at its replica, as nothing else would earn one. A
+// further attempt waits for a while after an error at its replica, and the last one until the replica has answered.
 
 import (
 	"time"
@@ -22,21 +24,21 @@
 
 // retryBudget counts arrivals and further attempts, and tells what may be sent again.
 type retryBudget struct {
-	parameters *parameters
-	arrivals   []time.Duration // queries and subqueries that came within the budget's span, in order
-	extras     []time.Duration // retries and hedges that were sent within it, in order
+	parameters      *parameters
+	arrivals        []time.Duration // queries and subqueries that came within the budget's span, in order
+	furtherAttempts []time.Duration // those that were sent within it, in order
 }
 
 // countArrival counts a query or subquery towards the budget.
 func (b *retryBudget) countArrival(now time.Duration) { b.arrivals = append(b.arrivals, now) }
 
-// sent counts an attempt that has just been sent, if it is a further one.
-func (b *retryBudget) sent(now time.Duration, subquery *subquery, replica *replicaState) {
-	further := len(subquery.attempts) > 1
-	if further || subquery.isRetry {
-		b.extras = append(b.extras, now)
+// countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further one.
+// The first of a later phase takes no token of its replica.
+func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
+	if subquery.nextIsFurther() {
+		b.furtherAttempts = append(b.furtherAttempts, now)
 	}
-	if further {
+	if len(subquery.attempts) > 0 {
 		replica.retryTokens--
 	}
 }
@@ -50,18 +52,18 @@
 func (b *retryBudget) expire(now time.Duration) {
 	span := b.parameters.retryBudgetSpan
 	b.arrivals = notBefore(b.arrivals, now-span+1)
-	b.extras = notBefore(b.extras, now-span)
+	b.furtherAttempts = notBefore(b.furtherAttempts, now-span)
 }
 
 // hasRoom reports whether the budget allows a further attempt now.
 func (b *retryBudget) hasRoom() bool {
 	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
-	return b.parameters.retryBudgetSpan == 0 || float64(len(b.extras)+1) <= allowed
+	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
-// allowsRepeat reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
+// allowsFurther reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
 // of attempts that are allowed.
-func (b *retryBudget) allowsRepeat(now time.Duration, subquery *subquery) bool {
+func (b *retryBudget) allowsFurther(now time.Duration, subquery *subquery) bool {
 	if len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts {
 		return false
 	}
@@ -71,8 +73,8 @@
 		class.effect == invariant.Keyed && now < first.sentAt+class.keyWindow)
 }
 
-// onLastAttempt reports whether no more than one attempt of the subquery is left.
-func (b *retryBudget) onLastAttempt(subquery *subquery) bool {
+// atMostOneLeft reports whether no more than one attempt of the subquery is left.
+func (b *retryBudget) atMostOneLeft(subquery *subquery) bool {
 	return len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts-1
 }
 
@@ -94,7 +96,8 @@
 // sent.
 func (b *retryBudget) attemptTimeout(attempt *attempt, unseenLoad float64) time.Duration {
 	subquery := attempt.subquery
-	if b.parameters.hedgeAllowed || b.onLastAttempt(subquery) || subquery.query.class.effect == invariant.NonIdempotent {
+	nonIdempotent := subquery.query.class.effect == invariant.NonIdempotent
+	if b.parameters.hedgeAllowed || b.atMostOneLeft(subquery) || nonIdempotent {
 		return 0
 	}
 	expected := max(attempt.work, scale(attempt.expected, attempt.replica.slowdown))
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -61,7 +61,7 @@
 }
 
 // Whether a subquery may be sent again depends on its class's effect and on how its attempts ended.
-func TestAllowsRepeat(t *testing.T) {
+func TestAllowsFurther(t *testing.T) {
 	const window = time.Second
 	neverRan := &attempt{ended: true}
 	mayHaveRun := &attempt{ended: true, mayHaveRun: true}
@@ -86,7 +86,7 @@
 		budget := retryBudget{parameters: &parameters{maxAttempts: 3}}
 		class := &class{effect: test.effect, keyWindow: window}
 		subquery := &subquery{query: &query{class: class}, attempts: test.attempts}
-		if got := budget.allowsRepeat(test.now, subquery); got != test.want {
+		if got := budget.allowsFurther(test.now, subquery); got != test.want {
 			t.Errorf("%s: allowed %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -114,14 +114,14 @@
 		}
 		replica := &replicaState{}
 		for range test.retries {
-			budget.sent(0, &subquery{isRetry: true}, replica)
+			budget.countAttempt(0, &subquery{isRetry: true}, replica)
 		}
 		if got := budget.hasRoom(); got != test.want {
 			t.Errorf("%d arrivals, %d retries in %v: room %v", test.arrivals, test.retries, test.span, got)
 		}
 		budget.expire(test.span + 1)
-		if test.span > 0 && (len(budget.arrivals)+len(budget.extras) > 0 || !budget.hasRoom()) {
-			t.Errorf("%d arrivals and %d retries count after the span", len(budget.arrivals), len(budget.extras))
+		if test.span > 0 && (len(budget.arrivals)+len(budget.furtherAttempts) > 0 || !budget.hasRoom()) {
+			t.Errorf("%d arrivals and %d retries count after the span", len(budget.arrivals), len(budget.furtherAttempts))
 		}
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -177,7 +177,7 @@
 
 // place queues a query's subqueries for replicas, and admits or rejects a new query by where they are.
 func (scheduler *Scheduler) place(query *query) {
-	if query.awaitsSubqueries() {
+	if !query.isActive() {
 		return
 	}
 	placed := scheduler.placement.place(scheduler.now, query)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,5 +1,19 @@
 package scheduler
 
+// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its
+// full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the
+// replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a
+// subquery may go there now.
+//
+// Each co-ordinator uses its part of the budget of all: a subquery uses up budgetTime of it. There are two regimes.
+//
+// Spaced in time, where budgetTime is at most the burst: a subquery goes once what was sent before has used up the part
+// to within the burst from now. The burst is how far ahead of its part a co-ordinator may send:
+// OverloadFor x (1/slowStartSafety - 1).
+//
+// By chance, where budgetTime is more than that, as among many co-ordinators: each subquery goes with the probability
+// affordable over arrivalsFor, so that all together send what the replica bears.
+
 import (
 	"maps"
 	"math"
@@ -7,15 +21,6 @@
 	"time"
 )
 
-// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its full
-// work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the replica's start,
-// the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a subquery may go
-// there now.
-//
-// Each co-ordinator uses its part of the budget of all. Where that part holds some subqueries, they are spaced in time.
-// Where it is less than one, as among many co-ordinators, chance decides for each subquery, so that all together send
-// what the replica bears, and no more than in proportion to what warm replicas do.
-
 const (
 	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on for.
 	slowStartParallelism = 2.0
@@ -87,21 +92,23 @@
 //
 // The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell never
 // recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
-func (s *slowStart) admits(replica *replicaState, p *subquery, parallelism float64, now time.Duration, random *random) bool {
+func (s *slowStart) admits(
+	replica *replicaState, subquery *subquery, parallelism float64, now time.Duration, random *random,
+) bool {
 	if !s.warmingUp(replica, now) {
 		return true
 	}
-	takes := s.budgetTime(replica, p.work, parallelism, now)
+	takes := s.budgetTime(replica, subquery.work, parallelism, now)
 	burst := scale(s.settings.OverloadFor, 1/slowStartSafety-1)
 	if takes <= burst {
 		return now >= replica.slowStartUsedUntil+takes-burst
 	}
-	chance := random.of(uint64(p.id), uint64(replica.id))
+	chance := random.of(uint64(subquery.id), uint64(replica.id))
 	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
 }
 
-// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so long
-// a time of this co-ordinator's part.
+// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so
+// long a time of this co-ordinator's part.
 func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
 	warmShare := slowStartFlowShare * s.settings.OverloadMultiple * s.capacity(replica, now)
 	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
@@ -120,7 +127,9 @@
 
 // budgetTime is the time for which so much work uses up this co-ordinator's part of a starting replica's budget. Once
 // warm, the replica is taken to do what others do.
-func (s *slowStart) budgetTime(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) time.Duration {
+func (s *slowStart) budgetTime(
+	replica *replicaState, work time.Duration, parallelism float64, now time.Duration,
+) time.Duration {
 	budget := slowStartSafety * s.settings.OverloadMultiple * s.capacity(replica, now)
 	part := budget * min(parallelism, slowStartParallelism) / s.settings.coordinators
 	return scale(work, 1/part)
@@ -137,8 +146,8 @@
 	}
 }
 
-// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as that
-// may be too much.
+// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as
+// that may be too much.
 func (s *slowStart) answered(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmAnswers++
@@ -193,8 +202,12 @@
 	copy(s.arrivals, earlier.arrivals)
 }
 
-// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any may
-// at some time.
-func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, p *subquery) bool {
-	return p == nil || scheduler.slowStart.admits(replica, p, scheduler.estimates.parallelism, scheduler.now, &scheduler.random)
+// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any
+// may at some time.
+func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
+	if subquery == nil {
+		return true
+	}
+	parallelism := scheduler.estimates.parallelism
+	return scheduler.slowStart.admits(replica, subquery, parallelism, scheduler.now, &scheduler.random)
 }
