--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -6,10 +6,11 @@
 //
 //	mean(finish) x slowestFactor(n)  >  (time to the objective) / latenessFactor     [x overQuotaShare over quota]
 //
-// or if the replicas that finish within the right-hand side hold too little weight for any answer. finish is a replica's
-// expected finish, slowestFactor what the slowest of n takes (estimate.go). A query with a second phase to come adds
-// that phase's slowestFactor on the left, and takes an allowance for its work off the time on the right. latenessFactor
-// grows with each query that ends late and shrinks with each in time, so that about one in twenty is late.
+// or if the replicas that finish within the right-hand side hold too little weight for any answer. finish is a
+// replica's expected finish, slowestFactor what the slowest of n takes (estimate.go). A query with a second phase to
+// come adds that phase's slowestFactor on the left, and takes an allowance for its work off the time on the right.
+// latenessFactor grows with each query that ends late and shrinks with each in time, so that about one in twenty is
+// late.
 //
 // The rejection carries the time after which the client may retry: by how much the left side is larger, at most
 // Config.MaxRetryAfter. 0 means that no time is told.
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -19,7 +19,8 @@
 		m.iterate()
 	}
 	if m.rejected > 0 || m.scheduler.classes[0].admission.latenessFactor > 1 {
-		t.Errorf("%d rejected, expected to take %v times as long", m.rejected, m.scheduler.classes[0].admission.latenessFactor)
+		t.Errorf("%d rejected, expected to take %v times as long",
+			m.rejected, m.scheduler.classes[0].admission.latenessFactor)
 	}
 }
 
@@ -32,7 +33,8 @@
 	m.iterate()
 	m.pass(1100 * ms)
 	if m.scheduler.classes[0].admission.latenessFactor < 1.5 || query.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v", m.scheduler.classes[0].admission.latenessFactor, query.ended)
+		t.Errorf("%.2f times the expected after a late one, ended %v",
+			m.scheduler.classes[0].admission.latenessFactor, query.ended)
 	}
 }
 
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -14,7 +14,7 @@
 	canaryThreshold = 12                    // subqueries; a query of more sends one ahead
 	canaryStep      = 60 * time.Millisecond // to the next ones; most crashes show within it
 	canaryGrowth    = 8.0                   // times as many subqueries are in flight after each step
-	answersPerCrash = 2.0                   // answers that a query must have for each crash under it
+	answersPerCrash = 2.0                   // answers that outweigh a crash under a query
 
 	// staleConnection is the time within which a reset shows that the connection was lost before the attempt used it.
 	staleConnection = 6 * time.Millisecond
@@ -53,12 +53,13 @@
 }
 
 // waitsForCanaries reports whether the next subquery of a large query waits for an answer to those ahead of it, or for
-// the next step. It is only of use among many co-ordinators, where each sees too few crashes to be warned by them.
+// the next step. Steps are counted from the query's arrival: one subquery may go at once, canaryGrowth after a step,
+// and so on. It is only of use among many co-ordinators, where each sees too few crashes to be warned by them.
 func (q *query) waitsForCanaries(now time.Duration, manyCoordinators bool) bool {
 	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
 		return false
 	}
-	if q.answered >= 1+2*q.crashes.count {
+	if q.answered >= 1+answersPerCrash*q.crashes.count {
 		return false
 	}
 	steps := math.Floor(float64(now-q.arrivedAt) / float64(canaryStep))
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -50,7 +50,7 @@
 }
 
 // peersFill reports whether a replica that rejects attempts may be full of what other co-ordinators sent.
-func (l *concurrencyLimiter) peersFill() bool { return l.parameters.unseenLoadFactor > 1 }
+func (l *concurrencyLimiter) peersFill() bool { return l.parameters.manyCoordinators() }
 
 // backOff has a replica count as full for a while, of a length that chance spreads: a number from 0 to 1.
 func (l *concurrencyLimiter) backOff(now time.Duration, replica *replicaState, chance float64) {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -8,52 +8,59 @@
 )
 
 // Config is what the deployment's settings tell a Scheduler. It does not change while the Scheduler lives. ParseConfig
-// reads it from the settings' keys; whoever builds one in code calls Validate. New takes valid ones only.
+// reads it from the settings' keys, which the fields' comments name in brackets; N counts from 0. Whoever builds one in
+// code calls Validate. New takes valid ones only.
 type Config struct {
-	// Coordinators is the number of co-ordinators that serve the same replicas, this one included. At least 1.
+	// Coordinators (balancers) is the number of co-ordinators that serve the same replicas, this one included. At
+	// least 1.
 	Coordinators int
 
-	// SelfIndex is this co-ordinator's number among them, from 0. It sets its draws of chance apart from the others'.
+	// SelfIndex (selfIndex) is this co-ordinator's number among them, from 0. It sets its draws of chance apart from
+	// the others'.
 	SelfIndex int
 
-	// Zone is the zone that this co-ordinator runs in.
+	// Zone (zone) is the zone that this co-ordinator runs in.
 	Zone ZoneIndex
 
-	// Cells is the number of cells into which replicas are grouped. At least 1.
+	// Cells (familyInfo.cells) is the number of cells into which replicas are grouped. At least 1.
 	Cells int
 
-	// CellsPerShard is the number of successive cells that hold a shard: shard n is held by the cells n, n+1, ...,
-	// each modulo Cells. At least 1.
+	// CellsPerShard (familyInfo.span) is the number of successive cells that hold a shard: shard n is held by the
+	// cells n, n+1, ..., each modulo Cells. At least 1.
 	CellsPerShard int
 
-	// Classes are the classes of queries, by ClassIndex. At least one.
+	// Classes (lanes.N) are the classes of queries, by ClassIndex. At least one.
 	Classes []ClassConfig
 
-	// TenantQuotas are the queries for each second that all co-ordinators together owe a tenant, by TenantIndex.
+	// TenantQuotas (orgs.N.quotaPerS) are the queries for each second that all co-ordinators together owe a tenant, by
+	// TenantIndex.
 	TenantQuotas []float64
 
-	// Discovery tells how changes of the endpoint list reach this co-ordinator.
+	// Discovery (discovery) tells how changes of the endpoint list reach this co-ordinator.
 	Discovery DiscoveryMode
 
-	// PollInterval is the longest time between two polls of the endpoint list. 0: a subscription needs no renewal.
+	// PollInterval (guarantees.askEvery) is the longest time between two polls of the endpoint list. 0: a subscription
+	// needs no renewal.
 	PollInterval time.Duration
 
-	// Gossip allows messages to the other co-ordinators.
+	// Gossip (bounds.peers) allows messages to the other co-ordinators.
 	Gossip bool
 
-	// ListedSizes tells that Endpoint.Size says how much work a replica can do beside others.
+	// ListedSizes (weightKind) tells that Endpoint.Size says how much work a replica can do beside others.
 	ListedSizes bool
 
-	// MaxAttempts is the largest number of attempts of a subquery, the first included. 0: any number.
+	// MaxAttempts (bounds.maxAttempts) is the largest number of attempts of a subquery, the first included. 0: any
+	// number.
 	MaxAttempts int
 
-	// CancelAllowed allows that attempts are cancelled whose answers are no longer of use.
+	// CancelAllowed (bounds.mayCancel) allows that attempts are cancelled whose answers are no longer of use.
 	CancelAllowed bool
 
-	// HedgeAllowed allows a second attempt of an idempotent subquery while the first is out.
+	// HedgeAllowed (bounds.secondCopies) allows a second attempt of an idempotent subquery while the first is out.
 	HedgeAllowed bool
 
-	// MaxRetryAfter is the longest time after which a rejected client may be told to come again. 0: none is told.
+	// MaxRetryAfter (bounds.maxRetryAfter) is the longest time after which a rejected client may be told to come
+	// again. 0, also without bounds.retryAfter: none is told.
 	MaxRetryAfter time.Duration
 
 	// SlowStart limits what replicas are sent that started a short while ago.
@@ -62,68 +69,77 @@
 	// RetryBudget limits retries and hedged attempts; nil: nothing limits them but MaxAttempts.
 	RetryBudget *RetryBudgetConfig
 
-	// CrossZonePrice is what an attempt in another zone costs, as a share of the shortest latency objective. At least 0.
+	// CrossZonePrice (tariffs.crossZone) is what an attempt in another zone costs, as a share of the shortest latency
+	// objective. At least 0.
 	CrossZonePrice float64
 
-	// WastePrice is what work costs whose answer nobody uses, as a share of a query's value. At least 0.
+	// WastePrice (tariffs.waste) is what work costs whose answer nobody uses, as a share of a query's value. At least
+	// 0.
 	WastePrice float64
 }
 
 // ClassConfig is one class of queries.
 type ClassConfig struct {
-	// Name is the class's name in requests. Only the service uses it, and demands one; the simulator's has none.
+	// Name (lanes.N.name) is the class's name in requests. Only the service uses it, and demands one; the simulator's
+	// has none.
 	Name string
 
-	// Objective is the latency objective: the time within which an answer earns its full value. Above 0.
+	// Objective (lanes.N.aim) is the latency objective: the time within which an answer earns its full value. Above 0.
 	Objective time.Duration
 
-	// ObjectivePerHint is added to the objective for each unit of a query's hint of work.
+	// ObjectivePerHint (lanes.N.aimStretch) is added to the objective for each unit of a query's hint of work.
 	ObjectivePerHint float64
 
-	// Deadline is the time after which an answer is worth nothing. Above 0.
+	// Deadline (lanes.N.deadline) is the time after which an answer is worth nothing. Above 0.
 	Deadline time.Duration
 
-	// Effect is what running a subquery twice would do.
+	// Effect (lanes.N.effect) is what running a subquery twice would do.
 	Effect invariant.Effect
 
-	// KeyWindow is the time for which replicas recognise the key of a Keyed subquery, counted from its first attempt.
+	// KeyWindow (lanes.N.window) is the time for which replicas recognise the key of a Keyed subquery, counted from
+	// its first attempt.
 	KeyWindow time.Duration
 
-	// CompleteShare is the share of the subqueries' weight that makes an answer complete, from 0 to 1.
+	// CompleteShare (familyInfo.classNeed) is the share of the subqueries' weight that makes an answer complete, from
+	// 0 to 1.
 	CompleteShare float64
 
-	// LeastShare is the share of the weight below which no answer may be given. At most CompleteShare.
+	// LeastShare (familyInfo.leastShare) is the share of the weight below which no answer may be given. At most
+	// CompleteShare.
 	LeastShare float64
 
-	// FetchSubqueries is the number of subqueries in the second phase; 0: the class has one phase.
+	// FetchSubqueries (familyInfo.classFetch) is the number of subqueries in the second phase; 0: the class has one
+	// phase.
 	FetchSubqueries int
 }
 
 // SlowStartConfig describes replicas that have just started.
 type SlowStartConfig struct {
-	// OverloadMultiple is how many times its present capacity a starting replica must be sent to count as overloaded.
-	// 0 or less: there is no slow start, and the other fields mean nothing.
+	// OverloadMultiple (guarantees.tipMultiple) is how many times its present capacity a starting replica must be sent
+	// to count as overloaded. 0 or less: there is no slow start, and the other fields mean nothing.
 	OverloadMultiple float64
 
-	// StartCapacity is the share of its full capacity that a replica has when it starts. Above 0.
+	// StartCapacity (guarantees.startCapacity) is the share of its full capacity that a replica has when it starts.
+	// Above 0.
 	StartCapacity float64
 
-	// WarmAfter is the time from the start to full capacity. Above 0.
+	// WarmAfter (guarantees.warmAfter) is the time from the start to full capacity. Above 0.
 	WarmAfter time.Duration
 
-	// OverloadFor is the time over which OverloadMultiple is measured. Above 0.
+	// OverloadFor (guarantees.overloadFor) is the time over which OverloadMultiple is measured. Above 0.
 	OverloadFor time.Duration
 }
 
 // RetryBudgetConfig limits the attempts beyond the first of each subquery.
 type RetryBudgetConfig struct {
-	// Span is the time over which attempts are counted. Above 0.
+	// Span (guarantees.ratioSpan) is the time over which attempts are counted. Above 0.
 	Span time.Duration
 
-	// Share is the largest number of further attempts within Span, as a share of the subqueries that came. Above 0.
+	// Share (guarantees.extraRatio) is the largest number of further attempts within Span, as a share of the
+	// subqueries that came. Above 0.
 	Share float64
 
-	// Free is the number of further attempts within Span that are allowed beside that share.
+	// Free (guarantees.minExtra) is the number of further attempts within Span that are allowed beside that share.
 	Free float64
 }
 
@@ -157,7 +173,11 @@
 	wantedDiscovery  = "automatic or subscribe"
 )
 
-// Validate names the first setting with which no Scheduler can work, as a *SettingError, or returns nil.
+// Validate names the first setting with which no Scheduler can work, as a *SettingError, or returns nil. It checks that
+// Coordinators, Cells, CellsPerShard and the number of Classes are at least 1; that each class's Objective and Deadline
+// are above 0 and its Effect is known; where there is a slow start, that its other fields are above 0; where there is a
+// retry budget, that its Span and Share are above 0; and that Discovery is known. Other constraints that the fields'
+// comments state are the caller's to keep.
 func (config *Config) Validate() error {
 	check := checker{}
 	check.atLeastOne("balancers", config.Coordinators)
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -192,7 +192,8 @@
 	}
 }
 
-// retryBudget is nil where neither its span nor its share is stated. What stands beside them must be readable all the same.
+// retryBudget is nil where neither its span nor its share is stated. What stands beside them must be readable all the
+// same.
 func (r *settingReader) retryBudget() *RetryBudgetConfig {
 	const span, share = "guarantees.ratioSpan", "guarantees.extraRatio"
 	budget := &RetryBudgetConfig{Span: r.span(span), Share: r.number(share), Free: r.number("guarantees.minExtra")}
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when the
-// list is polled.
+// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when
+// the list is polled.
 
 import (
 	"cmp"
@@ -14,20 +14,20 @@
 	// firstPollBackoff is the mean time from a failed poll to the next; it doubles with each failure in a row.
 	firstPollBackoff = 500 * time.Millisecond
 
-	// maxPollBackoff bounds that time. With its random half on top and a poll that hangs for two seconds, a change of the
-	// list is known within six seconds after discovery is back.
+	// maxPollBackoff bounds that time. With its random half on top, and the two seconds after which package discovery
+	// gives up a request for the list, a change of the list is known within six seconds after discovery is back.
 	maxPollBackoff = 2 * time.Second
 
 	// pollTimeout is the time after which a poll that has no answer counts as lost.
 	pollTimeout = 8 * time.Second
 )
 
-// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is followed by
-// all changes until a failure is reported.
+// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is followed
+// by all changes until a failure is reported.
 //
 // It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown, and
-// attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just back,
-// so they wait longer with each failure, and by chance.
+// attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just
+// back, so they wait longer with each failure, and by chance.
 type endpointPoller struct {
 	mustPoll     bool          // changes come only after a poll
 	pollInterval time.Duration // longest time between two polls; math.MaxInt64: no limit
@@ -82,9 +82,9 @@
 	scheduler.wakeBy(scheduler.poller.nextPollAt)
 }
 
-// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in it
-// are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this Scheduler was
-// made; it is no news of discovery.
+// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in
+// it are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this
+// Scheduler was made; it is no news of discovery.
 func (scheduler *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
 	scheduler.clock(now)
 	scheduler.replicas.listChanged()
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -48,16 +48,23 @@
 	sent.tenants = append(sent.tenants, tenant)
 }
 
-// attemptEnded notes the end of an attempt that took so many times the expected time. A late one is told as late unless
-// this co-ordinator was late itself in reading the answer. A cancelled attempt is told only if it was late, as the
-// replica may go on with it.
-func (g *gossip) attemptEnded(now time.Duration, ended *attempt, lateness float64, readLate, cancelled bool) {
-	cell := ended.replica.cell
+// endedAttempt is the end of an attempt, as far as peers are told of it.
+type endedAttempt struct {
+	attempt   *attempt
+	lateness  float64 // times the expected time that it took
+	readLate  bool    // this co-ordinator may have been late itself in reading the answer
+	cancelled bool
+}
+
+// attemptEnded notes the end of an attempt. A late one is told as late unless the answer was read late. A cancelled
+// attempt is told only if it was late, as the replica may go on with it.
+func (g *gossip) attemptEnded(now time.Duration, ended endedAttempt) {
+	cell, work := ended.attempt.replica.cell, ended.attempt.work
 	switch {
-	case lateness > lateAttempt && !readLate:
-		g.pending[attemptsLate].add(now, cell, ended.work, lateness)
-	case !cancelled:
-		g.pending[attemptsEnded].add(now, cell, ended.work, 1)
+	case ended.lateness > lateAttempt && !ended.readLate:
+		g.pending[attemptsLate].add(now, cell, work, ended.lateness)
+	case !ended.cancelled:
+		g.pending[attemptsEnded].add(now, cell, work, 1)
 	}
 }
 
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// gossipOf encodes attempts that each took so many times the expected time. The sender takes two subqueries to be worked
-// on side by side.
+// gossipOf encodes attempts that each took so many times the expected time. The sender takes two subqueries to be
+// worked on side by side.
 func gossipOf(event attemptEvent, attempts []CellNumber, work time.Duration, lateness float64,
 	tenants []TenantIndex, cells int) [][]byte {
 	tally := attemptTally{tenants: tenants}
@@ -66,8 +66,8 @@
 	}
 }
 
-// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change within a
-// version.
+// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change within
+// a version.
 func TestGossipBytes(t *testing.T) {
 	attempts := []CellNumber{0, 2, 2, 2, 2}
 	for _, test := range []struct {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// Work that peers tell of delays a replica like own work, so a subquery goes where less is in flight. It fades with time.
+// Work that peers tell of delays a replica like own work, so a subquery goes where less is in flight. It fades with
+// time.
 func TestWorkOfPeersCountsAsInFlight(t *testing.T) {
 	m := newGossipModel(t, 0)
 	m.keepOnly(102, 105)
@@ -60,8 +61,8 @@
 	}
 }
 
-// A quota for each co-ordinator rejected the queries of tenants that send most of theirs to one. Where co-ordinators tell
-// each other what they admit, the quota is that of all.
+// A quota for each co-ordinator rejected the queries of tenants that send most of theirs to one. Where co-ordinators
+// tell each other what they admit, the quota is that of all.
 func TestTenantQuotaIsThatOfAllCoordinatorsWithGossip(t *testing.T) {
 	m := newModel(t, 32)
 	m.settings["bounds.peers"], m.settings["orgs.0.quotaPerS"] = "true", "10"
@@ -80,8 +81,8 @@
 	}
 }
 
-// Work of peers was once taken to be done at a replica's usual speed, so at a slow replica much less was counted than was in
-// flight. Its end is told, and until then it counts.
+// Work of peers was once taken to be done at a replica's usual speed, so at a slow replica much less was counted than
+// was in flight. Its end is told, and until then it counts.
 func TestEndedAttemptsOfPeersAreNoLongerInFlight(t *testing.T) {
 	m := newGossipModel(t, 0)
 	replica, cell := m.replica(102), CellNumber(m.replicas[102].cell)
@@ -140,8 +141,8 @@
 	}
 }
 
-// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is told only
-// if it was late.
+// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is told
+// only if it was late.
 func TestEndsAreGatheredAndTold(t *testing.T) {
 	m := newGossipModel(t, 0)
 	said := func() (attempts [attemptEvents]int) {
@@ -183,8 +184,8 @@
 	}
 }
 
-// While peers are silent, the work that they have in flight is not in an attempt's expected time. Without a longer time-out
-// many attempts timed out that only stood in a long queue, and went again into the same queue.
+// While peers are silent, the work that they have in flight is not in an attempt's expected time. Without a longer
+// time-out many attempts timed out that only stood in a long queue, and went again into the same queue.
 func TestTimeOutsAreLongerWhilePeersAreSilent(t *testing.T) {
 	timeOut := func(coordinators int, heard bool) time.Duration {
 		m := newModel(t, 1)
@@ -195,7 +196,8 @@
 		}
 		q := m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		return m.scheduler.retries.attemptTimeout(m.scheduler.subqueries[q.subqueries[0].id].attempts[0], m.scheduler.unseenLoad())
+		first := m.scheduler.subqueries[q.subqueries[0].id].attempts[0]
+		return m.scheduler.retries.attemptTimeout(first, m.scheduler.unseenLoad())
 	}
 	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
 	if silent < few*18/10 || heard > few {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -118,8 +118,8 @@
 func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
 	subquery := attempt.subquery
 	query := subquery.query
-	mayGo := h.retries.hasToken(replica) && !h.limits.atLimit(replica) && !h.retries.backsOff(now, replica, subquery, false)
-	if subquery.mayHaveRunAt(replica) || !mayGo {
+	waits := h.limits.atLimit(replica) || h.retries.backsOff(now, replica, subquery, false)
+	if waits || subquery.mayHaveRunAt(replica) || !h.retries.hasToken(replica) {
 		return forbiddenCost
 	}
 	age := now - attempt.sentAt
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -1,5 +1,5 @@
-// Package scheduler holds the decisions of a terntray co-ordinator: one file for each policy (placement, admission, retry and so on), this file
-// names the ids and the interface through which they act.
+// Package scheduler holds the decisions of a terntray co-ordinator: one file for each policy (placement, admission,
+// retry and so on), this file names the ids and the interface through which they act.
 package scheduler
 
 import (
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Ledger is what is counted over a span of time towards limits that hold for the process: the attempts of the retry budget
-// and what starting replicas were sent. A Scheduler that is made anew after a panic goes on with the ledger of the one
-// before, so that a panic does not lift the limits.
+// Ledger is what is counted over a span of time towards limits that hold for the process: the attempts of the retry
+// budget and what starting replicas were sent. A Scheduler that is made anew after a panic goes on with the ledger of
+// the one before, so that a panic does not lift the limits.
 type Ledger struct {
 	arrivals  []time.Duration // of queries and subqueries, within the retry budget's span
 	retries   []time.Duration // attempts beyond a subquery's first, within that span
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -8,8 +8,16 @@
 	"time"
 )
 
-// The model is the six rules in plain, slow form, written from their wording. It is the scheduler's host, judges each
-// of its calls (model_host_test.go), and knows nothing of how the scheduler decides.
+// The model is six rules in plain, slow form, written from their wording. It is the scheduler's host, judges each of
+// its calls (model_host_test.go), and knows nothing of how the scheduler decides. The rules:
+//
+//  1. A query gets exactly one final outcome, in time, and no attempt after it; all that is named is known.
+//  2. A further attempt is only for what may be repeated: an idempotent subquery, a keyed one within its window, a
+//     non-idempotent one of which no attempt can have run. Nor is a query of the last kind rejected after one that can.
+//  3. A replica that is listed as draining or removed gets no attempt.
+//  4. A starting replica is not sent more than slow start allows.
+//  5. An answer is complete, or given at all, only with the weight that this needs.
+//  6. Further attempts stay within the retry budget.
 
 const ms = time.Millisecond
 
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -111,12 +111,15 @@
 func (derived *parameters) setLoadFactors(config *Config) {
 	crowd := math.Log(float64(config.Coordinators) / fewCoordinators)
 	derived.unseenLoadFactor = 1 + unseenLoadGrowth*max(0, crowd)
-	if derived.unseenLoadFactor > 1 {
+	if derived.manyCoordinators() {
 		derived.fanoutSpread = fanoutGrowth
 	}
 	derived.hedgeScale = 1 / (1 + math.Pow(wastePriceWeight*config.WastePrice, 2))
 }
 
+// manyCoordinators reports whether there are so many that each sees too little of the load by itself.
+func (derived *parameters) manyCoordinators() bool { return derived.unseenLoadFactor > 1 }
+
 // setTenantQuotas takes the quotas whole where gossip tells what the other co-ordinators admit, else a fair share.
 func (derived *parameters) setTenantQuotas(quotas []float64) {
 	for _, quota := range quotas {
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -6,19 +6,28 @@
 
 import "time"
 
+// releaseScope is which of the queued subqueries a pass looks at.
+type releaseScope int
+
+const (
+	releaseWhereRoom  releaseScope = iota // those whose replica has room, and no query after the last such replica
+	releaseEverything                     // all: also those that are too late, or without a replica
+)
+
 // releaseRound is what one pass over the queued subqueries finds.
 type releaseRound struct {
-	all         bool            // all are looked at, not only those whose replica has room
+	scope       releaseScope
 	blocked     []bool          // by replica: nothing more is to be sent there in this pass
 	queuedAhead []time.Duration // by replica: work of the subqueries that were passed over
 	open        int             // replicas that are not blocked
 }
 
-func (scheduler *Scheduler) newReleaseRound(all bool) *releaseRound {
+func (scheduler *Scheduler) newReleaseRound(scope releaseScope) *releaseRound {
 	count := len(scheduler.replicas.all)
-	round := &releaseRound{all: all, blocked: make([]bool, count), queuedAhead: make([]time.Duration, count)}
+	round := &releaseRound{scope: scope, blocked: make([]bool, count), queuedAhead: make([]time.Duration, count)}
 	for _, replica := range scheduler.replicas.all {
-		blocked := !all && (replica.queuedWork == 0 || scheduler.limits.full(scheduler.now, replica))
+		hasNothingToSend := replica.queuedWork == 0 || scheduler.limits.full(scheduler.now, replica)
+		blocked := scope == releaseWhereRoom && hasNothingToSend
 		round.blocked[replica.index] = blocked
 		if !blocked {
 			round.open++
@@ -40,20 +49,20 @@
 
 // skips reports whether a pass that does not look at all need not look at a subquery.
 func (r *releaseRound) skips(subquery *subquery) bool {
-	if r.all {
+	if r.scope == releaseEverything {
 		return false
 	}
 	return !subquery.queued || subquery.replica == nil || r.blocked[subquery.replica.index]
 }
 
-// release sends queued subqueries; unless all are looked at, only those for replicas that have room.
-func (scheduler *Scheduler) release(all bool) {
-	round := scheduler.newReleaseRound(all)
+// release sends queued subqueries of a scope.
+func (scheduler *Scheduler) release(scope releaseScope) {
+	round := scheduler.newReleaseRound(scope)
 	for _, query := range scheduler.open {
 		if !query.isActive() {
 			continue
 		}
-		if round.open == 0 && !all {
+		if round.open == 0 && scope == releaseWhereRoom {
 			return
 		}
 		for _, subquery := range query.subqueries {
@@ -67,7 +76,10 @@
 // isReleasable reports whether a subquery is queued and its query's canaries do not hold it back.
 func (scheduler *Scheduler) isReleasable(subquery *subquery) bool {
 	query := subquery.query
-	if query.ended || !subquery.queued || query.waitsForCanaries(scheduler.now, scheduler.parameters.unseenLoadFactor > 1) {
+	if query.ended || !subquery.queued {
+		return false
+	}
+	if query.waitsForCanaries(scheduler.now, scheduler.parameters.manyCoordinators()) {
 		return false
 	}
 	return !query.suspectedDeadly() || len(subquery.attempts) > 0
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// replicaState is all that is known of one replica. The scheduler keeps one for each replica in the endpoint list, in
-// the order in which they were first listed; the state of one that is long removed is used again for a new one.
+// replicaState is all that is known of one replica. Each replica of the endpoint list has one; replicaSet.newState
+// takes that of a replica that was removed long ago for a new one.
 type replicaState struct {
-	index int // place in Scheduler.replicas
+	index int // place in replicaSet.all
 
 	// As the endpoint list has it.
 	id           ReplicaID
@@ -87,7 +87,8 @@
 }
 
 // cellLayout says which shards the replicas of a cell hold. The cells form a ring; a shard is held by the cell of its
-// number, modulo cells, and by those after it. So a replica of a cell holds the shards of that cell and of those before.
+// number, modulo cells, and by those after it. So a replica of a cell holds the shards of that cell and of those
+// before.
 type cellLayout struct {
 	cells         int // into which replicas are grouped
 	cellsPerShard int // successive cells that hold a shard
@@ -131,9 +132,10 @@
 }
 
 // newState gives a state for a replica that is listed for the first time. Its load and its times are zero or
-// outdated; the caller sets the others. It is the state of a replica that was removed before the oldest open query
-// arrived, if there is one, as nothing can refer to that any more: a long-lived co-ordinator does not hold a state
-// for each replica that was ever listed.
+// outdated; the caller sets the others. It is that of a removed replica, if there is one to which nothing can refer any
+// more: it has no attempts in flight and was removed before the oldest open query arrived. So a long-lived co-ordinator
+// does not hold a state for each replica that was ever listed. One that is off the list for a moment, up to
+// maxProbeInterval, keeps its state.
 func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
 	for _, replica := range s.all {
 		unused := replica.state == Removed && len(replica.outstanding) == 0 && now-replica.lastListedAt > maxProbeInterval
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -32,8 +32,12 @@
 	ended.replica.unload(func(other *attempt) bool { return other == ended })
 	if scheduler.parameters.gossipEnabled {
 		age := scheduler.now - ended.sentAt - scheduler.stalled
-		lateness := float64(age+latencyJitter) / float64(ended.expected+latencyJitter)
-		scheduler.gossip.attemptEnded(scheduler.now, ended, lateness, scheduler.readDelay != 0, outcome == Cancelled)
+		scheduler.gossip.attemptEnded(scheduler.now, endedAttempt{
+			attempt:   ended,
+			lateness:  float64(age+latencyJitter) / float64(ended.expected+latencyJitter),
+			readLate:  scheduler.readDelay != 0,
+			cancelled: outcome == Cancelled,
+		})
 	}
 }
 
@@ -86,7 +90,8 @@
 	scheduler.outliers.failed(scheduler.now, replica, query.class)
 }
 
-// halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's.
+// halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's. The
+// limit is one for all classes, so the interval is that of the first class, whichever class the attempt has.
 func (scheduler *Scheduler) halvingInterval(replica *replicaState) time.Duration {
 	return scale(scheduler.classes[0].subqueryWork, replica.slowdown)
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -61,8 +61,8 @@
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
-// allowsFurther reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the number
-// of attempts that are allowed.
+// allowsFurther reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the
+// number of attempts that are allowed.
 func (b *retryBudget) allowsFurther(now time.Duration, subquery *subquery) bool {
 	if len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts {
 		return false
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// The scheduler's loop. Each kind of event has a method; Decide decides, once all events of one time are in. The
-// policies decide, each in a file of its own; here they are asked in order, and what they decide is carried out through
-// the Host in host.go.
+// The scheduler's loop. Each kind of event has a method, which records it. Once all events of one time are in, Decide
+// asks the policies in order, each of which has a file of its own, and carries out what they answer through the Host in
+// host.go.
 
 import (
 	"cmp"
@@ -119,8 +119,9 @@
 	scheduler.admission.outliers = &scheduler.outliers
 }
 
-// Decide decides, once all events of this time are in. All queries are looked at in each iteration while few are
-// open, else at each tick; between ticks those for which something came in.
+// Decide is called once all events of this time are in. In order, it polls the endpoint list if that is due, ejects
+// silent replicas, ends and places queries, sends queued subqueries, sends hedges and gossips. All queries are looked
+// at in each iteration while few are open, else at each tick; between ticks those for which something came in.
 func (scheduler *Scheduler) Decide(now time.Duration) {
 	scheduler.clock(now)
 	scheduler.pollEndpoints()
@@ -135,7 +136,11 @@
 			scheduler.place(query)
 		}
 	}
-	scheduler.release(all)
+	scope := releaseWhereRoom
+	if all {
+		scope = releaseEverything
+	}
+	scheduler.release(scope)
 	for _, query := range scheduler.open {
 		if all || query.touched {
 			scheduler.hedge(query)
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -10,7 +10,8 @@
 // configuration, and only the difference is counted. What would follow from a different decision is not played out.
 
 // ErrShadowMismatch says that a configuration cannot be compared with the one that decides.
-var ErrShadowMismatch = errors.New("the shadow configuration has other classes, cells or cells of a shard than the one that decides")
+var ErrShadowMismatch = errors.New(
+	"the shadow configuration has other classes, cells or cells of a shard than the one that decides")
 
 // ShadowCounts counts queries and attempts and, by kind, where the other configuration would have decided otherwise.
 type ShadowCounts struct {
@@ -58,8 +59,8 @@
 	return scheduler.shadow.counts, true
 }
 
-// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with it,
-// so nothing may be changed through it.
+// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with
+// it, so nothing may be changed through it.
 func (s *shadow) scheduler(decides *Scheduler) *Scheduler {
 	other := *decides
 	other.parameters = s.parameters
@@ -83,8 +84,8 @@
 	}
 }
 
-// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge that
-// it did not get.
+// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge
+// that it did not get.
 func (scheduler *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
 	if scheduler.shadow == nil {
 		return
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -79,7 +79,8 @@
 	crowd.sent = append(crowd.sent, now)
 }
 
-// slowStartBound is how many calls a starting replica bears in the window where the settings allow so many (STANDING.md).
+// slowStartBound is how many calls a starting replica bears in the window where the settings allow so many
+// (STANDING.md).
 func slowStartBound(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -87,8 +88,8 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it bears. The
-// co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
+// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it bears.
+// The co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
 func worstWindow(t *testing.T, members int, load float64, ran time.Duration, seed uint64) (worst float64) {
 	crowd := newSlowStartCrowd(t, members, seed)
 	for n := range crowd.fadedAt {
@@ -110,9 +111,9 @@
 	return worst
 }
 
-// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however much more
-// than the warm ones can do is asked of the cell, and also where all co-ordinators have just been restarted, they stay
-// within what it bears, all together.
+// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however much
+// more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been restarted, they
+// stay within what it bears, all together.
 func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
 	longSinceStart := 3 * time.Duration(slowStartMemory) * time.Second
 	for _, ran := range []time.Duration{longSinceStart, 0} {
@@ -151,7 +152,8 @@
 		t.Errorf("used until %v, before the panic %v", got, usedUntil)
 	}
 	if scheduler.slowStart.arrivals[0] != before.members[0].slowStart.arrivals[0] {
-		t.Errorf("%v subqueries remembered, before the panic %v", scheduler.slowStart.arrivals, before.members[0].slowStart.arrivals)
+		t.Errorf("%v subqueries remembered, before the panic %v",
+			scheduler.slowStart.arrivals, before.members[0].slowStart.arrivals)
 	}
 }
 
