--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -20,8 +20,8 @@
 	all.Wait()
 }
 
-// Word begins a proof's closing line.
-func Word(proved bool) string {
+// word begins a proof's closing line.
+func word(proved bool) string {
 	if proved {
 		return "PROVED"
 	}
@@ -31,7 +31,7 @@
 // Close prints a proof's closing line, with the name of the proof before it and the verdict before that, and ends the
 // process with the status of the verdict.
 func Close(proved bool, name, format string, figures ...any) {
-	fmt.Printf("%s %s %s\n", Word(proved), name, fmt.Sprintf(format, figures...))
+	fmt.Printf("%s %s %s\n", word(proved), name, fmt.Sprintf(format, figures...))
 	if !proved {
 		os.Exit(1)
 	}
