--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -11,12 +11,14 @@
 )
 
 const (
-	// minFragmentTimeout is the least time for a message that has begun to come to go on; the connect timeout if that
-	// is longer, as a fragment that was lost on its way comes within what a lost connect may take.
+	// minFragmentTimeout is the least time that a replica has to send the next bytes of a message that it has begun.
+	// Where the connect timeout is longer, the replica has that: it leaves time for the network to repeat a lost
+	// packet, be it of a connect or of a message.
 	minFragmentTimeout = 100 * time.Millisecond
 	// messageTimeoutFactor is how many fragment timeouts a message may take as a whole, from its first byte on.
 	messageTimeoutFactor = 4
-	// recheckWait is for reading what came while this process stood still, after a deadline that passed meanwhile.
+	// recheckWait is for one more read after a read deadline has passed: if this process stood still over the deadline,
+	// what the replica sent in time is still unread.
 	recheckWait = 5 * time.Millisecond
 )
 
@@ -101,7 +103,7 @@
 		}
 		input.Events = append(input.Events, event)
 	}
-	if conn.traits.Multiplexed { // what came may need an answer, or make room for output
+	if conn.traits.RepliesToInput {
 		conn.outputReady.Signal()
 	}
 	input.midMessage = conn.session.MidMessage()
@@ -145,7 +147,7 @@
 // post gives the loop what it has to know. Where the protocol has pings, any bytes are a sign of life.
 func (reader *reader) post(input Input) {
 	conn := reader.conn
-	isSignOfLife := conn.traits.Multiplexed && input.bytes > 0
+	isSignOfLife := conn.traits.Pings && input.bytes > 0
 	if len(input.Events) > 0 || input.Malformed != nil || isSignOfLife {
 		conn.driver.loop.Post(func() { conn.driver.Received(conn.id, input) })
 	}
