--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -15,30 +15,31 @@
 	answerMargin = 20 * time.Millisecond // a final outcome leaves this long before the deadline: two ticks
 
 	sameDeadlineShare = 0.01 // of the class's deadline; first tries differ by less on their way
-	keptDeadlines     = 16   // queries; the last ones, which tell with what deadlines first tries come
+	keptShares        = 16   // queries whose shares are remembered
 )
 
 // clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries of a
 // client come with one deadline, a retry with less. A retry has lost the time that the first try took; without this,
 // work would be done for objectives that are over.
 type clientRetryDetector struct {
-	shares []float64 // of their class's deadline that the last queries came with
+	shares []float64 // of their class's deadline that the last keptShares queries came with, in order
 }
 
-// isRetry reports whether a query with this share of its class's deadline left is a client's retry: most came with
-// more of late, and none with as much. It remembers the share.
+// isRetry reports whether a query with this share of its class's deadline left is a client's retry: among the last
+// keptShares queries some larger share came at least twice, and none came that is alike. It remembers the share.
 func (d *clientRetryDetector) isRetry(share float64) bool {
-	usual, more := false, false
+	seenAlike := false
+	largerSeenTwice := false
 	for index, other := range d.shares {
-		usual = usual || alikeShares(other, share)
+		seenAlike = seenAlike || alikeShares(other, share)
 		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool { return alikeShares(earlier, other) })
-		more = more || other > share && repeated
+		largerSeenTwice = largerSeenTwice || other > share && repeated
 	}
 	d.shares = append(d.shares, share)
-	if len(d.shares) > keptDeadlines {
+	if len(d.shares) > keptShares {
 		d.shares = d.shares[1:]
 	}
-	return more && !usual
+	return largerSeenTwice && !seenAlike
 }
 
 func alikeShares(a, b float64) bool { return math.Abs(a-b) < sameDeadlineShare }
@@ -73,9 +74,12 @@
 
 // outcome decides it.
 func (q *query) outcome(now time.Duration) outcome {
+	if q.ended {
+		return goesOn
+	}
 	timeIsOver := now >= q.deadlineAt-answerMargin
 	if q.awaitsSubqueries() {
-		if timeIsOver && !q.ended {
+		if timeIsOver {
 			return givesUpNow
 		}
 		return goesOn
@@ -97,79 +101,80 @@
 }
 
 // settle ends a query, or its phase, if that is due.
-func (c *Scheduler) settle(query *query) {
-	next := query.outcome(c.now)
-	if !query.awaitsSubqueries() && c.now > query.objectiveAt {
-		c.admission.judge(c.now, query, false)
+func (scheduler *Scheduler) settle(query *query) {
+	next := query.outcome(scheduler.now)
+	if query.isActive() && scheduler.now > query.objectiveAt {
+		scheduler.admission.judge(scheduler.now, query, false)
 	}
 	switch next {
 	case answersNow:
-		c.complete(query, query.phase == 0 || query.firstPhaseComplete)
+		scheduler.answerPhase(query, query.phase == 0 || query.firstPhaseComplete)
 	case givesUpNow:
-		c.giveUp(query)
+		scheduler.giveUp(query)
 	case goesOn:
 	}
 }
 
-// complete answers the present phase of a query; without a next phase that ends it.
-func (c *Scheduler) complete(query *query, complete bool) {
-	c.host.Complete(query.id, complete)
+// answerPhase answers the present phase of a query; without a next phase that ends it.
+func (scheduler *Scheduler) answerPhase(query *query, isComplete bool) {
+	scheduler.host.Complete(query.id, isComplete)
 	switch {
 	case query.callerEndsPhases:
-		query.expectedSubqueries = math.MaxInt // StartNextPhase comes in the next iteration
+		query.awaitsNextPhase = true // StartNextPhase comes in the next iteration
 	case query.class.fetchSubqueries == 0 || query.phase > 0:
-		c.end(query, c.now <= query.objectiveAt)
+		scheduler.end(query, scheduler.now <= query.objectiveAt)
 	default:
-		query.firstPhaseComplete = complete
-		c.startPhase(query, query.class.fetchSubqueries)
+		query.firstPhaseComplete = isComplete
+		scheduler.startPhase(query, query.class.fetchSubqueries)
 	}
 }
 
 // giveUp ends a query with an incomplete answer if there is enough for one, else as failed.
-func (c *Scheduler) giveUp(query *query) {
+func (scheduler *Scheduler) giveUp(query *query) {
 	_, minimum := query.requiredWeights()
 	lastPhase := query.class.fetchSubqueries == 0 || query.phase > 0
 	if lastPhase && query.answeredWeight >= minimum {
-		c.host.Complete(query.id, false)
+		scheduler.host.Complete(query.id, false)
 	} else {
-		c.host.Fail(query.id)
+		scheduler.host.Fail(query.id)
 	}
-	c.end(query, false)
+	scheduler.end(query, false)
 }
 
 // giveUpIfHopeless ends a query if too many of its subqueries are abandoned for any answer.
-func (c *Scheduler) giveUpIfHopeless(query *query) {
+func (scheduler *Scheduler) giveUpIfHopeless(query *query) {
 	if query.ended || query.reservesAttempt && query.phase == 0 {
 		return
 	}
 	if !query.reachesMinimum(func(subquery *subquery) bool { return subquery.answered || !subquery.abandoned }) {
-		c.giveUp(query)
+		scheduler.giveUp(query)
 	}
 }
 
 // end closes a query that has its final outcome; inTime tells whether it met its objective.
-func (c *Scheduler) end(query *query, inTime bool) {
+func (scheduler *Scheduler) end(query *query, inTime bool) {
 	query.ended = true
-	c.admission.judge(c.now, query, inTime)
+	scheduler.admission.judge(scheduler.now, query, inTime)
 	for _, subquery := range query.subqueries {
-		c.abandon(subquery)
+		scheduler.stopSending(subquery)
 	}
-	delete(c.queriesByID, query.id)
-	delete(c.queriesByNumber, query.number)
+	delete(scheduler.queriesByID, query.id)
+	delete(scheduler.queriesByNumber, query.number)
 }
 
 // startPhase ends the present phase of a query and awaits the subqueries of the next.
-func (c *Scheduler) startPhase(query *query, subqueries int) {
+func (scheduler *Scheduler) startPhase(query *query, subqueries int) {
 	if query.attemptsUsed == nil {
 		query.attemptsUsed = map[ShardNumber]int{}
 	}
 	for _, subquery := range query.subqueries {
-		c.abandon(subquery)
+		scheduler.stopSending(subquery)
 		if query.callerEndsPhases {
 			query.attemptsUsed[subquery.shard] += len(subquery.attempts)
 		}
 	}
 	query.phase++
+	query.awaitsNextPhase = false
 	query.expectedSubqueries = subqueries
 	query.subqueries = nil
 	query.touched = true
@@ -180,16 +185,17 @@
 	query.crashes.count = 0
 }
 
-// abandon sends nothing more for a subquery, and cancels what is in flight for it.
-func (c *Scheduler) abandon(subquery *subquery) {
+// stopSending sends nothing more for a subquery, answered or not, and cancels what is in flight for it. One without an
+// answer is abandoned by that.
+func (scheduler *Scheduler) stopSending(subquery *subquery) {
 	subquery.unqueue()
 	subquery.abandoned = subquery.abandoned || !subquery.answered
 	for number, attempt := range subquery.attempts {
-		if !attempt.ended && c.cancelAllowed {
-			c.host.CancelAttempt(subquery.id, AttemptNumber(number))
+		if !attempt.ended && scheduler.parameters.cancelAllowed {
+			scheduler.host.CancelAttempt(subquery.id, AttemptNumber(number))
 		}
 	}
 	if !subquery.inFlight() {
-		delete(c.subqueries, subquery.id)
+		delete(scheduler.subqueries, subquery.id)
 	}
 }
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -15,15 +15,15 @@
 }
 
 // ClassEstimates are the present estimates, by class index.
-func (c *Scheduler) ClassEstimates() []ClassEstimate {
+func (scheduler *Scheduler) ClassEstimates() []ClassEstimate {
 	var estimates []ClassEstimate
-	for index := range c.classes {
-		class := &c.classes[index]
+	for index := range scheduler.classes {
+		class := &scheduler.classes[index]
 		estimates = append(estimates, ClassEstimate{
 			SubqueryWork:   class.subqueryWork,
 			WorkPerHint:    class.workPerHint,
 			LatenessFactor: class.admission.latenessFactor,
-			ProbeLimit:     class.admission.probeLimit,
+			ProbeLimit:     class.admission.trialLimit,
 		})
 	}
 	return estimates
@@ -32,23 +32,24 @@
 // DescribeReplicas tells what the Scheduler knows of the replicas, for a person to read: a line of what concerns
 // all, then a line for each replica that is not removed. The words in it are those of the page that shows it, which
 // operators know.
-func (c *Scheduler) DescribeReplicas() string {
+func (scheduler *Scheduler) DescribeReplicas() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "lanes %.2f copies %.1f extras %d taken %d open %d\n",
-		c.estimates.parallelism, c.hedges.tokens, len(c.retries.extras), len(c.retries.arrivals), len(c.open))
-	for _, replica := range c.replicas.all {
+		scheduler.estimates.parallelism, scheduler.hedges.tokens, len(scheduler.retries.furtherAttempts),
+		len(scheduler.retries.arrivals), len(scheduler.open))
+	for _, replica := range scheduler.replicas.all {
 		if replica.state != Removed {
-			c.describeReplica(&text, replica)
+			scheduler.describeReplica(&text, replica)
 		}
 	}
 	return text.String()
 }
 
-func (c *Scheduler) describeReplica(text *strings.Builder, replica *replicaState) {
+func (scheduler *Scheduler) describeReplica(text *strings.Builder, replica *replicaState) {
 	fmt.Fprintf(text, "replica %d: pace %.3g cap %.0f", replica.id, replica.slowdown, replica.limit)
 	fmt.Fprintf(text, " out %d (%v) held %v", len(replica.outstanding), replica.outstandingWork, replica.queuedWork)
 	fmt.Fprintf(text, " aside %v credit %.1f", replica.ejectedForAny(), replica.retryTokens)
 	fmt.Fprintf(text, " recent %.3g usual %.3g", replica.recentLatency, replica.usualLatency)
-	fmt.Fprintf(text, " cold %v", c.slowStart.warmingUp(replica, c.now))
-	fmt.Fprintf(text, " trial in %v gap %v\n", replica.nextProbeAt-c.now, replica.probeInterval)
+	fmt.Fprintf(text, " cold %v", scheduler.slowStart.warmingUp(replica, scheduler.now))
+	fmt.Fprintf(text, " trial in %v gap %v\n", replica.nextProbeAt-scheduler.now, replica.probeInterval)
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,25 +1,28 @@
 package scheduler
 
+// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
+// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
+// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
+// doubled or late: what they tell fades with time. gossip_message.go has their form.
+
 import (
 	"fmt"
 	"math"
 	"time"
 )
 
-// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees
-// by itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each
-// replica's peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may
-// be lost, doubled or late: what they tell fades with time. gossip_message.go has their form.
-
 const (
 	// peerTimeout is the time without any message after which the others count as silent.
 	peerTimeout = 1 * time.Second
 
+	// peerWorkFade is the time in which the work that peers told of fades to a third.
+	peerWorkFade = 2 * time.Second
+
 	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
 	lateAttempt = 2.0
 
-	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
-	// were sent are told at once, as others may be about to choose the same replica.
+	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that were
+	// sent are told at once, as others may be about to choose the same replica.
 	gossipDelay = 100 * time.Millisecond
 )
 
@@ -45,74 +48,83 @@
 	sent.tenants = append(sent.tenants, tenant)
 }
 
-// attemptEnded notes the end of an attempt that took so many times the expected time. A late one is told as late
-// unless this co-ordinator was late itself in reading the answer. A cancelled attempt is told only if it was late,
-// as the replica may go on with it.
-func (g *gossip) attemptEnded(now time.Duration, ended *attempt, lateness float64, readLate, cancelled bool) {
-	cell := ended.replica.cell
+// endedAttempt is the end of an attempt, as far as peers are told of it.
+type endedAttempt struct {
+	attempt   *attempt
+	lateness  float64 // times the expected time that it took
+	readLate  bool    // this co-ordinator may have been late itself in reading the answer
+	cancelled bool
+}
+
+// attemptEnded notes the end of an attempt. A late one is told as late unless the answer was read late. A cancelled
+// attempt is told only if it was late, as the replica may go on with it.
+func (g *gossip) attemptEnded(now time.Duration, ended endedAttempt) {
+	cell, work := ended.attempt.replica.cell, ended.attempt.work
 	switch {
-	case lateness > lateAttempt && !readLate:
-		g.pending[attemptsLate].add(now, cell, ended.work, lateness)
-	case !cancelled:
-		g.pending[attemptsEnded].add(now, cell, ended.work, 1)
+	case ended.lateness > lateAttempt && !ended.readLate:
+		g.pending[attemptsLate].add(now, cell, work, ended.lateness)
+	case !ended.cancelled:
+		g.pending[attemptsEnded].add(now, cell, work, 1)
 	}
 }
 
 // broadcast sends what is due and asks to be woken for the rest.
-func (c *Scheduler) broadcast() {
+func (scheduler *Scheduler) broadcast() {
 	for event := range attemptEvents {
-		tally := &c.gossip.pending[event]
+		tally := &scheduler.gossip.pending[event]
 		due := tally.since + gossipDelay
 		switch {
-		case event == attemptsSent || c.now >= due:
-			for _, message := range tally.take(event, c.cells, c.estimates.parallelism) {
-				c.host.Broadcast(message)
+		case event == attemptsSent || scheduler.now >= due:
+			for _, message := range tally.take(event, scheduler.parameters.layout.cells, scheduler.estimates.parallelism) {
+				scheduler.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
-			c.wakeBy(due)
+			scheduler.wakeBy(due)
 		}
 	}
 }
 
 // GossipReceived takes a message of another co-ordinator. One that cannot be read changes nothing; the error wraps a
 // *GossipError.
-func (c *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
-	c.clock(now)
-	decoded, err := decodeGossip(message, c.cells)
+func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
+	scheduler.clock(now)
+	decoded, err := decodeGossip(message, scheduler.parameters.layout.cells)
 	if err != nil {
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
 	for _, tenant := range decoded.tenants {
-		c.quotas.peerTook(tenant)
+		scheduler.quotas.peerTook(tenant)
 	}
 	for _, told := range decoded.cells {
-		for _, replica := range c.replicas.holders(ShardNumber(told.cell)) {
+		for _, replica := range scheduler.replicas.holdersOfCell(told.cell) {
 			if replica.cell == told.cell {
-				c.takePeerAttempts(replica, decoded, told.attempts)
+				scheduler.takePeerAttempts(replica, decoded, told.attempts)
 			}
 		}
 	}
-	c.gossip.heardAt = now
+	scheduler.gossip.heardAt = now
 	return nil
 }
 
 // takePeerAttempts applies what a peer tells of attempts at a replica.
-func (c *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
+func (scheduler *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
-		c.estimates.parallelism = min(maxParallelism, c.estimates.parallelism*math.Pow(message.parallelism/c.estimates.parallelism, parallelismStep))
+		estimates := &scheduler.estimates
+		step := math.Pow(message.parallelism/estimates.parallelism, parallelismStep)
+		estimates.parallelism = min(maxParallelism, estimates.parallelism*step)
 	}
 	if message.event != attemptsSent {
 		work = -work
-		c.takePeerLatency(replica, message, attempts)
+		scheduler.takePeerLatency(replica, message, attempts)
 	}
-	most := scale(c.shortestObjective, c.estimates.parallelism)
-	replica.peerWork = max(0, min(most, replica.peerBacklog(c.now)+work))
-	replica.peerWorkAt = c.now
+	most := scale(scheduler.parameters.shortestObjective, scheduler.estimates.parallelism)
+	replica.peerWork = max(0, min(most, replica.peerBacklog(scheduler.now)+work))
+	replica.peerWorkAt = scheduler.now
 }
 
 // takePeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
-func (c *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
+func (scheduler *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
 	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
 	if message.event != attemptsLate && surprise >= 0 {
 		return
@@ -121,17 +133,17 @@
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
-// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the
-// message of an attempt's end may be lost.
+// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the message
+// of an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
-	return scale(r.peerWork, math.Exp(-float64(age)/float64(reportFresh)))
+	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkFade)))
 }
 
 // unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
-func (c *Scheduler) unseenLoad() float64 {
-	if c.gossip.heard(c.now) {
+func (scheduler *Scheduler) unseenLoad() float64 {
+	if scheduler.gossip.heard(scheduler.now) {
 		return 1
 	}
-	return c.unseenLoadFactor
+	return scheduler.parameters.unseenLoadFactor
 }
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -1,12 +1,5 @@
 package scheduler
 
-import (
-	"encoding/binary"
-	"fmt"
-	"math"
-	"time"
-)
-
 // Messages between co-ordinators tell what became of attempts, so that each knows what the others have in flight. A
 // message is one datagram of at most 256 bytes, in version 2 of its form:
 //
@@ -20,7 +13,16 @@
 //	list      for each attempt the cell of its replica, as an unsigned varint
 //	map       for each cell two bits with the number of its attempts, the first cell in the lowest bits of a byte
 //
-// The cells are a map where that is shorter and fits. What does not fit in one message goes in a further one.
+// The cells are a map where that is shorter and fits. Attempts that do not fit in one message go in
+// a further one. Tenants go with them, at most 16 a message: those that are left once all attempts are told are not
+// told. A tenant is told by the lowest byte of its index, so one above 255 is taken for another.
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"time"
+)
 
 // PeerIndex is a co-ordinator's number among all.
 type PeerIndex int
@@ -62,7 +64,6 @@
 	Wanted string
 }
 
-// Error names the field, what was found and what is wanted.
 func (e *GossipError) Error() string {
 	return fmt.Sprintf("gossip message: %s: found %d, wanted %s", e.Field, e.Found, e.Wanted)
 }
@@ -89,8 +90,7 @@
 // decodeGossip reads a message whole or not at all. The error is a *GossipError.
 func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
 	if len(message) <= gossipHeader || len(message) > maxGossip {
-		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)
-		return nil, &GossipError{"length", len(message), wanted}
+		return nil, &GossipError{"length", len(message), fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)}
 	}
 	if message[0] != gossipMagic {
 		return nil, &GossipError{"first byte", int(message[0]), fmt.Sprint(gossipMagic)}
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change
-// within a version.
+// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change within
+// a version.
 func TestGossipBytes(t *testing.T) {
 	attempts := []CellNumber{0, 2, 2, 2, 2}
 	for _, test := range []struct {
@@ -193,7 +193,7 @@
 		if (err == nil) != (m.scheduler.gossip.heardAt != before) {
 			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.heardAt)
 		}
-		most := scale(m.scheduler.shortestObjective, m.scheduler.estimates.parallelism)
+		most := scale(m.scheduler.parameters.shortestObjective, m.scheduler.estimates.parallelism)
 		for _, replica := range m.scheduler.replicas.all {
 			backlog := replica.peerBacklog(m.scheduler.now)
 			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// A quota for each co-ordinator rejected the queries of tenants that send most of theirs to one. Where
-// co-ordinators tell each other what they admit, the quota is that of all.
+// A quota for each co-ordinator rejected the queries of tenants that send most of theirs to one. Where co-ordinators
+// tell each other what they admit, the quota is that of all.
 func TestTenantQuotaIsThatOfAllCoordinatorsWithGossip(t *testing.T) {
 	m := newModel(t, 32)
 	m.settings["bounds.peers"], m.settings["orgs.0.quotaPerS"] = "true", "10"
@@ -81,8 +81,8 @@
 	}
 }
 
-// Work of peers was once taken to be done at a replica's usual speed, so at a slow replica much less was counted
-// than was in flight. Its end is told, and until then it counts.
+// Work of peers was once taken to be done at a replica's usual speed, so at a slow replica much less was counted than
+// was in flight. Its end is told, and until then it counts.
 func TestEndedAttemptsOfPeersAreNoLongerInFlight(t *testing.T) {
 	m := newGossipModel(t, 0)
 	replica, cell := m.replica(102), CellNumber(m.replicas[102].cell)
@@ -122,8 +122,8 @@
 	}
 }
 
-// When each co-ordinator learned by itself how many subqueries a replica works on side by side, it began with one,
-// took replicas for slower than they were and rejected its first large queries. Peers tell what they learned.
+// When each co-ordinator learned by itself how many subqueries a replica works on side by side, it began with one, took
+// replicas for slower than they were and rejected its first large queries. Peers tell what they learned.
 func TestParallelismIsLearnedFromPeers(t *testing.T) {
 	m := newGossipModel(t, 0)
 	tally := attemptTally{}
@@ -141,8 +141,8 @@
 	}
 }
 
-// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is
-// told only if it was late.
+// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is told
+// only if it was late.
 func TestEndsAreGatheredAndTold(t *testing.T) {
 	m := newGossipModel(t, 0)
 	said := func() (attempts [attemptEvents]int) {
@@ -196,7 +196,8 @@
 		}
 		q := m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		return m.scheduler.retries.attemptTimeout(m.scheduler.subqueries[q.subqueries[0].id].attempts[0], m.scheduler.unseenLoad())
+		first := m.scheduler.subqueries[q.subqueries[0].id].attempts[0]
+		return m.scheduler.retries.attemptTimeout(first, m.scheduler.unseenLoad())
 	}
 	few, silent, heard := timeOut(3, false), timeOut(60, false), timeOut(60, true)
 	if silent < few*18/10 || heard > few {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -177,7 +177,7 @@
 		{"overdue, in place of an attempt elsewhere", true, now - maxProbeInterval, true, 0, true, 2 * firstProbeInterval},
 		{"due, no holder in use", true, now, false, 0, true, firstProbeInterval},
 	} {
-		replicas := newReplicaSet(1, 1)
+		replicas := newReplicaSet(cellLayout{cells: 1, cellsPerShard: 1})
 		ejected := replicas.newState(now, 0)
 		ejected.state = Ready
 		ejected.classes = []replicaClassState{{ejected: test.ejected}}
@@ -195,7 +195,7 @@
 		for range test.attempts {
 			subquery.attempts = append(subquery.attempts, &attempt{})
 		}
-		got := detector.takeProbe(now, subquery)
+		got := detector.claimProbe(now, subquery)
 		if (got != nil) != test.want {
 			t.Errorf("%s: probe %v", test.name, got != nil)
 		}
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -31,10 +31,9 @@
 // parameters are the settings in the form that the policies use, and what follows from settings alone. They do not
 // change while the Scheduler lives.
 type parameters struct {
-	coordinators  int // how many there are
-	cells         int // how many there are
-	cellsPerShard int // successive cells that hold a shard
-	ownZone       ZoneIndex
+	coordinators int // how many there are
+	layout       cellLayout
+	ownZone      ZoneIndex
 
 	maxAttempts   int // of a subquery, the first included; math.MaxInt: any number
 	cancelAllowed bool
@@ -60,22 +59,21 @@
 	// timeScale multiplies the waiting times that are meant for longObjective: 1 or less.
 	timeScale float64
 
-	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of one's expected time, for each
-	// e-fold of subqueries. 0 among few co-ordinators, as their estimates contain what others send.
+	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of one's expected time, for each e-fold
+	// of subqueries. 0 among few co-ordinators, as their estimates contain what others send.
 	fanoutSpread float64
 
-	// unseenLoadFactor multiplies the expected time at a replica, for work that other co-ordinators have sent
-	// there: 1 among few.
+	// unseenLoadFactor multiplies the expected time at a replica, for work that other co-ordinators have sent there: 1
+	// among few.
 	unseenLoadFactor float64
 }
 
 // newParameters derives them from a valid Config.
 func newParameters(config *Config) parameters {
 	derived := parameters{
-		coordinators:  config.Coordinators,
-		cells:         config.Cells,
-		cellsPerShard: config.CellsPerShard,
-		ownZone:       config.Zone,
+		coordinators: config.Coordinators,
+		layout:       config.cellLayout(),
+		ownZone:      config.Zone,
 
 		maxAttempts:   cmp.Or(config.MaxAttempts, math.MaxInt),
 		cancelAllowed: config.CancelAllowed,
@@ -96,6 +94,10 @@
 	return derived
 }
 
+func (config *Config) cellLayout() cellLayout {
+	return cellLayout{cells: config.Cells, cellsPerShard: config.CellsPerShard}
+}
+
 func (derived *parameters) setTimes(config *Config) {
 	derived.shortestObjective = math.MaxInt64
 	for _, class := range config.Classes {
@@ -109,12 +111,15 @@
 func (derived *parameters) setLoadFactors(config *Config) {
 	crowd := math.Log(float64(config.Coordinators) / fewCoordinators)
 	derived.unseenLoadFactor = 1 + unseenLoadGrowth*max(0, crowd)
-	if derived.unseenLoadFactor > 1 {
+	if derived.manyCoordinators() {
 		derived.fanoutSpread = fanoutGrowth
 	}
 	derived.hedgeScale = 1 / (1 + math.Pow(wastePriceWeight*config.WastePrice, 2))
 }
 
+// manyCoordinators reports whether there are so many that each sees too little of the load by itself.
+func (derived *parameters) manyCoordinators() bool { return derived.unseenLoadFactor > 1 }
+
 // setTenantQuotas takes the quotas whole where gossip tells what the other co-ordinators admit, else a fair share.
 func (derived *parameters) setTenantQuotas(quotas []float64) {
 	for _, quota := range quotas {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,5 +1,19 @@
 package scheduler
 
+// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its
+// full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the
+// replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a
+// subquery may go there now.
+//
+// Each co-ordinator uses its part of the budget of all: a subquery uses up budgetTime of it. There are two regimes.
+//
+// Spaced in time, where budgetTime is at most the burst: a subquery goes once what was sent before has used up the part
+// to within the burst from now. The burst is how far ahead of its part a co-ordinator may send:
+// OverloadFor x (1/slowStartSafety - 1).
+//
+// By chance, where budgetTime is more than that, as among many co-ordinators: each subquery goes with the probability
+// affordable over arrivalsFor, so that all together send what the replica bears.
+
 import (
 	"maps"
 	"math"
@@ -7,29 +21,19 @@
 	"time"
 )
 
-// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of
-// its full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are
-// the replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is
-// whether a subquery may go there now.
-//
-// Each co-ordinator uses its part of the budget of all. Where that part holds some subqueries, they are spaced in
-// time. Where it is less than one, as among many co-ordinators, chance decides for each subquery, so that all
-// together send what the replica bears, and no more than in proportion to what warm replicas do.
-
 const (
-	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on
-	// for.
+	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on for.
 	slowStartParallelism = 2.0
 
 	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
 	slowStartSafety = 0.8
 
-	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
-	// time, as chance may let several go at once.
+	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a time,
+	// as chance may let several go at once.
 	slowStartChanceDivisor = 2.0
 
-	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one
-	// is sent beside that.
+	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one is
+	// sent beside that.
 	slowStartFlowShare = 0.5
 
 	// slowStartMemory is the time in seconds in which answers and arrivals are forgotten to a third.
@@ -46,17 +50,16 @@
 	unobserved   float64   // share of the memory that lies before this co-ordinator's start: 1 at first
 	arrivals     []float64 // by cell: subqueries that came for it, as remembered
 
-	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of
-	// the process left it.
+	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of the
+	// process left it.
 	usedUntil map[ReplicaID]time.Duration
 }
 
 // slowStartSettings do not change while the Scheduler lives.
 type slowStartSettings struct {
 	SlowStartConfig
-	coordinators  float64
-	cells         int
-	cellsPerShard int
+	coordinators float64
+	layout       cellLayout
 }
 
 func newSlowStart(config *Config) slowStart {
@@ -64,8 +67,7 @@
 		settings: slowStartSettings{
 			SlowStartConfig: config.SlowStart,
 			coordinators:    float64(config.Coordinators),
-			cells:           config.Cells,
-			cellsPerShard:   config.CellsPerShard,
+			layout:          config.cellLayout(),
 		},
 		unobserved: 1,
 		arrivals:   make([]float64, config.Cells),
@@ -88,8 +90,8 @@
 
 // admits tells whether a subquery may go to a replica now.
 //
-// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell
-// never recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
+// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell never
+// recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
 func (s *slowStart) admits(
 	replica *replicaState, subquery *subquery, parallelism float64, now time.Duration, random *random,
 ) bool {
@@ -105,8 +107,8 @@
 	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
 }
 
-// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes
-// so long a time of this co-ordinator's part.
+// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so
+// long a time of this co-ordinator's part.
 func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
 	warmShare := slowStartFlowShare * s.settings.OverloadMultiple * s.capacity(replica, now)
 	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
@@ -117,8 +119,8 @@
 // arrivalsFor is the number of subqueries that came within the memory's time for the shards that a replica holds.
 func (s *slowStart) arrivalsFor(replica *replicaState) float64 {
 	arrivals := 0.0
-	for back := range s.settings.cellsPerShard {
-		arrivals += s.arrivals[(int(replica.cell)-back+s.settings.cells)%s.settings.cells]
+	for cell := range s.settings.layout.heldBy(replica.cell) {
+		arrivals += s.arrivals[cell]
 	}
 	return arrivals
 }
@@ -134,28 +136,26 @@
 }
 
 // subqueryArrived notes a subquery for a shard.
-func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[int(shard)%s.settings.cells]++ }
+func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[s.settings.layout.cellOf(shard)]++ }
 
 // attemptStarted notes that a subquery's work goes to a replica.
-func (s *slowStart) attemptStarted(
-	replica *replicaState, work time.Duration, parallelism float64, now time.Duration,
-) {
+func (s *slowStart) attemptStarted(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) {
 	if s.warmingUp(replica, now) {
 		takes := s.budgetTime(replica, work, parallelism, now)
 		replica.slowStartUsedUntil = max(replica.slowStartUsedUntil, now) + takes
 	}
 }
 
-// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it,
-// as that may be too much.
+// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as
+// that may be too much.
 func (s *slowStart) answered(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmAnswers++
 	}
 }
 
-// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
-// goes on with.
+// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica goes on
+// with.
 func (s *slowStart) fade(passed float64) {
 	left := math.Exp(-passed / slowStartMemory)
 	s.warmAnswers *= left
@@ -202,8 +202,12 @@
 	copy(s.arrivals, earlier.arrivals)
 }
 
-// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether
-// any may at some time.
-func (c *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
-	return subquery == nil || c.slowStart.admits(replica, subquery, c.estimates.parallelism, c.now, &c.random)
+// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any
+// may at some time.
+func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
+	if subquery == nil {
+		return true
+	}
+	parallelism := scheduler.estimates.parallelism
+	return scheduler.slowStart.admits(replica, subquery, parallelism, scheduler.now, &scheduler.random)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -88,8 +88,8 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it
-// bears. The co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
+// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it bears.
+// The co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
 func worstWindow(t *testing.T, members int, load float64, ran time.Duration, seed uint64) (worst float64) {
 	crowd := newSlowStartCrowd(t, members, seed)
 	for n := range crowd.fadedAt {
@@ -111,9 +111,9 @@
 	return worst
 }
 
-// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however
-// much more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been
-// restarted, they stay within what it bears, all together.
+// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however much
+// more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been restarted, they
+// stay within what it bears, all together.
 func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
 	longSinceStart := 3 * time.Duration(slowStartMemory) * time.Second
 	for _, ran := range []time.Duration{longSinceStart, 0} {
