--- a/scheduler/model_host_test.go
+++ b/scheduler/model_host_test.go
@@ -1,13 +1,13 @@
 package scheduler
 
+// The model as the scheduler's host: what it demands of each call.
+
 import (
 	"maps"
 	"slices"
 	"time"
 )
 
-// The model as the scheduler's host: what it demands of each call.
-
 func (m *model) fail(format string, args ...any) {
 	m.t.Helper()
 	m.t.Fatalf("at %v: "+format, append([]any{m.now}, args...)...)
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -1,13 +1,5 @@
 package scheduler
 
-import (
-	"fmt"
-	"maps"
-	"slices"
-	"testing"
-	"time"
-)
-
 // The model is six rules in plain, slow form, written from their wording. It is the scheduler's host, judges each of
 // its calls (model_host_test.go), and knows nothing of how the scheduler decides. The rules:
 //
@@ -19,6 +11,14 @@
 //  5. An answer is complete, or given at all, only with the weight that this needs.
 //  6. Further attempts stay within the retry budget.
 
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+)
+
 const ms = time.Millisecond
 
 type modelAttempt struct {
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -1,14 +1,14 @@
 package scheduler
 
+// Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
+// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
+// configuration, and only the difference is counted. What would follow from a different decision is not played out.
+
 import (
 	"errors"
 	"time"
 )
 
-// Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
-// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
-// configuration, and only the difference is counted. What would follow from a different decision is not played out.
-
 // ErrShadowMismatch says that a configuration cannot be compared with the one that decides.
 var ErrShadowMismatch = errors.New(
 	"the shadow configuration has other classes, cells or cells of a shard than the one that decides")
@@ -102,7 +102,7 @@
 }
 
 // shadowQuery compares the admission of a query that was just placed, and the placement of its subqueries.
-func (scheduler *Scheduler) shadowQuery(q *query, placed []*subquery) {
+func (scheduler *Scheduler) shadowQuery(query *query, placed []*subquery) {
 	if scheduler.shadow == nil {
 		return
 	}
@@ -110,16 +110,16 @@
 	counts := &scheduler.shadow.counts
 	counts.Queries++
 	counts.Subqueries += len(placed)
-	excess, _ := scheduler.admission.expectedExcess(scheduler.now, q, scheduler.unseenLoad())
-	otherExcess, _ := other.admission.expectedExcess(other.now, scheduler.shadow.query(q), other.unseenLoad())
+	excess, _ := scheduler.admission.expectedExcess(scheduler.now, query, scheduler.unseenLoad())
+	otherExcess, _ := other.admission.expectedExcess(other.now, scheduler.shadow.query(query), other.unseenLoad())
 	switch {
 	case excess <= 0 && otherExcess > 0:
 		counts.WouldReject++
 	case excess > 0 && otherExcess <= 0:
 		counts.WouldAdmit++
 	}
-	for _, p := range placed {
-		if scheduler.placement.fastest(p) != other.placement.fastest(p) {
+	for _, subquery := range placed {
+		if scheduler.placement.fastest(subquery) != other.placement.fastest(subquery) {
 			counts.WouldPlaceElsewhere++
 		}
 	}
