--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -43,7 +43,7 @@
 	firstTrialInterval     = 500 * time.Millisecond // from the first rejection to the first trial
 	maxTrialInterval       = 2 * time.Second        // longest wait for the next after a late one
 	maxTrialIntervalFactor = 60.0                   // times these, with very many co-ordinators or subqueries
-	maxTrialLimit          = 64.0                   // trials in flight; from then on enough is learned
+	maxTrialLimit          = 64.0                   // attempts in flight; from then on enough is learned
 
 	sheddingQuiet = 5 * time.Second // without a rejection, after which shedding counts as ended
 
@@ -124,8 +124,8 @@
 	return a.estimates.slowestFactor(query.class.fetchSubqueries)
 }
 
-// finishBound is the bound on a query's expected time, of which unseenLoad is left out: the time to the objective less
-// the second phase's work, over the lateness factor, and a share of that beyond the tenant's quota.
+// finishBound is the bound on a query's expected time: the time to the objective less the second phase's work, over the
+// lateness factor and unseenLoad, and overQuotaShare of that beyond the tenant's quota.
 func finishBound(query *query, fetchFactor, unseenLoad float64) time.Duration {
 	left := query.objectiveAt - query.arrivedAt
 	left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -38,7 +38,8 @@
 func (scheduler *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
 	scheduler.clock(now)
 	query := scheduler.queriesByNumber[arrival.Query]
-	if query == nil || !query.callerEndsPhases || query.phase == 0 { // what a later phase asks again is not counted again
+	asksAgain := query != nil && query.callerEndsPhases && query.phase > 0
+	if !asksAgain { // what a later phase asks again is not counted again
 		scheduler.retries.countArrival(now)
 	}
 	if query == nil {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -32,7 +32,9 @@
 	largerSeenTwice := false
 	for index, other := range d.shares {
 		seenAlike = seenAlike || alikeShares(other, share)
-		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool { return alikeShares(earlier, other) })
+		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool {
+			return alikeShares(earlier, other)
+		})
 		largerSeenTwice = largerSeenTwice || other > share && repeated
 	}
 	d.shares = append(d.shares, share)
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -25,7 +25,7 @@
 	minWork      = time.Millisecond // least work of a subquery that latencies can tell from none
 	slowdownStep = 0.2              // share of a reply's surprise (a logarithm) that moves its replica's slowdown
 	workStep     = 0.02             // share of it that moves the class's work
-	readDelays   = 3                // times the read delay that a reply may have waited here: sent, received and handed on
+	readDelays   = 3                // times the read delay that a reply may have waited: sent, received, handed on
 	slowdownPull = 0.01             // pull of a replica's slowdown towards 1 with each reply
 	maxSurprise  = 2.0              // logarithm; one reply counts for no more: about 7 times
 
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -75,7 +75,8 @@
 		due := tally.since + gossipDelay
 		switch {
 		case event == attemptsSent || scheduler.now >= due:
-			for _, message := range tally.take(event, scheduler.parameters.layout.cells, scheduler.estimates.parallelism) {
+			cells := scheduler.parameters.layout.cells
+			for _, message := range tally.take(event, cells, scheduler.estimates.parallelism) {
 				scheduler.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -7,7 +7,7 @@
 //	byte 1    lowest bit: how the cells follow, 0 a list, 1 a map; above it: what became of the attempts
 //	byte 2-3  mean expected work of an attempt, big endian, in units of 100 µs, at most 0xffff
 //	byte 4    sent:  how many tenants follow, at most 16
-//	          ended: the subqueries that the sender takes a replica to work on side by side, in sixteenths, at least 16
+//	          ended: the subqueries that the sender takes a replica to do side by side, in sixteenths, at least 16
 //	          late:  how many times longer than expected the attempts took, in eighths, more than 8
 //	tenants   sent: a byte for each query admitted, its tenant; otherwise nothing
 //	list      for each attempt the cell of its replica, as an unsigned varint
@@ -53,7 +53,7 @@
 	bitsPerCell     = 2                                           // of a map
 	maxMapped       = 1<<bitsPerCell - 1                          // attempts of a cell in a map
 	maxTenants      = 16                                          // in a message
-	maxListed       = (maxGossip - gossipHeader - maxTenants) / 3 // cells in a list, as each takes three bytes at the most
+	maxListed       = (maxGossip - gossipHeader - maxTenants) / 3 // cells in a list, of three bytes at most
 	maxAttemptTally = 4096                                        // attempts gathered; further ones are not told of
 )
 
@@ -73,7 +73,7 @@
 	event       attemptEvent
 	work        time.Duration // mean of an attempt
 	tenants     []TenantIndex // attemptsSent: one for each query admitted
-	parallelism float64       // attemptsEnded: subqueries side by side at a replica, as the sender estimates; at least 1
+	parallelism float64       // attemptsEnded: subqueries side by side at a replica, by the sender; at least 1
 	lateness    float64       // attemptsLate: times the expected time that the attempts took; above 1
 	cells       []cellAttempts
 }
@@ -90,7 +90,8 @@
 // decodeGossip reads a message whole or not at all. The error is a *GossipError.
 func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
 	if len(message) <= gossipHeader || len(message) > maxGossip {
-		return nil, &GossipError{"length", len(message), fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)}
+		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)
+		return nil, &GossipError{"length", len(message), wanted}
 	}
 	if message[0] != gossipMagic {
 		return nil, &GossipError{"first byte", int(message[0]), fmt.Sprint(gossipMagic)}
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -30,7 +30,7 @@
 	hedgeTokensPerReply = 0.3             // hedges that a reply earns, from whichever replica
 	maxHedgeTokens      = 24.0            // hedges that may be saved up
 	lastSubqueries      = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
-	lastShare           = 12.0            // of a large query the last twelfth needs none either: each saves eleven others
+	lastShare           = 12.0            // of a large query the last twelfth needs none either
 	lastStragglerAge    = 1.5             // times the expected time at a sound replica, for the last twelfth
 	idleUtilization     = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
 	busyUtilization     = 0.7             // the same; from here a queue forms, and each hedge makes it longer
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -138,7 +138,8 @@
 // maxProbeInterval, keeps its state.
 func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
 	for _, replica := range s.all {
-		unused := replica.state == Removed && len(replica.outstanding) == 0 && now-replica.lastListedAt > maxProbeInterval
+		removed := replica.state == Removed && now-replica.lastListedAt > maxProbeInterval
+		unused := removed && len(replica.outstanding) == 0
 		if unused && oldestArrival > replica.lastListedAt {
 			delete(s.byID, replica.id)
 			return replica
