--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -6,38 +6,50 @@
 	"time"
 )
 
-// What a co-ordinator believes, for those who watch it. Nothing here chooses anything.
-
-// ClassEstimate is what is believed of one track.
+// ClassEstimate is what the Scheduler expects of the queries of one class, for people and tests.
 type ClassEstimate struct {
-	SubqueryWork   time.Duration // of a part
-	WorkPerHint    float64       // work for each unit of hint
-	LatenessFactor float64       // times the expected time that its queries may take
-	ProbeLimit     float64       // let in against the belief at a time
+	SubqueryWork   time.Duration // of a subquery without a hint
+	WorkPerHint    float64       // work for each unit of a hint
+	LatenessFactor float64       // by which admission takes queries to be later than estimated; at least 1
+	ProbeLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a probe
 }
 
-// ClassEstimates tells what is believed of each track, in the order of the settings.
+// ClassEstimates are the present estimates, by class index.
 func (scheduler *Scheduler) ClassEstimates() []ClassEstimate {
-	var all []ClassEstimate
-	for n := range scheduler.classes {
-		t := &scheduler.classes[n]
-		all = append(all, ClassEstimate{SubqueryWork: t.subqueryWork, WorkPerHint: t.workPerHint, LatenessFactor: t.admission.latenessFactor, ProbeLimit: t.admission.trialLimit})
+	var estimates []ClassEstimate
+	for index := range scheduler.classes {
+		class := &scheduler.classes[index]
+		estimates = append(estimates, ClassEstimate{
+			SubqueryWork:   class.subqueryWork,
+			WorkPerHint:    class.workPerHint,
+			LatenessFactor: class.admission.latenessFactor,
+			ProbeLimit:     class.admission.trialLimit,
+		})
 	}
-	return all
+	return estimates
 }
 
-// DescribeReplicas tells what is believed of the replicas, a line for each that is not gone, for a person to read.
+// DescribeReplicas tells what the Scheduler knows of the replicas, for a person to read: a line of what concerns
+// all, then a line for each replica that is not removed. The words in it are those of the page that shows it, which
+// operators know.
 func (scheduler *Scheduler) DescribeReplicas() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "lanes %.2f copies %.1f extras %d taken %d open %d\n", scheduler.estimates.parallelism, scheduler.hedges.tokens, len(scheduler.retries.furtherAttempts), len(scheduler.retries.arrivals),
-		len(scheduler.open))
-	for _, r := range scheduler.replicas.all {
-		if r.state == Removed {
-			continue
+	var text strings.Builder
+	fmt.Fprintf(&text, "lanes %.2f copies %.1f extras %d taken %d open %d\n",
+		scheduler.estimates.parallelism, scheduler.hedges.tokens, len(scheduler.retries.furtherAttempts),
+		len(scheduler.retries.arrivals), len(scheduler.open))
+	for _, replica := range scheduler.replicas.all {
+		if replica.state != Removed {
+			scheduler.describeReplica(&text, replica)
 		}
-		fmt.Fprintf(&s, "replica %d: pace %.3g cap %.0f out %d (%v) held %v aside %v credit %.1f recent %.3g usual %.3g cold %v trial in %v gap %v\n",
-			r.id, r.slowdown, r.limit, len(r.outstanding), r.outstandingWork, r.queuedWork,
-			r.ejectedForAny(), r.retryTokens, r.recentLatency, r.usualLatency, scheduler.slowStart.warmingUp(r, scheduler.now), r.nextProbeAt-scheduler.now, r.probeInterval)
 	}
-	return s.String()
+	return text.String()
+}
+
+func (scheduler *Scheduler) describeReplica(text *strings.Builder, replica *replicaState) {
+	fmt.Fprintf(text, "replica %d: pace %.3g cap %.0f", replica.id, replica.slowdown, replica.limit)
+	fmt.Fprintf(text, " out %d (%v) held %v", len(replica.outstanding), replica.outstandingWork, replica.queuedWork)
+	fmt.Fprintf(text, " aside %v credit %.1f", replica.ejectedForAny(), replica.retryTokens)
+	fmt.Fprintf(text, " recent %.3g usual %.3g", replica.recentLatency, replica.usualLatency)
+	fmt.Fprintf(text, " cold %v", scheduler.slowStart.warmingUp(replica, scheduler.now))
+	fmt.Fprintf(text, " trial in %v gap %v\n", replica.nextProbeAt-scheduler.now, replica.probeInterval)
 }
