--- a/connpool/cancel.go
+++ b/connpool/cancel.go
@@ -45,10 +45,10 @@
 
 // Abandon tells that nobody waits for an attempt any more. The replica is told if the attempt has been begun.
 //
-// If nothing came on its connection since it was sent, for longer than opening a connection may take, the connection is
-// suspect: the next attempt opens another, and this one ends with its attempts. Connections to a machine that vanished
-// stay open and silent; a new one shows at once whether the machine is back, and what it cannot carry never ran. A slow
-// replica costs one more connection by that.
+// If nothing came on its connection since it was sent, for longer than opening a connection may take, the
+// connection is suspect: the next attempt opens another, and this one ends with its attempts. Connections to a
+// machine that vanished stay open and silent; a new one shows at once whether the machine is back, and what it
+// cannot carry never ran. A slow replica costs one more connection by that.
 func (pool *Pool) Abandon(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	attempt.finished = true
--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -101,8 +101,8 @@
 }
 
 // retransmit has attempts go on other connections than the one they were on, or wait for a place. Those that can do
-// neither end with an outcome that says that they never ran. If the last connection to a replica ended, whatever waits
-// ends so as well, as nothing is there to carry it.
+// neither end with an outcome that says that they never ran. If the last connection to a replica ended, whatever
+// waits ends so as well, as nothing is there to carry it.
 func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
@@ -156,9 +156,9 @@
 	pool.requeue(conn.replica, requeued)
 }
 
-// WriteFailed tells that a write on a connection failed: the operating system did not take it in time, or reported an
-// error. Nothing new goes there, and what was not begun goes on another connection at once: it would wait behind bytes
-// that nobody takes. If nothing can have run there, the connection is closed, which proves that nothing did.
+// WriteFailed tells that a write on a connection failed: the operating system did not take it in time, or reported
+// an error. Nothing new goes there, and what was not begun goes on another connection at once: it would wait behind
+// bytes that nobody takes. If nothing can have run there, the connection is closed, which proves that nothing did.
 func (pool *Pool) WriteFailed(now time.Duration, id ConnID) {
 	pool.now = now
 	failed := pool.conns[id]
@@ -217,9 +217,9 @@
 	}
 }
 
-// replicaIsAlive tells whether a connection to a replica is still up. If so, the end of another one is no evidence that
-// the replica died. A process that dies breaks its connections one after the other; so the question is asked again
-// after resetGrace.
+// replicaIsAlive tells whether a connection to a replica is still up. If so, the end of another one is no evidence
+// that the replica died. A process that dies breaks its connections one after the other; so the question is asked
+// again after resetGrace.
 func (pool *Pool) replicaIsAlive(replica *replicaState) bool {
 	return slices.ContainsFunc(replica.conns, func(conn *connection) bool {
 		return conn.state == established && pool.host.PeerOpen(conn.id)
@@ -236,9 +236,9 @@
 	pool.finishAll(reset.maybe, outcome, reset.at)
 }
 
-// learnIdleTimeout shortens the idle timeout if a connection broke at its first use after being idle: the far side, or
-// something between, drops idle connections sooner than the settings say, and attempts that may not run twice would be
-// lost by it. A replica that crashed looks the same, so the timeout never falls below minIdleTimeout.
+// learnIdleTimeout shortens the idle timeout if a connection broke at its first use after being idle: the far side,
+// or something between, drops idle connections sooner than the settings say, and attempts that may not run twice
+// would be lost by it. A replica that crashed looks the same, so the timeout never falls below minIdleTimeout.
 func (pool *Pool) learnIdleTimeout(broken *connection) {
 	first := broken.outstanding[0]
 	brokeAtOnce := broken.lastReplyAt < first.SentAt && pool.now-first.SentAt < pool.limits.ConnectTimeout
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// Something between drops idle connections, so that one breaks at its first use after being idle. The idle timeout gets
-// half of what that one was idle for, but no less than four connect timeouts. A connection that breaks in the midst of
-// work, after a reply, or that was not idle before, teaches nothing.
+// Something between drops idle connections, so that one breaks at its first use after being idle. The idle timeout
+// gets half of what that one was idle for, but no less than four connect timeouts. A connection that breaks in the
+// midst of work, after a reply, or that was not idle before, teaches nothing.
 func TestIdleTimeoutFollowsConnectionsThatBreakAfterIdleness(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
@@ -142,9 +142,9 @@
 	}
 }
 
-// An idle connection breaks at its next use while others to its replica are up. That is not the replica's death, and
-// the next attempt that may not run twice goes on a new connection. When that breaks too and the replica has closed the
-// others, the replica is dead.
+// An idle connection breaks at its next use while others to its replica are up. That is not the replica's death,
+// and the next attempt that may not run twice goes on a new connection. When that breaks too and the replica has
+// closed the others, the replica is dead.
 func TestBrokenIdleConnectionIsNoDeathAndMakesOthersDistrusted(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 1, MaxConns: 9, IdleTimeout: time.Minute}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
@@ -178,8 +178,8 @@
 	host.expect(onFresh, scheduler.ConnectionReset)
 }
 
-// This machine has no descriptor left for a connection. What it was to carry never ran, and that does not count against
-// the replica.
+// This machine has no descriptor left for a connection. What it was to carry never ran, and that does not count
+// against the replica.
 func TestShortageCountsAgainstNoReplica(t *testing.T) {
 	for _, protocol := range protocols {
 		host := newFakeHostFor(t, protocol, Limits{MaxAttemptsPerConn: 4, MaxConns: 8})
@@ -194,8 +194,8 @@
 	}
 }
 
-// An attempt is refused as it is about to be written, as its client has left, and then its connection breaks. It never
-// ran, goes on no other connection, and ends once.
+// An attempt is refused as it is about to be written, as its client has left, and then its connection breaks. It
+// never ran, goes on no other connection, and ends once.
 func TestRefusedAttemptEndsOnce(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 4, MaxConns: 8})
 	attempt, conn := host.send("q.1", false)
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -32,10 +32,10 @@
 
 var errPingTimeout = errors.New("a ping had no answer in time")
 
-// noteReply notes that a reply to an attempt came. Other connections to the same replica that have been silent since
-// before that attempt was sent become suspect after maxOvertaken such replies: the replica lives, and yet nothing comes
-// there. Where the protocol has pings, those tell. Attempts of very different cost can look the same, and cost a new
-// connection then.
+// noteReply notes that a reply to an attempt came. Other connections to the same replica that have been silent
+// since before that attempt was sent become suspect after maxOvertaken such replies: the replica lives, and yet
+// nothing comes there. Where the protocol has pings, those tell. Attempts of very different cost can look the same,
+// and cost a new connection then.
 func (pool *Pool) noteReply(conn *connection, replied *Attempt, at time.Duration) {
 	conn.lastReplyAt, conn.overtaken = at, 0
 	conn.cancels.tokens += cancelRegainReply
@@ -50,8 +50,8 @@
 	}
 }
 
-// silentSince tells whether an attempt that was sent before a time is outstanding here, and no reply has come since. Of
-// connections with pings it is not asked.
+// silentSince tells whether an attempt that was sent before a time is outstanding here, and no reply has come
+// since. Of connections with pings it is not asked.
 func (conn *connection) silentSince(sentAt time.Duration) bool {
 	if conn.traits.Pings || len(conn.outstanding) == 0 {
 		return false
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -6,8 +6,8 @@
 	"terntray/internal/replicaproto"
 )
 
-// The life of a connection: open, ConnUp, becomeIdle each time that nothing is left on it, close, and at last ConnEnded
-// (evidence.go). What the replica states meanwhile, StreamLimitChanged and GoingAway, is here as well.
+// The life of a connection: open, ConnUp, becomeIdle each time that nothing is left on it, close, and at last
+// ConnEnded (evidence.go). What the replica states meanwhile, StreamLimitChanged and GoingAway, is here as well.
 
 // open opens a connection to a replica.
 func (pool *Pool) open(to *replicaState) *connection {
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -1,5 +1,5 @@
-// Package connpool decides about the connections to replicas: which one carries an attempt, when one is opened, avoided
-// or closed, how many attempts share it, and what its end proves of each of them (evidence.go).
+// Package connpool decides about the connections to replicas: which one carries an attempt, when one is opened,
+// avoided or closed, how many attempts share it, and what its end proves of each of them (evidence.go).
 //
 // A Pool is notified of what happens, by one method for each event, and acts through a Host. It does no I/O, has no
 // clock and no goroutine; times are spans since the process' start, and "now" is the time of the event loop's
--- a/connpool/replica_test.go
+++ b/connpool/replica_test.go
@@ -10,8 +10,8 @@
 	"terntray/scheduler"
 )
 
-// A replica starts to drain with one attempt written, one begun and one waiting. The one that waits is taken back, and
-// nothing goes out later by another connection, not even what was begun when its connection breaks.
+// A replica starts to drain with one attempt written, one begun and one waiting. The one that waits is taken back,
+// and nothing goes out later by another connection, not even what was begun when its connection breaks.
 func TestNothingNewGoesToADrainingReplica(t *testing.T) {
 	for _, protocol := range protocols {
 		host := newFakeHostFor(t, protocol, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
@@ -37,8 +37,8 @@
 	}
 }
 
-// A replica moves to another address; who is at the old one now is not known. What was not begun there goes to the new
-// address. What was begun stays, and the old connection is closed after it.
+// A replica moves to another address; who is at the old one now is not known. What was not begun there goes to the
+// new address. What was begun stays, and the old connection is closed after it.
 func TestAttemptsFollowAReplicaToItsNewAddress(t *testing.T) {
 	for _, protocol := range protocols {
 		host := newFakeHostFor(t, protocol, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// ReplyReceived tells that a reply was read at a time. It names its attempt or, with 0, its subquery alone. The result
-// is the attempt that it ends; nil where none waits for it. Then the reply is late (its attempt was abandoned), or else
-// a protocol error that ends the connection.
+// ReplyReceived tells that a reply was read at a time. It names its attempt or, with 0, its subquery alone. The
+// result is the attempt that it ends; nil where none waits for it. Then the reply is late (its attempt was
+// abandoned), or else a protocol error that ends the connection.
 func (pool *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string, at time.Duration) (
 	ended *Attempt, late bool) {
 	pool.now = now
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -60,8 +60,8 @@
 	return found
 }
 
-// hasPlace tells whether an attempt can be put on a connection now. Where replies name subqueries, two attempts at one
-// subquery must not share a connection, or a reply to one could end the other.
+// hasPlace tells whether an attempt can be put on a connection now. Where replies name subqueries, two attempts at
+// one subquery must not share a connection, or a reply to one could end the other.
 func (pool *Pool) hasPlace(conn *connection, attempt *Attempt) bool {
 	if !conn.takesNew() || pool.idleTooLong(conn) {
 		return false
@@ -115,8 +115,7 @@
 }
 
 // makeRoomForNew tells whether a connection may be opened for an attempt. Where the pool is full it closes an idle
-// connection elsewhere for it.
-// Without a fallback it may exceed the replica's share of the connections.
+// connection elsewhere for it. Without a fallback it may exceed the replica's share of the connections.
 func (pool *Pool) makeRoomForNew(replica *replicaState, attempt *Attempt, noFallback bool) bool {
 	needsFresh := pool.needsFreshConn(attempt)
 	if len(pool.conns) < pool.limits.MaxConns {
--- a/connpool/selection_test.go
+++ b/connpool/selection_test.go
@@ -7,8 +7,8 @@
 	"terntray/internal/replicaproto"
 )
 
-// A subquery is attempted again at a replica where its first attempt was abandoned. Replies name the subquery alone, so
-// on one connection the late reply to the first attempt would end the second.
+// A subquery is attempted again at a replica where its first attempt was abandoned. Replies name the subquery
+// alone, so on one connection the late reply to the first attempt would end the second.
 func TestAttemptsAtOneSubqueryShareNoConnection(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 	first, firstConn := host.send("q.1", false)
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -13,7 +13,7 @@
 
 // admission sheds load while this process itself is short of CPU, whatever its replicas can do. Package overload
 // decides which share of the arrivals is admitted; admission feeds it with measurements and publishes the share to
-// the clients' goroutines, which reject the others without reading them.
+// the clients' goroutines, which reject the others, by their heads alone where these are simple.
 //
 // Shedding for want of replicas is not decided here but in package scheduler.
 type admission struct {
@@ -30,7 +30,8 @@
 	shed     atomic.Uint64 // of them, not admitted
 }
 
-// start admits everything until measurements say otherwise. cores is the process' CPU allowance.
+// start admits everything until measurements say otherwise. cores is the process' CPU allowance;
+// it is rounded up.
 func (admission *admission) start(cores float64, logger *log.Logger) {
 	admission.log = logger
 	admission.cpu.cores = max(1, math.Ceil(cores))
--- a/coordinator/cpu.go
+++ b/coordinator/cpu.go
@@ -9,7 +9,7 @@
 
 // cpuMeter measures how much of its CPU allowance this process uses. It belongs to the event loop.
 type cpuMeter struct {
-	cores      float64       // allowance
+	cores      float64       // allowance, rounded up
 	usedShare  float64       // of the allowance, between the last two measurements
 	measuredAt time.Duration // loop time
 	cpuTime    time.Duration // used by this process until then, in user and system mode
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -33,7 +33,7 @@
 	// Installation is what the installation file says; nil: there is none.
 	Installation *config.Config `json:"-"`
 
-	settings        map[string]string // Nested, by path: see Flatten
+	settings        map[string]string // SettingsJSON by path: see Flatten
 	path            string            // of the platform file
 	discoveryInFile string            // Discovery before the environment replaced it
 }
@@ -45,8 +45,8 @@
 	Sockets  int     `json:"sockets"` // descriptors
 }
 
-// MissingVariableError says that an environment variable is not set, and that the platform file does not have what it
-// says either.
+// MissingVariableError says that an environment variable is not set, and that the platform file has no value in its
+// place either.
 type MissingVariableError struct {
 	Variable string
 	Wanted   string // what it has to say
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -16,7 +16,8 @@
 // Decisions are made by packages that do no I/O, have no clock and start no goroutine: scheduler (which query is
 // admitted, which replica gets which attempt, what is retried, hedged or given up), twophase (what a two-phase
 // query asks for), connpool (connections to replicas), overload (how much load to shed while the process is short
-// of CPU) and invariant (whether something may be sent, answered or closed at this moment). Coordinator implements
+// of CPU), incarnation (when replicas started) and invariant (whether something may be sent, answered or closed at
+// this moment). Coordinator implements
 // scheduler.Host: it carries out what the scheduler decides.
 //
 // # The way of a query
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -10,7 +10,8 @@
 	"terntray/scheduler"
 )
 
-// endpointHandler implements discovery.Handler. It passes each endpoint of a list on, in this order:
+// endpointHandler implements discovery.Handler. Of a whole list, replicas that it does not name are
+// first marked as removed, and EndpointListBegins is called. Then it passes each endpoint on, in this order:
 //
 //  1. to the replica's record: its state there is what connections' writers check before each attempt (package
 //     invariant), so that a draining replica gets nothing that was queued before;
@@ -132,8 +133,8 @@
 	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
-// observeStart has the connections to a replica closed that are from before its process started, as whatever is written
-// to one of them is lost. It returns that start, as far as it is told, in the loop's time.
+// observeStart has the connections to a replica closed that are from before its process started, as whatever is
+// written to one of them is lost. It returns that start, as far as it is told, in the loop's time.
 func (c *Coordinator) observeStart(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
 	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
--- a/coordinator/limitedlog_test.go
+++ b/coordinator/limitedlog_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A replica closes connection after connection. The log says so a few times in a second, and then how often it did not.
+// A replica closes connection after connection. The log says so a few times in a second, and then how often it did
+// not.
 func TestLimitedLogCountsWhatItLeavesOut(t *testing.T) {
 	var text strings.Builder
 	limited := limitedLog{log: log.New(&text, "", 0)}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -14,9 +14,9 @@
 
 var errNoDiscovery = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
 
-// Reload is called at SIGHUP. It reads the platform file and the TLS files anew and takes up what can change while the
-// service runs: the address of discovery, and the certificates. It may be called from any goroutine and at any time; of
-// several calls the last counts.
+// Reload is called at SIGHUP. It reads the platform file and the TLS files anew and takes up what can change while
+// the service runs: the address of discovery, and the certificates. It may be called from any goroutine and at any
+// time; of several calls the last counts.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
 		c.drivers.Go(c.replicas.ReloadTLS)
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	defaultHold = 5 * time.Second // where the settings do not imply one
-	maxHold     = time.Minute
+	defaultHold = 5 * time.Second // for which the agent may hold a poll back, where the settings imply no time
+	maxHold     = time.Minute     // the longest such time
 )
 
 // Handler takes what discovery says. The Watcher calls it on the event loop.
@@ -43,7 +43,7 @@
 	Address      string            // of the discovery agent
 	Known        wire.EndpointList // as it was known when the process was last configured
 	OnDemand     bool              // changes come only to those who poll, and the scheduler decides when (Poll)
-	PollInterval time.Duration     // in which the scheduler polls at the least; 0: not stated
+	PollInterval time.Duration     // the longest time between two polls of the scheduler; 0: not stated
 }
 
 // hold is how long the agent may hold a poll back while nothing changes. Half of the interval leaves room for a
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,15 +1,17 @@
 // Package invariant is the one place that checks whether an action which others can see may happen now: writing an
-// attempt to a replica, giving a final response, closing a client's connection. Whatever policies decide, nothing that
-// a Check refuses goes out.
+// attempt to a replica, giving a final response, closing a client's connection. Whatever policies decide, no
+// attempt that its Check refuses goes out. A late response is given, and a connection closed, all the same; the
+// refusal has them counted.
 //
-// Each Check is a pure function of a snapshot: the package does no I/O, reads no clock and keeps no state. Callers ask
-// when they decide, and again at the moment of writing: a connection that comes up late, a full buffer or a stall of
-// the process may lie between the two. A refusal at the moment of writing is a race, and the attempt ends as never
-// sent; one of something that was decided all the same is a violation. Either is counted by the caller. The check at
-// the moment of writing leaves Effect, Earlier and MaxAttempts out: what may be repeated is checked at the decision
-// alone.
+// Each Check is a pure function of a snapshot: the package does no I/O, reads no clock and keeps no state. Callers
+// ask when they decide, and again at the moment of writing: a connection that comes up late, a full buffer or a
+// stall of the process may lie between the two. A refusal at the moment of writing is a race, and the attempt ends
+// as never sent; one of something that was decided all the same is a violation. Either is counted by the caller.
+// The check at the moment of writing leaves Effect, Earlier and MaxAttempts out: what may be repeated is checked at
+// the decision alone.
 //
-// What may be sent again: of an idempotent or keyed subquery any number of attempts that MaxAttempts allows. Of a
+// What may be sent again: of an idempotent or keyed subquery any number of attempts that MaxAttempts allows; a key's
+// window is the scheduler's to keep (scheduler/retry.go). Of a
 // non-idempotent one another attempt only if each earlier one provably never ran: its Evidence, which
 // coordinator/invariants.go makes from the attempt's outcome, is NeverRan. The rule is Attempt.checkRepeat.
 package invariant
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,10 +1,12 @@
-// Package overload decides which share of arrivals a co-ordinator admits when its own core, not its replicas, is short.
+// Package overload decides which share of arrivals a co-ordinator admits when its own core, not its replicas, is
+// short.
 //
-// The Controller is notified of how long each admitted query waited for the event loop (QueueDelay), and of how much of
-// its core the process uses (CoreUsed). Two rules set the share:
+// The Controller is notified of how long each admitted query waited for the event loop (QueueDelay), and of how
+// much of its core the process uses (CoreUsed). Two rules set the share:
 //
 //   - A standing queue, as CoDel defines it (RFC 8289, section 4: the least delay within a window), lowers it. It falls
-//     by multiplication and rises by addition, as in DAGOR (Zhou et al., SoCC 2018, section 4). A queue that drains
+//     by multiplication, as in DAGOR (Zhou et al., SoCC 2018, section 4). It rises by addition or multiplication,
+//     whichever is more, and only while no queue stands. A queue that drains
 //     within a window, as after a stall or a burst, changes nothing.
 //   - Without a standing queue the share moves so that the core is used to targetCoreUse, and rises to 1 once less
 //     comes.
@@ -27,7 +29,8 @@
 	delayExponent    = 0.25                  // between them the factor is targetDelay/delay to this power
 )
 
-// The core, and how the share follows it. A core's use is a share of its time, 0 to 1.
+// The core, and how the share follows it. The core stands for the process' whole CPU allowance; its use is
+// a share of that, 0 to 1.
 const (
 	coreUseWeight     = 0.35  // weight of the latest measurement in the moving average: about three measurements count
 	targetCoreUse     = 0.92  // while some arrivals are shed; the rest is for queries that are open already
@@ -44,7 +47,7 @@
 // How long what comes over sockets may wait before it is read.
 const (
 	busyReadDelay      = 10 * time.Millisecond  // the runtime polls the network so often when its core never rests
-	saturatedReadDelay = 200 * time.Millisecond // not known then; a bound that is longer than what is seen
+	saturatedReadDelay = 200 * time.Millisecond // assumed where the core never rests, as the delay is not known then
 )
 
 // Controller holds one co-ordinator's share. The zero value admits everything. It belongs to one goroutine.
@@ -93,8 +96,8 @@
 	return max(steepestDecrease, min(gentlestDecrease, factor))
 }
 
-// CoreUsed tells which share of the core was used since the last call, and moves the share of arrivals by that. While a
-// queue is standing only Tick moves it.
+// CoreUsed tells which share of the core was used since the last call, and moves the share of arrivals by that.
+// While a queue is standing only Tick moves it.
 func (controller *Controller) CoreUsed(now time.Duration, use float64) {
 	controller.coreUse += coreUseWeight * (use - controller.coreUse)
 	controller.Tick(now)
@@ -138,8 +141,8 @@
 	return 0
 }
 
-// Admits tells whether the n-th arrival, counted from 1, is admitted at a share. Of any number of arrivals in a row as
-// many are admitted as the share says, within one, evenly spread.
+// Admits tells whether the n-th arrival, counted from 1, is admitted at a share. Of any number of arrivals in a row
+// as many are admitted as the share says, within one, evenly spread.
 func Admits(n uint64, share float64) bool {
 	return share >= 1 || math.Floor(float64(n)*share) != math.Floor(float64(n-1)*share)
 }
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -21,8 +21,8 @@
 	return func(time.Duration) time.Duration { return delay }
 }
 
-// The process stands still for two seconds, again and again; what came meanwhile has waited long, but that queue drains
-// within a window each time. Nothing is shed.
+// The process stands still for two seconds, again and again; what came meanwhile has waited long, but that queue
+// drains within a window each time. Nothing is shed.
 func TestQueueThatDrainsShedsNothing(t *testing.T) {
 	var controller Controller
 	for n := range 100 {
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,6 +1,8 @@
 package scheduler
 
 // Admission: which queries are rejected on arrival because they cannot be expected to meet their latency objective.
+// admissionController.decide decides, once for each query: Scheduler.place asks it when the query's subqueries have
+// been placed, and Scheduler.reject carries a rejection out through Host.Reject.
 //
 // A query whose subqueries have just been placed at n replicas is rejected if
 //
@@ -15,12 +17,23 @@
 // The rejection carries the time after which the client may retry: by how much the left side is larger, at most
 // Config.MaxRetryAfter. 0 means that no time is told.
 //
-// Where peers are silent, both sides are divided by unseenLoad, which multiplies expected times for what they may have
-// sent: it cancels out of the comparison above. It does remain in the second phase's allowance, in the bound on each
-// replica's finish, in the bound that a trial is judged by, and in the time after which the client may retry.
+// Where peers are silent, both sides are divided by unseenLoad, which multiplies expected times for what they may
+// have sent: it cancels out of the comparison above. It does remain in the second phase's allowance, in the bound
+// on each replica's finish, in the bound that a trial is judged by, and in the time after which the client may
+// retry.
 //
-// Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is admitted
-// against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected replica.
+// Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is
+// admitted against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected
+// replica.
+//
+// Other rejections are decided elsewhere; the body of the answer tells which it was:
+//
+//	body                                  decided by                                       counter
+//	turned back                           here; of a two-phase query twophase/query.go     turned_back; refused_questions
+//	busy                                  package overload, by coordinator/admission.go    busy
+//	too much is open                      coordinator/arrival.go                           full
+//	its time was over before it was read  coordinator/arrival.go                           expired
+//	too many large requests               server/reading.go                                bad
 
 import (
 	"math"
@@ -96,8 +109,8 @@
 	}
 }
 
-// expectedExcess is by how much a query is expected to miss the bound on its expected time; 0 or less: it meets it. It
-// changes nothing.
+// expectedExcess is by how much a query is expected to miss the bound on its expected time; 0 or less: it meets it.
+// It changes nothing.
 func (a *admissionController) expectedExcess(
 	now time.Duration, query *query, unseenLoad float64,
 ) (excess, bound time.Duration) {
@@ -124,8 +137,8 @@
 	return a.estimates.slowestFactor(query.class.fetchSubqueries)
 }
 
-// finishBound is the bound on a query's expected time: the time to the objective less the second phase's work, over the
-// lateness factor and unseenLoad, and overQuotaShare of that beyond the tenant's quota.
+// finishBound is the bound on a query's expected time: the time to the objective less the second phase's work, over
+// the lateness factor and unseenLoad, and overQuotaShare of that beyond the tenant's quota.
 func finishBound(query *query, fetchFactor, unseenLoad float64) time.Duration {
 	left := query.objectiveAt - query.arrivedAt
 	left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
@@ -163,9 +176,10 @@
 	return a.estimates.expectedFinish(now, replica, 0)
 }
 
-// admitAsTrial admits a query that would be rejected, as a trial of the estimate at the replicas whose expected finish
-// exceeds the bound, or to bring an ejected replica its long overdue probe. No trial goes to a slow replica with
-// trialLimit attempts in flight; each trial that ends in time doubles that limit, a late one begins anew after a wait.
+// admitAsTrial admits a query that would be rejected, as a trial of the estimate at the replicas whose expected
+// finish exceeds the bound, or to bring an ejected replica its long overdue probe. No trial goes to a slow replica
+// with trialLimit attempts in flight; each trial that ends in time doubles that limit, a late one begins anew after
+// a wait.
 func (a *admissionController) admitAsTrial(
 	now time.Duration, query *query, placed []*subquery, bound time.Duration,
 ) bool {
@@ -201,8 +215,8 @@
 	return false
 }
 
-// trialIntervalFactor multiplies the times between trials of the estimate: other co-ordinators admit some as well, and
-// all of them load the same replicas; large queries load them more.
+// trialIntervalFactor multiplies the times between trials of the estimate: other co-ordinators admit some as well,
+// and all of them load the same replicas; large queries load them more.
 func (a *admissionController) trialIntervalFactor(query *query) float64 {
 	crowd := max(1, float64(a.parameters.coordinators)/fewCoordinators)
 	size := max(1, float64(len(query.subqueries))/canaryThreshold)
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Clients disconnect before their answers come. That says nothing of how long queries take, so the lateness factor must
-// not rise and nobody be rejected for it.
+// Clients disconnect before their answers come. That says nothing of how long queries take, so the lateness factor
+// must not rise and nobody be rejected for it.
 func TestClientsThatDisconnectCauseNoRejection(t *testing.T) {
 	m := newModel(t, 0)
 	for range 40 {
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Canary attempts: large queries start with few subqueries, and a query under which replicas seem to crash goes on
-// only where it has been, until enough answers speak for it; at a second crash it ends. A query that crashes each
-// replica that works on it would else take down all holders of its shards. Inputs are connections that were reset
-// under an attempt, and answers.
+// Canary attempts: among many co-ordinators large queries start with one subquery, and a query under which replicas
+// seem to crash goes on only where it has been, until enough answers speak for it; at a second crash it ends. A
+// query that crashes each replica that works on it would else take down all holders of its shards. Inputs are
+// connections that were reset under an attempt, and answers.
 
 import (
 	"math"
@@ -13,7 +13,7 @@
 const (
 	canaryThreshold = 12                    // subqueries; a query of more sends one ahead
 	canaryStep      = 60 * time.Millisecond // to the next ones; most crashes show within it
-	canaryGrowth    = 8.0                   // times as many subqueries are in flight after each step
+	canaryGrowth    = 8.0                   // times as many attempts may have been sent after each step
 	answersPerCrash = 2.0                   // answers that outweigh a crash under a query
 
 	// staleConnection is the time within which a reset shows that the connection was lost before the attempt used it.
@@ -32,8 +32,8 @@
 	return q.crashes.count > 0 && q.answered < answersPerCrash*q.crashes.count
 }
 
-// connectionReset records that a connection was reset under an attempt that took so long. Several at one replica at one
-// time count as one crash.
+// connectionReset records that a connection was reset under an attempt that took so long. Several at one replica at
+// one time count as one crash.
 func (q *query) connectionReset(now time.Duration, replica *replicaState, took time.Duration) {
 	counted := q.crashes.lastAt == now && q.crashes.replica == replica
 	if took < staleConnection || counted {
@@ -52,9 +52,10 @@
 	}
 }
 
-// waitsForCanaries reports whether the next subquery of a large query waits for an answer to those ahead of it, or for
-// the next step. Steps are counted from the query's arrival: one subquery may go at once, canaryGrowth after a step,
-// and so on. It is only of use among many co-ordinators, where each sees too few crashes to be warned by them.
+// waitsForCanaries reports whether the next subquery of a large query waits for an answer to those ahead of it, or
+// for the next step. Steps are counted from the query's arrival: one subquery may go at once, canaryGrowth after a
+// step, and so on. It is only of use among many co-ordinators, where each sees too few crashes to be warned by
+// them.
 func (q *query) waitsForCanaries(now time.Duration, manyCoordinators bool) bool {
 	if !manyCoordinators || len(q.subqueries) <= canaryThreshold || q.attemptsSent == 0 {
 		return false
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Resets at one replica at one time are one crash, and a reset right after the start none. An answer to a later attempt
-// shows that the replica lives.
+// Resets at one replica at one time are one crash, and a reset right after the start none. An answer to a later
+// attempt shows that the replica lives.
 func TestSuspectedCrashes(t *testing.T) {
 	crashed, other := &replicaState{}, &replicaState{}
 	query := &query{}
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -13,8 +13,8 @@
 	ceilingGrowth = 0.1  // attempts by which a reply raises the ceiling
 	latencyRise   = 2.5  // times the usual latency at which a limit is halved: above noise, below what a stall costs
 
-	// overloadBackoff is the mean time for which a replica that rejected an attempt counts as full, where it is full of
-	// what other co-ordinators sent.
+	// overloadBackoff is the mean time for which a replica that rejected an attempt counts as full, where it is
+	// full of what other co-ordinators sent.
 	overloadBackoff = 400 * time.Millisecond
 )
 
@@ -42,8 +42,8 @@
 	replica.limitCeiling = min(maxLimit, replica.limitCeiling+ceilingGrowth)
 }
 
-// rejected lowers the limit after the replica rejected an attempt as it has too many. That attempt no longer counts as
-// in flight.
+// rejected lowers the limit after the replica rejected an attempt as it has too many. That attempt no longer counts
+// as in flight.
 func (l *concurrencyLimiter) rejected(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	l.halve(now, replica, halvingInterval)
 	replica.limitCeiling = max(1, min(replica.limitCeiling, float64(len(replica.outstanding))))
@@ -75,8 +75,8 @@
 	return float64(len(replica.outstanding)) >= replica.limit
 }
 
-// full reports whether the replica is to get no attempt now. At its limit it still gets one each time that it has been
-// silent and was sent nothing for silentAfter: attempts that were lost would hold all places for good.
+// full reports whether the replica is to get no attempt now. At its limit it still gets one each time that it has
+// been silent and was sent nothing for silentAfter: attempts that were lost would hold all places for good.
 func (l *concurrencyLimiter) full(now time.Duration, replica *replicaState) bool {
 	if now < replica.fullUntil {
 		return true
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -7,9 +7,9 @@
 	"terntray/invariant"
 )
 
-// Config is what the deployment's settings tell a Scheduler. It does not change while the Scheduler lives. ParseConfig
-// reads it from the settings' keys, which the fields' comments name in brackets; N counts from 0. Whoever builds one in
-// code calls Validate. New takes valid ones only.
+// Config is what the deployment's settings tell a Scheduler. It does not change while the Scheduler lives.
+// ParseConfig reads it from the settings' keys, which the fields' comments name in brackets; N counts from 0.
+// Whoever builds one in code calls Validate. New takes valid ones only.
 type Config struct {
 	// Coordinators (balancers) is the number of co-ordinators that serve the same replicas, this one included. At
 	// least 1.
@@ -32,15 +32,15 @@
 	// Classes (lanes.N) are the classes of queries, by ClassIndex. At least one.
 	Classes []ClassConfig
 
-	// TenantQuotas (orgs.N.quotaPerS) are the queries for each second that all co-ordinators together owe a tenant, by
-	// TenantIndex.
+	// TenantQuotas (orgs.N.quotaPerS) are the queries for each second that all co-ordinators together owe a tenant,
+	// by TenantIndex.
 	TenantQuotas []float64
 
 	// Discovery (discovery) tells how changes of the endpoint list reach this co-ordinator.
 	Discovery DiscoveryMode
 
-	// PollInterval (guarantees.askEvery) is the longest time between two polls of the endpoint list. 0: a subscription
-	// needs no renewal.
+	// PollInterval (guarantees.askEvery) is the longest time between two polls of the endpoint list. 0: a
+	// subscription needs no renewal.
 	PollInterval time.Duration
 
 	// Gossip (bounds.peers) allows messages to the other co-ordinators.
@@ -84,7 +84,8 @@
 	// has none.
 	Name string
 
-	// Objective (lanes.N.aim) is the latency objective: the time within which an answer earns its full value. Above 0.
+	// Objective (lanes.N.aim) is the latency objective: the time within which an answer earns its full value. Above
+	// 0.
 	Objective time.Duration
 
 	// ObjectivePerHint (lanes.N.aimStretch) is added to the objective for each unit of a query's hint of work.
@@ -115,8 +116,8 @@
 
 // SlowStartConfig describes replicas that have just started.
 type SlowStartConfig struct {
-	// OverloadMultiple (guarantees.tipMultiple) is how many times its present capacity a starting replica must be sent
-	// to count as overloaded. 0 or less: there is no slow start, and the other fields mean nothing.
+	// OverloadMultiple (guarantees.tipMultiple) is how many times its present capacity a starting replica must be
+	// sent to count as overloaded. 0 or less: there is no slow start, and the other fields mean nothing.
 	OverloadMultiple float64
 
 	// StartCapacity (guarantees.startCapacity) is the share of its full capacity that a replica has when it starts.
@@ -173,11 +174,11 @@
 	wantedDiscovery  = "automatic or subscribe"
 )
 
-// Validate names the first setting with which no Scheduler can work, as a *SettingError, or returns nil. It checks that
-// Coordinators, Cells, CellsPerShard and the number of Classes are at least 1; that each class's Objective and Deadline
-// are above 0 and its Effect is known; where there is a slow start, that its other fields are above 0; where there is a
-// retry budget, that its Span and Share are above 0; and that Discovery is known. Other constraints that the fields'
-// comments state are the caller's to keep.
+// Validate names the first setting with which no Scheduler can work, as a *SettingError, or returns nil. It checks
+// that Coordinators, Cells, CellsPerShard and the number of Classes are at least 1; that each class's Objective and
+// Deadline are above 0 and its Effect is known; where there is a slow start, that its other fields are above 0;
+// where there is a retry budget, that its Span and Share are above 0; and that Discovery is known. Other
+// constraints that the fields' comments state are the caller's to keep.
 func (config *Config) Validate() error {
 	check := checker{}
 	check.atLeastOne("balancers", config.Coordinators)
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -18,9 +18,9 @@
 	keptShares        = 16   // queries whose shares are remembered
 )
 
-// clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries of a
-// client come with one deadline, a retry with less. A retry has lost the time that the first try took; without this,
-// work would be done for objectives that are over.
+// clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries
+// of a client come with one deadline, a retry with less. A retry has lost the time that the first try took; without
+// this, work would be done for objectives that are over.
 type clientRetryDetector struct {
 	shares []float64 // of their class's deadline that the last keptShares queries came with, in order
 }
@@ -187,8 +187,8 @@
 	query.crashes.count = 0
 }
 
-// stopSending sends nothing more for a subquery, answered or not, and cancels what is in flight for it. One without an
-// answer is abandoned by that.
+// stopSending sends nothing more for a subquery, answered or not, and cancels what is in flight for it. One without
+// an answer is abandoned by that.
 func (scheduler *Scheduler) stopSending(subquery *subquery) {
 	subquery.unqueue()
 	subquery.abandoned = subquery.abandoned || !subquery.answered
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The sender of a second phase counts fewer subqueries than this co-ordinator saw answered. The phase is what arrived:
-// waiting for the rest, the query would get no final outcome.
+// The sender of a second phase counts fewer subqueries than this co-ordinator saw answered. The phase is what
+// arrived: waiting for the rest, the query would get no final outcome.
 func TestSecondPhaseIsWhatArrived(t *testing.T) {
 	m := newModel(t, 8)
 	m.fewerFetched = 1
@@ -30,8 +30,8 @@
 	}
 }
 
-// First tries come with one share of their deadline. A query with less is a client's retry: the time that the first try
-// took is gone from its objective.
+// First tries come with one share of their deadline. A query with less is a client's retry: the time that the first
+// try took is gone from its objective.
 func TestClientRetriesHaveLostTime(t *testing.T) {
 	m := newModel(t, 0)
 	for range 6 {
@@ -81,7 +81,8 @@
 	}
 }
 
-// A query is answered when enough of its weight is, given up shortly before its deadline, and ended at a second crash.
+// A query is answered when enough of its weight is, given up shortly before its deadline, and ended at a second
+// crash.
 func TestOutcome(t *testing.T) {
 	const deadline = time.Second
 	class := &class{completeWeight: 0.8, minimumWeight: 0.5}
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides when
-// the list is polled.
+// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides
+// when the list is polled. The way of a list from the agent to here is told in package discovery.
 
 import (
 	"cmp"
@@ -22,8 +22,8 @@
 	pollTimeout = 8 * time.Second
 )
 
-// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is followed
-// by all changes until a failure is reported.
+// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is
+// followed by all changes until a failure is reported.
 //
 // It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown, and
 // attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just
@@ -51,8 +51,8 @@
 	p.backoff = firstPollBackoff
 }
 
-// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads the
-// polls of many co-ordinators.
+// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads
+// the polls of many co-ordinators.
 func (p *endpointPoller) failed(now time.Duration, chance float64) {
 	p.following = false
 	p.nextPollAt = now + scale(p.backoff, 0.5+chance)
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// However long discovery was away, and however the polls of it ended, it is polled again soon enough after its return
-// that a change is known 6 s after it could be told (STANDING.md): a poll may hang for 2 s, and the list has to arrive.
+// However long discovery was away, and however the polls of it ended, it is polled again soon enough after its
+// return that a change is known 6 s after it could be told (STANDING.md): a poll may hang for 2 s, and the list has
+// to arrive.
 func TestEndpointsArePolledInTimeAfterALongOutage(t *testing.T) {
 	const (
 		hangs   = 2 * time.Second
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -6,7 +6,7 @@
 // A driver makes a Scheduler with New from a Config, which ParseConfig reads from a deployment's settings. It calls a
 // method for each event, with the time since its start:
 //
-//   - QueryArrives, then SubqueryArrives for each subquery; ClientDisconnects when nobody waits for the answer any more
+//   - QueryArrives, then SubqueryArrives for each subquery; ForgetQuery when nobody waits for the answer any more
 //   - AttemptEnds for the end of each attempt, and LoadReported where its replica told its load
 //   - EndpointListBegins, then EndpointListed for each entry; EndpointPollFailed
 //   - GossipReceived, Wakeup, ReadDelayed
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Replies wait here unread, as this co-ordinator's own core is busy. What that explains must not halve limits or raise
-// slowdowns; without it they do.
+// Replies wait here unread, as this co-ordinator's own core is busy. What that explains must not halve limits or
+// raise slowdowns; without it they do.
 func TestOwnReadDelaySaysNothingAgainstReplicas(t *testing.T) {
 	for _, behind := range []time.Duration{0, 200 * ms} {
 		m := newModel(t, 0)
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -11,7 +11,7 @@
 	SubqueryWork   time.Duration // of a subquery without a hint
 	WorkPerHint    float64       // work for each unit of a hint
 	LatenessFactor float64       // by which admission takes queries to be later than estimated; at least 1
-	ProbeLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a probe
+	ProbeLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a trial
 }
 
 // ClassEstimates are the present estimates, by class index.
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees by
-// itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each replica's
-// peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may be lost,
-// doubled or late: what they tell fades with time. gossip_message.go has their form.
+// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees
+// by itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each
+// replica's peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may
+// be lost, doubled or late: what they tell fades with time. gossip_message.go has their form.
 
 import (
 	"fmt"
@@ -21,8 +21,8 @@
 	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
 	lateAttempt = 2.0
 
-	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that were
-	// sent are told at once, as others may be about to choose the same replica.
+	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
+	// were sent are told at once, as others may be about to choose the same replica.
 	gossipDelay = 100 * time.Millisecond
 )
 
@@ -134,8 +134,8 @@
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
-// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the message
-// of an attempt's end may be lost.
+// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the
+// message of an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
 	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkFade)))
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -13,9 +13,9 @@
 //	list      for each attempt the cell of its replica, as an unsigned varint
 //	map       for each cell two bits with the number of its attempts, the first cell in the lowest bits of a byte
 //
-// The cells are a map where that is shorter and fits. Attempts that do not fit in one message go in
-// a further one. Tenants go with them, at most 16 a message: those that are left once all attempts are told are not
-// told. A tenant is told by the lowest byte of its index, so one above 255 is taken for another.
+// The cells are a map where that is shorter and fits. Attempts that do not fit in one message go in a further one.
+// Tenants go with them, at most 16 a message: those that are left once all attempts are told are not told. A tenant
+// is told by the lowest byte of its index, so one above 255 is taken for another.
 
 import (
 	"encoding/binary"
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change within
-// a version.
+// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change
+// within a version.
 func TestGossipBytes(t *testing.T) {
 	attempts := []CellNumber{0, 2, 2, 2, 2}
 	for _, test := range []struct {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// When each co-ordinator learned by itself how many subqueries a replica works on side by side, it began with one, took
-// replicas for slower than they were and rejected its first large queries. Peers tell what they learned.
+// When each co-ordinator learned by itself how many subqueries a replica works on side by side, it began with one,
+// took replicas for slower than they were and rejected its first large queries. Peers tell what they learned.
 func TestParallelismIsLearnedFromPeers(t *testing.T) {
 	m := newGossipModel(t, 0)
 	tally := attemptTally{}
@@ -141,8 +141,8 @@
 	}
 }
 
-// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is told
-// only if it was late.
+// Ends are gathered for a tenth of a second, as messages cost. A cancelled attempt may still be worked on, and is
+// told only if it was late.
 func TestEndsAreGatheredAndTold(t *testing.T) {
 	m := newGossipModel(t, 0)
 	said := func() (attempts [attemptEvents]int) {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -79,8 +79,8 @@
 // spend takes a token for a hedge that is sent. One that needs no token takes what there is.
 func (h *hedgePolicy) spend() { h.tokens = max(0, h.tokens-1) }
 
-// room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean of
-// all. One of many co-ordinators does not see by itself that hedges make a jam.
+// room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean
+// of all. One of many co-ordinators does not see by itself that hedges make a jam.
 func (h *hedgePolicy) room(now time.Duration, replica *replicaState) float64 {
 	utilization := h.meanUtilization
 	if replica.utilizationAt > 0 && now-replica.utilizationAt < loadReportFresh {
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// An attempt is lost and no hedge tokens are left. If it is the only one missing it is hedged all the same, as all the
-// other work would be lost with it.
+// An attempt is lost and no hedge tokens are left. If it is the only one missing it is hedged all the same, as all
+// the other work would be lost with it.
 func TestOnlyMissingSubqueryIsHedgedWithoutTokens(t *testing.T) {
 	for missing, want := range map[int]int{1: 2, 2: 1} {
 		m := newModel(t, 0)
@@ -114,8 +114,8 @@
 	return hedges
 }
 
-// Replicas were busy and report nothing any more, as all hang or their reports are switched off. They must not count as
-// busy for good.
+// Replicas were busy and report nothing any more, as all hang or their reports are switched off. They must not
+// count as busy for good.
 func TestLoadIsForgottenOnceNobodyReports(t *testing.T) {
 	m := newModel(t, 0)
 	for range 100 {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -1,13 +1,19 @@
 package scheduler
 
 // Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound
-// again. A replica is ejected for all classes when it cannot be reached or is silent with attempts in flight, and for
-// one class when several of its attempts in a row bring no answer or when it answers other classes only. Subqueries
-// queued for it are placed anew. The last usable holder of a shard is never ejected for silence.
+// again. A replica is ejected for all classes when it cannot be reached or is silent with attempts in flight, and
+// for one class when several of its attempts in a row bring no answer or when it answers other classes only.
+// Subqueries queued for it are placed anew. The last usable holder of a shard is not ejected for silence or for
+// answering other classes only; it is for errors, and where it cannot be reached. Only the first ejection is
+// logged: a replica that is ejected for one class already logs no line when it is ejected for others.
 //
-// While a replica is ejected it gets a probe now and then: an attempt of a live query. An answer reinstates it for the
-// class that it answered; one that was ejected for all classes it reinstates for all, with a concurrency limit of one.
-// A new start of the replica reinstates it at once. Inputs are the ends of attempts and the time since replies.
+// While a replica is ejected it gets probes: attempts of live queries that need one of its shards; without such
+// queries there is none. The first is due firstProbeInterval after the ejection, and the interval doubles up to
+// maxProbeInterval. Where hedges are allowed, a subquery that another holder can take goes there first and probes
+// beside that; its first attempt probes only once the probe is overdue by maxProbeInterval. An answer reinstates
+// the replica for the class that it answered; one that was ejected for all classes it reinstates for all, with a
+// concurrency limit of one. A new start of the replica reinstates it at once, without a log line. Inputs are the
+// ends of attempts and the time since replies.
 
 import (
 	"fmt"
@@ -16,11 +22,12 @@
 	"terntray/invariant"
 )
 
+// Spans are those for long latency objectives; parameters.timeScale shortens them.
 const (
 	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
-	silentTimes        = 4.0                    // times the expected time as well: a slow replica is not a silent one
+	silentTimes        = 4.0                    // times the expected time, by stragglerAge: a slow replica is not silent
 	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost
-	errorLimit         = 3                      // attempts in a row that bring no answer
+	errorLimit         = 3                      // attempts of a class in a row without an answer, not at the same time
 	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
 	maxProbeInterval   = 4 * time.Second        // longest time between probes
 )
@@ -85,8 +92,8 @@
 	return scale(maxProbeInterval, d.parameters.timeScale)
 }
 
-// replied records that a replica has answered an attempt: of its class's errors none counts any more, and the attempts
-// in flight there that were sent before are overtaken once more.
+// replied records that a replica has answered an attempt: of its class's errors none counts any more, and the
+// attempts in flight there that were sent before are overtaken once more.
 func (d *outlierDetector) replied(now time.Duration, answered *attempt) {
 	replica := answered.replica
 	state := replica.forClass(answered.subquery.query.class)
@@ -113,8 +120,8 @@
 	}
 }
 
-// detect ejects a replica that has attempts in flight and is silent, or does not answer one class, if others can do its
-// work.
+// detect ejects a replica that has attempts in flight and is silent, or does not answer one class, if others can do
+// its work.
 func (d *outlierDetector) detect(now time.Duration, replica *replicaState) {
 	for index, attempt := range replica.outstanding {
 		class := attempt.subquery.query.class
@@ -147,8 +154,8 @@
 	return attempt.overtaken >= overtakenLimit && now-attempt.sentAt > patience
 }
 
-// releaseLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place under
-// its limit until their deadlines.
+// releaseLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place
+// under its limit until their deadlines.
 func (d *outlierDetector) releaseLost(now time.Duration, replica *replicaState) {
 	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
@@ -194,9 +201,10 @@
 	return mayHedge || !subquery.inFlight()
 }
 
-// claimProbe gives the ejected holder that a subquery is to probe now, and sets its next probe; nil: none is due. Where
-// hedges are allowed, the first attempt of a subquery that is queued for a usable replica goes there, and a second one
-// beside it probes. Only when the probe is overdue by maxProbeInterval does the first attempt itself probe.
+// claimProbe gives the ejected holder that a subquery is to probe now, and sets its next probe; nil: none is due.
+// Where hedges are allowed, the first attempt of a subquery that is queued for a usable replica goes there, and a
+// second one beside it probes. Only when the probe is overdue by maxProbeInterval does the first attempt itself
+// probe.
 func (d *outlierDetector) claimProbe(now time.Duration, subquery *subquery) *replicaState {
 	class := subquery.query.class
 	queuedElsewhere := subquery.replica != nil
@@ -215,7 +223,8 @@
 }
 
 // scheduleNextProbe sets a replica's next probe. The interval grows with each subquery that is queued for another
-// replica when it probes; by one that is not, it begins anew. One whose first attempt was just sent is queued for none.
+// replica when it probes; by one that is not, it begins anew. One whose first attempt was just sent is queued for
+// none.
 func (d *outlierDetector) scheduleNextProbe(now time.Duration, replica *replicaState, queuedElsewhere bool) {
 	replica.nextProbeAt = now + replica.probeInterval
 	replica.probeInterval = min(d.maxInterval(), 2*replica.probeInterval)
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// All holders are ejected and a probe is due while two queries wait. It goes with the younger one, which will still be
-// there when the answer comes; the older has too little time left.
+// All holders are ejected and a probe is due while two queries wait. It goes with the younger one, which will still
+// be there when the answer comes; the older has too little time left.
 func TestProbeGoesWithAYoungQuery(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -59,12 +59,12 @@
 	// timeScale multiplies the waiting times that are meant for longObjective: 1 or less.
 	timeScale float64
 
-	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of one's expected time, for each e-fold
-	// of subqueries. 0 among few co-ordinators, as their estimates contain what others send.
+	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of one's expected time, for each
+	// e-fold of subqueries. 0 among few co-ordinators, as their estimates contain what others send.
 	fanoutSpread float64
 
-	// unseenLoadFactor multiplies the expected time at a replica, for work that other co-ordinators have sent there: 1
-	// among few.
+	// unseenLoadFactor multiplies the expected time at a replica, for work that other co-ordinators have sent
+	// there: 1 among few.
 	unseenLoadFactor float64
 }
 
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// slowest is the replica of the subqueries, settled ones aside, with the largest expected finish; nil: all are settled.
+// slowest is the replica of the subqueries, settled ones aside, with the largest expected finish; nil: all are
+// settled.
 func (p *placement) slowest(now time.Duration, placed []*subquery, settled map[*replicaState]bool) *replicaState {
 	var slowest *replicaState
 	most := time.Duration(-1)
@@ -112,8 +113,8 @@
 	return slowest
 }
 
-// bestMove is the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at least
-// a millisecond; of equal ones, the one to the replica that is done first. nil: there is none.
+// bestMove is the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at
+// least a millisecond; of equal ones, the one to the replica that is done first. nil: there is none.
 func (p *placement) bestMove(
 	now time.Duration, placed []*subquery, from *replicaState,
 ) (moved *subquery, to *replicaState) {
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -180,8 +180,8 @@
 // isActive reports whether the query is open and its present phase's subqueries are here.
 func (q *query) isActive() bool { return !q.ended && !q.awaitsSubqueries() }
 
-// awaitsSubqueries reports whether subqueries of the present phase, or of the one that follows it, are still to arrive.
-// Those of a second phase arrive in one iteration, and may be fewer than expected.
+// awaitsSubqueries reports whether subqueries of the present phase, or of the one that follows it, are still to
+// arrive. Those of a second phase arrive in one iteration, and may be fewer than expected.
 func (q *query) awaitsSubqueries() bool {
 	if q.awaitsNextPhase {
 		return true
--- a/scheduler/release_test.go
+++ b/scheduler/release_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// One replica takes one attempt at a time. The queued subqueries are sent in the order in which their queries arrived.
+// One replica takes one attempt at a time. The queued subqueries are sent in the order in which their queries
+// arrived.
 func TestSubqueriesAreSentInOrderOfArrival(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
@@ -23,7 +24,8 @@
 	}
 }
 
-// A subquery waits behind another until its answer could not come in time. It is not sent any more, and its query ends.
+// A subquery waits behind another until its answer could not come in time. It is not sent any more, and its query
+// ends.
 func TestQueuedSubqueryWithTooLittleTimeIsNotSent(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -132,10 +132,10 @@
 }
 
 // newState gives a state for a replica that is listed for the first time. Its load and its times are zero or
-// outdated; the caller sets the others. It is that of a removed replica, if there is one to which nothing can refer any
-// more: it has no attempts in flight and was removed before the oldest open query arrived. So a long-lived co-ordinator
-// does not hold a state for each replica that was ever listed. One that is off the list for a moment, up to
-// maxProbeInterval, keeps its state.
+// outdated; the caller sets the others. It is that of a removed replica, if there is one to which nothing can refer
+// any more: it has no attempts in flight and was removed before the oldest open query arrived. So a long-lived
+// co-ordinator does not hold a state for each replica that was ever listed. One that is off the list for a moment,
+// up to maxProbeInterval, keeps its state.
 func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
 	for _, replica := range s.all {
 		removed := replica.state == Removed && now-replica.lastListedAt > maxProbeInterval
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -1,6 +1,21 @@
 package scheduler
 
-// Events of replicas: attempts that end and load reports, and the delay with which they are read.
+// Events of replicas: attempts that end, load reports, and the delay with which replies are read.
+//
+// What the end of an attempt without an answer does, by outcome:
+//
+//	Overloaded       halves the replica's concurrency limit and lowers its ceiling (concurrency.go); where other
+//	                 co-ordinators fill it, it counts as full for a while
+//	Unreachable      ejects the replica for all classes at once (outlier.go)
+//	ConnectionReset  may count as a crash that its query caused (canary.go)
+//	each of these, and Failed, TimedOut, MalformedReply
+//	                 is one more error in a row of its class there: the third ejects the replica for that class, and
+//	                 until an answer further attempts there back off (retry.go)
+//	Cancelled, NeverSent
+//	                 say nothing of the replica
+//
+// Then the subquery is queued again if retry.go allows it. Else it is abandoned, and its query is given up if too
+// little is left for any answer (deadline.go).
 
 import "time"
 
@@ -90,8 +105,8 @@
 	scheduler.outliers.failed(scheduler.now, replica, query.class)
 }
 
-// halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's. The
-// limit is one for all classes, so the interval is that of the first class, whichever class the attempt has.
+// halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's.
+// The limit is one for all classes, so the interval is that of the first class, whichever class the attempt has.
 func (scheduler *Scheduler) halvingInterval(replica *replicaState) time.Duration {
 	return scale(scheduler.classes[0].subqueryWork, replica.slowdown)
 }
@@ -119,8 +134,8 @@
 	scheduler.hedges.loadReported(now, scheduler.replicas.byID[id], utilization)
 }
 
-// ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it that
-// time would count as the replicas'.
+// ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it
+// that time would count as the replicas'.
 func (scheduler *Scheduler) ReadDelayed(now, unread time.Duration) {
 	scheduler.clock(now)
 	scheduler.readDelay = unread
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,12 +1,15 @@
 package scheduler
 
-// Retries: whether a subquery may be sent again, and within which budgets. A further attempt is any after the first: a
-// retry, which follows the end of all before it, or a hedge (hedge.go), which goes beside one in flight. That of an
-// idempotent subquery may go at any time, of a keyed one within its key's window, of a non-idempotent one only if no
-// earlier attempt can have run. All are limited by the attempts allowed for a subquery, by the retry budget of the
-// deployment (a share of the subqueries that came within a span of time) and by the tokens that each replica earns with
-// its replies. A retry without a token goes once nothing is in flight at its replica, as nothing else would earn one. A
-// further attempt waits for a while after an error at its replica, and the last one until the replica has answered.
+// Retries: whether a subquery may be sent again, and within which budgets. A further attempt is any after the
+// first: a retry, which follows the end of all before it, or a hedge (hedge.go), which goes beside one in flight.
+// That of an idempotent subquery may go at any time, of a keyed one within its key's window, of a non-idempotent
+// one only if no earlier attempt can have run: one that ended as Overloaded, Unreachable or NeverSent cannot have
+// (results.go); one in flight, or with any other outcome, may have. Which outcome the end of a connection proves is
+// in connpool/evidence.go. Package invariant checks non-idempotent ones once more; a key's window is checked here
+// alone. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment (a share of
+// the subqueries that came within a span of time) and by the tokens that each replica earns with its replies. A
+// retry without a token goes once nothing is in flight at its replica, as nothing else would earn one. A further
+// attempt waits for a while after an error at its replica, and the last one until the replica has answered.
 
 import (
 	"time"
@@ -32,8 +35,8 @@
 // countArrival counts a query or subquery towards the budget.
 func (b *retryBudget) countArrival(now time.Duration) { b.arrivals = append(b.arrivals, now) }
 
-// countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further one.
-// The first of a later phase takes no token of its replica.
+// countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further
+// one. The first of a later phase takes no token of its replica.
 func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
 	if subquery.nextIsFurther() {
 		b.furtherAttempts = append(b.furtherAttempts, now)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// The scheduler's loop. Each kind of event has a method, which records it. Once all events of one time are in, Decide
-// asks the policies in order, each of which has a file of its own, and carries out what they answer through the Host in
-// host.go.
+// The scheduler's loop. Each kind of event has a method, which records it. Once all events of one time are in,
+// Decide asks the policies in order, each of which has a file of its own, and carries out what they answer through
+// the Host in host.go.
 
 import (
 	"cmp"
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -1,8 +1,9 @@
 package scheduler
 
 // Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
-// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the other
-// configuration, and only the difference is counted. What would follow from a different decision is not played out.
+// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the
+// other configuration, and only the difference is counted. What would follow from a different decision is not
+// played out.
 
 import (
 	"errors"
@@ -34,8 +35,8 @@
 	counts     ShadowCounts
 }
 
-// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid, or
-// with ErrShadowMismatch.
+// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid,
+// or with ErrShadowMismatch.
 func (scheduler *Scheduler) EnableShadow(config Config) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -59,8 +60,8 @@
 	return scheduler.shadow.counts, true
 }
 
-// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas with
-// it, so nothing may be changed through it.
+// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas
+// with it, so nothing may be changed through it.
 func (s *shadow) scheduler(decides *Scheduler) *Scheduler {
 	other := *decides
 	other.parameters = s.parameters
@@ -84,8 +85,8 @@
 	}
 }
 
-// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a hedge
-// that it did not get.
+// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a
+// hedge that it did not get.
 func (scheduler *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
 	if scheduler.shadow == nil {
 		return
@@ -125,7 +126,8 @@
 	}
 }
 
-// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of it.
+// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of
+// it.
 func (s *shadow) query(q *query) *query {
 	configured := &s.classes[q.class.index]
 	class := *q.class
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,15 +1,15 @@
 package scheduler
 
-// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of its
-// full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are the
-// replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is whether a
-// subquery may go there now.
+// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of
+// its full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are
+// the replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is
+// whether a subquery may go there now.
 //
 // Each co-ordinator uses its part of the budget of all: a subquery uses up budgetTime of it. There are two regimes.
 //
-// Spaced in time, where budgetTime is at most the burst: a subquery goes once what was sent before has used up the part
-// to within the burst from now. The burst is how far ahead of its part a co-ordinator may send:
-// OverloadFor x (1/slowStartSafety - 1).
+// Spaced in time, where budgetTime is at most the burst: a subquery goes once what was sent before has used up the
+// part to within the burst from now. The burst is how far ahead of its part a co-ordinator may send: OverloadFor x
+// (1/slowStartSafety - 1).
 //
 // By chance, where budgetTime is more than that, as among many co-ordinators: each subquery goes with the probability
 // affordable over arrivalsFor, so that all together send what the replica bears.
@@ -22,18 +22,19 @@
 )
 
 const (
-	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on for.
+	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on
+	// for.
 	slowStartParallelism = 2.0
 
 	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
 	slowStartSafety = 0.8
 
-	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a time,
-	// as chance may let several go at once.
+	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
+	// time, as chance may let several go at once.
 	slowStartChanceDivisor = 2.0
 
-	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one is
-	// sent beside that.
+	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one
+	// is sent beside that.
 	slowStartFlowShare = 0.5
 
 	// slowStartMemory is the time in seconds in which answers and arrivals are forgotten to a third.
@@ -50,8 +51,8 @@
 	unobserved   float64   // share of the memory that lies before this co-ordinator's start: 1 at first
 	arrivals     []float64 // by cell: subqueries that came for it, as remembered
 
-	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of the
-	// process left it.
+	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of
+	// the process left it.
 	usedUntil map[ReplicaID]time.Duration
 }
 
@@ -90,8 +91,8 @@
 
 // admits tells whether a subquery may go to a replica now.
 //
-// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell never
-// recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
+// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell
+// never recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
 func (s *slowStart) admits(
 	replica *replicaState, subquery *subquery, parallelism float64, now time.Duration, random *random,
 ) bool {
@@ -154,8 +155,8 @@
 	}
 }
 
-// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica goes on
-// with.
+// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
+// goes on with.
 func (s *slowStart) fade(passed float64) {
 	left := math.Exp(-passed / slowStartMemory)
 	s.warmAnswers *= left
@@ -202,8 +203,8 @@
 	copy(s.arrivals, earlier.arrivals)
 }
 
-// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether any
-// may at some time.
+// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether
+// any may at some time.
 func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
 	if subquery == nil {
 		return true
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some get theirs by
-// turns, and all together stay within the budget.
+// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some get theirs
+// by turns, and all together stay within the budget.
 func TestManyCoordinatorsShareAStartingReplica(t *testing.T) {
 	const alike = 40
 	var sent []time.Duration
@@ -47,8 +47,8 @@
 	}
 }
 
-// What the fleet sends its warm replicas shows what a starting one will be asked for. It must not stand idle while the
-// others work, or they carry its load until it is warm.
+// What the fleet sends its warm replicas shows what a starting one will be asked for. It must not stand idle while
+// the others work, or they carry its load until it is warm.
 func TestStartingReplicaWorksByItsCapacityAmongMany(t *testing.T) {
 	const alike = 40
 	starting, warm, asked := 0, 0, 0
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -111,9 +111,9 @@
 	return worst
 }
 
-// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however much
-// more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been restarted, they
-// stay within what it bears, all together.
+// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however
+// much more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been
+// restarted, they stay within what it bears, all together.
 func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
 	longSinceStart := 3 * time.Duration(slowStartMemory) * time.Second
 	for _, ran := range []time.Duration{longSinceStart, 0} {
--- a/server/limits.go
+++ b/server/limits.go
@@ -52,6 +52,6 @@
 	acceptRetryWait    = 10 * time.Millisecond  // after an accept that failed
 	acceptLogInterval  = time.Second            // between two log lines about accepts that failed
 	slotRetryInterval  = 5 * time.Millisecond   // between two tries to free a slot by evicting idle clients
-	shutdownAcceptTime = 700 * time.Millisecond // after the start of the shutdown: clients may still connect and send
+	shutdownAcceptTime = 700 * time.Millisecond // after the start of the shutdown: clients may still connect
 	finalAcceptTime    = 50 * time.Millisecond  // to accept what the kernel has queued when that is over
 )
--- a/server/presence.go
+++ b/server/presence.go
@@ -32,9 +32,10 @@
 	return false
 }
 
-// peekForUnread asks the kernel, before a request is taken, whether more of the client lies unread, and notes a client
-// that has left. Without it, requests would run whose clients left while the requests lay unread, after a stall of this
-// process or behind many others. What a client sends is read up to its end, as far as machines buffer.
+// peekForUnread asks the kernel, before a request is taken, whether more of the client lies unread, and notes a
+// client that has left. Without it, requests would run whose clients left while the requests lay unread, after a
+// stall of this process or behind many others. What a client sends is read up to its end, as far as machines
+// buffer.
 func (client *ClientConn) peekForUnread() bool {
 	switch netconn.Peek(client.conn) {
 	case netconn.Ended:
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -6,8 +6,8 @@
 //
 //  1. The coordinator calls Shutdown on the event loop (coordinator/shutdown.go). From then on /up answers 503, each
 //     response is its connection's last, and idle connections close.
-//  2. For shutdownAcceptTime clients may still connect, and open connections may still send a request. They are
-//     served as ever, as a load balancer notices the 503 only after a while.
+//  2. For shutdownAcceptTime clients may still connect, and a connection on which no request has come yet, or only a
+//     part of one, may still send it. They are served as ever, as a load balancer notices the 503 only after a while.
 //  3. Then the listener closes, after a final accept of what the kernel has queued (acceptAll).
 //  4. Each connection ends with its response, or when its request is late (readDeadline). Queries in flight run on
 //     until their own deadlines; nothing is cancelled.
@@ -27,8 +27,8 @@
 
 func (server *Server) isShuttingDown() bool { return server.shutdownStart.Load() != nil }
 
-// finalAcceptMayRestart tells whether the final accept, which found no slot or an error, may go on: later than
-// that no response would reach a client before the process is killed.
+// finalAcceptMayRestart tells whether the final accept, which found no slot or an error, may begin anew: until
+// writeTimeout after shutdownAcceptTime. Later, no response would reach a client before the process is killed.
 func (server *Server) finalAcceptMayRestart() bool {
 	start := server.shutdownStart.Load()
 	return start == nil || time.Since(*start) < shutdownAcceptTime+writeTimeout
--- a/server/slots.go
+++ b/server/slots.go
@@ -57,7 +57,7 @@
 	return openQueries >= max(1, server.slots.usable())
 }
 
-// largeRequestSlots bounds how many requests of more than largeRequestBytes are read at a time.
+// largeRequestSlots bounds how many requests of largeRequestBytes or more are read at a time.
 type largeRequestSlots chan struct{}
 
 func newLargeRequestSlots(capacity int) largeRequestSlots { return make(chan struct{}, capacity) }
