--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -51,7 +51,7 @@
 		}
 		estimate := estimates[c.classes[name].index]
 		fmt.Fprintf(&page, "track=%s work=%v hint=%.3g longer=%.2f trickle=%.0f\n", name,
-			estimate.SubqueryWork, estimate.WorkPerHint, estimate.LatenessFactor, estimate.ProbeLimit)
+			estimate.SubqueryWork, estimate.WorkPerHint, estimate.LatenessFactor, estimate.TrialLimit)
 	}
 	share := c.admission.controller.Share()
 	fmt.Fprintf(&page, "share=%.2f core=%.2f\n%s", share, c.admission.cpu.usedShare, c.scheduler.DescribeReplicas())
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -225,10 +225,10 @@
 
 // judge counts whether a query met its objective, once, as soon as that is known.
 func (a *admissionController) judge(now time.Duration, query *query, inTime bool) {
-	if query.judged {
+	if query.objectiveRecorded {
 		return
 	}
-	query.judged = true
+	query.objectiveRecorded = true
 	if query.admittedAsTrial {
 		a.judgeTrial(now, query, inTime)
 	}
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -10,7 +10,7 @@
 
 // QueryArrives handles a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
 func (scheduler *Scheduler) QueryArrives(now time.Duration, arrival QueryArrival) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	class := &scheduler.classes[arrival.Class]
 	clientRetry := scheduler.clientRetries.isRetry(float64(arrival.TimeLeft) / float64(class.deadline))
 	quotaKnown := !scheduler.parameters.manyCoordinators() || scheduler.gossip.heard(now)
@@ -36,7 +36,7 @@
 
 // SubqueryArrives handles one subquery of the present phase of a query.
 func (scheduler *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	query := scheduler.queriesByNumber[arrival.Query]
 	asksAgain := query != nil && query.callerEndsPhases && query.phase > 0
 	if !asksAgain { // what a later phase asks again is not counted again
@@ -76,7 +76,7 @@
 // StartNextPhase ends a query's present phase and tells how many subqueries the next has; with none the query has
 // succeeded.
 func (scheduler *Scheduler) StartNextPhase(now time.Duration, id RequestID, subqueries int) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	query := scheduler.queriesByID[id]
 	if query == nil {
 		return
@@ -91,16 +91,16 @@
 // ForgetQuery ends a query of which nothing more is wanted: its client has disconnected, or the caller has answered
 // it without the scheduler. It does not count as late: that says nothing of the replicas.
 func (scheduler *Scheduler) ForgetQuery(now time.Duration, id RequestID) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	if query := scheduler.queriesByID[id]; query != nil {
-		query.judged = true
+		query.objectiveRecorded = true
 		scheduler.end(query, false)
 	}
 }
 
 // Wakeup handles a wakeup that the scheduler asked for.
 func (scheduler *Scheduler) Wakeup(now time.Duration, name string) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	if now >= scheduler.wakeupAt {
 		scheduler.wakeupAt = math.MaxInt64
 	}
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -27,7 +27,7 @@
 // halvingInterval.
 func (l *concurrencyLimiter) replied(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	switch {
-	case replica.recentLatency > latencyRise*max(1, replica.usualLatency):
+	case replica.recentLatency > latencyRise*max(1, replica.baselineLatency):
 		l.halve(now, replica, halvingInterval)
 	case replica.recovering:
 		replica.limit *= 2
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -139,12 +139,12 @@
 		replica replicaState
 		want    float64
 	}{
-		{"usual latency", replicaState{limit: 4, limitCeiling: 32, recentLatency: 1, usualLatency: 1}, 5},
-		{"at its ceiling", replicaState{limit: 4, limitCeiling: 4, recentLatency: 1, usualLatency: 1}, 4},
-		{"reinstated", replicaState{limit: 2, limitCeiling: 32, recovering: true, usualLatency: 1}, 4},
-		{"latency rises", replicaState{limit: 4, limitCeiling: 32, recentLatency: 3, usualLatency: 1}, 2},
-		{"just halved", replicaState{limit: 4, recentLatency: 3, usualLatency: 1, limitHalvedAt: now - interval + 1}, 4},
-		{"never below one", replicaState{limit: 1, recentLatency: 3, usualLatency: 1}, 1},
+		{"usual latency", replicaState{limit: 4, limitCeiling: 32, recentLatency: 1, baselineLatency: 1}, 5},
+		{"at its ceiling", replicaState{limit: 4, limitCeiling: 4, recentLatency: 1, baselineLatency: 1}, 4},
+		{"reinstated", replicaState{limit: 2, limitCeiling: 32, recovering: true, baselineLatency: 1}, 4},
+		{"latency rises", replicaState{limit: 4, limitCeiling: 32, recentLatency: 3, baselineLatency: 1}, 2},
+		{"just halved", replicaState{limit: 4, recentLatency: 3, baselineLatency: 1, limitHalvedAt: now - interval + 1}, 4},
+		{"never below one", replicaState{limit: 1, recentLatency: 3, baselineLatency: 1}, 1},
 	} {
 		limiter.replied(now, &test.replica, interval)
 		if test.replica.limit != test.want {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -105,9 +105,9 @@
 	// 0 to 1.
 	CompleteShare float64
 
-	// LeastShare (familyInfo.leastShare) is the share of the weight below which no answer may be given. At most
+	// MinimumShare (familyInfo.leastShare) is the share of the weight below which no answer may be given. At most
 	// CompleteShare.
-	LeastShare float64
+	MinimumShare float64
 
 	// FetchSubqueries (familyInfo.classFetch) is the number of subqueries in the second phase; 0: the class has one
 	// phase.
@@ -140,8 +140,8 @@
 	// subqueries that came. Above 0.
 	Share float64
 
-	// Free (guarantees.minExtra) is the number of further attempts within Span that are allowed beside that share.
-	Free float64
+	// MinRetries (guarantees.minExtra) is the number of further attempts within Span that are allowed beside that share.
+	MinRetries float64
 }
 
 // DiscoveryMode is how changes of the endpoint list reach a co-ordinator.
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -136,7 +136,7 @@
 		CompleteShare:    r.nth("familyInfo.classNeed", n, 1),
 		FetchSubqueries:  int(r.nth("familyInfo.classFetch", n, 0)),
 	}
-	class.LeastShare = min(class.CompleteShare, r.nth("familyInfo.leastShare", n, class.CompleteShare))
+	class.MinimumShare = min(class.CompleteShare, r.nth("familyInfo.leastShare", n, class.CompleteShare))
 	return class
 }
 
@@ -196,7 +196,7 @@
 // same.
 func (r *settingReader) retryBudget() *RetryBudgetConfig {
 	const span, share = "guarantees.ratioSpan", "guarantees.extraRatio"
-	budget := &RetryBudgetConfig{Span: r.span(span), Share: r.number(share), Free: r.number("guarantees.minExtra")}
+	budget := &RetryBudgetConfig{Span: r.span(span), Share: r.number(share), MinRetries: r.number("guarantees.minExtra")}
 	if r.settings[span] == "" && r.settings[share] == "" {
 		return nil
 	}
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -47,15 +47,15 @@
 		Cells: 6, CellsPerShard: 2,
 		Classes: []ClassConfig{
 			{Name: "look", Objective: 2500 * time.Millisecond, ObjectivePerHint: 0.5, Deadline: 6 * time.Second,
-				Effect: invariant.Idempotent, CompleteShare: 1, LeastShare: 1},
+				Effect: invariant.Idempotent, CompleteShare: 1, MinimumShare: 1},
 			{Name: "claim", Objective: 1500 * time.Millisecond, Deadline: 3 * time.Second, Effect: invariant.Keyed,
-				KeyWindow: 400 * time.Millisecond, CompleteShare: 0.8, LeastShare: 0.5, FetchSubqueries: 2},
+				KeyWindow: 400 * time.Millisecond, CompleteShare: 0.8, MinimumShare: 0.5, FetchSubqueries: 2},
 		},
 		TenantQuotas: []float64{10, 0.5}, Gossip: true, ListedSizes: true, MaxAttempts: 3, CancelAllowed: true,
 		HedgeAllowed: true, MaxRetryAfter: 700 * time.Millisecond,
 		SlowStart: SlowStartConfig{OverloadMultiple: 3, StartCapacity: 0.2, WarmAfter: 8 * time.Second,
 			OverloadFor: 1500 * time.Millisecond},
-		RetryBudget:    &RetryBudgetConfig{Span: 10 * time.Second, Share: 0.1, Free: 5},
+		RetryBudget:    &RetryBudgetConfig{Span: 10 * time.Second, Share: 0.1, MinRetries: 5},
 		CrossZonePrice: 0.25, WastePrice: 0.01,
 	}
 	if got := configOf(t, fullSettings()); !reflect.DeepEqual(got, want) {
@@ -77,9 +77,9 @@
 	}
 	got := configOf(t, settings)
 	want := Config{Coordinators: 3, Cells: 6, CellsPerShard: 2, Discovery: DiscoverySubscribe, Classes: []ClassConfig{
-		{Objective: 2500 * time.Millisecond, Deadline: 6 * time.Second, CompleteShare: 1, LeastShare: 1},
+		{Objective: 2500 * time.Millisecond, Deadline: 6 * time.Second, CompleteShare: 1, MinimumShare: 1},
 		{Name: "claim", Objective: 1500 * time.Millisecond, Deadline: 3 * time.Second, Effect: invariant.Keyed,
-			CompleteShare: 1, LeastShare: 1},
+			CompleteShare: 1, MinimumShare: 1},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -60,7 +60,7 @@
 	q.objectiveAt = min(q.objectiveAt, q.arrivedAt+objective-passed)
 	if q.objectiveAt <= q.arrivedAt {
 		q.objectiveAt = q.deadlineAt
-		q.judged = true
+		q.objectiveRecorded = true
 		q.objectivePassed = true
 	}
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -86,7 +86,7 @@
 // it are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this
 // Scheduler was made; it is no news of discovery.
 func (scheduler *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.replicas.listChanged()
 	if restored {
 		scheduler.lastTickAt = now
@@ -125,7 +125,7 @@
 	replica.recovering = false
 	replica.slowdown = 1
 	replica.recentLatency = 1
-	replica.usualLatency = 1
+	replica.baselineLatency = 1
 	replica.limit = initialLimit
 	replica.limitCeiling = maxLimit
 	replica.retryTokens = initialRetryTokens
@@ -144,13 +144,13 @@
 	scheduler.outliers.forget(replica)
 	if scheduler.slowStart.warmingUp(replica, scheduler.now) {
 		replica.slowdown = 1 / math.Sqrt(scheduler.slowStart.capacity(replica, scheduler.now))
-		replica.usualLatency = 1
+		replica.baselineLatency = 1
 		scheduler.host.Log(fmt.Sprintf("replica %d is warming up: slow start", replica.id))
 	}
 }
 
 // EndpointPollFailed tells that a poll of the list has failed, or that its changes do not come any more.
 func (scheduler *Scheduler) EndpointPollFailed(now time.Duration) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.poller.failed(now, scheduler.random.next())
 }
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -14,9 +14,9 @@
 	// latencyJitter is added to latencies that are compared: so much they vary by without a cause in the replica.
 	latencyJitter = 4 * time.Millisecond
 
-	recentLatencyStep = 0.3   // weight of a reply in the recent latency: about three replies
-	usualLatencyFall  = 0.1   // weight of a quicker reply in the usual latency: about ten replies
-	usualLatencyRise  = 0.004 // weight of a slower one; small, as a jam must not become usual while it lasts
+	recentLatencyStep  = 0.3   // weight of a reply in the recent latency: about three replies
+	baselineFallWeight = 0.1   // weight of a faster reply in the baseline latency: about ten replies
+	baselineRiseWeight = 0.004 // weight of a slower reply; small, so that congestion does not become the baseline
 
 	initialParallelism = 1.0  // subqueries side by side, before anything was seen
 	maxParallelism     = 8.0  // the same; more would hide any queue
@@ -27,7 +27,7 @@
 	workStep     = 0.02             // share of it that moves the class's work
 	readDelays   = 3                // times the read delay that a reply may have waited: sent, received, handed on
 	slowdownPull = 0.01             // pull of a replica's slowdown towards 1 with each reply
-	maxSurprise  = 2.0              // logarithm; one reply counts for no more: about 7 times
+	maxLogRatio  = 2.0              // logarithm; one reply counts for no more: about 7 times
 
 	slowdownFade = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
 )
@@ -86,7 +86,7 @@
 	replica, class := attempt.replica, attempt.subquery.query.class
 	took, delayedHere := reply.withoutOwnDelay(now)
 	surprise := surpriseOf(took, attempt.expected)
-	deviation := max(-maxSurprise, min(maxSurprise, surprise-math.Log(replica.slowdown)))
+	deviation := max(-maxLogRatio, min(maxLogRatio, surprise-math.Log(replica.slowdown)))
 	replica.slowdown *= math.Exp(slowdownStep * deviation)
 	if !reply.warmingUp {
 		queuedShare := 1 - float64(attempt.work)/float64(attempt.expected)
@@ -124,11 +124,11 @@
 func (r *replicaState) learnLatency(took, work time.Duration, delayedHere bool) {
 	ratio := float64(took+latencyJitter) / float64(work+latencyJitter)
 	if delayedHere {
-		ratio = min(ratio, r.usualLatency)
+		ratio = min(ratio, r.baselineLatency)
 	}
 	r.recentLatency += recentLatencyStep * (ratio - r.recentLatency)
-	rise := ratio - r.usualLatency
-	r.usualLatency += usualLatencyFall*min(0, rise) + usualLatencyRise*max(0, min(rise, r.usualLatency))
+	rise := ratio - r.baselineLatency
+	r.baselineLatency += baselineFallWeight*min(0, rise) + baselineRiseWeight*max(0, min(rise, r.baselineLatency))
 }
 
 // learnWork moves the class's work by a share of a reply's surprise, measured against what the work is taken for now
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -11,7 +11,7 @@
 	SubqueryWork   time.Duration // of a subquery without a hint
 	WorkPerHint    float64       // work for each unit of a hint
 	LatenessFactor float64       // by which admission takes queries to be later than estimated; at least 1
-	ProbeLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a trial
+	TrialLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a trial
 }
 
 // ClassEstimates are the present estimates, by class index.
@@ -23,7 +23,7 @@
 			SubqueryWork:   class.subqueryWork,
 			WorkPerHint:    class.workPerHint,
 			LatenessFactor: class.admission.latenessFactor,
-			ProbeLimit:     class.admission.trialLimit,
+			TrialLimit:     class.admission.trialLimit,
 		})
 	}
 	return estimates
@@ -49,7 +49,7 @@
 	fmt.Fprintf(text, "replica %d: pace %.3g cap %.0f", replica.id, replica.slowdown, replica.limit)
 	fmt.Fprintf(text, " out %d (%v) held %v", len(replica.outstanding), replica.outstandingWork, replica.queuedWork)
 	fmt.Fprintf(text, " aside %v credit %.1f", replica.ejectedForAny(), replica.retryTokens)
-	fmt.Fprintf(text, " recent %.3g usual %.3g", replica.recentLatency, replica.usualLatency)
+	fmt.Fprintf(text, " recent %.3g usual %.3g", replica.recentLatency, replica.baselineLatency)
 	fmt.Fprintf(text, " cold %v", scheduler.slowStart.warmingUp(replica, scheduler.now))
 	fmt.Fprintf(text, " trial in %v gap %v\n", replica.nextProbeAt-scheduler.now, replica.probeInterval)
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -88,7 +88,7 @@
 // GossipReceived takes a message of another co-ordinator. One that cannot be read changes nothing; the error wraps a
 // *GossipError.
 func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	decoded, err := decodeGossip(message, scheduler.parameters.layout.cells)
 	if err != nil {
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
@@ -130,7 +130,7 @@
 	if message.event != attemptsLate && surprise >= 0 {
 		return
 	}
-	bounded := max(-maxSurprise, min(maxSurprise, surprise))
+	bounded := max(-maxLogRatio, min(maxLogRatio, surprise))
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -74,7 +74,7 @@
 	}
 	replica.forClass(class).ejected = false
 	replica.probeInterval = d.initialInterval()
-	replica.recentLatency = min(replica.recentLatency, replica.usualLatency)
+	replica.recentLatency = min(replica.recentLatency, replica.baselineLatency)
 	d.log(fmt.Sprintf("replica %d reinstated: answers again", replica.id))
 }
 
@@ -157,7 +157,7 @@
 // releaseLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place
 // under its limit until their deadlines.
 func (d *outlierDetector) releaseLost(now time.Duration, replica *replicaState) {
-	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
+	replica.removeOutstanding(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
 
 // canSpare reports whether each shard that a replica holds has another holder in use. The last one may be silent
@@ -193,7 +193,7 @@
 	if tooOld || query.suspectedDeadly() {
 		return false
 	}
-	if subquery.nextIsFurther() && !retries.hasRoom() {
+	if subquery.nextIsRetryOrHedge() && !retries.hasRoom() {
 		return false
 	}
 	idempotent := query.class.effect == invariant.Idempotent
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -46,7 +46,7 @@
 
 	retryBudgetSpan  time.Duration // over which attempts are counted; 0: no budget
 	retryBudgetShare float64       // further attempts in that time, for each subquery that came
-	retryBudgetFree  float64       // further attempts in that time beside that share
+	retryBudgetMin   float64       // further attempts in that time beside that share
 
 	tenantQuotas []float64 // queries a second, by tenant: this co-ordinator's share where the others' use is not known
 
@@ -86,7 +86,7 @@
 	if budget := config.RetryBudget; budget != nil {
 		derived.retryBudgetSpan = budget.Span
 		derived.retryBudgetShare = budget.Share
-		derived.retryBudgetFree = budget.Free
+		derived.retryBudgetMin = budget.MinRetries
 	}
 	derived.setTimes(config)
 	derived.setLoadFactors(config)
@@ -141,7 +141,7 @@
 			keyWindow:        config.KeyWindow,
 			objectivePerHint: config.ObjectivePerHint,
 			completeWeight:   config.CompleteShare,
-			minimumWeight:    config.LeastShare,
+			minimumWeight:    config.MinimumShare,
 			effect:           config.Effect,
 			fetchSubqueries:  config.FetchSubqueries,
 			subqueryWork:     scale(config.Objective, initialUnitShare),
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -46,7 +46,7 @@
 	overQuota          bool          // its tenant sends more than its quota
 	admissionDecided   bool
 	admittedAsTrial    bool // though the estimate says that it will be late
-	judged             bool // whether it met its objective is counted, or is not to be counted
+	objectiveRecorded  bool // whether it met its objective is counted, or is not to be counted
 	ended              bool
 	touched            bool // something has come in for it in this iteration
 	firstPhaseComplete bool
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// nextIsFurther reports whether the next attempt of the subquery is a further one: a retry or a hedge, here or of an
-// earlier phase.
-func (s *subquery) nextIsFurther() bool { return len(s.attempts) > 0 || s.isRetry }
+// nextIsRetryOrHedge reports whether the next attempt of the subquery is not the first at its shard: it follows an
+// attempt of this phase or of an earlier one.
+func (s *subquery) nextIsRetryOrHedge() bool { return len(s.attempts) > 0 || s.isRetry }
 
 // triedAt reports whether there was an attempt at a replica.
 func (s *subquery) triedAt(replica *replicaState) bool {
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -15,11 +15,11 @@
 // next draws a number from 0 to under 1.
 func (r *random) next() float64 {
 	r.draws++
-	return r.of(r.draws, 0)
+	return r.forKeys(r.draws, 0)
 }
 
-// of is a number from 0 to under 1, always the same for the same arguments.
-func (r *random) of(what, other uint64) float64 {
+// forKeys is a number from 0 to under 1, always the same for the same arguments.
+func (r *random) forKeys(what, other uint64) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintln(hash, r.seed, r.selfIndex, what, other)
 	return float64(hash.Sum64()>>11) / (1 << 53)
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -89,7 +89,7 @@
 func (scheduler *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
-	forbidden := subquery.nextIsFurther() && !scheduler.retries.allowsFurther(scheduler.now, subquery)
+	forbidden := subquery.nextIsRetryOrHedge() && !scheduler.retries.allowsFurther(scheduler.now, subquery)
 	if forbidden || scheduler.tooLate(subquery, round.queuedAhead) {
 		scheduler.stopSending(subquery)
 		scheduler.giveUpIfHopeless(subquery.query)
@@ -114,7 +114,7 @@
 	if scheduler.limits.full(scheduler.now, replica) || !scheduler.slowStartAdmits(replica, subquery) {
 		return true
 	}
-	if subquery.nextIsFurther() && !scheduler.retries.hasRoom() {
+	if subquery.nextIsRetryOrHedge() && !scheduler.retries.hasRoom() {
 		return true
 	}
 	if len(subquery.attempts) == 0 {
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -30,9 +30,9 @@
 	utilizationAt   time.Duration // time of that report; 0: none yet
 
 	// Latency estimate.
-	slowdown      float64 // times the expected time that its subqueries take
-	recentLatency float64 // mean of latency over expected work, of the last few replies
-	usualLatency  float64 // the same over a long time, to tell a rise by
+	slowdown        float64 // times the expected time that its subqueries take
+	recentLatency   float64 // mean of latency over expected work, of the last few replies
+	baselineLatency float64 // the same over a long time, to tell a rise by
 
 	// Concurrency limit.
 	limit         float64       // attempts that may be in flight there
@@ -74,15 +74,16 @@
 	return !slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return !state.ejected })
 }
 
-// unload takes attempts off the replica's load. Those that have not ended yet count as overtaken from then on.
-func (r *replicaState) unload(off func(*attempt) bool) {
+// removeOutstanding removes the matching attempts from the replica's load. Those that have not ended yet count as
+// overtaken from then on.
+func (r *replicaState) removeOutstanding(matches func(*attempt) bool) {
 	r.outstanding = slices.DeleteFunc(r.outstanding, func(other *attempt) bool {
-		gone := off(other)
-		if gone {
+		matched := matches(other)
+		if matched {
 			r.outstandingWork -= other.work
 			other.overtaken = max(other.overtaken, overtakenLimit)
 		}
-		return gone
+		return matched
 	})
 }
 
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -21,7 +21,7 @@
 
 // AttemptEnds handles the end of an attempt. One that is not known, or that has ended before, changes nothing.
 func (scheduler *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	subquery := scheduler.subqueries[result.Subquery]
 	number := int(result.Attempt)
 	if subquery == nil || number < 0 || number >= len(subquery.attempts) || subquery.attempts[number].ended {
@@ -44,7 +44,7 @@
 	ended.subquery.query.touched = true
 	ended.ended = true
 	ended.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NeverSent
-	ended.replica.unload(func(other *attempt) bool { return other == ended })
+	ended.replica.removeOutstanding(func(other *attempt) bool { return other == ended })
 	if scheduler.parameters.gossipEnabled {
 		age := scheduler.now - ended.sentAt - scheduler.stalled
 		scheduler.gossip.attemptEnded(scheduler.now, endedAttempt{
@@ -130,13 +130,13 @@
 // LoadReported handles a load report: the share of its cores that a replica has in use, from 0 to 1, as it reports
 // itself.
 func (scheduler *Scheduler) LoadReported(now time.Duration, id ReplicaID, utilization float64) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.hedges.loadReported(now, scheduler.replicas.byID[id], utilization)
 }
 
 // ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it
 // that time would count as the replicas'.
 func (scheduler *Scheduler) ReadDelayed(now, unread time.Duration) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.readDelay = unread
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -38,7 +38,7 @@
 // countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further
 // one. The first of a later phase takes no token of its replica.
 func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
-	if subquery.nextIsFurther() {
+	if subquery.nextIsRetryOrHedge() {
 		b.furtherAttempts = append(b.furtherAttempts, now)
 	}
 	if len(subquery.attempts) > 0 {
@@ -60,7 +60,7 @@
 
 // hasRoom reports whether the budget allows a further attempt now.
 func (b *retryBudget) hasRoom() bool {
-	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
+	allowed := b.parameters.retryBudgetMin + b.parameters.retryBudgetShare*float64(len(b.arrivals))
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -107,7 +107,7 @@
 		{0, 1000, 0, true},
 	} {
 		budget := retryBudget{parameters: &parameters{
-			retryBudgetSpan: test.span, retryBudgetFree: 2, retryBudgetShare: 0.1, maxAttempts: 3,
+			retryBudgetSpan: test.span, retryBudgetMin: 2, retryBudgetShare: 0.1, maxAttempts: 3,
 		}}
 		for range test.arrivals {
 			budget.countArrival(0)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -123,7 +123,7 @@
 // silent replicas, ends and places queries, sends queued subqueries, sends hedges and gossips. All queries are looked
 // at in each iteration while few are open, else at each tick; between ticks those for which something came in.
 func (scheduler *Scheduler) Decide(now time.Duration) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.pollEndpoints()
 	scheduler.retries.expire(now)
 	all := len(scheduler.open) <= fewOpen || now >= scheduler.lastTickAt+tickInterval
@@ -222,9 +222,9 @@
 	}
 }
 
-// clock takes the time, and for how long this co-ordinator stood still: a wakeup that it asked for is late. Without
-// that a pause of its own would look like slow replicas.
-func (scheduler *Scheduler) clock(now time.Duration) {
+// advanceClock sets the current time and, if a requested wakeup comes late, how long this co-ordinator was stalled.
+// Without that, its own pauses would look like slow replicas.
+func (scheduler *Scheduler) advanceClock(now time.Duration) {
 	if now > scheduler.now {
 		scheduler.now = now
 		scheduler.stalled = max(0, now-scheduler.wakeupAt-tickInterval)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -104,7 +104,7 @@
 	if takes <= burst {
 		return now >= replica.slowStartUsedUntil+takes-burst
 	}
-	chance := random.of(uint64(subquery.id), uint64(replica.id))
+	chance := random.forKeys(uint64(subquery.id), uint64(replica.id))
 	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -58,7 +58,7 @@
 func (crowd *slowStartCrowd) arrives(now time.Duration) {
 	n := crowd.chance.IntN(len(crowd.members))
 	member := crowd.members[n]
-	member.clock(now)
+	member.advanceClock(now)
 	member.slowStart.fade((now - crowd.fadedAt[n]).Seconds())
 	member.slowStart.warmReplicas = 1
 	crowd.fadedAt[n] = now
