--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -49,7 +49,7 @@
 	minLatenessStep       = 0.1
 	latenessStepPerSecond = 0.2 // for each second since a query of the class was last judged
 	maxLatenessStep       = 0.7
-	latenessFade          = 8.0 // seconds in which what it is over 1 fades to a third
+	latenessDecaySeconds  = 8.0 // seconds in which what it is over 1 fades to a third
 	maxLatenessFactor     = 6.0
 
 	// Trials of the estimate.
@@ -58,16 +58,16 @@
 	maxTrialIntervalFactor = 60.0                   // times these, with very many co-ordinators or subqueries
 	maxTrialLimit          = 64.0                   // attempts in flight; from then on enough is learned
 
-	sheddingQuiet = 5 * time.Second // without a rejection, after which shedding counts as ended
+	sheddingQuietPeriod = 5 * time.Second // without a rejection, after which shedding counts as ended
 
 	overQuotaShare = 0.3 // of the time to the objective that a query beyond its tenant's quota may expect
 )
 
 // classAdmission is the state of admission control for one class.
 type classAdmission struct {
-	latenessFactor float64       // times the expected time that queries are taken to need, at least 1
-	lastJudgedAt   time.Duration // when a query last moved latenessFactor
-	lastExcessAt   time.Duration // when a new query last exceeded its bound; 0: never
+	latenessFactor     float64       // times the expected time that queries are taken to need, at least 1
+	latenessAdjustedAt time.Duration // when a query last moved latenessFactor
+	lastExcessAt       time.Duration // when a new query last exceeded its bound; 0: never
 
 	// Trials of the estimate.
 	trialLimit    float64       // attempts in flight at a slow replica, from which no trial goes there
@@ -86,9 +86,9 @@
 
 // admissionDecision says what becomes of a new query.
 type admissionDecision struct {
-	rejected     bool
-	retryAfter   time.Duration // the client may retry then; 0: no time is named
-	beginsToShed bool          // it is the first rejection after a quiet time
+	rejected       bool
+	retryAfter     time.Duration // the client may retry then; 0: no time is named
+	startsShedding bool          // it is the first rejection after a quiet time
 }
 
 // decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for
@@ -100,12 +100,12 @@
 	if excess <= 0 || a.admitAsTrial(now, query, placed, bound) {
 		return admissionDecision{}
 	}
-	begins := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuiet
+	begins := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuietPeriod
 	a.lastRejectedAt = now
 	return admissionDecision{
-		rejected:     true,
-		retryAfter:   min(excess, a.parameters.maxRetryAfter),
-		beginsToShed: begins,
+		rejected:       true,
+		retryAfter:     min(excess, a.parameters.maxRetryAfter),
+		startsShedding: begins,
 	}
 }
 
@@ -114,23 +114,23 @@
 func (a *admissionController) expectedExcess(
 	now time.Duration, query *query, unseenLoad float64,
 ) (excess, bound time.Duration) {
-	fetchFactor := a.fetchFactor(query)
+	fetchFactor := a.fetchPhaseFactor(query)
 	bound = finishBound(query, fetchFactor, unseenLoad)
-	replicas, sum := a.expectedSum(now, query)
+	replicas, sum := a.expectedFinishSum(now, query)
 	factor := fetchFactor + a.estimates.slowestFactor(len(replicas))
 	excess = scale(sum, factor/(unseenLoad*float64(max(1, len(replicas))))) - bound
-	if a.minimumInTime(now, query, bound) {
+	if a.minimumWeightInTime(now, query, bound) {
 		return excess, bound
 	}
 	for _, replica := range replicas {
-		excess = max(excess, a.finish(now, replica)-bound)
+		excess = max(excess, a.expectedFinish(now, replica)-bound)
 	}
 	return excess, bound
 }
 
-// fetchFactor is the slowest factor of a second phase that is still to come; 0: none is. Its subqueries are taken to
+// fetchPhaseFactor is the slowest factor of a second phase that is still to come; 0: none is. Its subqueries are taken to
 // need as long as the first phase's.
-func (a *admissionController) fetchFactor(query *query) float64 {
+func (a *admissionController) fetchPhaseFactor(query *query) float64 {
 	if query.class.fetchSubqueries == 0 || query.phase > 0 {
 		return 0
 	}
@@ -149,30 +149,30 @@
 	return bound
 }
 
-// minimumInTime reports whether the subqueries whose replicas are expected to finish within the bound, and those that
+// minimumWeightInTime reports whether the subqueries whose replicas are expected to finish within the bound, and those that
 // are queued for none, weigh enough for an answer.
-func (a *admissionController) minimumInTime(now time.Duration, query *query, bound time.Duration) bool {
+func (a *admissionController) minimumWeightInTime(now time.Duration, query *query, bound time.Duration) bool {
 	return query.reachesMinimum(func(subquery *subquery) bool {
-		return subquery.replica == nil || a.finish(now, subquery.replica) <= bound
+		return subquery.replica == nil || a.expectedFinish(now, subquery.replica) <= bound
 	})
 }
 
-// expectedSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes.
+// expectedFinishSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes.
 // Subqueries at one replica end together.
-func (a *admissionController) expectedSum(
+func (a *admissionController) expectedFinishSum(
 	now time.Duration, query *query,
 ) (replicas []*replicaState, sum time.Duration) {
 	for _, subquery := range query.subqueries {
 		replica := subquery.replica
 		if replica != nil && !slices.Contains(replicas, replica) {
 			replicas = append(replicas, replica)
-			sum += a.finish(now, replica)
+			sum += a.expectedFinish(now, replica)
 		}
 	}
 	return replicas, sum
 }
 
-func (a *admissionController) finish(now time.Duration, replica *replicaState) time.Duration {
+func (a *admissionController) expectedFinish(now time.Duration, replica *replicaState) time.Duration {
 	return a.estimates.expectedFinish(now, replica, 0)
 }
 
@@ -184,7 +184,7 @@
 	now time.Duration, query *query, placed []*subquery, bound time.Duration,
 ) bool {
 	state := &query.class.admission
-	if state.lastExcessAt == 0 || now > state.lastExcessAt+sheddingQuiet {
+	if state.lastExcessAt == 0 || now > state.lastExcessAt+sheddingQuietPeriod {
 		wait := scale(firstTrialInterval, a.trialIntervalFactor(query))
 		state.trialLimit = 1
 		state.trialInterval = wait
@@ -193,7 +193,7 @@
 	state.lastExcessAt = now
 	bound = scale(bound, state.latenessFactor) // the lateness factor fades by itself and needs no trial
 	tooSlow := func(subquery *subquery) bool {
-		return subquery.replica != nil && a.finish(now, subquery.replica) > bound
+		return subquery.replica != nil && a.expectedFinish(now, subquery.replica) > bound
 	}
 	worthATrial := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
 	atTrialLimit := func(subquery *subquery) bool {
@@ -223,24 +223,24 @@
 	return a.parameters.timeScale * min(maxTrialIntervalFactor, crowd*math.Pow(size, 2))
 }
 
-// judge counts whether a query met its objective, once, as soon as that is known.
-func (a *admissionController) judge(now time.Duration, query *query, inTime bool) {
+// recordOutcome counts whether a query met its objective, once, as soon as that is known.
+func (a *admissionController) recordOutcome(now time.Duration, query *query, inTime bool) {
 	if query.judged {
 		return
 	}
 	query.judged = true
 	if query.admittedAsTrial {
-		a.judgeTrial(now, query, inTime)
+		a.recordTrialOutcome(now, query, inTime)
 	}
 	rejectedOnArrival := now <= query.arrivedAt
 	lateTrial := query.admittedAsTrial && !inTime
 	if !rejectedOnArrival && !lateTrial {
-		query.class.admission.moveLatenessFactor(now, inTime)
+		query.class.admission.adjustLatenessFactor(now, inTime)
 	}
 }
 
-// judgeTrial lets more trials go after one in time; after a late one it waits, longer each time.
-func (a *admissionController) judgeTrial(now time.Duration, query *query, inTime bool) {
+// recordTrialOutcome lets more trials go after one in time; after a late one it waits, longer each time.
+func (a *admissionController) recordTrialOutcome(now time.Duration, query *query, inTime bool) {
 	state := &query.class.admission
 	factor := a.trialIntervalFactor(query)
 	if inTime {
@@ -253,19 +253,19 @@
 	state.trialInterval = min(scale(maxTrialInterval, factor), 2*state.trialInterval)
 }
 
-// moveLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
+// adjustLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
 // targetLateShare.
-func (c *classAdmission) moveLatenessFactor(now time.Duration, inTime bool) {
+func (c *classAdmission) adjustLatenessFactor(now time.Duration, inTime bool) {
 	direction := 1 - targetLateShare
 	if inTime {
 		direction = -targetLateShare
 	}
-	step := max(minLatenessStep, min(maxLatenessStep, latenessStepPerSecond*(now-c.lastJudgedAt).Seconds()))
+	step := max(minLatenessStep, min(maxLatenessStep, latenessStepPerSecond*(now-c.latenessAdjustedAt).Seconds()))
 	c.latenessFactor = max(1, min(maxLatenessFactor, c.latenessFactor*math.Exp(step*direction)))
-	c.lastJudgedAt = now
+	c.latenessAdjustedAt = now
 }
 
-// fadeLatenessFactor lets the factor return to 1 as seconds pass.
-func (c *classAdmission) fadeLatenessFactor(seconds float64) {
-	c.latenessFactor = 1 + (c.latenessFactor-1)*math.Exp(-seconds/latenessFade)
+// decayLatenessFactor lets the factor return to 1 as seconds pass.
+func (c *classAdmission) decayLatenessFactor(seconds float64) {
+	c.latenessFactor = 1 + (c.latenessFactor-1)*math.Exp(-seconds/latenessDecaySeconds)
 }
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -148,7 +148,7 @@
 	after := func(queries, late int) float64 {
 		class := &classAdmission{latenessFactor: 2}
 		for n := range queries {
-			class.moveLatenessFactor(0, n%queries >= late)
+			class.adjustLatenessFactor(0, n%queries >= late)
 		}
 		return class.latenessFactor
 	}
@@ -162,7 +162,7 @@
 		t.Errorf("from %v to %v", least, most)
 	}
 	class := &classAdmission{latenessFactor: 2}
-	class.fadeLatenessFactor(latenessFade)
+	class.decayLatenessFactor(latenessDecaySeconds)
 	if math.Abs(class.latenessFactor-1-1/math.E) > 1e-9 {
 		t.Errorf("%v after it has faded", class.latenessFactor)
 	}
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -13,7 +13,7 @@
 	scheduler.clock(now)
 	class := &scheduler.classes[arrival.Class]
 	clientRetry := scheduler.clientRetries.isRetry(float64(arrival.TimeLeft) / float64(class.deadline))
-	quotaKnown := !scheduler.parameters.manyCoordinators() || scheduler.gossip.heard(now)
+	quotaKnown := !scheduler.parameters.manyCoordinators() || scheduler.gossip.peersHeard(now)
 	arrived := &query{
 		id:                 arrival.ID,
 		number:             arrival.Number,
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	canaryThreshold = 12                    // subqueries; a query of more sends one ahead
-	canaryStep      = 60 * time.Millisecond // to the next ones; most crashes show within it
-	canaryGrowth    = 8.0                   // times as many attempts may have been sent after each step
-	answersPerCrash = 2.0                   // answers that outweigh a crash under a query
+	canaryThreshold    = 12                    // subqueries; a query of more sends one ahead
+	canaryStep         = 60 * time.Millisecond // to the next ones; most crashes show within it
+	canaryGrowthFactor = 8.0                   // times as many attempts may have been sent after each step
+	answersPerCrash    = 2.0                   // answers that outweigh a crash under a query
 
-	// staleConnection is the time within which a reset shows that the connection was lost before the attempt used it.
-	staleConnection = 6 * time.Millisecond
+	// staleConnectionAge is the time within which a reset shows that the connection was lost before the attempt used it.
+	staleConnectionAge = 6 * time.Millisecond
 )
 
 // crashSuspicion is what speaks for a query crashing the replicas that work on it.
@@ -27,16 +27,16 @@
 	replica *replicaState // which one that was
 }
 
-// suspectedDeadly reports whether a query may crash the replicas that work on it.
-func (q *query) suspectedDeadly() bool {
+// suspectedQueryOfDeath reports whether a query may crash the replicas that work on it.
+func (q *query) suspectedQueryOfDeath() bool {
 	return q.crashes.count > 0 && q.answered < answersPerCrash*q.crashes.count
 }
 
-// connectionReset records that a connection was reset under an attempt that took so long. Several at one replica at
+// recordConnectionReset records that a connection was reset under an attempt that took so long. Several at one replica at
 // one time count as one crash.
-func (q *query) connectionReset(now time.Duration, replica *replicaState, took time.Duration) {
+func (q *query) recordConnectionReset(now time.Duration, replica *replicaState, took time.Duration) {
 	counted := q.crashes.lastAt == now && q.crashes.replica == replica
-	if took < staleConnection || counted {
+	if took < staleConnectionAge || counted {
 		return
 	}
 	q.crashes.count++
@@ -44,9 +44,9 @@
 	q.crashes.replica = replica
 }
 
-// answeredBy records that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
+// recordAnswer records that a replica has answered an attempt. If it is the one that seemed to crash before the attempt
 // was sent, it lives: the connection alone was lost.
-func (q *query) answeredBy(attempt *attempt) {
+func (q *query) recordAnswer(attempt *attempt) {
 	if attempt.replica == q.crashes.replica && attempt.sentAt > q.crashes.lastAt {
 		q.crashes.count = 0
 	}
@@ -64,5 +64,5 @@
 		return false
 	}
 	steps := math.Floor(float64(now-q.arrivedAt) / float64(canaryStep))
-	return q.attemptsSent >= math.Pow(canaryGrowth, steps)
+	return q.attemptsSent >= math.Pow(canaryGrowthFactor, steps)
 }
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -122,27 +122,27 @@
 func TestSuspectedCrashes(t *testing.T) {
 	crashed, other := &replicaState{}, &replicaState{}
 	query := &query{}
-	query.connectionReset(time.Second, crashed, staleConnection-1)
-	if query.suspectedDeadly() {
+	query.recordConnectionReset(time.Second, crashed, staleConnectionAge-1)
+	if query.suspectedQueryOfDeath() {
 		t.Error("a stale connection counts as a crash")
 	}
-	query.connectionReset(time.Second, crashed, time.Second)
-	query.connectionReset(time.Second, crashed, time.Second)
-	if query.crashes.count != 1 || !query.suspectedDeadly() {
+	query.recordConnectionReset(time.Second, crashed, time.Second)
+	query.recordConnectionReset(time.Second, crashed, time.Second)
+	if query.crashes.count != 1 || !query.suspectedQueryOfDeath() {
 		t.Errorf("%v crashes after two resets at once", query.crashes.count)
 	}
-	query.answeredBy(&attempt{replica: other, sentAt: 2 * time.Second})
-	query.answeredBy(&attempt{replica: crashed, sentAt: time.Second})
+	query.recordAnswer(&attempt{replica: other, sentAt: 2 * time.Second})
+	query.recordAnswer(&attempt{replica: crashed, sentAt: time.Second})
 	if query.crashes.count != 1 {
 		t.Error("answers of others, or to earlier attempts, clear the suspicion")
 	}
-	query.answeredBy(&attempt{replica: crashed, sentAt: 2 * time.Second})
-	if query.suspectedDeadly() {
+	query.recordAnswer(&attempt{replica: crashed, sentAt: 2 * time.Second})
+	if query.suspectedQueryOfDeath() {
 		t.Error("still suspected though the replica answers")
 	}
-	query.connectionReset(3*time.Second, crashed, time.Second)
-	query.connectionReset(4*time.Second, other, time.Second)
-	if query.answered = 4; query.suspectedDeadly() {
+	query.recordConnectionReset(3*time.Second, crashed, time.Second)
+	query.recordConnectionReset(4*time.Second, other, time.Second)
+	if query.answered = 4; query.suspectedQueryOfDeath() {
 		t.Error("still suspected after two crashes and four answers")
 	}
 }
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -8,10 +8,10 @@
 import "time"
 
 const (
-	initialLimit  = 8.0  // attempts
-	maxLimit      = 32.0 // attempts; from more it takes too many halvings to come down
-	ceilingGrowth = 0.1  // attempts by which a reply raises the ceiling
-	latencyRise   = 2.5  // times the usual latency at which a limit is halved: above noise, below what a stall costs
+	initialLimit      = 8.0  // attempts
+	maxLimit          = 32.0 // attempts; from more it takes too many halvings to come down
+	ceilingGrowth     = 0.1  // attempts by which a reply raises the ceiling
+	latencyRiseFactor = 2.5  // times the usual latency at which a limit is halved: above noise, below what a stall costs
 
 	// overloadBackoff is the mean time for which a replica that rejected an attempt counts as full, where it is
 	// full of what other co-ordinators sent.
@@ -27,7 +27,7 @@
 // halvingInterval.
 func (l *concurrencyLimiter) replied(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	switch {
-	case replica.recentLatency > latencyRise*max(1, replica.usualLatency):
+	case replica.recentLatency > latencyRiseFactor*max(1, replica.usualLatency):
 		l.halve(now, replica, halvingInterval)
 	case replica.recovering:
 		replica.limit *= 2
@@ -49,8 +49,8 @@
 	replica.limitCeiling = max(1, min(replica.limitCeiling, float64(len(replica.outstanding))))
 }
 
-// peersFill reports whether a replica that rejects attempts may be full of what other co-ordinators sent.
-func (l *concurrencyLimiter) peersFill() bool { return l.parameters.manyCoordinators() }
+// peersMayCauseOverload reports whether a replica that rejects attempts may be full of what other co-ordinators sent.
+func (l *concurrencyLimiter) peersMayCauseOverload() bool { return l.parameters.manyCoordinators() }
 
 // backOff has a replica count as full for a while, of a length that chance spreads: a number from 0 to 1.
 func (l *concurrencyLimiter) backOff(now time.Duration, replica *replicaState, chance float64) {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -99,14 +99,14 @@
 // isDeadly reports whether a query that is suspected of crashing replicas must end: at a second crash, or as the
 // replica that seemed to crash is not in use.
 func (q *query) isDeadly() bool {
-	return q.suspectedDeadly() && (q.crashes.count > 1 || !q.crashes.replica.inUse(q.class))
+	return q.suspectedQueryOfDeath() && (q.crashes.count > 1 || !q.crashes.replica.inUse(q.class))
 }
 
 // settle ends a query, or its phase, if that is due.
 func (scheduler *Scheduler) settle(query *query) {
 	next := query.outcome(scheduler.now)
 	if query.isActive() && scheduler.now > query.objectiveAt {
-		scheduler.admission.judge(scheduler.now, query, false)
+		scheduler.admission.recordOutcome(scheduler.now, query, false)
 	}
 	switch next {
 	case answersNow:
@@ -156,7 +156,7 @@
 // end closes a query that has its final outcome; inTime tells whether it met its objective.
 func (scheduler *Scheduler) end(query *query, inTime bool) {
 	query.ended = true
-	scheduler.admission.judge(scheduler.now, query, inTime)
+	scheduler.admission.recordOutcome(scheduler.now, query, inTime)
 	for _, subquery := range query.subqueries {
 		scheduler.stopSending(subquery)
 	}
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -45,25 +45,25 @@
 	}
 }
 
-// listed notes a list that has come from discovery.
-func (p *endpointPoller) listed() {
+// listReceived notes a list that has come from discovery.
+func (p *endpointPoller) listReceived() {
 	p.following = true
 	p.backoff = firstPollBackoff
 }
 
-// failed notes that a poll has failed, or that the list is not followed any more. The chance, from 0 to 1, spreads
+// pollFailed notes that a poll has pollFailed, or that the list is not followed any more. The chance, from 0 to 1, spreads
 // the polls of many co-ordinators.
-func (p *endpointPoller) failed(now time.Duration, chance float64) {
+func (p *endpointPoller) pollFailed(now time.Duration, chance float64) {
 	p.following = false
 	p.nextPollAt = now + scale(p.backoff, 0.5+chance)
 	p.backoff = min(maxPollBackoff, p.pollInterval/4, 2*p.backoff)
 }
 
-// waiting tells whether a poll is due, now or at nextPollAt.
-func (p *endpointPoller) waiting() bool { return p.mustPoll && !p.following }
+// pollPending tells whether a poll is due, now or at nextPollAt.
+func (p *endpointPoller) pollPending() bool { return p.mustPoll && !p.following }
 
-// due tells whether to poll now; if so, nextPollAt is when that poll counts as lost.
-func (p *endpointPoller) due(now time.Duration) bool {
+// claimPoll tells whether to poll now; if so, nextPollAt is when that poll counts as lost.
+func (p *endpointPoller) claimPoll(now time.Duration) bool {
 	if now < p.nextPollAt {
 		return false
 	}
@@ -73,10 +73,10 @@
 
 // pollEndpoints polls the list if that is due, and asks to be woken for the next time.
 func (scheduler *Scheduler) pollEndpoints() {
-	if !scheduler.poller.waiting() {
+	if !scheduler.poller.pollPending() {
 		return
 	}
-	if scheduler.poller.due(scheduler.now) {
+	if scheduler.poller.claimPoll(scheduler.now) {
 		scheduler.host.PollEndpoints()
 	}
 	scheduler.wakeBy(scheduler.poller.nextPollAt)
@@ -91,7 +91,7 @@
 	if restored {
 		scheduler.lastTickAt = now
 	} else {
-		scheduler.poller.listed()
+		scheduler.poller.listReceived()
 	}
 	if full {
 		for _, replica := range scheduler.replicas.all {
@@ -132,8 +132,8 @@
 	replica.utilizationAt = 0
 	replica.peerWork = 0
 	replica.fullUntil = 0
-	scheduler.slowStart.listed(replica)
-	scheduler.outliers.forget(replica)
+	scheduler.slowStart.restoreUsage(replica)
+	scheduler.outliers.reset(replica)
 	return replica
 }
 
@@ -141,7 +141,7 @@
 func (scheduler *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
 	replica.startedAt = startedAt
 	replica.limit = initialLimit
-	scheduler.outliers.forget(replica)
+	scheduler.outliers.reset(replica)
 	if scheduler.slowStart.warmingUp(replica, scheduler.now) {
 		replica.slowdown = 1 / math.Sqrt(scheduler.slowStart.capacity(replica, scheduler.now))
 		replica.usualLatency = 1
@@ -152,5 +152,5 @@
 // EndpointPollFailed tells that a poll of the list has failed, or that its changes do not come any more.
 func (scheduler *Scheduler) EndpointPollFailed(now time.Duration) {
 	scheduler.clock(now)
-	scheduler.poller.failed(now, scheduler.random.next())
+	scheduler.poller.pollFailed(now, scheduler.random.next())
 }
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -71,19 +71,19 @@
 		poller := newEndpointPoller(&Config{Discovery: DiscoverySubscribe, PollInterval: test.interval})
 		now := time.Minute
 		for n, want := range test.want {
-			poller.failed(now, test.chance)
-			if got := poller.nextPollAt - now; !poller.waiting() || got != want {
+			poller.pollFailed(now, test.chance)
+			if got := poller.nextPollAt - now; !poller.pollPending() || got != want {
 				t.Errorf("interval %v, chance %v: %v after failure %d, want %v", test.interval, test.chance, got, n, want)
 			}
-			if poller.due(poller.nextPollAt-1) || !poller.due(poller.nextPollAt) {
+			if poller.claimPoll(poller.nextPollAt-1) || !poller.claimPoll(poller.nextPollAt) {
 				t.Errorf("interval %v, chance %v: not polled when due after failure %d", test.interval, test.chance, n)
 			}
 		}
-		if poller.listed(); poller.waiting() || poller.backoff != firstPollBackoff {
+		if poller.listReceived(); poller.pollPending() || poller.backoff != firstPollBackoff {
 			t.Errorf("a list does not end the wait: %+v", poller)
 		}
 	}
-	if poller := newEndpointPoller(&Config{Discovery: DiscoveryAutomatic}); poller.waiting() {
+	if poller := newEndpointPoller(&Config{Discovery: DiscoveryAutomatic}); poller.pollPending() {
 		t.Error("polls a list whose changes come by themselves")
 	}
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -15,26 +15,26 @@
 	// peerTimeout is the time without any message after which the others count as silent.
 	peerTimeout = 1 * time.Second
 
-	// peerWorkFade is the time in which the work that peers told of fades to a third.
-	peerWorkFade = 2 * time.Second
+	// peerWorkDecayTime is the time in which the work that peers told of fades to a third.
+	peerWorkDecayTime = 2 * time.Second
 
-	// lateAttempt is how many times longer than expected an attempt takes whose lateness is told.
-	lateAttempt = 2.0
+	// lateAttemptFactor is how many times longer than expected an attempt takes whose lateness is told.
+	lateAttemptFactor = 2.0
 
-	// gossipDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
+	// gossipBatchDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
 	// were sent are told at once, as others may be about to choose the same replica.
-	gossipDelay = 100 * time.Millisecond
+	gossipBatchDelay = 100 * time.Millisecond
 )
 
 // gossip is what a co-ordinator has to tell its peers, and when it last heard one.
 type gossip struct {
-	heardAt time.Duration // last message of a peer that could be read; 0: none yet
-	pending [attemptEvents]attemptTally
+	lastReceivedAt time.Duration // last message of a peer that could be read; 0: none yet
+	pending        [attemptEventCount]attemptTally
 }
 
-// heard tells whether the peers tell what they send.
-func (g *gossip) heard(now time.Duration) bool {
-	return g.heardAt > 0 && now < g.heardAt+peerTimeout
+// peersHeard tells whether the peers tell what they send.
+func (g *gossip) peersHeard(now time.Duration) bool {
+	return g.lastReceivedAt > 0 && now < g.lastReceivedAt+peerTimeout
 }
 
 // attemptSent notes an attempt that is now in flight.
@@ -61,7 +61,7 @@
 func (g *gossip) attemptEnded(now time.Duration, ended endedAttempt) {
 	cell, work := ended.attempt.replica.cell, ended.attempt.work
 	switch {
-	case ended.lateness > lateAttempt && !ended.readLate:
+	case ended.lateness > lateAttemptFactor && !ended.readLate:
 		g.pending[attemptsLate].add(now, cell, work, ended.lateness)
 	case !ended.cancelled:
 		g.pending[attemptsEnded].add(now, cell, work, 1)
@@ -70,13 +70,13 @@
 
 // broadcast sends what is due and asks to be woken for the rest.
 func (scheduler *Scheduler) broadcast() {
-	for event := range attemptEvents {
+	for event := range attemptEventCount {
 		tally := &scheduler.gossip.pending[event]
-		due := tally.since + gossipDelay
+		due := tally.firstAddedAt + gossipBatchDelay
 		switch {
 		case event == attemptsSent || scheduler.now >= due:
 			cells := scheduler.parameters.layout.cells
-			for _, message := range tally.take(event, cells, scheduler.estimates.parallelism) {
+			for _, message := range tally.flush(event, cells, scheduler.estimates.parallelism) {
 				scheduler.host.Broadcast(message)
 			}
 		case len(tally.cells) > 0:
@@ -94,21 +94,21 @@
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
 	}
 	for _, tenant := range decoded.tenants {
-		scheduler.quotas.peerTook(tenant)
+		scheduler.quotas.peerAdmitted(tenant)
 	}
 	for _, told := range decoded.cells {
 		for _, replica := range scheduler.replicas.holdersOfCell(told.cell) {
 			if replica.cell == told.cell {
-				scheduler.takePeerAttempts(replica, decoded, told.attempts)
+				scheduler.applyPeerAttempts(replica, decoded, told.attempts)
 			}
 		}
 	}
-	scheduler.gossip.heardAt = now
+	scheduler.gossip.lastReceivedAt = now
 	return nil
 }
 
-// takePeerAttempts applies what a peer tells of attempts at a replica.
-func (scheduler *Scheduler) takePeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
+// applyPeerAttempts applies what a peer tells of attempts at a replica.
+func (scheduler *Scheduler) applyPeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
 		estimates := &scheduler.estimates
@@ -117,15 +117,15 @@
 	}
 	if message.event != attemptsSent {
 		work = -work
-		scheduler.takePeerLatency(replica, message, attempts)
+		scheduler.applyPeerLatency(replica, message, attempts)
 	}
 	most := scale(scheduler.parameters.shortestObjective, scheduler.estimates.parallelism)
 	replica.peerWork = max(0, min(most, replica.peerBacklog(scheduler.now)+work))
 	replica.peerWorkAt = scheduler.now
 }
 
-// takePeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
-func (scheduler *Scheduler) takePeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
+// applyPeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
+func (scheduler *Scheduler) applyPeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
 	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
 	if message.event != attemptsLate && surprise >= 0 {
 		return
@@ -138,12 +138,12 @@
 // message of an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
-	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkFade)))
+	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkDecayTime)))
 }
 
 // unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
 func (scheduler *Scheduler) unseenLoad() float64 {
-	if scheduler.gossip.heard(scheduler.now) {
+	if scheduler.gossip.peersHeard(scheduler.now) {
 		return 1
 	}
 	return scheduler.parameters.unseenLoadFactor
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -31,16 +31,16 @@
 type attemptEvent int
 
 const (
-	attemptsSent  attemptEvent = iota // just sent; tells for whom as well
-	attemptsEnded                     // ended in about the expected time, or with nothing to tell of it
-	attemptsLate                      // ended or cancelled, much later than expected
-	attemptEvents                     // how many there are
+	attemptsSent      attemptEvent = iota // just sent; tells for whom as well
+	attemptsEnded                         // ended in about the expected time, or with nothing to tell of it
+	attemptsLate                          // ended or cancelled, much later than expected
+	attemptEventCount                     // how many there are
 )
 
 const (
-	gossipMagic  = 0xa8
-	gossipHeader = 5   // bytes
-	maxGossip    = 256 // bytes of a message
+	gossipMagic      = 0xa8
+	gossipHeaderSize = 5   // bytes
+	maxGossipSize    = 256 // bytes of a message
 
 	gossipCellMap    = 1 // bit of byte 1
 	gossipEventShift = 1 // of byte 1
@@ -49,12 +49,12 @@
 	gossipParallelismUnit = 16 // of one subquery
 	gossipLatenessUnit    = 8  // of the expected time
 
-	cellsPerByte    = 4                                           // of a map
-	bitsPerCell     = 2                                           // of a map
-	maxMapped       = 1<<bitsPerCell - 1                          // attempts of a cell in a map
-	maxTenants      = 16                                          // in a message
-	maxListed       = (maxGossip - gossipHeader - maxTenants) / 3 // cells in a list, of three bytes at most
-	maxAttemptTally = 4096                                        // attempts gathered; further ones are not told of
+	cellsPerByte          = 4                                                             // of a map
+	bitsPerCell           = 2                                                             // of a map
+	maxAttemptsPerMapCell = 1<<bitsPerCell - 1                                            // attempts of a cell in a map
+	maxTenantsPerMessage  = 16                                                            // in a message
+	maxCellsInList        = (maxGossipSize - gossipHeaderSize - maxTenantsPerMessage) / 3 // cells in a list, of three bytes at most
+	maxAttemptTally       = 4096                                                          // attempts gathered; further ones are not told of
 )
 
 // GossipError says why a message of another co-ordinator cannot be read.
@@ -89,8 +89,8 @@
 
 // decodeGossip reads a message whole or not at all. The error is a *GossipError.
 func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
-	if len(message) <= gossipHeader || len(message) > maxGossip {
-		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeader, maxGossip)
+	if len(message) <= gossipHeaderSize || len(message) > maxGossipSize {
+		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeaderSize, maxGossipSize)
 		return nil, &GossipError{"length", len(message), wanted}
 	}
 	if message[0] != gossipMagic {
@@ -100,7 +100,7 @@
 		event: attemptEvent(message[1] >> gossipEventShift),
 		work:  time.Duration(binary.BigEndian.Uint16(message[2:])) * gossipWorkUnit,
 	}
-	body, err := decoded.readDetail(message[4], message[gossipHeader:])
+	body, err := decoded.readDetail(message[4], message[gossipHeaderSize:])
 	if err != nil {
 		return nil, err
 	}
@@ -137,8 +137,8 @@
 }
 
 func (m *gossipMessage) readTenants(count int, body []byte) ([]byte, error) {
-	if count > maxTenants || count >= len(body) {
-		return nil, &GossipError{"tenants", count, fmt.Sprintf("at most %d, and cells behind them", maxTenants)}
+	if count > maxTenantsPerMessage || count >= len(body) {
+		return nil, &GossipError{"tenants", count, fmt.Sprintf("at most %d, and cells behind them", maxTenantsPerMessage)}
 	}
 	for _, tenant := range body[:count] {
 		m.tenants = append(m.tenants, TenantIndex(tenant))
@@ -152,7 +152,7 @@
 	}
 	for cell := range cells {
 		shift := bitsPerCell * (cell % cellsPerByte)
-		attempts := int(body[cell/cellsPerByte] >> shift & maxMapped)
+		attempts := int(body[cell/cellsPerByte] >> shift & maxAttemptsPerMapCell)
 		if attempts > 0 {
 			m.cells = append(m.cells, cellAttempts{CellNumber(cell), attempts})
 		}
@@ -177,17 +177,17 @@
 
 // attemptTally gathers attempts of one event until the others are told.
 type attemptTally struct {
-	cells       []CellNumber  // one for each attempt
-	tenants     []TenantIndex // one for each query admitted
-	work        time.Duration // of all attempts
-	logLateness float64       // sum of the logarithms of their lateness
-	since       time.Duration // when the first was gathered
+	cells        []CellNumber  // one for each attempt
+	tenants      []TenantIndex // one for each query admitted
+	work         time.Duration // of all attempts
+	logLateness  float64       // sum of the logarithms of their lateness
+	firstAddedAt time.Duration // when the first was gathered
 }
 
 // add gathers an attempt that took so many times the expected time.
 func (t *attemptTally) add(now time.Duration, cell CellNumber, work time.Duration, lateness float64) {
 	if len(t.cells) == 0 {
-		t.since = now
+		t.firstAddedAt = now
 	}
 	if len(t.cells) < maxAttemptTally {
 		t.cells = append(t.cells, cell)
@@ -196,8 +196,8 @@
 	}
 }
 
-// take encodes what was gathered, in as few bytes as it takes, and empties the tally.
-func (t *attemptTally) take(event attemptEvent, cells int, parallelism float64) (messages [][]byte) {
+// flush encodes what was gathered, in as few bytes as it takes, and empties the tally.
+func (t *attemptTally) flush(event attemptEvent, cells int, parallelism float64) (messages [][]byte) {
 	if len(t.cells) == 0 {
 		return nil
 	}
@@ -208,9 +208,9 @@
 		lateness:    math.Exp(t.logLateness / float64(len(t.cells))),
 		parallelism: parallelism,
 		tenants:     t.tenants,
-		left:        t.cells,
+		remaining:   t.cells,
 	}
-	for len(encoder.left) > 0 {
+	for len(encoder.remaining) > 0 {
 		messages = append(messages, encoder.next())
 	}
 	*t = attemptTally{cells: t.cells[:0], tenants: t.tenants[:0]}
@@ -225,7 +225,7 @@
 	lateness    float64       // mean of an attempt
 	parallelism float64
 	tenants     []TenantIndex // that no message has told yet
-	left        []CellNumber  // of attempts that no message has told yet
+	remaining   []CellNumber  // of attempts that no message has told yet
 }
 
 func (e *gossipEncoder) next() []byte {
@@ -237,19 +237,19 @@
 
 // listIsBetter tells whether the map does not fit, or is longer than a list that holds all that is left.
 func (e *gossipEncoder) listIsBetter() bool {
-	if gossipHeader+maxTenants+e.mapSize > maxGossip {
+	if gossipHeaderSize+maxTenantsPerMessage+e.mapSize > maxGossipSize {
 		return true
 	}
-	return len(e.left) <= maxListed && len(e.left) < e.mapSize
+	return len(e.remaining) <= maxCellsInList && len(e.remaining) < e.mapSize
 }
 
 func (e *gossipEncoder) list() []byte {
 	message := e.header(0)
-	listed := e.left[:min(len(e.left), maxListed)]
+	listed := e.remaining[:min(len(e.remaining), maxCellsInList)]
 	for _, cell := range listed {
 		message = binary.AppendUvarint(message, uint64(cell))
 	}
-	e.left = e.left[len(listed):]
+	e.remaining = e.remaining[len(listed):]
 	return message
 }
 
@@ -258,21 +258,21 @@
 	message := e.header(gossipCellMap)
 	cells := make([]byte, e.mapSize)
 	var left []CellNumber
-	for _, cell := range e.left {
+	for _, cell := range e.remaining {
 		at, shift := int(cell)/cellsPerByte, bitsPerCell*(int(cell)%cellsPerByte)
-		if cells[at]>>shift&maxMapped == maxMapped {
+		if cells[at]>>shift&maxAttemptsPerMapCell == maxAttemptsPerMapCell {
 			left = append(left, cell)
 			continue
 		}
 		cells[at] += 1 << shift
 	}
-	e.left = left
+	e.remaining = left
 	return append(message, cells...)
 }
 
 // header is a message up to its cells.
 func (e *gossipEncoder) header(form byte) []byte {
-	tenants := e.tenants[:min(len(e.tenants), maxTenants)]
+	tenants := e.tenants[:min(len(e.tenants), maxTenantsPerMessage)]
 	e.tenants = e.tenants[len(tenants):]
 	message := []byte{gossipMagic, byte(e.event)<<gossipEventShift | form}
 	message = binary.BigEndian.AppendUint16(message, uint16(min(math.MaxUint16, e.work/gossipWorkUnit)))
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -17,13 +17,13 @@
 	for _, cell := range attempts {
 		tally.add(0, cell, work, lateness)
 	}
-	return tally.take(event, cells, 2)
+	return tally.flush(event, cells, 2)
 }
 
 func TestGossipRoundTrip(t *testing.T) {
 	for _, cells := range []int{1, 3, 162, 900, 5000} {
 		for _, attempts := range []int{1, 7, 200, 1000} {
-			for event := range attemptEvents {
+			for event := range attemptEventCount {
 				t.Run(fmt.Sprintf("%d cells, %d attempts, event %d", cells, attempts, event), func(t *testing.T) {
 					testGossipRoundTrip(t, event, cells, attempts)
 				})
@@ -46,7 +46,7 @@
 	}
 	for _, message := range gossipOf(event, attemptCells, 123*ms, 4, tenants, cells) {
 		decoded, err := decodeGossip(message, cells)
-		if err != nil || len(message) > maxGossip {
+		if err != nil || len(message) > maxGossipSize {
 			t.Fatalf("%d bytes, %v", len(message), err)
 		}
 		if decoded.work != 123*ms || decoded.event != event {
@@ -95,7 +95,7 @@
 	digest, messages := sha256.New(), 0
 	for _, cells := range []int{1, 3, 162, 900, 5000} {
 		for _, attempts := range []int{1, 7, 85, 200, 1000} {
-			for event := range attemptEvents {
+			for event := range attemptEventCount {
 				for _, work := range []time.Duration{0, time.Hour} {
 					for _, value := range []float64{1, 3.3, 1000} {
 						for _, message := range manyAttempts(event, cells, attempts, work, value) {
@@ -122,7 +122,7 @@
 			tally.tenants = append(tally.tenants, TenantIndex(n%256))
 		}
 	}
-	return tally.take(event, cells, value)
+	return tally.flush(event, cells, value)
 }
 
 // What is no message of this version is refused by name, and nothing that it says is believed, not even in part.
@@ -138,15 +138,15 @@
 		field   string
 	}{
 		"empty":                         {[]byte{}, "length"},
-		"cut in its header":             {sound[:gossipHeader], "length"},
-		"cut behind its tenants":        {sound[:gossipHeader+1], "tenants"},
+		"cut in its header":             {sound[:gossipHeaderSize], "length"},
+		"cut behind its tenants":        {sound[:gossipHeaderSize+1], "tenants"},
 		"of version 1":                  {changed(0, 0xa7), "first byte"},
 		"of an unknown event":           {changed(1, 7<<gossipEventShift), "event"},
-		"with more tenants than it has": {changed(4, maxTenants), "tenants"},
-		"with too many tenants":         {changed(4, maxTenants+1), "tenants"},
+		"with more tenants than it has": {changed(4, maxTenantsPerMessage), "tenants"},
+		"with too many tenants":         {changed(4, maxTenantsPerMessage+1), "tenants"},
 		"about an unknown cell":         {[]byte{gossipMagic, 0, 0, 1, 0, 3}, "cell"},
 		"with half a cell":              {[]byte{gossipMagic, 0, 0, 1, 0, 0x80}, "cell, bytes left"},
-		"too long":                      {append(slices.Clone(sound), make([]byte, maxGossip)...), "length"},
+		"too long":                      {append(slices.Clone(sound), make([]byte, maxGossipSize)...), "length"},
 		"late by nothing": {
 			[]byte{gossipMagic, byte(attemptsLate) << gossipEventShift, 0, 1, gossipLatenessUnit, 0}, "lateness"},
 		"with no subquery at a time": {
@@ -169,7 +169,7 @@
 				t.Errorf("a message %s is believed of replica %d", name, replica.id)
 			}
 		}
-		if m.scheduler.gossip.heard(m.scheduler.now) || m.scheduler.quotas.tokens[0] != allowance {
+		if m.scheduler.gossip.peersHeard(m.scheduler.now) || m.scheduler.quotas.tokens[0] != allowance {
 			t.Errorf("a message %s is believed", name)
 		}
 	}
@@ -188,10 +188,10 @@
 		m := newModel(t, 32)
 		m.settings["bounds.peers"] = "true"
 		m.restartAsOneOf(40, 0)
-		before := m.scheduler.gossip.heardAt
+		before := m.scheduler.gossip.lastReceivedAt
 		err := m.scheduler.GossipReceived(m.now, 1, message)
-		if (err == nil) != (m.scheduler.gossip.heardAt != before) {
-			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.heardAt)
+		if (err == nil) != (m.scheduler.gossip.lastReceivedAt != before) {
+			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.lastReceivedAt)
 		}
 		most := scale(m.scheduler.parameters.shortestObjective, m.scheduler.estimates.parallelism)
 		for _, replica := range m.scheduler.replicas.all {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -131,7 +131,7 @@
 		for range 100 {
 			tally.add(m.now, 0, 100*ms, 1)
 		}
-		m.hear(tally.take(attemptsEnded, 3, parallelism)...)
+		m.hear(tally.flush(attemptsEnded, 3, parallelism)...)
 	}
 	if hundredEnded(4); m.scheduler.estimates.parallelism < 3.5 || m.scheduler.estimates.parallelism > 4 {
 		t.Errorf("%.2f after a hundred attempts told by one that counts on 4", m.scheduler.estimates.parallelism)
@@ -145,7 +145,7 @@
 // told only if it was late.
 func TestEndsAreGatheredAndTold(t *testing.T) {
 	m := newGossipModel(t, 0)
-	said := func() (attempts [attemptEvents]int) {
+	said := func() (attempts [attemptEventCount]int) {
 		for _, message := range m.broadcasts {
 			decoded, err := decodeGossip(message, 3)
 			if err != nil {
@@ -160,7 +160,7 @@
 	}
 	q := m.newQuery(0, 3, 3*time.Second)
 	m.iterate()
-	if got := said(); got != [attemptEvents]int{attemptsSent: 3} {
+	if got := said(); got != [attemptEventCount]int{attemptsSent: 3} {
 		t.Errorf("told %v of three attempts sent", got)
 	}
 	m.now += 60 * ms
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	answeredForHedge = 0.8  // share of a query's other subqueries that must be answered before one is a straggler
-	manySubqueries   = 12.0 // subqueries; a query of more has more stragglers: less patience, and more room for a hedge
-	minStragglerAge  = 2.5  // times the expected time; an attempt is a straggler no sooner
-	hedgePatience    = 6.0  // times the expected time after which a hedge is thought of
-	hedgeRoomTimes   = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
-
-	hedgeTokensPerReply = 0.3             // hedges that a reply earns, from whichever replica
-	maxHedgeTokens      = 24.0            // hedges that may be saved up
-	lastSubqueries      = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
-	lastShare           = 12.0            // of a large query the last twelfth needs none either
-	lastStragglerAge    = 1.5             // times the expected time at a sound replica, for the last twelfth
-	idleUtilization     = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
-	busyUtilization     = 0.7             // the same; from here a queue forms, and each hedge makes it longer
-	utilizationStep     = 0.05            // weight of a load report in the mean utilization
-	loadReportFresh     = 2 * time.Second // for which a replica's own report tells more than the mean of all
-	loadReportsTimeout  = 5 * time.Second // without any load report, after which replicas count as idle
+	answeredForHedge    = 0.8  // share of a query's other subqueries that must be answered before one is a straggler
+	manySubqueries      = 12.0 // subqueries; a query of more has more stragglers: less patience, and more room for a hedge
+	minStragglerFactor  = 2.5  // times the expected time; an attempt is a straggler no sooner
+	stragglerFactor     = 6.0  // times the expected time after which a hedge is thought of
+	hedgeHeadroomFactor = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
+
+	hedgeTokensPerReply    = 0.3             // hedges that a reply earns, from whichever replica
+	maxHedgeTokens         = 24.0            // hedges that may be saved up
+	maxMissingWithoutToken = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
+	lastShareDivisor       = 12.0            // of a large query the last twelfth needs none either
+	lastStragglerFactor    = 1.5             // times the expected time at a sound replica, for the last twelfth
+	idleUtilization        = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
+	busyUtilization        = 0.7             // the same; from here a queue forms, and each hedge makes it longer
+	utilizationStep        = 0.05            // weight of a load report in the mean utilization
+	loadReportMaxAge       = 2 * time.Second // for which a replica's own report tells more than the mean of all
+	loadReportsTimeout     = 5 * time.Second // without any load report, after which replicas count as idle
 )
 
 // hedgePolicy decides on hedges.
@@ -63,8 +63,8 @@
 	}
 }
 
-// forgetLoad lets replicas count as idle once nobody has reported for a while.
-func (h *hedgePolicy) forgetLoad(now time.Duration) {
+// expireLoadReports lets replicas count as idle once nobody has reported for a while.
+func (h *hedgePolicy) expireLoadReports(now time.Duration) {
 	if now > h.lastLoadReportAt+loadReportsTimeout {
 		h.meanUtilization = 0
 	}
@@ -72,18 +72,18 @@
 
 // earn adds the tokens of a reply.
 func (h *hedgePolicy) earn(now time.Duration, replica *replicaState) {
-	earned := hedgeTokensPerReply * h.parameters.hedgeScale * h.room(now, replica)
+	earned := hedgeTokensPerReply * h.parameters.hedgeScale * h.headroom(now, replica)
 	h.tokens = min(maxHedgeTokens*h.parameters.hedgeScale, h.tokens+earned)
 }
 
 // spend takes a token for a hedge that is sent. One that needs no token takes what there is.
 func (h *hedgePolicy) spend() { h.tokens = max(0, h.tokens-1) }
 
-// room is how much room a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean
+// headroom is how much headroom a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean
 // of all. One of many co-ordinators does not see by itself that hedges make a jam.
-func (h *hedgePolicy) room(now time.Duration, replica *replicaState) float64 {
+func (h *hedgePolicy) headroom(now time.Duration, replica *replicaState) float64 {
 	utilization := h.meanUtilization
-	if replica.utilizationAt > 0 && now-replica.utilizationAt < loadReportFresh {
+	if replica.utilizationAt > 0 && now-replica.utilizationAt < loadReportMaxAge {
 		utilization = replica.utilization
 	}
 	return max(0, min(1, (busyUtilization-utilization)/(busyUtilization-idleUtilization)))
@@ -97,7 +97,7 @@
 	best := h.placement.cheapest(attempt.subquery, func(replica *replicaState) time.Duration {
 		return h.cost(now, attempt, replica)
 	})
-	if best == nil || attempt.subquery.query.nearlyAnswered(lastSubqueries) || h.tokens*h.room(now, best) >= 1 {
+	if best == nil || attempt.subquery.query.nearlyAnswered(maxMissingWithoutToken) || h.tokens*h.headroom(now, best) >= 1 {
 		return best
 	}
 	return nil
@@ -110,7 +110,7 @@
 	if !h.parameters.hedgeAllowed || settled || !h.retries.allowsFurther(now, subquery) || !h.retries.hasRoom() {
 		return false
 	}
-	return now-attempt.sentAt >= attempt.stragglerAge(hedgePatience) || h.outliers.hangs(now, attempt)
+	return now-attempt.sentAt >= attempt.stragglerAge(stragglerFactor) || h.outliers.hangs(now, attempt)
 }
 
 // cost is the expected time of a hedge at a replica; forbiddenCost: it must not go there, or the first attempt is
@@ -127,19 +127,19 @@
 	if finish >= min(query.deadlineAt-now, max(age, 2*attempt.expected)) {
 		return forbiddenCost
 	}
-	urgent := h.outliers.hangs(now, attempt) && h.room(now, replica) > 0
-	if !urgent && now+scale(finish, hedgeRoomTimes*max(1, query.fanout())) <= query.objectiveAt {
+	urgent := h.outliers.hangs(now, attempt) && h.headroom(now, replica) > 0
+	if !urgent && now+scale(finish, hedgeHeadroomFactor*max(1, query.relativeFanout())) <= query.objectiveAt {
 		return forbiddenCost
 	}
 	return finish
 }
 
-// fanout is the number of the query's subqueries over manySubqueries.
-func (q *query) fanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
+// relativeFanout is the number of the query's subqueries over manySubqueries.
+func (q *query) relativeFanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
 
 // nearlyAnswered reports whether no more than the last twelfth of a query, or than so many subqueries, are missing.
 func (q *query) nearlyAnswered(subqueries float64) bool {
-	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShare)
+	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShareDivisor)
 }
 
 // stragglerAge is the age from which an attempt is a straggler among its query's: so many times the time that the
@@ -147,14 +147,14 @@
 // none, as the query is heavy or the replicas are in a jam.
 func (a *attempt) stragglerAge(times float64) time.Duration {
 	query := a.subquery.query
-	fanout := query.fanout()
+	fanout := query.relativeFanout()
 	if query.answered < answeredForHedge*min(1, fanout)*float64(len(query.subqueries)-1) {
 		return math.MaxInt64
 	}
 	slowdown := a.replica.slowdown
-	multiple := max(minStragglerAge, times/max(1, fanout))
+	multiple := max(minStragglerFactor, times/max(1, fanout))
 	if query.nearlyAnswered(0) {
-		multiple = lastStragglerAge
+		multiple = lastStragglerFactor
 		slowdown = min(1, slowdown)
 	}
 	lateness := max(1, (1+query.latenessSum)/(1+query.answered))
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -142,13 +142,13 @@
 		{"all busy", busyUtilization, 0, 0, 0},
 		{"all more than busy", 1, 0, 0, 0},
 		{"half way", (idleUtilization + busyUtilization) / 2, 0, 0, 0.5},
-		{"busy itself", 0, 1, now - loadReportFresh + 1, 0},
-		{"was busy itself", 0, 1, now - loadReportFresh, 1},
+		{"busy itself", 0, 1, now - loadReportMaxAge + 1, 0},
+		{"was busy itself", 0, 1, now - loadReportMaxAge, 1},
 		{"idle itself", 1, 0, now - 1, 1},
 	} {
 		hedges := hedgePolicy{parameters: &parameters{}, meanUtilization: test.mean}
 		replica := &replicaState{utilization: test.own, utilizationAt: test.reportedAt}
-		if got := hedges.room(now, replica); math.Abs(got-test.want) > 1e-9 {
+		if got := hedges.headroom(now, replica); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s: room %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -182,7 +182,7 @@
 			replica:  &replicaState{slowdown: 1},
 			expected: expected,
 		}
-		if got := straggler.stragglerAge(hedgePatience); (got - test.want).Abs() > ms {
+		if got := straggler.stragglerAge(stragglerFactor); (got - test.want).Abs() > ms {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -25,7 +25,7 @@
 // Spans are those for long latency objectives; parameters.timeScale shortens them.
 const (
 	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
-	silentTimes        = 4.0                    // times the expected time, by stragglerAge: a slow replica is not silent
+	silentFactor       = 4.0                    // times the expected time, by stragglerAge: a slow replica is not silent
 	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost
 	errorLimit         = 3                      // attempts of a class in a row without an answer, not at the same time
 	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
@@ -70,7 +70,7 @@
 func (d *outlierDetector) reinstate(replica *replicaState, class *class) {
 	if replica.ejectedForAll() {
 		d.limits.restart(replica)
-		d.forget(replica)
+		d.reset(replica)
 	}
 	replica.forClass(class).ejected = false
 	replica.probeInterval = d.initialInterval()
@@ -78,8 +78,8 @@
 	d.log(fmt.Sprintf("replica %d reinstated: answers again", replica.id))
 }
 
-// forget drops all that speaks against a replica: its errors and its ejection for any class.
-func (d *outlierDetector) forget(replica *replicaState) {
+// reset drops all that speaks against a replica: its errors and its ejection for any class.
+func (d *outlierDetector) reset(replica *replicaState) {
 	replica.classes = make([]replicaClassState, d.classes)
 	replica.probeInterval = d.initialInterval()
 }
@@ -130,9 +130,9 @@
 			continue
 		}
 		switch {
-		case d.hangs(now, attempt) && state.lastReplyAt < attempt.sentAt && d.canSpare(replica, class):
+		case d.hangs(now, attempt) && state.lastReplyAt < attempt.sentAt && d.replaceable(replica, class):
 			d.eject(now, replica, class, ejectedOneClass)
-		case index == 0 && d.silent(now, attempt) && d.canSpare(replica, class):
+		case index == 0 && d.silent(now, attempt) && d.replaceable(replica, class):
 			d.eject(now, replica, nil, ejectedSilent)
 		}
 	}
@@ -141,7 +141,7 @@
 // silent reports whether a replica has been silent since an attempt, for longer than a slow one is.
 func (d *outlierDetector) silent(now time.Duration, attempt *attempt) bool {
 	silence := now - max(attempt.sentAt, attempt.replica.lastReplyAt)
-	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentTimes)
+	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentFactor)
 }
 
 // hangs reports whether an attempt can be given up for lost: its replica is ejected for its class, or has answered
@@ -150,19 +150,19 @@
 	if attempt.replica.forClass(attempt.subquery.query.class).ejected {
 		return true
 	}
-	patience := scale(attempt.expected+latencyJitter, silentTimes*attempt.replica.slowdown)
+	patience := scale(attempt.expected+latencyJitter, silentFactor*attempt.replica.slowdown)
 	return attempt.overtaken >= overtakenLimit && now-attempt.sentAt > patience
 }
 
-// releaseLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place
+// unloadLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place
 // under its limit until their deadlines.
-func (d *outlierDetector) releaseLost(now time.Duration, replica *replicaState) {
+func (d *outlierDetector) unloadLost(now time.Duration, replica *replicaState) {
 	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
 
-// canSpare reports whether each shard that a replica holds has another holder in use. The last one may be silent
+// replaceable reports whether each shard that a replica holds has another holder in use. The last one may be silent
 // only because it carries the load of the others.
-func (d *outlierDetector) canSpare(replica *replicaState, class *class) bool {
+func (d *outlierDetector) replaceable(replica *replicaState, class *class) bool {
 	for cell := range d.replicas.layout.heldBy(replica.cell) {
 		if !d.hasOtherHolder(cell, replica, class) {
 			return false
@@ -190,7 +190,7 @@
 func (d *outlierDetector) mayProbe(now time.Duration, subquery *subquery, retries *retryBudget) bool {
 	query := subquery.query
 	tooOld := now-query.arrivedAt > (query.deadlineAt-query.arrivedAt)/2
-	if tooOld || query.suspectedDeadly() {
+	if tooOld || query.suspectedQueryOfDeath() {
 		return false
 	}
 	if subquery.nextIsFurther() && !retries.hasRoom() {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -159,7 +159,7 @@
 
 // A probe goes to an ejected holder that is due for one; a subquery that can go elsewhere is a probe itself only once
 // one is long overdue. Probes become rarer, unless no holder is in use.
-func TestTakeProbe(t *testing.T) {
+func TestClaimProbe(t *testing.T) {
 	const now = time.Minute
 	for _, test := range []struct {
 		name        string
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -48,7 +48,7 @@
 // other way round.
 func (p *placement) fastest(subquery *subquery) *replicaState {
 	return p.cheapest(subquery, func(replica *replicaState) time.Duration {
-		if subquery.triedAt(replica) != subquery.query.suspectedDeadly() {
+		if subquery.triedAt(replica) != subquery.query.suspectedQueryOfDeath() {
 			return subquery.query.class.deadline
 		}
 		return scale(subquery.work, p.estimates.timePerWork(replica))
@@ -122,7 +122,7 @@
 	soonest := time.Duration(0)
 	var last *subquery
 	for _, subquery := range placed {
-		if subquery.replica != from || subquery.query.suspectedDeadly() {
+		if subquery.replica != from || subquery.query.suspectedQueryOfDeath() {
 			continue
 		}
 		if last != nil && subquery.interchangeable(last, p.parameters.layout) {
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -37,8 +37,8 @@
 	return false
 }
 
-// peerTook counts a query of a tenant that another co-ordinator has admitted.
-func (q *tenantQuotas) peerTook(tenant TenantIndex) {
+// peerAdmitted counts a query of a tenant that another co-ordinator has admitted.
+func (q *tenantQuotas) peerAdmitted(tenant TenantIndex) {
 	if int(tenant) < len(q.rates) {
 		q.tokens[tenant] = max(0, q.tokens[tenant]-1)
 	}
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("%d of 3 over a small quota, whose burst is 2", over)
 	}
 	quotas.refill(time.Second)
-	quotas.peerTook(0)
+	quotas.peerAdmitted(0)
 	if over := take(0, 5); over != 2 {
 		t.Errorf("%d of 5 over a quota that had 4 a second later, of which a peer took one", over)
 	}
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -82,7 +82,7 @@
 	if query.waitsForCanaries(scheduler.now, scheduler.parameters.manyCoordinators()) {
 		return false
 	}
-	return !query.suspectedDeadly() || len(subquery.attempts) > 0
+	return !query.suspectedQueryOfDeath() || len(subquery.attempts) > 0
 }
 
 // releaseOne abandons, probes with, passes over or sends a queued subquery.
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -77,7 +77,7 @@
 	} else {
 		scheduler.limits.replied(scheduler.now, replica, scheduler.halvingInterval(replica))
 	}
-	query.answeredBy(ended)
+	query.recordAnswer(ended)
 	if subquery.answered || subquery.abandoned || query.ended {
 		return
 	}
@@ -94,13 +94,13 @@
 	switch outcome {
 	case Overloaded:
 		scheduler.limits.rejected(scheduler.now, replica, scheduler.halvingInterval(replica))
-		if scheduler.limits.peersFill() {
+		if scheduler.limits.peersMayCauseOverload() {
 			scheduler.limits.backOff(scheduler.now, replica, scheduler.random.next())
 		}
 	case Unreachable:
 		scheduler.outliers.eject(scheduler.now, replica, nil, ejectedUnreachable)
 	case ConnectionReset:
-		query.connectionReset(scheduler.now, replica, took)
+		query.recordConnectionReset(scheduler.now, replica, took)
 	}
 	scheduler.outliers.failed(scheduler.now, replica, query.class)
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -54,8 +54,8 @@
 // expire forgets what is older than the budget's span.
 func (b *retryBudget) expire(now time.Duration) {
 	span := b.parameters.retryBudgetSpan
-	b.arrivals = notBefore(b.arrivals, now-span+1)
-	b.furtherAttempts = notBefore(b.furtherAttempts, now-span)
+	b.arrivals = dropBefore(b.arrivals, now-span+1)
+	b.furtherAttempts = dropBefore(b.furtherAttempts, now-span)
 }
 
 // hasRoom reports whether the budget allows a further attempt now.
@@ -104,11 +104,11 @@
 		return 0
 	}
 	expected := max(attempt.work, scale(attempt.expected, attempt.replica.slowdown))
-	return scale(expected, hedgePatience*unseenLoad)
+	return scale(expected, stragglerFactor*unseenLoad)
 }
 
-// notBefore drops the times before one from a list in order.
-func notBefore(times []time.Duration, at time.Duration) []time.Duration {
+// dropBefore drops the times before one from a list in order.
+func dropBefore(times []time.Duration, at time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] < at {
 		times = times[1:]
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -161,17 +161,17 @@
 	scheduler.lastTickAt = scheduler.now
 	scheduler.quotas.refill(passed)
 	for index := range scheduler.classes {
-		scheduler.classes[index].admission.fadeLatenessFactor(seconds)
+		scheduler.classes[index].admission.decayLatenessFactor(seconds)
 	}
-	scheduler.slowStart.fade(seconds)
-	scheduler.hedges.forgetLoad(scheduler.now)
+	scheduler.slowStart.decay(seconds)
+	scheduler.hedges.expireLoadReports(scheduler.now)
 	kept := slowdownKept(seconds)
 	for _, replica := range scheduler.replicas.all {
 		if replica.state == Ready {
-			scheduler.slowStart.readyReplica(replica, scheduler.now)
+			scheduler.slowStart.countReadyReplica(replica, scheduler.now)
 		}
 		scheduler.outliers.detect(scheduler.now, replica)
-		scheduler.outliers.releaseLost(scheduler.now, replica)
+		scheduler.outliers.unloadLost(scheduler.now, replica)
 		replica.fadeSlowdown(kept)
 		if replica.state != Removed {
 			replica.lastListedAt = scheduler.now
@@ -199,7 +199,7 @@
 }
 
 func (scheduler *Scheduler) reject(query *query, decision admissionDecision) {
-	if decision.beginsToShed {
+	if decision.startsShedding {
 		scheduler.host.Log("rejecting queries: expected times exceed their objectives")
 	}
 	scheduler.host.Reject(query.id, decision.retryAfter)
@@ -210,7 +210,7 @@
 func (scheduler *Scheduler) hedge(query *query) {
 	for _, subquery := range query.subqueries {
 		straggler := subquery.lastInFlight()
-		if straggler == nil || query.ended || query.suspectedDeadly() {
+		if straggler == nil || query.ended || query.suspectedQueryOfDeath() {
 			continue
 		}
 		target := scheduler.hedges.target(scheduler.now, straggler)
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -67,7 +67,7 @@
 	other.parameters = s.parameters
 	other.slowStart.settings = s.slowStart
 	if other.parameters.gossipEnabled {
-		other.gossip.heardAt = decides.now // as if peers told what they send
+		other.gossip.lastReceivedAt = decides.now // as if peers told what they send
 	}
 	other.connectPolicies()
 	return &other
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -29,16 +29,16 @@
 	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
 	slowStartSafety = 0.8
 
-	// slowStartChanceDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
+	// slowStartProbabilityDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
 	// time, as chance may let several go at once.
-	slowStartChanceDivisor = 2.0
+	slowStartProbabilityDivisor = 2.0
 
-	// slowStartFlowShare is the share of the overload multiple, of what a warm replica answers, that a starting one
+	// slowStartProportionalShare is the share of the overload multiple, of what a warm replica answers, that a starting one
 	// is sent beside that.
-	slowStartFlowShare = 0.5
+	slowStartProportionalShare = 0.5
 
-	// slowStartMemory is the time in seconds in which answers and arrivals are forgotten to a third.
-	slowStartMemory = 10.0
+	// slowStartDecaySeconds is the time in seconds in which answers and arrivals are forgotten to a third.
+	slowStartDecaySeconds = 10.0
 )
 
 // slowStart is what a co-ordinator knows of the load on warm and starting replicas. When a replica's part is used up
@@ -111,9 +111,9 @@
 // affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so
 // long a time of this co-ordinator's part.
 func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
-	warmShare := slowStartFlowShare * s.settings.OverloadMultiple * s.capacity(replica, now)
+	warmShare := slowStartProportionalShare * s.settings.OverloadMultiple * s.capacity(replica, now)
 	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
-	ownPart := (1 - s.unobserved) * slowStartMemory / takes.Seconds() / slowStartChanceDivisor
+	ownPart := (1 - s.unobserved) * slowStartDecaySeconds / takes.Seconds() / slowStartProbabilityDivisor
 	return inProportion + ownPart
 }
 
@@ -155,10 +155,10 @@
 	}
 }
 
-// fade forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
+// decay forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
 // goes on with.
-func (s *slowStart) fade(passed float64) {
-	left := math.Exp(-passed / slowStartMemory)
+func (s *slowStart) decay(passed float64) {
+	left := math.Exp(-passed / slowStartDecaySeconds)
 	s.warmAnswers *= left
 	s.warmReplicas = 0
 	s.unobserved *= left
@@ -167,15 +167,15 @@
 	}
 }
 
-// readyReplica counts a replica that is ready, after fade.
-func (s *slowStart) readyReplica(replica *replicaState, now time.Duration) {
+// countReadyReplica counts a replica that is ready, after fade.
+func (s *slowStart) countReadyReplica(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmReplicas++
 	}
 }
 
-// listed sets what an earlier Scheduler of the process has sent to a replica that is listed for the first time.
-func (s *slowStart) listed(replica *replicaState) {
+// restoreUsage sets what an earlier Scheduler of the process has sent to a replica that is restoreUsage for the first time.
+func (s *slowStart) restoreUsage(replica *replicaState) {
 	replica.slowStartUsedUntil = s.usedUntil[replica.id]
 	delete(s.usedUntil, replica.id)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -59,7 +59,7 @@
 	n := crowd.chance.IntN(len(crowd.members))
 	member := crowd.members[n]
 	member.clock(now)
-	member.slowStart.fade((now - crowd.fadedAt[n]).Seconds())
+	member.slowStart.decay((now - crowd.fadedAt[n]).Seconds())
 	member.slowStart.warmReplicas = 1
 	crowd.fadedAt[n] = now
 	member.slowStart.subqueryArrived(0)
@@ -115,7 +115,7 @@
 // much more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been
 // restarted, they stay within what it bears, all together.
 func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
-	longSinceStart := 3 * time.Duration(slowStartMemory) * time.Second
+	longSinceStart := 3 * time.Duration(slowStartDecaySeconds) * time.Second
 	for _, ran := range []time.Duration{longSinceStart, 0} {
 		for _, members := range []int{1, 2, 5, 12, 30, 100} {
 			for _, load := range []float64{0.5, 1, 2, 4} {
