--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -53,7 +53,7 @@
 
 // queueDelay tells how long a query had waited for the event loop after it was read.
 func (admission *admission) queueDelay(now, delay time.Duration) {
-	admission.controller.QueueDelay(now, delay)
+	admission.controller.ObserveQueueDelay(now, delay)
 }
 
 // update follows the process' CPU use; it is called at the end of each iteration. It reports whether a measurement
@@ -61,7 +61,7 @@
 func (admission *admission) update(now time.Duration) (measured bool) {
 	measured = admission.cpu.measure(now)
 	if measured {
-		admission.controller.CoreUsed(now, admission.cpu.usedShare)
+		admission.controller.ObserveCPUUsage(now, admission.cpu.usedShare)
 	}
 	share := admission.controller.Share()
 	if share != admission.publishedShare() {
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -39,13 +39,13 @@
 
 // AttemptCounts counts attempts.
 type AttemptCounts struct {
-	Attempts   int
-	Retries    int // of them, after another of the same subquery had ended
-	Hedges     int // of them, beside another of the same subquery
-	Outcomes   [len(outcomeKeys)]int
-	Refused    map[invariant.Reason]int // not written, as an invariant forbade it then
-	Violations int                      // actions decided against an invariant; above 0: a fault of this program
-	LateReply  int                      // replies to attempts that had ended
+	Attempts    int
+	Retries     int // of them, after another of the same subquery had ended
+	Hedges      int // of them, beside another of the same subquery
+	Outcomes    [len(outcomeKeys)]int
+	Refused     map[invariant.Reason]int // not written, as an invariant forbade it then
+	Violations  int                      // actions decided against an invariant; above 0: a fault of this program
+	LateReplies int                      // replies to attempts that had ended
 }
 
 // ReplicaConnCounts counts connections to replicas.
@@ -55,8 +55,8 @@
 	TLSFailed            int // of them, for their certificates or handshake
 	ConnsDropped         int // broke with attempts out, or unasked
 	ConnsMalformed       int // closed for what came
-	ConnsSilent          int // closed as a ping was not answered
-	ConnsGoingAway       int // the replica took nothing new on them
+	PingTimeouts         int // closed as a ping was not answered
+	GoingAway            int // the replica took nothing new on them
 	StreamLimitReached   int // times that attempts waited for the replica's limit
 	CertificatesExpiring int // now
 }
@@ -76,7 +76,7 @@
 	EndpointListFailures int
 	Panics               int // in the event loop
 	Reloads              int
-	Gossip               int // messages received
+	GossipReceived       int // messages received
 	MalformedGossip      int
 	ClientConnsClosed    server.CloseCounts
 }
@@ -91,9 +91,9 @@
 	case connpool.Malformed:
 		counts.ConnsMalformed++
 	case connpool.PingTimeout:
-		counts.ConnsSilent++
+		counts.PingTimeouts++
 	case connpool.GoingAway:
-		counts.ConnsGoingAway++
+		counts.GoingAway++
 	case connpool.StreamLimit:
 		counts.StreamLimitReached++
 	}
@@ -160,7 +160,7 @@
 	for outcome, key := range outcomeKeys {
 		line.add("legs_"+key, counts.Outcomes[outcome])
 	}
-	line.add("late", counts.LateReply)
+	line.add("late", counts.LateReplies)
 }
 
 func (counts *Counts) addConnections(line *counterLine) {
@@ -168,8 +168,8 @@
 	line.add("refused", counts.ConnsFailed)
 	line.add("dropped", counts.ConnsDropped)
 	line.add("spoilt", counts.ConnsMalformed)
-	line.add("silent", counts.ConnsSilent)
-	line.add("goes_away", counts.ConnsGoingAway)
+	line.add("silent", counts.PingTimeouts)
+	line.add("goes_away", counts.GoingAway)
 	line.add("limit_reached", counts.StreamLimitReached)
 	line.add("tls_failed", counts.TLSFailed)
 	line.add("certificates_running_out", counts.CertificatesExpiring)
@@ -185,6 +185,6 @@
 	line.add("pruned", counts.ShardsPruned)
 	line.add("bad_summaries", counts.MalformedSummaries)
 	line.add("refused_questions", counts.TwoPhaseRejected)
-	line.add("peer_messages", counts.Gossip)
+	line.add("peer_messages", counts.GossipReceived)
 	line.add("bad_peer_messages", counts.MalformedGossip)
 }
--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -49,12 +49,12 @@
 // place either.
 type MissingVariableError struct {
 	Variable string
-	Wanted   string // what it has to say
+	Expected string // what it has to say
 }
 
 // Error names the variable and what it has to say.
 func (e *MissingVariableError) Error() string {
-	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Wanted)
+	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Expected)
 }
 
 // ReadDeployment reads the platform file, which the environment names. The installation file is not read.
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -124,7 +124,7 @@
 		c.logLimited("event=malformed_gossip cause=%q", err)
 		return
 	}
-	c.counts.Gossip++
+	c.counts.GossipReceived++
 }
 
 // Broadcast implements scheduler.Host.
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -50,7 +50,7 @@
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d attempts", a.counts.Attempts)
 	}
-	b.waitUntil(t, "the other hears of the attempt", func() bool { return b.counts.Gossip == 1 })
+	b.waitUntil(t, "the other hears of the attempt", func() bool { return b.counts.GossipReceived == 1 })
 	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
 	stranger := listenUDP(t, fake.FreePort("udp4"))
 	if _, err := stranger.WriteToUDP([]byte("who am I"), to); err != nil {
@@ -62,8 +62,8 @@
 		}
 	}
 	b.waitUntil(t, "three malformed messages are counted", func() bool { return b.counts.MalformedGossip == 3 })
-	if b.counts.Gossip != 1 {
-		t.Errorf("%d messages taken", b.counts.Gossip)
+	if b.counts.GossipReceived != 1 {
+		t.Errorf("%d messages taken", b.counts.GossipReceived)
 	}
 }
 
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -99,7 +99,7 @@
 }
 
 // LateReply counts a reply to an attempt that nobody waited for any more.
-func (handler replicaHandler) LateReply() { handler.c.counts.LateReply++ }
+func (handler replicaHandler) LateReply() { handler.c.counts.LateReplies++ }
 
 // ConnUp counts a connection that has come up.
 func (handler replicaHandler) ConnUp() { handler.c.counts.ConnsOpened++ }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,8 +1,8 @@
 // Package overload decides which share of arrivals a co-ordinator admits when its own core, not its replicas, is
 // short.
 //
-// The Controller is notified of how long each admitted query waited for the event loop (QueueDelay), and of how
-// much of its core the process uses (CoreUsed). Two rules set the share:
+// The Controller is told how long each admitted query waited for the event loop (ObserveQueueDelay) and how
+// much of its CPU allowance the process uses (ObserveCPUUsage). Two rules set the share:
 //
 //   - A standing queue, as CoDel defines it (RFC 8289, section 4: the least delay within a window), lowers it. It falls
 //     by multiplication, as in DAGOR (Zhou et al., SoCC 2018, section 4). It rises by addition or multiplication,
@@ -62,8 +62,8 @@
 	coreUse float64 // moving average
 }
 
-// QueueDelay tells that a query came to its turn on the event loop, and how long it had waited for that.
-func (controller *Controller) QueueDelay(now, delay time.Duration) {
+// ObserveQueueDelay tells that a query came to its turn on the event loop, and how long it had waited for that.
+func (controller *Controller) ObserveQueueDelay(now, delay time.Duration) {
 	controller.Tick(now)
 	if !controller.hasDelay || delay < controller.leastDelay {
 		controller.leastDelay = delay
@@ -96,9 +96,9 @@
 	return max(steepestDecrease, min(gentlestDecrease, factor))
 }
 
-// CoreUsed tells which share of the core was used since the last call, and moves the share of arrivals by that.
+// ObserveCPUUsage tells which share of the core was used since the last call, and moves the share of arrivals by that.
 // While a queue is standing only Tick moves it.
-func (controller *Controller) CoreUsed(now time.Duration, use float64) {
+func (controller *Controller) ObserveCPUUsage(now time.Duration, use float64) {
 	controller.coreUse += coreUseWeight * (use - controller.coreUse)
 	controller.Tick(now)
 	share := controller.Share()
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -12,7 +12,7 @@
 // feed has a query come to its turn in each millisecond.
 func feed(controller *Controller, from, to time.Duration, delayAt func(time.Duration) time.Duration) {
 	for now := from; now < to; now += ms {
-		controller.QueueDelay(now, delayAt(now))
+		controller.ObserveQueueDelay(now, delayAt(now))
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 	controller.Tick(21 * time.Second)
 	for now := 21 * time.Second; now < 25*time.Second; now += 2 * window {
-		controller.CoreUsed(now, 0.01)
+		controller.ObserveCPUUsage(now, 0.01)
 	}
 	if controller.Share() != 1 {
 		t.Errorf("share %v four seconds after the queue is gone", controller.Share())
@@ -102,9 +102,9 @@
 		done += worked
 		used += min(1, (capacity-left+worked)/capacity)
 		wait := queued / serverCapacity
-		controller.QueueDelay(now, time.Duration(wait*float64(time.Second)))
+		controller.ObserveQueueDelay(now, time.Duration(wait*float64(time.Second)))
 		if now%(100*ms) == 99*ms {
-			controller.CoreUsed(now, used/100)
+			controller.ObserveCPUUsage(now, used/100)
 			used = 0
 		}
 		if now > 2*time.Second {
