--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -179,7 +179,7 @@
 			unbegun = append(unbegun, attempt)
 		}
 	}
-	if !slices.ContainsFunc(failed.outstanding, pool.WrittenWhole) {
+	if !slices.ContainsFunc(failed.outstanding, pool.FullyWritten) {
 		pool.close(failed)
 	}
 	pool.retransmit(failed, unbegun, scheduler.Unreachable, now)
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Conns is how many connections have not ended, those that are being opened included.
-func (pool *Pool) Conns() int { return len(pool.conns) }
+// ConnCount is how many connections have not ended, those that are being opened included.
+func (pool *Pool) ConnCount() int { return len(pool.conns) }
 
 // Send accepts an attempt for a replica. It returns false where no connection carries the attempt and none can be
 // opened: then the attempt never ran, and nothing follows.
@@ -152,7 +152,7 @@
 		return
 	}
 	busyUntil := time.Duration(0)
-	if state == unreplied && !conn.traits.LimitsStreams && pool.WrittenWhole(attempt) {
+	if state == unreplied && !conn.traits.LimitsStreams && pool.FullyWritten(attempt) {
 		busyUntil = attempt.Call.Deadline
 	}
 	conn.remember(attempt.Call.SubqueryID, busyUntil)
@@ -161,8 +161,8 @@
 	pool.fill(conn.replica)
 }
 
-// WrittenWhole tells whether an attempt was written whole, as far as that is known.
-func (pool *Pool) WrittenWhole(attempt *Attempt) bool {
+// FullyWritten tells whether an attempt was written whole, as far as that is known.
+func (pool *Pool) FullyWritten(attempt *Attempt) bool {
 	return attempt.conn != nil && pool.host.Stage(attempt.conn.id, attempt) == written
 }
 
--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -38,8 +38,8 @@
 		late.gone.Store(true)
 	})
 	c.runPosted()
-	if c.replicas.Conns() > 0 {
-		t.Errorf("accepted, then disconnected: %d connections for its subqueries", c.replicas.Conns())
+	if c.replicas.ConnCount() > 0 {
+		t.Errorf("accepted, then disconnected: %d connections for its subqueries", c.replicas.ConnCount())
 	}
 }
 
--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -28,7 +28,7 @@
 			c.runIteration(func() { c.Fail(query.id) })
 		}
 		c.runIteration(connEnded)
-		if c.replicas.Conns() > 0 {
+		if c.replicas.ConnCount() > 0 {
 			t.Errorf("its client disconnects %t: it goes on another connection", disconnects)
 		}
 		c.runPosted()
@@ -67,11 +67,11 @@
 		if !subquery.answered {
 			t.Fatal("the subquery is not answered")
 		}
-		before := c.replicas.Conns()
+		before := c.replicas.ConnCount()
 		c.loop.RunIteration(func() { c.replicas.ConnEnded(otherConn, io.EOF, c.loop.Now()) }, func() {})
 		c.loop.RunIteration(func() {}, func() {})
-		if !other.ended || c.replicas.Conns() > before-1 {
-			t.Errorf("begun %t: ended %t, %d connections after %d", begun, other.ended, c.replicas.Conns(), before)
+		if !other.ended || c.replicas.ConnCount() > before-1 {
+			t.Errorf("begun %t: ended %t, %d connections after %d", begun, other.ended, c.replicas.ConnCount(), before)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 // connect has all connections count as up, of which there have to be so many. Their ids count from 1.
 func (c *Coordinator) connect(t *testing.T, conns int) {
 	t.Helper()
-	if c.replicas.Conns() != conns {
-		t.Fatalf("%d connections, want %d", c.replicas.Conns(), conns)
+	if c.replicas.ConnCount() != conns {
+		t.Fatalf("%d connections, want %d", c.replicas.ConnCount(), conns)
 	}
 	for id := range conns {
 		c.replicas.ConnUp(connpool.ConnID(id + 1))
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -138,7 +138,7 @@
 	c.server.Start(listener)
 	c.replicas.WatchCertificates()
 	c.log.Printf("event=serving name=%s listen=%s replicas=%d",
-		c.deployment.Name, listener.Addr(), c.replicas.Endpoints())
+		c.deployment.Name, listener.Addr(), c.replicas.EndpointCount())
 	context.AfterFunc(ctx, func() { c.loop.Post(c.shutDown) })
 	c.loop.Run(c.endIteration, c.recoverFromPanic, c.isShutDown)
 	c.stopDrivers()
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -102,7 +102,7 @@
 	for _, endpoint := range endpoints {
 		isListed[endpoint.UID] = true
 	}
-	c.replicas.RemoveAllBut(isListed)
+	c.replicas.RemoveUnlisted(isListed)
 }
 
 func (c *Coordinator) applyEndpoint(endpoint wire.Endpoint) {
@@ -130,7 +130,7 @@
 			endpoint.UID, replica.ID(), endpoint.Address, endpoint.Zone)
 	}
 	isDraining := endpoint.State == wire.Draining
-	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
+	c.replicas.UpdateEndpoint(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
 // observeStart has the connections to a replica closed that are from before its process started, as whatever is
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -111,7 +111,7 @@
 func (c *Coordinator) anyWrittenWhole(query *queryState) bool {
 	return slices.ContainsFunc(query.subqueries, func(subquery *subqueryState) bool {
 		return slices.ContainsFunc(subquery.attempts, func(attempt *attemptState) bool {
-			return attempt.Call != nil && c.replicas.WrittenWhole(&attempt.Attempt)
+			return attempt.Call != nil && c.replicas.FullyWritten(&attempt.Attempt)
 		})
 	})
 }
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -47,7 +47,7 @@
 			c.queryArrives(from, newQuery(fmt.Sprint("q", n), time.Second, 0), c.loop.Now())
 		})
 		c.runIteration(func() { c.clientDisconnected(from) })
-		for c.replicas.Endpoints() > 2 { // the last ones' connections have yet to fail
+		for c.replicas.EndpointCount() > 2 { // the last ones' connections have yet to fail
 			c.runIteration(c.loop.Receive())
 		}
 		if n%1000 != 999 {
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -110,8 +110,8 @@
 // Wait waits until all goroutines of connections have ended. It is called after Stop and from any goroutine.
 func (driver *Driver) Wait() { driver.running.Wait() }
 
-// Conns is how many connections have not ended.
-func (driver *Driver) Conns() int { return len(driver.conns) }
+// ConnCount is how many connections have not ended.
+func (driver *Driver) ConnCount() int { return len(driver.conns) }
 
 // NextAttemptID gives an id to an attempt that is about to be sent.
 func (driver *Driver) NextAttemptID() connpool.AttemptID {
@@ -156,9 +156,9 @@
 	driver.pool.WriteRefused(driver.loop.Now(), attempt)
 }
 
-// WrittenWhole tells whether an attempt was written whole, as far as that is known.
-func (driver *Driver) WrittenWhole(attempt *connpool.Attempt) bool {
-	return driver.pool.WrittenWhole(attempt)
+// FullyWritten tells whether an attempt was written whole, as far as that is known.
+func (driver *Driver) FullyWritten(attempt *connpool.Attempt) bool {
+	return driver.pool.FullyWritten(attempt)
 }
 
 // newSession makes the state machine of a new connection.
--- a/replicaconn/endpoint.go
+++ b/replicaconn/endpoint.go
@@ -58,8 +58,8 @@
 	return unknown
 }
 
-// Endpoints is how many replicas are listed, or were and still have connections.
-func (driver *Driver) Endpoints() int { return len(driver.endpoints) }
+// EndpointCount is how many replicas are listed, or were and still have connections.
+func (driver *Driver) EndpointCount() int { return len(driver.endpoints) }
 
 // UID names a replica in the log.
 func (driver *Driver) UID(id scheduler.ReplicaID) string {
@@ -69,8 +69,8 @@
 	return "-"
 }
 
-// List tells where a replica is, its model, from which its protocol follows, and whether it drains.
-func (driver *Driver) List(endpoint *Endpoint, addr, model string, draining bool) {
+// UpdateEndpoint tells where a replica is, its model, from which its protocol follows, and whether it drains.
+func (driver *Driver) UpdateEndpoint(endpoint *Endpoint, addr, model string, draining bool) {
 	protocol, tlsName := driver.config.Replicas.ProtocolOf(model, addr)
 	endpoint.addr = addr
 	endpoint.tlsName = tlsName
@@ -82,8 +82,8 @@
 	driver.pool.ReplicaRemoved(driver.loop.Now(), endpoint.id)
 }
 
-// RemoveAllBut removes all replicas but those with the uids given.
-func (driver *Driver) RemoveAllBut(listed map[string]bool) {
+// RemoveUnlisted removes all replicas but those with the uids given.
+func (driver *Driver) RemoveUnlisted(listed map[string]bool) {
 	for _, endpoint := range driver.endpoints {
 		if !listed[endpoint.uid] {
 			endpoint.SetState(invariant.Removed)
