--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -19,7 +19,7 @@
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.HasLeft(c.loop.Now()): // while the query waited for the loop
+	case from.HasDisconnected(c.loop.Now()): // while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
@@ -41,7 +41,7 @@
 
 // isFull reports whether so much is open that nothing more is accepted.
 func (c *Coordinator) isFull() bool {
-	return c.openWork >= c.maxOpen || c.server.IsCrowded(len(c.queries))
+	return c.openWork >= c.maxOpen || c.server.IsNearConnLimit(len(c.queries))
 }
 
 // unknownShard finds a shard that a query asks for and that does not exist.
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -12,7 +12,7 @@
 // client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
 // time. Tests replace it.
 type client interface {
-	HasLeft(now time.Duration) bool
+	HasDisconnected(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
@@ -64,8 +64,8 @@
 	c.queryArrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
 }
 
-// ClientLeft ends what the client has open.
-func (handler clientHandler) ClientLeft(client *server.ClientConn) {
+// ClientDisconnected ends what the client has open.
+func (handler clientHandler) ClientDisconnected(client *server.ClientConn) {
 	handler.c.clientDisconnected(client)
 }
 
--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -18,7 +18,7 @@
 
 func newFakeClient() *fakeClient { return &fakeClient{responses: make(chan []byte, 1)} }
 
-func (client *fakeClient) HasLeft(time.Duration) bool { return client.gone.Load() }
+func (client *fakeClient) HasDisconnected(time.Duration) bool { return client.gone.Load() }
 func (client *fakeClient) Respond(build func(last bool) []byte) {
 	client.responses <- build(client.closes)
 }
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -139,7 +139,7 @@
 	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
 	}
-	started, isExact := c.incarnations.StartOf(c.loop.Now(), endpoint.UID, endpoint.BootMS)
+	started, isExact := c.incarnations.StartTime(c.loop.Now(), endpoint.UID, endpoint.BootMS)
 	c.replicas.Restarted(replica, started, isExact)
 	return started
 }
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -36,7 +36,7 @@
 		c.gossip.close()
 		c.drivers.Wait()
 	})
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 	return c
 }
 
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -81,13 +81,13 @@
 // newServing makes one that knows a replica which nobody can reach.
 func newServing(t *testing.T) *Coordinator {
 	c := newCoordinatorWith(t, nil)
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 	return c
 }
 
 // newClient has the coordinator know its endpoint list and makes a client.
 func (c *Coordinator) newClient() *fakeClient {
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 	return newFakeClient()
 }
 
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -50,7 +50,7 @@
 func (attempt *attemptState) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    attempt.deadline - now,
-		ClientGone:  attempt.subquery.query.client.HasLeft(now),
+		ClientGone:  attempt.subquery.query.client.HasDisconnected(now),
 		QueryClosed: attempt.subquery.unwanted(),
 		Endpoint:    attempt.endpoint.State(),
 	}
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -34,7 +34,7 @@
 		notify()
 	}
 	clear(c.subqueries)
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 }
 
 // answerArriving answers the request that was looked at when the panic came and was not open yet.
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -88,7 +88,7 @@
 
 // Start hands over the list as it was last known and, unless polls are on demand, begins to follow it.
 func (watcher *Watcher) Start() {
-	watcher.Repeat()
+	watcher.Redeliver()
 	if !watcher.onDemand {
 		watcher.Poll()
 	}
@@ -101,8 +101,8 @@
 	watcher.running.Wait()
 }
 
-// Repeat hands over the whole list as it is known.
-func (watcher *Watcher) Repeat() {
+// Redeliver hands over the whole list as it is known.
+func (watcher *Watcher) Redeliver() {
 	list := watcher.endpoints.whole()
 	watcher.dropUnusable(list)
 	watcher.endpoints.update(list)
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -180,7 +180,7 @@
 	f.expectList(t, 5, false)
 	nextCall(t, agent).Respond(change)
 	f.expectList(t, 6, false)
-	f.loop.Post(f.watcher.Repeat)
+	f.loop.Post(f.watcher.Redeliver)
 	got := f.next(t)
 	if !got.isOld || !got.list.All || got.list.Revision != 6 || len(got.list.Endpoints) != 2 {
 		t.Errorf("told %+v", got)
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -67,10 +67,10 @@
 	tracker.currentList = now
 }
 
-// StartOf is when the process of a replica started that the present list names. BootMS is the start as discovery
+// StartTime is when the process of a replica started that the present list names. BootMS is the start as discovery
 // tells it, in Unix time in milliseconds; 0 stands for long ago. Where isExact is false the wall clock is
 // contradicted: the process may have started at any time since the list before, and started is the latest.
-func (tracker *Tracker) StartOf(now time.Duration, uid string, bootMS int64) (started time.Duration, isExact bool) {
+func (tracker *Tracker) StartTime(now time.Duration, uid string, bootMS int64) (started time.Duration, isExact bool) {
 	if bootMS <= 0 {
 		return Unknown, true
 	}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -23,18 +23,18 @@
 func TestStartsByATrueClock(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, 0)
-	if got, _ := tracker.StartOf(0, "a", bootAt(-time.Minute)); got != -time.Minute {
+	if got, _ := tracker.StartTime(0, "a", bootAt(-time.Minute)); got != -time.Minute {
 		t.Errorf("a minute before: %v", got)
 	}
-	if got, _ := tracker.StartOf(0, "b", 0); got != Unknown {
+	if got, _ := tracker.StartTime(0, "b", 0); got != Unknown {
 		t.Errorf("not told: %v", got)
 	}
 	receiveList(tracker, 10*time.Second, 0)
-	if got, _ := tracker.StartOf(10*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
+	if got, _ := tracker.StartTime(10*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
 		t.Errorf("restarted a second ago: %v", got)
 	}
 	receiveList(tracker, 20*time.Second, 0)
-	if got, _ := tracker.StartOf(20*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
+	if got, _ := tracker.StartTime(20*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
 		t.Errorf("told again: %v", got)
 	}
 }
@@ -43,7 +43,7 @@
 func TestStartInTheFutureIsNow(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, -time.Hour)
-	if got, exact := tracker.StartOf(0, "a", bootAt(-time.Minute)); got != 0 || exact {
+	if got, exact := tracker.StartTime(0, "a", bootAt(-time.Minute)); got != 0 || exact {
 		t.Errorf("%v, exact %t", got, exact)
 	}
 }
@@ -59,13 +59,13 @@
 		tracker, now := New(), time.Duration(0)
 		receiveList(tracker, now, off("first"))
 		lastBoot := bootAt(-time.Hour)
-		lastStart, _ := tracker.StartOf(now, "a", lastBoot)
+		lastStart, _ := tracker.StartTime(now, "a", lastBoot)
 		for n := range rapid.IntRange(1, 6).Draw(t, "lists") {
 			before := now
 			now += time.Duration(rapid.IntRange(1, 9000).Draw(t, fmt.Sprint("wait", n))) * time.Millisecond
 			receiveList(tracker, now, off(fmt.Sprint("off", n)))
 			boot := before + time.Duration(rapid.Int64Range(0, int64(now-before)).Draw(t, fmt.Sprint("boot", n)))
-			started, _ := tracker.StartOf(now, "a", bootAt(boot))
+			started, _ := tracker.StartTime(now, "a", bootAt(boot))
 			if bootAt(boot) == lastBoot { // drawn in the same millisecond: the same process is listed again, it has not restarted
 				if started != lastStart {
 					t.Fatalf("between %v and %v, told as %v, before as %v", before, now, started, lastStart)
@@ -74,7 +74,7 @@
 				t.Fatalf("between %v and %v, told as %v", before, now, started)
 			}
 			lastBoot, lastStart = bootAt(boot), started
-			if got, _ := tracker.StartOf(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listLag {
+			if got, _ := tracker.StartTime(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listLag {
 				t.Fatalf("new between %v and %v, told as %v", before, now, got)
 			}
 		}
@@ -86,7 +86,7 @@
 	tracker := New()
 	receiveList(tracker, 0, time.Hour)
 	tracker.ObserveWallClock(time.Second, epoch.Add(time.Second))
-	if got, _ := tracker.StartOf(time.Second, "a", bootAt(-time.Minute)); got != -time.Minute {
+	if got, _ := tracker.StartTime(time.Second, "a", bootAt(-time.Minute)); got != -time.Minute {
 		t.Errorf("%v", got)
 	}
 }
@@ -98,7 +98,7 @@
 	for n := range maxRemembered + 50 {
 		now := time.Duration(n) * time.Millisecond
 		receiveList(tracker, now, time.Duration(n)*time.Minute)
-		tracker.StartOf(now, fmt.Sprint(n), bootAt(now))
+		tracker.StartTime(now, fmt.Sprint(n), bootAt(now))
 	}
 	if len(tracker.starts) > maxRemembered || len(tracker.offsets) > maxOffsets {
 		t.Errorf("%d replicas, %d offsets", len(tracker.starts), len(tracker.offsets))
--- a/server/notify.go
+++ b/server/notify.go
@@ -14,7 +14,7 @@
 
 func (client *ClientConn) postLeft() {
 	server := client.server
-	server.loop.Post(func() { server.handler.ClientLeft(client) })
+	server.loop.Post(func() { server.handler.ClientDisconnected(client) })
 }
 
 // postRefused has a request counted that was answered with an error of the client.
--- a/server/presence.go
+++ b/server/presence.go
@@ -15,9 +15,9 @@
 // these 40 ms and those 60 ms stay within that.
 const seenRecently = 40 * time.Millisecond
 
-// HasLeft tells whether the client has left by a loop time that is about now. It asks the kernel where the last
+// HasDisconnected tells whether the client has left by a loop time that is about now. It asks the kernel where the last
 // look was a while ago, as the connection's reader may not have been able to tell yet. Any goroutine may call it.
-func (client *ClientConn) HasLeft(now time.Duration) bool {
+func (client *ClientConn) HasDisconnected(now time.Duration) bool {
 	if client.left.Load() {
 		return true
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -37,8 +37,8 @@
 
 	// QueryArrived takes a query over, which has to get one response. It is called on the loop, as all that follow.
 	QueryArrived(arrival Arrival)
-	// ClientLeft tells that a client has closed its connection, or that its driver has failed.
-	ClientLeft(client *ClientConn)
+	// ClientDisconnected tells that a client has closed its connection, or that its driver has failed.
+	ClientDisconnected(client *ClientConn)
 	// RequestRefused counts a request that was answered with an error of the client.
 	RequestRefused()
 	// ConnClosed counts a connection that has ended.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -30,8 +30,10 @@
 func (handler *recorder) QueryArrived(arrival Arrival) {
 	handler.arrivals = append(handler.arrivals, arrival)
 }
-func (handler *recorder) ClientLeft(client *ClientConn) { handler.left = append(handler.left, client) }
-func (handler *recorder) RequestRefused()               { handler.refused++ }
+func (handler *recorder) ClientDisconnected(client *ClientConn) {
+	handler.left = append(handler.left, client)
+}
+func (handler *recorder) RequestRefused() { handler.refused++ }
 func (handler *recorder) ConnClosed(closed ConnClosed) {
 	handler.closed = append(handler.closed, closed)
 }
--- a/server/slots.go
+++ b/server/slots.go
@@ -50,10 +50,11 @@
 	return excess >= server.conns.leaving()
 }
 
-// IsCrowded tells whether so many queries are open that their clients leave too few slots for others to be heard.
+// IsNearConnLimit reports whether the clients with open queries hold so many connection slots that too few remain
+// for others.
 // Requests would lie unread behind waiting ones until their time is over; so the caller rejects, which is
 // harmless, where replicas hang and sockets or memory are few.
-func (server *Server) IsCrowded(openQueries int) bool {
+func (server *Server) IsNearConnLimit(openQueries int) bool {
 	return openQueries >= max(1, server.slots.usable())
 }
 
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -278,7 +278,7 @@
 			hits = append(hits, shard.answer.Hits...)
 		}
 	}
-	slices.SortFunc(hits, Before)
+	slices.SortFunc(hits, CompareHits)
 	if query.options.Ranked {
 		hits = hits[:min(len(hits), query.options.Limit)]
 	}
--- a/twophase/reports.go
+++ b/twophase/reports.go
@@ -80,7 +80,7 @@
 			return fmt.Errorf("hit %d of shard %d, id %.40q", n, hit.Shard, hit.ID)
 		case math.IsNaN(hit.Score) || math.IsInf(hit.Score, 0):
 			return fmt.Errorf("hit %d has no score", n)
-		case n > 0 && Before(answer.Hits[n-1], hit) >= 0:
+		case n > 0 && CompareHits(answer.Hits[n-1], hit) >= 0:
 			return fmt.Errorf("hit %d is out of order", n)
 		}
 		seen[hit.ID] = true
--- a/twophase/twophase.go
+++ b/twophase/twophase.go
@@ -66,9 +66,9 @@
 	Score float64
 }
 
-// Before is the order of hits in an answer, as a comparison for sorting: the higher score first, then the lower shard,
-// then the lesser id. Negative zero equals zero.
-func Before(a, b Hit) int {
+// CompareHits is a sort comparison for the hits of an answer: highest score first, then lowest shard, then lowest id.
+// Negative zero equals zero.
+func CompareHits(a, b Hit) int {
 	return cmp.Or(cmp.Compare(b.Score+0, a.Score+0), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.ID, b.ID))
 }
 
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -18,7 +18,7 @@
 // best answers a query from a shard's data, the slow and plain way.
 func (data shardData) best(options Options) []Hit {
 	hits := slices.Clone(data)
-	slices.SortFunc(hits, Before)
+	slices.SortFunc(hits, CompareHits)
 	if options.Ranked {
 		hits = hits[:min(len(hits), options.Limit)]
 	}
