--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Events of clients: queries and subqueries that arrive, phases, and clients that give up.
+// Client events: arriving queries and subqueries, phase changes, and clients that disconnect.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// QueryArrives handles a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
+// QueryArrives handles a new query, or a client's retry of one. Its subqueries follow through SubqueryArrives.
 func (scheduler *Scheduler) QueryArrives(now time.Duration, arrival QueryArrival) {
 	scheduler.advanceClock(now)
 	class := &scheduler.classes[arrival.Class]
@@ -34,12 +34,12 @@
 	scheduler.retries.countArrival(now)
 }
 
-// SubqueryArrives handles one subquery of the present phase of a query.
+// SubqueryArrives handles one subquery of a query's current phase.
 func (scheduler *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
 	scheduler.advanceClock(now)
 	query := scheduler.queriesByNumber[arrival.Query]
-	asksAgain := query != nil && query.callerEndsPhases && query.phase > 0
-	if !asksAgain { // what a later phase asks again is not counted again
+	isLaterPhase := query != nil && query.callerEndsPhases && query.phase > 0
+	if !isLaterPhase { // later phases of a two-phase query do not count as arrivals
 		scheduler.retries.countArrival(now)
 	}
 	if query == nil {
@@ -64,16 +64,16 @@
 	scheduler.slowStart.subqueryArrived(arrived.shard)
 }
 
-// UsePhases makes a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
-// the first phase leaves each shard an attempt for the next.
-func (scheduler *Scheduler) UsePhases(id RequestID, reserves bool) {
+// UsePhases puts the caller in charge of a query's phases: each phase needs all of its subqueries, and only
+// StartNextPhase ends it. If reserveAttempt is true, the first phase leaves each shard one attempt for the next.
+func (scheduler *Scheduler) UsePhases(id RequestID, reserveAttempt bool) {
 	if query := scheduler.queriesByID[id]; query != nil {
 		query.callerEndsPhases = true
-		query.reservesAttempt = reserves
+		query.reservesAttempt = reserveAttempt
 	}
 }
 
-// StartNextPhase ends a query's present phase and tells how many subqueries the next has; with none the query has
+// StartNextPhase ends a query's current phase and gives the number of subqueries in the next; with 0 the query has
 // succeeded.
 func (scheduler *Scheduler) StartNextPhase(now time.Duration, id RequestID, subqueries int) {
 	scheduler.advanceClock(now)
@@ -88,8 +88,8 @@
 	scheduler.startPhase(query, subqueries)
 }
 
-// ForgetQuery ends a query of which nothing more is wanted: its client has disconnected, or the caller has answered
-// it without the scheduler. It does not count as late: that says nothing of the replicas.
+// ForgetQuery ends a query whose answer is no longer needed: its client has disconnected, or the caller has answered it
+// without the scheduler. The query does not count as late, since this says nothing about the replicas.
 func (scheduler *Scheduler) ForgetQuery(now time.Duration, id RequestID) {
 	scheduler.advanceClock(now)
 	if query := scheduler.queriesByID[id]; query != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// Wakeup handles a wakeup that the scheduler asked for.
+// Wakeup handles a wakeup requested through Host.ScheduleWakeup.
 func (scheduler *Scheduler) Wakeup(now time.Duration, name string) {
 	scheduler.advanceClock(now)
 	if now >= scheduler.wakeupAt {
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -11,26 +11,26 @@
 	"terntray/invariant"
 )
 
-// ParseConfig reads a Config from settings, each under its path, as the simulator and Flatten of package coordinator
-// give them: values of a list stand side by side with commas, and "-" or nothing is a value that is not there. The
-// error is a *SettingError of the first setting that cannot be used; settings of unknown paths mean nothing.
+// ParseConfig reads a Config from settings by path, in the form that the simulator and Flatten of package coordinator
+// produce: the values of a list are separated by commas, and "-" or an empty string stands for an absent value. The
+// error is a *SettingError for the first unusable setting. Unknown paths are ignored.
 func ParseConfig(settings map[string]string) (Config, error) {
 	reader := settingReader{settings: settings}
 	config := Config{
 		Coordinators:   reader.coordinators(),
-		SelfIndex:      reader.whole("selfIndex"),
-		Zone:           ZoneIndex(reader.whole("zone")),
-		Cells:          reader.whole("familyInfo.cells"),
-		CellsPerShard:  reader.whole("familyInfo.span"),
+		SelfIndex:      reader.integer("selfIndex"),
+		Zone:           ZoneIndex(reader.integer("zone")),
+		Cells:          reader.integer("familyInfo.cells"),
+		CellsPerShard:  reader.integer("familyInfo.span"),
 		Classes:        reader.classes(),
 		TenantQuotas:   reader.tenantQuotas(),
 		Discovery:      reader.discovery(),
-		PollInterval:   reader.span("guarantees.askEvery"),
-		Gossip:         reader.isTrue("bounds.peers"),
+		PollInterval:   reader.duration("guarantees.askEvery"),
+		Gossip:         reader.boolean("bounds.peers"),
 		ListedSizes:    settings["weightKind"] == "nominal" || settings["weightKind"] == "rough",
-		MaxAttempts:    reader.whole("bounds.maxAttempts"),
-		CancelAllowed:  reader.isTrue("bounds.mayCancel"),
-		HedgeAllowed:   reader.isTrue("bounds.secondCopies"),
+		MaxAttempts:    reader.integer("bounds.maxAttempts"),
+		CancelAllowed:  reader.boolean("bounds.mayCancel"),
+		HedgeAllowed:   reader.boolean("bounds.secondCopies"),
 		MaxRetryAfter:  reader.maxRetryAfter(),
 		SlowStart:      reader.slowStart(),
 		RetryBudget:    reader.retryBudget(),
@@ -50,13 +50,14 @@
 	return config, nil
 }
 
-// maxSpan is the longest span that can be meant: 31 years. Longer ones would overflow where spans are multiplied.
-const maxSpan = 1e15 // microseconds
+// maxDurationMicros is the longest accepted duration, 31 years. Longer ones would overflow when durations are
+// multiplied.
+const maxDurationMicros = 1e15
 
-// absent stands for a value that is not there.
+// absent stands for a missing value in a list.
 const absent = "-"
 
-// settingReader reads settings by path and keeps the first fault.
+// settingReader reads settings by path and keeps the first error.
 type settingReader struct {
 	settings map[string]string
 	err      error
@@ -68,7 +69,7 @@
 	}
 }
 
-// found is a setting's value as an error shows it.
+// found returns a setting's value as errors show it.
 func (r *settingReader) found(key string) string {
 	if value := r.settings[key]; value != "" {
 		return strconv.Quote(value)
@@ -76,13 +77,13 @@
 	return "nothing"
 }
 
-func (r *settingReader) isTrue(key string) bool { return r.settings[key] == "true" }
+func (r *settingReader) boolean(key string) bool { return r.settings[key] == "true" }
 
-// nth is one number of a list, otherwise if it is not there.
-func (r *settingReader) nth(key string, n int, otherwise float64) float64 {
+// numberAt returns number n of a list, or fallback if it is absent.
+func (r *settingReader) numberAt(key string, n int, fallback float64) float64 {
 	values := strings.Split(r.settings[key], ",")
 	if n >= len(values) || values[n] == "" || values[n] == absent {
-		return otherwise
+		return fallback
 	}
 	number, err := strconv.ParseFloat(values[n], 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
@@ -91,23 +92,24 @@
 	return number
 }
 
-// number is a single number, 0 if it is not there.
-func (r *settingReader) number(key string) float64 { return r.nth(key, 0, 0) }
+// number returns a single number, or 0 if it is absent.
+func (r *settingReader) number(key string) float64 { return r.numberAt(key, 0, 0) }
 
-// whole is a number without its fraction.
-func (r *settingReader) whole(key string) int { return int(r.number(key)) }
+// integer returns a number truncated to an integer.
+func (r *settingReader) integer(key string) int { return int(r.number(key)) }
 
-// span is a number of microseconds.
-func (r *settingReader) span(key string) time.Duration {
+// duration returns a duration that is set in microseconds.
+func (r *settingReader) duration(key string) time.Duration {
 	microseconds := r.number(key)
-	if microseconds > maxSpan {
-		r.fail(key, wantedSpan)
+	if microseconds > maxDurationMicros {
+		r.fail(key, wantedDuration)
 		return 0
 	}
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// coordinators is their number; a deployment is planned with fractions of one, and has at least one.
+// coordinators returns the number of co-ordinators. Capacity planning may set a fraction; above 0, at least one
+// co-ordinator exists.
 func (r *settingReader) coordinators() int {
 	number := r.number("balancers")
 	if number <= 0 {
@@ -118,7 +120,7 @@
 
 func (r *settingReader) classes() []ClassConfig {
 	var classes []ClassConfig
-	count := r.whole("lanes.count")
+	count := r.integer("lanes.count")
 	for n := 0; n < count && r.err == nil; n++ {
 		classes = append(classes, r.class(n))
 	}
@@ -128,26 +130,26 @@
 func (r *settingReader) class(n int) ClassConfig {
 	class := ClassConfig{
 		Name:             r.settings[classKey(n, "name")],
-		Objective:        r.span(classKey(n, "aim")),
+		Objective:        r.duration(classKey(n, "aim")),
 		ObjectivePerHint: r.number(classKey(n, "aimStretch")),
-		Deadline:         r.span(classKey(n, "deadline")),
+		Deadline:         r.duration(classKey(n, "deadline")),
 		Effect:           r.effect(classKey(n, "effect")),
-		KeyWindow:        r.span(classKey(n, "window")),
-		CompleteShare:    r.nth("familyInfo.classNeed", n, 1),
-		FetchSubqueries:  int(r.nth("familyInfo.classFetch", n, 0)),
+		KeyWindow:        r.duration(classKey(n, "window")),
+		CompleteShare:    r.numberAt("familyInfo.classNeed", n, 1),
+		FetchSubqueries:  int(r.numberAt("familyInfo.classFetch", n, 0)),
 	}
-	class.MinimumShare = min(class.CompleteShare, r.nth("familyInfo.leastShare", n, class.CompleteShare))
+	class.MinimumShare = min(class.CompleteShare, r.numberAt("familyInfo.leastShare", n, class.CompleteShare))
 	return class
 }
 
-// effects are the settings' words for what running a subquery twice would do.
+// effects maps the settings' values to effects.
 var effects = map[string]invariant.Effect{
 	"pure":        invariant.Idempotent,
 	"token":       invariant.Keyed,
 	"side_effect": invariant.NonIdempotent,
 }
 
-const unknownEffect invariant.Effect = -1 // refused by Validate
+const unknownEffect invariant.Effect = -1 // rejected by Validate
 
 func (r *settingReader) effect(key string) invariant.Effect {
 	if effect, known := effects[r.settings[key]]; known {
@@ -156,7 +158,7 @@
 	return unknownEffect
 }
 
-// discovery is 0 where its word is not known, which Validate refuses.
+// discovery returns the discovery mode, or 0 for an unknown value, which Validate rejects.
 func (r *settingReader) discovery() DiscoveryMode {
 	switch r.settings["discovery"] {
 	case "automatic":
@@ -169,7 +171,7 @@
 
 func (r *settingReader) tenantQuotas() []float64 {
 	var quotas []float64
-	count := r.whole("orgs.count")
+	count := r.integer("orgs.count")
 	for n := 0; n < count && r.err == nil; n++ {
 		quotas = append(quotas, r.number(fmt.Sprintf("orgs.%d.quotaPerS", n)))
 	}
@@ -177,26 +179,29 @@
 }
 
 func (r *settingReader) maxRetryAfter() time.Duration {
-	if !r.isTrue("bounds.retryAfter") {
+	if !r.boolean("bounds.retryAfter") {
 		return 0
 	}
-	return r.span("bounds.maxRetryAfter")
+	return r.duration("bounds.maxRetryAfter")
 }
 
 func (r *settingReader) slowStart() SlowStartConfig {
 	return SlowStartConfig{
 		OverloadMultiple: r.number("guarantees.tipMultiple"),
 		StartCapacity:    r.number("guarantees.startCapacity"),
-		WarmAfter:        r.span("guarantees.warmAfter"),
-		OverloadFor:      r.span("guarantees.overloadFor"),
+		WarmAfter:        r.duration("guarantees.warmAfter"),
+		OverloadFor:      r.duration("guarantees.overloadFor"),
 	}
 }
 
-// retryBudget is nil where neither its span nor its share is stated. What stands beside them must be readable all the
-// same.
+// retryBudget returns nil if neither the span nor the share is set. Even then all three values must be readable.
 func (r *settingReader) retryBudget() *RetryBudgetConfig {
 	const span, share = "guarantees.ratioSpan", "guarantees.extraRatio"
-	budget := &RetryBudgetConfig{Span: r.span(span), Share: r.number(share), MinRetries: r.number("guarantees.minExtra")}
+	budget := &RetryBudgetConfig{
+		Span:       r.duration(span),
+		Share:      r.number(share),
+		MinRetries: r.number("guarantees.minExtra"),
+	}
 	if r.settings[span] == "" && r.settings[share] == "" {
 		return nil
 	}
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -11,7 +11,7 @@
 	"terntray/invariant"
 )
 
-// configOf reads settings that must be valid.
+// configOf parses settings that must be valid.
 func configOf(t testing.TB, settings map[string]string) Config {
 	t.Helper()
 	config, err := ParseConfig(settings)
@@ -21,7 +21,7 @@
 	return config
 }
 
-// fullSettings state every setting that a Scheduler reads.
+// fullSettings returns a value for every setting that a Scheduler reads.
 func fullSettings() map[string]string {
 	return map[string]string{
 		"balancers": "3", "selfIndex": "2", "zone": "1", "discovery": "subscribe",
@@ -63,7 +63,7 @@
 	}
 }
 
-// Settings that a deployment may leave out.
+// A deployment may omit these settings; the defaults apply.
 func TestParseConfigDefaults(t *testing.T) {
 	settings := fullSettings()
 	for _, key := range []string{
@@ -84,12 +84,12 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if terms := newParameters(&got); terms.maxAttempts <= 1<<30 || terms.retryBudgetSpan != 0 {
-		t.Errorf("nothing limits attempts, yet: %+v", terms)
+	if derived := newParameters(&got); derived.maxAttempts <= 1<<30 || derived.retryBudgetSpan != 0 {
+		t.Errorf("attempts are limited without a setting: %+v", derived)
 	}
 }
 
-func TestParseConfigRefuses(t *testing.T) {
+func TestParseConfigRejectsInvalidSettings(t *testing.T) {
 	for _, test := range []struct{ key, value, wanted string }{
 		{"balancers", "", wantedAtLeastOne},
 		{"balancers", "0", wantedAtLeastOne},
@@ -112,7 +112,7 @@
 		{"lanes.1.aim", "0", wantedAboveZero},
 		{"lanes.1.aimStretch", "x", wantedNumber},
 		{"lanes.1.deadline", "-3", wantedAboveZero},
-		{"lanes.1.deadline", "1e16", wantedSpan},
+		{"lanes.1.deadline", "1e16", wantedDuration},
 		{"lanes.1.window", "soon", wantedNumber},
 		{"lanes.1.effect", "", wantedEffect},
 		{"lanes.0.effect", "magic", wantedEffect},
@@ -145,8 +145,8 @@
 	}
 }
 
-// What must stand with other settings may be missing without them, but what stands must be readable.
-func TestParseConfigRefusesUnreadableSettingsThatMeanNothing(t *testing.T) {
+// Settings that only apply together with others may be omitted without them, but if present they must be readable.
+func TestParseConfigRejectsUnreadableUnusedSettings(t *testing.T) {
 	for _, test := range []struct{ without, key string }{
 		{"guarantees.tipMultiple", "guarantees.startCapacity"},
 		{"guarantees.tipMultiple", "guarantees.warmAfter"},
@@ -168,9 +168,9 @@
 	}
 }
 
-// A configuration that was built in code is checked as well.
-func TestNewRefusesInvalidConfig(t *testing.T) {
-	for key, spoil := range map[string]func(*Config){
+// New also validates a configuration built in code.
+func TestNewRejectsInvalidConfig(t *testing.T) {
+	for key, invalidate := range map[string]func(*Config){
 		"balancers":             func(c *Config) { c.Coordinators = 0 },
 		"familyInfo.cells":      func(c *Config) { c.Cells = 0 },
 		"familyInfo.span":       func(c *Config) { c.CellsPerShard = 0 },
@@ -182,7 +182,7 @@
 		"discovery":             func(c *Config) { c.Discovery = 0 },
 	} {
 		config := configOf(t, fullSettings())
-		spoil(&config)
+		invalidate(&config)
 		var got *SettingError
 		if _, err := New(nil, 1, config); !errors.As(err, &got) || got.Key != key {
 			t.Errorf("%s: %v", key, err)
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Deadlines: until when a query is to be answered, and which final outcome it has. Each query gets exactly one:
-// complete, an incomplete answer, failed, or rejected (admission.go). It is answered as soon as the subqueries
-// answered weigh enough; shortly before its deadline, or once no answer can come any more, it is given up, with what
-// there is if the class allows that.
+// Deadlines: when a query is answered, and with which final outcome. Each query gets exactly one outcome: a complete
+// answer, an incomplete answer, failed, or rejected (admission.go). It is answered as soon as the answered subqueries
+// have enough weight. Shortly before its deadline, or once no further answer can arrive, the scheduler gives it up, and
+// returns the partial answer if the class allows that.
 
 import (
 	"math"
@@ -12,42 +12,42 @@
 )
 
 const (
-	answerMargin = 20 * time.Millisecond // a final outcome leaves this long before the deadline: two ticks
+	answerMargin = 20 * time.Millisecond // a query is answered or given up this long before its deadline: two ticks
 
-	sameDeadlineShare = 0.01 // of the class's deadline; first tries differ by less on their way
-	keptShares        = 16   // queries whose shares are remembered
+	shareTolerance = 0.01 // of the class's deadline; the network delays of first tries differ by less
+	maxShares      = 16   // queries whose shares are kept
 )
 
-// clientRetryDetector distinguishes clients' retries from first tries by the time that they have left: first tries
-// of a client come with one deadline, a retry with less. A retry has lost the time that the first try took; without
-// this, work would be done for objectives that are over.
+// clientRetryDetector distinguishes clients' retries from first tries by their remaining time: a client's first tries
+// all arrive with the same deadline, a retry with less, since the first try has used up time. Without this, work would
+// be done for objectives that have already passed.
 type clientRetryDetector struct {
-	shares []float64 // of their class's deadline that the last keptShares queries came with, in order
+	shares []float64 // remaining share of the class's deadline, for the last maxShares queries in order of arrival
 }
 
 // isRetry reports whether a query with this share of its class's deadline left is a client's retry: among the last
-// keptShares queries some larger share came at least twice, and none came that is alike. It remembers the share.
+// maxShares queries a larger share occurred at least twice, and no similar share occurred. It records the share.
 func (d *clientRetryDetector) isRetry(share float64) bool {
-	seenAlike := false
+	seenSimilar := false
 	largerSeenTwice := false
 	for index, other := range d.shares {
-		seenAlike = seenAlike || alikeShares(other, share)
+		seenSimilar = seenSimilar || sharesMatch(other, share)
 		repeated := slices.ContainsFunc(d.shares[:index], func(earlier float64) bool {
-			return alikeShares(earlier, other)
+			return sharesMatch(earlier, other)
 		})
 		largerSeenTwice = largerSeenTwice || other > share && repeated
 	}
 	d.shares = append(d.shares, share)
-	if len(d.shares) > keptShares {
+	if len(d.shares) > maxShares {
 		d.shares = d.shares[1:]
 	}
-	return largerSeenTwice && !seenAlike
+	return largerSeenTwice && !seenSimilar
 }
 
-func alikeShares(a, b float64) bool { return math.Abs(a-b) < sameDeadlineShare }
+func sharesMatch(a, b float64) bool { return math.Abs(a-b) < shareTolerance }
 
-// setDeadlines sets the times by which a new query is to be answered. A client's retry whose objective is over
-// already is not judged by it.
+// setDeadlines sets a new query's objective and deadline. A client's retry whose objective has already passed does not
+// count towards the share of late queries.
 func (q *query) setDeadlines(left, workHint time.Duration, clientRetry bool) {
 	class := q.class
 	objective := class.objective + scale(workHint, class.objectivePerHint)
@@ -56,8 +56,8 @@
 	if !clientRetry {
 		return
 	}
-	passed := class.deadline - left
-	q.objectiveAt = min(q.objectiveAt, q.arrivedAt+objective-passed)
+	elapsed := class.deadline - left
+	q.objectiveAt = min(q.objectiveAt, q.arrivedAt+objective-elapsed)
 	if q.objectiveAt <= q.arrivedAt {
 		q.objectiveAt = q.deadlineAt
 		q.objectiveRecorded = true
@@ -65,64 +65,64 @@
 	}
 }
 
-// outcome is what is to become of an open query now.
-type outcome int
+// queryAction is the next step for an open query.
+type queryAction int
 
 const (
-	goesOn outcome = iota
-	answersNow
-	givesUpNow
+	continueQuery queryAction = iota
+	answerQuery
+	giveUpQuery
 )
 
-// outcome decides it.
-func (q *query) outcome(now time.Duration) outcome {
+// nextAction decides whether the query goes on, is answered or is given up.
+func (q *query) nextAction(now time.Duration) queryAction {
 	if q.ended {
-		return goesOn
+		return continueQuery
 	}
-	timeIsOver := now >= q.deadlineAt-answerMargin
+	outOfTime := now >= q.deadlineAt-answerMargin
 	if q.awaitsSubqueries() {
-		if timeIsOver {
-			return givesUpNow
+		if outOfTime {
+			return giveUpQuery
 		}
-		return goesOn
+		return continueQuery
 	}
 	complete, _ := q.requiredWeights()
 	switch {
 	case q.answeredWeight >= complete:
-		return answersNow
-	case timeIsOver || q.isDeadly():
-		return givesUpNow
+		return answerQuery
+	case outOfTime || q.isQueryOfDeath():
+		return giveUpQuery
 	}
-	return goesOn
+	return continueQuery
 }
 
-// isDeadly reports whether a query that is suspected of crashing replicas must end: at a second crash, or as the
-// replica that seemed to crash is not in use.
-func (q *query) isDeadly() bool {
+// isQueryOfDeath reports whether a query that is suspected of crashing replicas must end: after a second crash, or
+// because the replica that seemed to crash is not in use.
+func (q *query) isQueryOfDeath() bool {
 	return q.suspectedDeadly() && (q.crashes.count > 1 || !q.crashes.replica.inUse(q.class))
 }
 
-// settle ends a query, or its phase, if that is due.
-func (scheduler *Scheduler) settle(query *query) {
-	next := query.outcome(scheduler.now)
+// endIfDue ends a query, or its current phase, if that is due.
+func (scheduler *Scheduler) endIfDue(query *query) {
+	action := query.nextAction(scheduler.now)
 	if query.isActive() && scheduler.now > query.objectiveAt {
 		scheduler.admission.judge(scheduler.now, query, false)
 	}
-	switch next {
-	case answersNow:
+	switch action {
+	case answerQuery:
 		scheduler.answerPhase(query, query.phase == 0 || query.firstPhaseComplete)
-	case givesUpNow:
+	case giveUpQuery:
 		scheduler.giveUp(query)
-	case goesOn:
+	case continueQuery:
 	}
 }
 
-// answerPhase answers the present phase of a query; without a next phase that ends it.
+// answerPhase answers the current phase of a query. The last phase ends the query.
 func (scheduler *Scheduler) answerPhase(query *query, isComplete bool) {
 	scheduler.host.Complete(query.id, isComplete)
 	switch {
 	case query.callerEndsPhases:
-		query.awaitsNextPhase = true // StartNextPhase comes in the next iteration
+		query.awaitsNextPhase = true // the caller calls StartNextPhase in the next iteration
 	case query.class.fetchSubqueries == 0 || query.phase > 0:
 		scheduler.end(query, scheduler.now <= query.objectiveAt)
 	default:
@@ -131,7 +131,7 @@
 	}
 }
 
-// giveUp ends a query with an incomplete answer if there is enough for one, else as failed.
+// giveUp ends a query with an incomplete answer if it has the minimum weight for one, otherwise as failed.
 func (scheduler *Scheduler) giveUp(query *query) {
 	_, minimum := query.requiredWeights()
 	lastPhase := query.class.fetchSubqueries == 0 || query.phase > 0
@@ -143,8 +143,8 @@
 	scheduler.end(query, false)
 }
 
-// giveUpIfHopeless ends a query if too many of its subqueries are abandoned for any answer.
-func (scheduler *Scheduler) giveUpIfHopeless(query *query) {
+// giveUpIfUnanswerable ends a query if so many of its subqueries are abandoned that no answer is possible.
+func (scheduler *Scheduler) giveUpIfUnanswerable(query *query) {
 	if query.ended || query.reservesAttempt && query.phase == 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-// end closes a query that has its final outcome; inTime tells whether it met its objective.
+// end closes a query that has its final outcome; inTime reports whether it met its objective.
 func (scheduler *Scheduler) end(query *query, inTime bool) {
 	query.ended = true
 	scheduler.admission.judge(scheduler.now, query, inTime)
@@ -164,7 +164,7 @@
 	delete(scheduler.queriesByNumber, query.number)
 }
 
-// startPhase ends the present phase of a query and awaits the subqueries of the next.
+// startPhase ends the current phase of a query and waits for the subqueries of the next.
 func (scheduler *Scheduler) startPhase(query *query, subqueries int) {
 	if query.attemptsUsed == nil {
 		query.attemptsUsed = map[ShardNumber]int{}
@@ -187,8 +187,8 @@
 	query.crashes.count = 0
 }
 
-// stopSending sends nothing more for a subquery, answered or not, and cancels what is in flight for it. One without
-// an answer is abandoned by that.
+// stopSending sends no further attempts of a subquery and cancels those in flight. A subquery without an answer is
+// abandoned.
 func (scheduler *Scheduler) stopSending(subquery *subquery) {
 	subquery.unqueue()
 	subquery.abandoned = subquery.abandoned || !subquery.answered
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The sender of a second phase counts fewer subqueries than this co-ordinator saw answered. The phase is what
-// arrived: waiting for the rest, the query would get no final outcome.
-func TestSecondPhaseIsWhatArrived(t *testing.T) {
+// The sender of a second phase counts fewer subqueries than this co-ordinator saw answered. The phase consists of the
+// subqueries that arrive; waiting for more would leave the query without a final outcome.
+func TestSecondPhaseConsistsOfArrivedSubqueries(t *testing.T) {
 	m := newModel(t, 8)
 	m.fewerFetched = 1
 	query := m.newQuery(0, 2, 3*time.Second)
@@ -20,19 +20,19 @@
 	}
 }
 
-// A query arrives and its subqueries never do. It ends before its deadline all the same.
+// A query whose subqueries never arrive still ends before its deadline.
 func TestQueryWhoseSubqueriesNeverArriveEnds(t *testing.T) {
 	m := newModel(t, 0)
 	query := m.newEmptyQuery(0, 3, time.Second)
 	m.iterate()
 	if m.pass(1100 * ms); !query.ended {
-		t.Error("it was never ended")
+		t.Error("the query did not end before its deadline")
 	}
 }
 
-// First tries come with one share of their deadline. A query with less is a client's retry: the time that the first
-// try took is gone from its objective.
-func TestClientRetriesHaveLostTime(t *testing.T) {
+// First tries arrive with the full deadline. A query with less time left is a client's retry, whose objective is
+// reduced by the time that the first try used.
+func TestClientRetryObjectiveCountsFromFirstTry(t *testing.T) {
 	m := newModel(t, 0)
 	for range 6 {
 		m.newQuery(0, 1, 2400*ms)
@@ -42,16 +42,17 @@
 	m.newQuery(0, 1, 1200*ms)
 	query := m.scheduler.open[len(m.scheduler.open)-1]
 	if !query.objectivePassed || !query.overQuota {
-		t.Error("a client's retry 1.8 s after its first try has its objective of 1 s still before it")
+		t.Error("a client's retry 1.8 s after its first try still has an objective of 1 s ahead of it")
 	}
 	m.newQuery(0, 1, 2400*ms)
 	query = m.scheduler.open[len(m.scheduler.open)-1]
 	if query.objectivePassed || query.objectiveAt != m.now+time.Second {
-		t.Errorf("a first try has %v", query.objectiveAt-m.now)
+		t.Errorf("objective of a first try is in %v, want 1 s", query.objectiveAt-m.now)
 	}
 }
 
-// A client's retry is told by a smaller share of its deadline than most of late came with, where none came with that.
+// A query is a client's retry if it has a smaller share of its deadline left than most recent queries, and no recent
+// query had the same share.
 func TestClientRetryDetector(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -59,31 +60,31 @@
 		share  float64
 		want   bool
 	}{
-		{"first of all", nil, 0.5, false},
-		{"one came with more", []float64{0.8}, 0.5, false},
-		{"several came with more", []float64{0.8, 0.8}, 0.5, true},
-		{"several with a little more", []float64{0.505, 0.505}, 0.5, false},
+		{"no earlier query", nil, 0.5, false},
+		{"one with more", []float64{0.8}, 0.5, false},
+		{"several with more", []float64{0.8, 0.8}, 0.5, true},
+		{"several with slightly more", []float64{0.505, 0.505}, 0.5, false},
 		{"several with less", []float64{0.3, 0.3}, 0.5, false},
-		{"one came with as much", []float64{0.8, 0.8, 0.5}, 0.5, false},
-		{"each with a share of its own", []float64{0.9, 0.8, 0.7}, 0.5, false},
+		{"one with the same", []float64{0.8, 0.8, 0.5}, 0.5, false},
+		{"all different", []float64{0.9, 0.8, 0.7}, 0.5, false},
 	} {
 		detector := clientRetryDetector{shares: test.before}
 		if got := detector.isRetry(test.share); got != test.want {
-			t.Errorf("%s: a retry %v", test.name, got)
+			t.Errorf("%s: got isRetry %v", test.name, got)
 		}
 	}
 	detector := clientRetryDetector{}
-	for range 10 * keptShares {
+	for range 10 * maxShares {
 		detector.isRetry(1)
 	}
-	if len(detector.shares) != keptShares {
+	if len(detector.shares) != maxShares {
 		t.Errorf("%d shares kept", len(detector.shares))
 	}
 }
 
-// A query is answered when enough of its weight is, given up shortly before its deadline, and ended at a second
+// A query is answered when enough weight is answered, given up shortly before its deadline, and ended after a second
 // crash.
-func TestOutcome(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	const deadline = time.Second
 	class := &class{completeWeight: 0.8, minimumWeight: 0.5}
 	inUse := &replicaState{classes: make([]replicaClassState, 1)}
@@ -93,24 +94,24 @@
 		name  string
 		query query
 		now   time.Duration
-		want  outcome
+		want  queryAction
 	}{
-		{"nothing answered", query{subqueries: one}, 0, goesOn},
-		{"enough for an answer, time left", query{subqueries: one, answeredWeight: 0.7}, 0, goesOn},
-		{"complete", query{subqueries: one, answeredWeight: 0.8}, 0, answersNow},
-		{"deadline", query{subqueries: one, answeredWeight: 0.7}, deadline - answerMargin, givesUpNow},
-		{"subqueries to come", query{expectedSubqueries: 2, subqueries: one, answeredWeight: 1}, 0, goesOn},
-		{"subqueries that never came", query{expectedSubqueries: 2, subqueries: one}, deadline, givesUpNow},
-		{"ended", query{ended: true, subqueries: one}, deadline, goesOn},
-		{"one crash", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: inUse}}, 0, goesOn},
-		{"two crashes", query{subqueries: one, crashes: crashSuspicion{count: 2, replica: inUse}}, 0, givesUpNow},
-		{"its replica is gone", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: crashed}}, 0, givesUpNow},
-		{"second phase needs all", query{phase: 1, subqueries: one, answeredWeight: 0.8}, 0, goesOn},
+		{"nothing answered", query{subqueries: one}, 0, continueQuery},
+		{"minimum weight, time left", query{subqueries: one, answeredWeight: 0.7}, 0, continueQuery},
+		{"complete", query{subqueries: one, answeredWeight: 0.8}, 0, answerQuery},
+		{"deadline", query{subqueries: one, answeredWeight: 0.7}, deadline - answerMargin, giveUpQuery},
+		{"subqueries still to arrive", query{expectedSubqueries: 2, subqueries: one, answeredWeight: 1}, 0, continueQuery},
+		{"subqueries that never arrive", query{expectedSubqueries: 2, subqueries: one}, deadline, giveUpQuery},
+		{"ended", query{ended: true, subqueries: one}, deadline, continueQuery},
+		{"one crash", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: inUse}}, 0, continueQuery},
+		{"two crashes", query{subqueries: one, crashes: crashSuspicion{count: 2, replica: inUse}}, 0, giveUpQuery},
+		{"replica removed", query{subqueries: one, crashes: crashSuspicion{count: 1, replica: crashed}}, 0, giveUpQuery},
+		{"second phase needs full weight", query{phase: 1, subqueries: one, answeredWeight: 0.8}, 0, continueQuery},
 	} {
 		test.query.class = class
 		test.query.deadlineAt = deadline
-		if got := test.query.outcome(test.now); got != test.want {
-			t.Errorf("%s: outcome %v, want %v", test.name, got, test.want)
+		if got := test.query.nextAction(test.now); got != test.want {
+			t.Errorf("%s: action %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -14,29 +14,29 @@
 	// latencyJitter is added to latencies that are compared: so much they vary by without a cause in the replica.
 	latencyJitter = 4 * time.Millisecond
 
-	recentLatencyStep  = 0.3   // weight of a reply in the recent latency: about three replies
-	baselineFallWeight = 0.1   // weight of a faster reply in the baseline latency: about ten replies
-	baselineRiseWeight = 0.004 // weight of a slower reply; small, so that congestion does not become the baseline
+	recentLatencyWeight = 0.3   // weight of a reply in the recent latency: about three replies
+	baselineFallWeight  = 0.1   // weight of a faster reply in the baseline latency: about ten replies
+	baselineRiseWeight  = 0.004 // weight of a slower reply; small, so that congestion does not become the baseline
 
 	initialParallelism = 1.0  // subqueries side by side, before anything was seen
 	maxParallelism     = 8.0  // the same; more would hide any queue
 	parallelismStep    = 0.05 // share of a queued attempt's surprise that moves the parallelism
 
-	minWork      = time.Millisecond // least work of a subquery that latencies can tell from none
-	slowdownStep = 0.2              // share of a reply's surprise (a logarithm) that moves its replica's slowdown
-	workStep     = 0.02             // share of it that moves the class's work
-	readDelays   = 3                // times the read delay that a reply may have waited: sent, received, handed on
-	slowdownPull = 0.01             // pull of a replica's slowdown towards 1 with each reply
-	maxLogRatio  = 2.0              // logarithm; one reply counts for no more: about 7 times
+	minWork            = time.Millisecond // least work of a subquery that latencies can tell from none
+	slowdownStep       = 0.2              // share of a reply's surprise (a logarithm) that moves its replica's slowdown
+	workStep           = 0.02             // share of it that moves the class's work
+	readDelays         = 3                // times the read delay that a reply may have waited: sent, received, handed on
+	slowdownRegression = 0.01             // pull of a replica's slowdown towards 1 with each reply
+	maxLogRatio        = 2.0              // logarithm; one reply counts for no more: about 7 times
 
-	slowdownFade = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
+	slowdownDecayTime = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
 )
 
 // latencyEstimator expects times, and learns them from replies.
 type latencyEstimator struct {
 	parameters  *parameters
 	parallelism float64 // subqueries that a replica works on side by side
-	typicalSize float64 // mean size of the replicas that are ready
+	meanSize    float64 // mean size of the replicas that are ready
 }
 
 // observedReply is a reply, and what delayed it here.
@@ -72,7 +72,7 @@
 	if !e.parameters.listedSizes {
 		return replica.slowdown
 	}
-	return replica.slowdown * e.typicalSize / replica.size
+	return replica.slowdown * e.meanSize / replica.size
 }
 
 // slowestFactor is how many times one subquery's time the slowest of so many is expected to take.
@@ -84,8 +84,8 @@
 func (e *latencyEstimator) learn(now time.Duration, reply observedReply) {
 	attempt := reply.attempt
 	replica, class := attempt.replica, attempt.subquery.query.class
-	took, delayedHere := reply.withoutOwnDelay(now)
-	surprise := surpriseOf(took, attempt.expected)
+	took, delayedHere := reply.withoutLocalDelay(now)
+	surprise := logLatencyRatio(took, attempt.expected)
 	deviation := max(-maxLogRatio, min(maxLogRatio, surprise-math.Log(replica.slowdown)))
 	replica.slowdown *= math.Exp(slowdownStep * deviation)
 	if !reply.warmingUp {
@@ -93,18 +93,18 @@
 		parallelism := e.parallelism * math.Exp(-parallelismStep*queuedShare*deviation)
 		e.parallelism = max(initialParallelism, min(maxParallelism, parallelism))
 	}
-	replica.slowdown = math.Pow(replica.slowdown, 1-slowdownPull)
+	replica.slowdown = math.Pow(replica.slowdown, 1-slowdownRegression)
 	if e.parallelism >= 0.5*maxParallelism {
 		// Replicas may do more side by side than is counted on: then the queue was shorter, not the work less.
-		surprise = max(surprise, min(0, surpriseOf(took, attempt.work)))
+		surprise = max(surprise, min(0, logLatencyRatio(took, attempt.work)))
 	}
 	class.learnWork(surprise + math.Log(attempt.subquery.workPerHint/class.workPerHint))
 	replica.learnLatency(took, attempt.work, delayedHere)
 }
 
-// withoutOwnDelay is the time that the replica took, without what this co-ordinator's own delay explains; delayedHere
+// withoutLocalDelay is the time that the replica took, without what this co-ordinator's own delay explains; delayedHere
 // tells that this leaves no more than was expected. Without it a short pause here looks like slow replicas.
-func (r observedReply) withoutOwnDelay(now time.Duration) (took time.Duration, delayedHere bool) {
+func (r observedReply) withoutLocalDelay(now time.Duration) (took time.Duration, delayedHere bool) {
 	attempt := r.attempt
 	own, expected := r.paused, scale(attempt.expected, attempt.replica.slowdown)
 	if r.readDelay > 0 {
@@ -115,8 +115,8 @@
 	return max(min(r.took, expected), r.took-own), delayedHere
 }
 
-// surpriseOf is the logarithm of a time over the expected one.
-func surpriseOf(took, expected time.Duration) float64 {
+// logLatencyRatio is the logarithm of a time over the expected one.
+func logLatencyRatio(took, expected time.Duration) float64 {
 	return math.Log(float64(took+time.Millisecond) / float64(expected+time.Millisecond))
 }
 
@@ -126,7 +126,7 @@
 	if delayedHere {
 		ratio = min(ratio, r.baselineLatency)
 	}
-	r.recentLatency += recentLatencyStep * (ratio - r.recentLatency)
+	r.recentLatency += recentLatencyWeight * (ratio - r.recentLatency)
 	rise := ratio - r.baselineLatency
 	r.baselineLatency += baselineFallWeight*min(0, rise) + baselineRiseWeight*max(0, min(rise, r.baselineLatency))
 }
@@ -142,11 +142,11 @@
 	c.workPerHint *= growth
 }
 
-// slowdownKept is the share of a slowdown's logarithm that an idle replica keeps as seconds pass.
-func slowdownKept(seconds float64) float64 { return math.Exp(-seconds / slowdownFade) }
+// slowdownDecay is the share of a slowdown's logarithm that an idle replica keeps as seconds pass.
+func slowdownDecay(seconds float64) float64 { return math.Exp(-seconds / slowdownDecayTime) }
 
-// fadeSlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is slowdownKept.
-func (r *replicaState) fadeSlowdown(kept float64) {
+// decaySlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is slowdownKept.
+func (r *replicaState) decaySlowdown(kept float64) {
 	if len(r.outstanding) == 0 {
 		r.slowdown = math.Pow(r.slowdown, kept)
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Ids, each of its own type. They tell nothing but which one is meant.
+// Identifiers and indexes, each with its own type.
 type (
 	RequestID     uint32 // a query or one of its subqueries
 	ReplicaID     uint32
-	QueryNumber   int64 // what a query and its subqueries have in common
+	QueryNumber   int64 // links a query to its subqueries
 	AttemptNumber int   // of a subquery, from 0
 	ClassIndex    int   // in Config.Classes
 	TenantIndex   int   // in Config.TenantQuotas
@@ -18,10 +18,10 @@
 	ZoneIndex     int
 )
 
-// QueryArrival is a client's query, or a client's retry of one, as it reaches the scheduler.
+// QueryArrival is a client's query, or a client's retry of one, as the scheduler receives it.
 type QueryArrival struct {
 	ID         RequestID
-	Number     QueryNumber // joins the query and its subqueries
+	Number     QueryNumber // links the query to its subqueries
 	Class      ClassIndex
 	Tenant     TenantIndex
 	TimeLeft   time.Duration // until the client's deadline
@@ -29,12 +29,12 @@
 	Subqueries int           // of its first phase
 }
 
-// SubqueryArrival is one shard's part of a query. The query has arrived before it.
+// SubqueryArrival is one shard's part of a query that has already arrived.
 type SubqueryArrival struct {
 	ID       RequestID
 	Query    QueryNumber
 	Shard    ShardNumber
-	Weight   float64       // share of the answer that it brings, from 0 to 1
+	Weight   float64       // share of the answer that it contributes, from 0 to 1
 	WorkHint time.Duration // the client's estimate of its work; 0: none
 }
 
@@ -43,45 +43,45 @@
 	Subquery RequestID
 	Attempt  AttemptNumber
 	Outcome  Outcome
-	Took     time.Duration // from its start to its end, or to when its reply was read
+	Took     time.Duration // from its start to its end, or until its reply was read
 }
 
 // Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes. Overloaded, Unreachable and NeverSent prove that the attempt never ran. Overloaded also stands for
-// attempts that a drain, a GOAWAY or a full connection kept from being sent.
+// The outcomes. Overloaded, Unreachable and NeverSent prove that the attempt never ran. Overloaded also covers attempts
+// that were not sent because the endpoint drains, a GOAWAY was received or the connection is full.
 const (
 	Succeeded       Outcome = iota
 	Failed                  // the replica answered with an error
-	Overloaded              // the replica, or what leads to it, rejected it
+	Overloaded              // the replica, or the path to it, rejected the attempt
 	TimedOut                // its timeout passed
-	Unreachable             // no connection to the replica could be opened
+	Unreachable             // no connection to the replica could be established
 	ConnectionReset         // the connection ended before the reply was complete
-	Cancelled               // as the Scheduler wanted
-	NeverSent               // it was cancelled or withheld before anything of it was written
-	MalformedReply          // what came for it cannot be used; the replica lives
+	Cancelled               // the Scheduler cancelled it
+	NeverSent               // it was cancelled or withheld before any of it was written
+	MalformedReply          // its reply could not be used; the replica is alive
 )
 
-// Endpoint is a replica as an endpoint list names it.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID      ReplicaID
 	State   EndpointState
-	Started time.Duration // since this process' start; StartUnknown where no start is known
+	Started time.Duration // when its process started, as time since this process' start; StartUnknown if unknown
 	Cell    CellNumber
 	Zone    ZoneIndex
-	Size    float64 // relative to the other replicas; 0: not told, counts as 1
+	Size    float64 // relative to the other replicas; 0: unknown, counts as 1
 }
 
-// EndpointState is what the endpoint list says of a replica.
+// EndpointState is the state of a replica in the endpoint list.
 type EndpointState int
 
-// The states.
+// The endpoint states.
 const (
 	Ready    EndpointState = iota
-	Draining               // takes no further attempts
+	Draining               // accepts no further attempts
 	Removed
 )
 
-// StartUnknown is the start of a replica of which no start is known.
+// StartUnknown is the start time of a replica whose start is not known.
 const StartUnknown = time.Duration(math.MinInt64 / 4)
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Host carries out what a Scheduler decides, at once and in the order of the calls. It calls no method of the
-// Scheduler while one of its own runs.
+// Host carries out the Scheduler's decisions, immediately and in the order of the calls. Its methods must not call any
+// method of the Scheduler.
 type Host interface {
-	// StartAttempt sends a subquery to a replica. Attempts of a subquery count from 0 in the order of these calls.
-	// The attempt ends as TimedOut after the timeout; 0: it has none but the client's deadline.
+	// StartAttempt sends a subquery to a replica. The attempts of a subquery are numbered from 0 in the order of these
+	// calls. The attempt ends as TimedOut after the timeout; 0 means no timeout other than the client's deadline.
 	StartAttempt(subquery RequestID, replica ReplicaID, timeout time.Duration)
 
-	// CancelAttempt says that an attempt's answer is of no use any more. Its end is told all the same.
+	// CancelAttempt cancels an attempt whose answer is no longer needed. Its end is still reported.
 	CancelAttempt(subquery RequestID, attempt AttemptNumber)
 
-	// Complete answers a query with what its subqueries brought; complete is false if less than the class demands
-	// did.
+	// Complete answers a query with the results of its answered subqueries; complete is false if they are fewer than the
+	// class requires.
 	Complete(query RequestID, complete bool)
 
-	// Reject answers that the query is not served now, and after which time to come again; 0: none is named.
+	// Reject tells the client that the query is not served now, and after what time to retry; 0: no time is given.
 	Reject(query RequestID, retryAfter time.Duration)
 
-	// Fail answers that the query could not be served.
+	// Fail tells the client that the query could not be served.
 	Fail(query RequestID)
 
-	// ScheduleWakeup asks for a call of Wakeup with this name after a time.
-	ScheduleWakeup(name string, in time.Duration)
+	// ScheduleWakeup requests a call of Wakeup with this name after a time.
+	ScheduleWakeup(name string, after time.Duration)
 
-	// PollEndpoints asks discovery for the endpoint list and its changes. EndpointListBegins or EndpointPollFailed
+	// PollEndpoints requests the endpoint list and its changes from discovery. EndpointListBegins or EndpointPollFailed
 	// follows.
 	PollEndpoints()
 
 	// Broadcast sends a message to every other co-ordinator. It may be lost.
 	Broadcast(message []byte)
 
-	// Log writes a line for people.
+	// Log writes a message to the log.
 	Log(text string)
 }
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Ledger is what is counted over a span of time towards limits that hold for the process: the attempts of the retry
-// budget and what starting replicas were sent. A Scheduler that is made anew after a panic goes on with the ledger of
-// the one before, so that a panic does not lift the limits.
+// Ledger holds the counts for limits that apply to the whole process: the attempts in the retry budget, and the load
+// sent to starting replicas. A Scheduler that replaces one after a panic continues with its ledger, so that a panic
+// does not reset the limits.
 type Ledger struct {
 	arrivals  []time.Duration // of queries and subqueries, within the retry budget's span
 	retries   []time.Duration // attempts beyond a subquery's first, within that span
 	slowStart slowStart
 }
 
-// Ledger is a copy of what has been counted so far.
+// Ledger returns a copy of the current counts.
 func (scheduler *Scheduler) Ledger() Ledger {
 	return Ledger{
 		arrivals:  slices.Clone(scheduler.retries.arrivals),
@@ -23,8 +23,8 @@
 	}
 }
 
-// Resume has a Scheduler that was just made go on with another's ledger, of the same configuration and process. It is
-// called before any event.
+// Resume makes a new Scheduler continue with the ledger of an earlier one of the same configuration and process. It
+// must be called before any event.
 func (scheduler *Scheduler) Resume(ledger Ledger) {
 	scheduler.retries.arrivals = ledger.arrivals
 	scheduler.retries.furtherAttempts = ledger.retries
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// longObjective is the latency objective for which the constants of waiting times are meant. Where all objectives
+	// referenceObjective is the latency objective for which the constants of waiting times are meant. Where all objectives
 	// are shorter, parameters.timeScale shortens those times alike.
-	longObjective = 1500 * time.Millisecond
+	referenceObjective = 1500 * time.Millisecond
 
 	// fewCoordinators is the number up to which each co-ordinator sees enough of the load by itself.
 	fewCoordinators = 8.0
@@ -24,8 +24,8 @@
 	// wastePriceWeight multiplies the price of waste; its square is what hedges are divided by, beside 1.
 	wastePriceWeight = 22.0
 
-	// initialUnitShare is the share of the latency objective that a subquery is taken to need before any was seen.
-	initialUnitShare = 0.08
+	// initialWorkShare is the share of the latency objective that a subquery is taken to need before any was seen.
+	initialWorkShare = 0.08
 )
 
 // parameters are the settings in the form that the policies use, and what follows from settings alone. They do not
@@ -105,7 +105,7 @@
 		derived.longestDeadline = max(derived.longestDeadline, class.Deadline)
 	}
 	derived.crossZoneDelay = scale(derived.shortestObjective, config.CrossZonePrice)
-	derived.timeScale = min(1, float64(derived.shortestObjective)/float64(longObjective))
+	derived.timeScale = min(1, float64(derived.shortestObjective)/float64(referenceObjective))
 }
 
 func (derived *parameters) setLoadFactors(config *Config) {
@@ -144,7 +144,7 @@
 			minimumWeight:    config.MinimumShare,
 			effect:           config.Effect,
 			fetchSubqueries:  config.FetchSubqueries,
-			subqueryWork:     scale(config.Objective, initialUnitShare),
+			subqueryWork:     scale(config.Objective, initialWorkShare),
 			workPerHint:      1,
 			admission:        classAdmission{latenessFactor: 1},
 		})
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -47,8 +47,8 @@
 	r.queuedAhead[index] += subquery.work
 }
 
-// skips reports whether a pass that does not look at all need not look at a subquery.
-func (r *releaseRound) skips(subquery *subquery) bool {
+// canSkip reports whether a pass that does not look at all need not look at a subquery.
+func (r *releaseRound) canSkip(subquery *subquery) bool {
 	if r.scope == releaseEverything {
 		return false
 	}
@@ -66,8 +66,8 @@
 			return
 		}
 		for _, subquery := range query.subqueries {
-			if !round.skips(subquery) && scheduler.isReleasable(subquery) {
-				scheduler.releaseOne(round, subquery)
+			if !round.canSkip(subquery) && scheduler.isReleasable(subquery) {
+				scheduler.releaseSubquery(round, subquery)
 			}
 		}
 	}
@@ -85,14 +85,14 @@
 	return !query.suspectedDeadly() || len(subquery.attempts) > 0
 }
 
-// releaseOne abandons, probes with, passes over or sends a queued subquery.
-func (scheduler *Scheduler) releaseOne(round *releaseRound, subquery *subquery) {
+// releaseSubquery abandons, probes with, passes over or sends a queued subquery.
+func (scheduler *Scheduler) releaseSubquery(round *releaseRound, subquery *subquery) {
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
 	forbidden := subquery.nextIsRetryOrHedge() && !scheduler.retries.allowsFurther(scheduler.now, subquery)
 	if forbidden || scheduler.tooLate(subquery, round.queuedAhead) {
 		scheduler.stopSending(subquery)
-		scheduler.giveUpIfHopeless(subquery.query)
+		scheduler.giveUpIfUnanswerable(subquery.query)
 		return
 	}
 	if (first || replica == nil) && scheduler.probe(subquery) {
--- a/scheduler/release_test.go
+++ b/scheduler/release_test.go
@@ -46,7 +46,7 @@
 	m.keepOnly(102)
 	replica := m.replica(102)
 	m.scheduler.classes[0].subqueryWork, m.scheduler.classes[0].workPerHint = ms, 0.0125
-	for range 3 * fewOpen {
+	for range 3 * maxOpenForFullScan {
 		m.newQuery(0, 1, 3*time.Second)
 	}
 	m.iterate()
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -28,7 +28,7 @@
 		return
 	}
 	ended := subquery.attempts[number]
-	scheduler.bookEnd(ended, result.Outcome)
+	scheduler.recordEnd(ended, result.Outcome)
 	switch result.Outcome {
 	case Succeeded:
 		scheduler.attemptSucceeded(ended, result.Took)
@@ -39,8 +39,8 @@
 	scheduler.continueSubquery(subquery)
 }
 
-// bookEnd takes an ended attempt off its replica's load.
-func (scheduler *Scheduler) bookEnd(ended *attempt, outcome Outcome) {
+// recordEnd takes an ended attempt off its replica's load.
+func (scheduler *Scheduler) recordEnd(ended *attempt, outcome Outcome) {
 	ended.subquery.query.touched = true
 	ended.ended = true
 	ended.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NeverSent
@@ -123,7 +123,7 @@
 		subquery.queueFor(nil)
 	default:
 		scheduler.stopSending(subquery)
-		scheduler.giveUpIfHopeless(subquery.query)
+		scheduler.giveUpIfUnanswerable(subquery.query)
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -16,8 +16,8 @@
 
 	wakeupName = "look" // handed to the host and back with each wakeup
 
-	// fewOpen is the number of open queries up to which all are looked at in each iteration.
-	fewOpen = 64
+	// maxOpenForFullScan is the number of open queries up to which all are looked at in each iteration.
+	maxOpenForFullScan = 64
 )
 
 // Scheduler makes the decisions of one co-ordinator. It does no I/O, reads no clock and starts no goroutine: the same
@@ -79,7 +79,7 @@
 		slowStart:       newSlowStart(&config),
 	}
 	scheduler.estimates.parallelism = initialParallelism
-	scheduler.estimates.typicalSize = 1
+	scheduler.estimates.meanSize = 1
 	scheduler.hedges.tokens = maxHedgeTokens * scheduler.parameters.hedgeScale
 	scheduler.quotas = newTenantQuotas(scheduler.parameters.tenantQuotas)
 	scheduler.connectPolicies()
@@ -126,13 +126,13 @@
 	scheduler.advanceClock(now)
 	scheduler.pollEndpoints()
 	scheduler.retries.expire(now)
-	all := len(scheduler.open) <= fewOpen || now >= scheduler.lastTickAt+tickInterval
+	all := len(scheduler.open) <= maxOpenForFullScan || now >= scheduler.lastTickAt+tickInterval
 	if all {
 		scheduler.tick()
 	}
 	for _, query := range scheduler.open {
 		if all || query.touched {
-			scheduler.settle(query)
+			scheduler.endIfDue(query)
 			scheduler.place(query)
 		}
 	}
@@ -165,19 +165,19 @@
 	}
 	scheduler.slowStart.fade(seconds)
 	scheduler.hedges.forgetLoad(scheduler.now)
-	kept := slowdownKept(seconds)
+	kept := slowdownDecay(seconds)
 	for _, replica := range scheduler.replicas.all {
 		if replica.state == Ready {
 			scheduler.slowStart.readyReplica(replica, scheduler.now)
 		}
 		scheduler.outliers.detect(scheduler.now, replica)
 		scheduler.outliers.releaseLost(scheduler.now, replica)
-		replica.fadeSlowdown(kept)
+		replica.decaySlowdown(kept)
 		if replica.state != Removed {
 			replica.lastListedAt = scheduler.now
 		}
 	}
-	scheduler.estimates.typicalSize = scheduler.replicas.meanSize(scheduler.estimates.typicalSize)
+	scheduler.estimates.meanSize = scheduler.replicas.meanSize(scheduler.estimates.meanSize)
 }
 
 // place queues a query's subqueries for replicas, and admits or rejects a new query by where they are.
