--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// Estimates: how long a subquery takes at a replica. Inputs are each reply's time beside the time that was expected
-// of it, and what peers tell (gossip.go). Learned are the work of a class's subqueries, how many times longer than
-// others a replica takes (slowdown) and how many subqueries replicas work on side by side. Expected times are work in
-// front of a subquery and its own, divided by the parallelism, times the slowdown.
+// Estimates: how long a subquery takes at a replica. Inputs are the measured against the expected time of each reply,
+// and reports of peers (gossip.go). The estimator learns the work of a class's subqueries, the slowdown of each replica
+// (how many times longer than others it takes) and the parallelism (how many subqueries a replica processes
+// concurrently). The expected time is the work ahead of a subquery plus its own, divided by the parallelism and
+// multiplied by the slowdown.
 
 import (
 	"math"
@@ -11,44 +12,45 @@
 )
 
 const (
-	// latencyJitter is added to latencies that are compared: so much they vary by without a cause in the replica.
+	// latencyJitter is added to latencies before they are compared: they vary by about this much without a cause in the
+	// replica.
 	latencyJitter = 4 * time.Millisecond
 
-	recentLatencyWeight = 0.3   // weight of a reply in the recent latency: about three replies
-	baselineFallWeight  = 0.1   // weight of a faster reply in the baseline latency: about ten replies
-	baselineRiseWeight  = 0.004 // weight of a slower reply; small, so that congestion does not become the baseline
+	recentLatencyWeight = 0.3   // weight of a reply in the recent latency: averages about three replies
+	baselineFallWeight  = 0.1   // weight of a faster reply in the baseline latency: averages about ten replies
+	baselineRiseWeight  = 0.004 // weight of a slower reply; small, so that congestion does not soon become the baseline
 
-	initialParallelism = 1.0  // subqueries side by side, before anything was seen
-	maxParallelism     = 8.0  // the same; more would hide any queue
-	parallelismStep    = 0.05 // share of a queued attempt's surprise that moves the parallelism
+	initialParallelism = 1.0  // concurrent subqueries, before any reply
+	maxParallelism     = 8.0  // concurrent subqueries; a higher value would hide any queue
+	parallelismStep    = 0.05 // share of a queued attempt's log ratio by which the parallelism moves
 
-	minWork            = time.Millisecond // least work of a subquery that latencies can tell from none
-	slowdownStep       = 0.2              // share of a reply's surprise (a logarithm) that moves its replica's slowdown
-	workStep           = 0.02             // share of it that moves the class's work
-	readDelays         = 3                // times the read delay that a reply may have waited: sent, received, handed on
-	slowdownRegression = 0.01             // pull of a replica's slowdown towards 1 with each reply
-	maxLogRatio        = 2.0              // logarithm; one reply counts for no more: about 7 times
+	minWork            = time.Millisecond // least work of a subquery; latencies cannot distinguish less from none
+	slowdownStep       = 0.2              // share of a reply's log ratio by which its replica's slowdown moves
+	workStep           = 0.02             // share of a reply's log ratio by which the class's work moves
+	readDelays         = 3                // read delays that a reply may incur: sending, receiving and forwarding
+	slowdownRegression = 0.01             // share of its logarithm that a slowdown loses with each reply, towards 1
+	maxLogRatio        = 2.0              // bounds the effect of one reply: a ratio of about 7
 
-	slowdownDecayTime = 10.0 // seconds in which an idle replica's slowdown returns to 1 by all but a third
+	slowdownDecayTime = 10.0 // seconds in which the logarithm of an idle replica's slowdown decays to a third
 )
 
-// latencyEstimator expects times, and learns them from replies.
+// latencyEstimator predicts latencies and learns from replies.
 type latencyEstimator struct {
 	parameters  *parameters
-	parallelism float64 // subqueries that a replica works on side by side
-	meanSize    float64 // mean size of the replicas that are ready
+	parallelism float64 // subqueries that a replica processes concurrently
+	meanSize    float64 // of the replicas that are ready
 }
 
-// observedReply is a reply, and what delayed it here.
+// observedReply is a reply, with the delays that this co-ordinator itself caused.
 type observedReply struct {
 	attempt   *attempt
-	took      time.Duration // from its start to its end, or to when its reply was read
-	paused    time.Duration // for which this co-ordinator stood still meanwhile
-	readDelay time.Duration // for which replies may wait here unread; 0: not known to wait
+	took      time.Duration // from its start to its end, or until its reply was read
+	paused    time.Duration // how long this co-ordinator was stalled during that time
+	readDelay time.Duration // how long replies may wait here unread; 0: no known wait
 	warmingUp bool          // the replica is in slow start
 }
 
-// expectedFinish is the time until a replica has done all that is in flight and queued there and so much work more.
+// expectedFinish returns the time until a replica has finished all work in flight and queued there, plus more.
 func (e *latencyEstimator) expectedFinish(now time.Duration, replica *replicaState, more time.Duration) time.Duration {
 	work := replica.outstandingWork + replica.queuedWork + replica.peerBacklog(now) + more
 	finish := scale(scale(work, 1/e.parallelism), e.timePerWork(replica))
@@ -61,13 +63,13 @@
 	return finish
 }
 
-// expectedLatency is the time that an attempt that starts now takes at a replica of slowdown 1.
+// expectedLatency returns the time that an attempt starting now takes at a replica with slowdown 1.
 func (e *latencyEstimator) expectedLatency(now time.Duration, replica *replicaState, work time.Duration) time.Duration {
-	before := scale(replica.outstandingWork+replica.peerBacklog(now), 1/e.parallelism)
-	return scale(work+before, e.timePerWork(replica)/replica.slowdown)
+	ahead := scale(replica.outstandingWork+replica.peerBacklog(now), 1/e.parallelism)
+	return scale(work+ahead, e.timePerWork(replica)/replica.slowdown)
 }
 
-// timePerWork is how many times a subquery's work a replica takes for it.
+// timePerWork returns the time that a replica takes per unit of a subquery's work.
 func (e *latencyEstimator) timePerWork(replica *replicaState) float64 {
 	if !e.parameters.listedSizes {
 		return replica.slowdown
@@ -75,18 +77,18 @@
 	return replica.slowdown * e.meanSize / replica.size
 }
 
-// slowestFactor is how many times one subquery's time the slowest of so many is expected to take.
+// slowestFactor returns the expected time of the slowest of this many subqueries, as a multiple of the time of one.
 func (e *latencyEstimator) slowestFactor(subqueries int) float64 {
 	return 1 + e.parameters.fanoutSpread*math.Log(float64(max(1, subqueries)))
 }
 
-// learn corrects the estimates by a reply.
+// learn updates the estimates from a reply.
 func (e *latencyEstimator) learn(now time.Duration, reply observedReply) {
 	attempt := reply.attempt
 	replica, class := attempt.replica, attempt.subquery.query.class
-	took, delayedHere := reply.withoutLocalDelay(now)
-	surprise := logLatencyRatio(took, attempt.expected)
-	deviation := max(-maxLogRatio, min(maxLogRatio, surprise-math.Log(replica.slowdown)))
+	took, delayedLocally := reply.withoutLocalDelay(now)
+	logRatio := logLatencyRatio(took, attempt.expected)
+	deviation := max(-maxLogRatio, min(maxLogRatio, logRatio-math.Log(replica.slowdown)))
 	replica.slowdown *= math.Exp(slowdownStep * deviation)
 	if !reply.warmingUp {
 		queuedShare := 1 - float64(attempt.work)/float64(attempt.expected)
@@ -95,35 +97,36 @@
 	}
 	replica.slowdown = math.Pow(replica.slowdown, 1-slowdownRegression)
 	if e.parallelism >= 0.5*maxParallelism {
-		// Replicas may do more side by side than is counted on: then the queue was shorter, not the work less.
-		surprise = max(surprise, min(0, logLatencyRatio(took, attempt.work)))
+		// Replicas may run more subqueries concurrently than assumed: then the queue was shorter, not the work smaller.
+		logRatio = max(logRatio, min(0, logLatencyRatio(took, attempt.work)))
 	}
-	class.learnWork(surprise + math.Log(attempt.subquery.workPerHint/class.workPerHint))
-	replica.learnLatency(took, attempt.work, delayedHere)
+	class.learnWork(logRatio + math.Log(attempt.subquery.workPerHint/class.workPerHint))
+	replica.learnLatency(took, attempt.work, delayedLocally)
 }
 
-// withoutLocalDelay is the time that the replica took, without what this co-ordinator's own delay explains; delayedHere
-// tells that this leaves no more than was expected. Without it a short pause here looks like slow replicas.
-func (r observedReply) withoutLocalDelay(now time.Duration) (took time.Duration, delayedHere bool) {
+// withoutLocalDelay returns the time that the replica took, without the part that this co-ordinator's own delays
+// explain; delayedLocally reports whether that leaves no more than the expected time. Without this correction, a short
+// pause here looks like slow replicas.
+func (r observedReply) withoutLocalDelay(now time.Duration) (took time.Duration, delayedLocally bool) {
 	attempt := r.attempt
-	own, expected := r.paused, scale(attempt.expected, attempt.replica.slowdown)
+	localDelay, expected := r.paused, scale(attempt.expected, attempt.replica.slowdown)
 	if r.readDelay > 0 {
-		own += readDelays * max(r.readDelay, now-attempt.sentAt-r.took)
+		localDelay += readDelays * max(r.readDelay, now-attempt.sentAt-r.took)
 		expected = min(expected, attempt.expected)
 	}
-	delayedHere = r.readDelay > 0 && r.took-own <= expected
-	return max(min(r.took, expected), r.took-own), delayedHere
+	delayedLocally = r.readDelay > 0 && r.took-localDelay <= expected
+	return max(min(r.took, expected), r.took-localDelay), delayedLocally
 }
 
-// logLatencyRatio is the logarithm of a time over the expected one.
+// logLatencyRatio returns the logarithm of the measured over the expected time.
 func logLatencyRatio(took, expected time.Duration) float64 {
 	return math.Log(float64(took+time.Millisecond) / float64(expected+time.Millisecond))
 }
 
-// learnLatency moves the recent and the usual latency over work.
-func (r *replicaState) learnLatency(took, work time.Duration, delayedHere bool) {
+// learnLatency updates the recent and the baseline latency, as ratios of latency to work.
+func (r *replicaState) learnLatency(took, work time.Duration, delayedLocally bool) {
 	ratio := float64(took+latencyJitter) / float64(work+latencyJitter)
-	if delayedHere {
+	if delayedLocally {
 		ratio = min(ratio, r.baselineLatency)
 	}
 	r.recentLatency += recentLatencyWeight * (ratio - r.recentLatency)
@@ -131,21 +134,22 @@
 	r.baselineLatency += baselineFallWeight*min(0, rise) + baselineRiseWeight*max(0, min(rise, r.baselineLatency))
 }
 
-// learnWork moves the class's work by a share of a reply's surprise, measured against what the work is taken for now
-// and not when the attempt was sent: else each of many replies to attempts of one time would correct the same error
-// again.
-func (c *class) learnWork(surprise float64) {
-	growth := math.Exp(workStep * max(-1, min(1, surprise)))
+// learnWork moves the class's work by a share of a reply's log ratio. The log ratio is relative to the current estimate
+// of the work, not the estimate when the attempt was sent; otherwise the replies to many attempts sent at one time
+// would each correct the same error again.
+func (c *class) learnWork(logRatio float64) {
+	growth := math.Exp(workStep * max(-1, min(1, logRatio)))
 	work := max(float64(minWork), min(float64(c.deadline), float64(c.subqueryWork)*growth))
 	growth = work / float64(c.subqueryWork)
 	c.subqueryWork = scale(c.subqueryWork, growth)
 	c.workPerHint *= growth
 }
 
-// slowdownDecay is the share of a slowdown's logarithm that an idle replica keeps as seconds pass.
+// slowdownDecay returns the share of a slowdown's logarithm that an idle replica keeps after this many seconds.
 func slowdownDecay(seconds float64) float64 { return math.Exp(-seconds / slowdownDecayTime) }
 
-// decaySlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is slowdownKept.
+// decaySlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is the result of
+// slowdownDecay.
 func (r *replicaState) decaySlowdown(kept float64) {
 	if len(r.outstanding) == 0 {
 		r.slowdown = math.Pow(r.slowdown, kept)
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// This co-ordinator stood still and then finds all answers at once. Its own pause must not count as the replicas'.
-func TestOwnPauseDoesNotRaiseSlowdowns(t *testing.T) {
+// This co-ordinator is stalled and then receives all answers at once. Its own pause must not be attributed to the
+// replicas.
+func TestLocalPauseDoesNotRaiseSlowdowns(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		m := newModel(t, 0)
 		m.newQuery(0, 4, 3*time.Second)
@@ -25,13 +26,13 @@
 			slowdowns = append(slowdowns, replica.slowdown)
 		}
 		if got := slices.Max(slowdowns) > 1.1; got != slow {
-			t.Errorf("slowdowns %v after 800 ms, slow %v", slowdowns, slow)
+			t.Errorf("slowdowns %v after 800 ms, replicas slow: %v", slowdowns, slow)
 		}
 	}
 }
 
-// A replica twice as large takes half the time for a subquery, where the settings say that listed sizes tell that.
-func TestListedSizesCount(t *testing.T) {
+// A replica of twice the size takes half the time for a subquery, if the settings say that listed sizes state this.
+func TestListedSizesScaleExpectedTimes(t *testing.T) {
 	for kind, want := range map[string]bool{"off": false, "nominal": true} {
 		m := newModel(t, 0)
 		m.settings["weightKind"] = kind
@@ -52,14 +53,14 @@
 		small := m.scheduler.estimates.timePerWork(m.replica(m.order[0]))
 		large := m.scheduler.estimates.timePerWork(m.replica(m.order[1]))
 		if got := small > 1.9*large; got != want {
-			t.Errorf("%s: a subquery takes %.2f and %.2f", kind, small, large)
+			t.Errorf("%s: time per work %.2f at the small and %.2f at the large replica", kind, small, large)
 		}
 	}
 }
 
-// Many attempts are sent by one estimate of the work, and all their replies show it four times too long. They move it
-// to what they show and not beyond, and nothing moves it out of its bounds.
-func TestManyRepliesMoveTheWorkNoFurtherThanTheyShow(t *testing.T) {
+// Many attempts are sent with the same estimate of the work, and all replies show that it is four times too high. They
+// must move the estimate to what they show and not beyond it, and never outside its bounds.
+func TestConcurrentRepliesDoNotOvercorrectWork(t *testing.T) {
 	m := newModel(t, 0)
 	start := m.scheduler.classes[0].subqueryWork
 	for range 60 {
@@ -75,15 +76,15 @@
 	for range 4000 {
 		m.scheduler.classes[0].learnWork(-1)
 	}
-	if u := m.scheduler.classes[0].subqueryWork; u < minWork || math.IsNaN(m.scheduler.classes[0].workPerHint) {
-		t.Errorf("work of %v, hint %v after endless surprises", u, m.scheduler.classes[0].workPerHint)
+	if work := m.scheduler.classes[0].subqueryWork; work < minWork || math.IsNaN(m.scheduler.classes[0].workPerHint) {
+		t.Errorf("work of %v, hint %v after 4000 downward corrections", work, m.scheduler.classes[0].workPerHint)
 	}
 }
 
-// Replies wait here unread, as this co-ordinator's own core is busy. What that explains must not halve limits or
-// raise slowdowns; without it they do.
-func TestOwnReadDelaySaysNothingAgainstReplicas(t *testing.T) {
-	for _, behind := range []time.Duration{0, 200 * ms} {
+// Replies wait unread because this co-ordinator's core is busy. Latency explained by that must not halve limits or
+// raise slowdowns; the same latency without a read delay does.
+func TestReadDelayIsNotAttributedToReplicas(t *testing.T) {
+	for _, delay := range []time.Duration{0, 200 * ms} {
 		m := newModel(t, 0)
 		m.keepOnly(102)
 		replica := m.replica(102)
@@ -94,13 +95,13 @@
 		}
 		before := replica.limit
 		for range 8 {
-			m.scheduler.ReadDelayed(m.now, behind)
+			m.scheduler.ReadDelayed(m.now, delay)
 			m.newQuery(0, 1, 3*time.Second)
 			m.iterate()
 			m.answerAllAfter(500 * ms)
 		}
-		if kept := replica.limit >= before && replica.slowdown < 2; kept != (behind > 0) {
-			t.Errorf("behind %v: limit %v before, %v after, slowdown %v", behind, before, replica.limit, replica.slowdown)
+		if kept := replica.limit >= before && replica.slowdown < 2; kept != (delay > 0) {
+			t.Errorf("read delay %v: limit %v before, %v after, slowdown %v", delay, before, replica.limit, replica.slowdown)
 		}
 	}
 }
--- a/scheduler/estimates_report.go
+++ b/scheduler/estimates_report.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// ClassEstimate is what the Scheduler expects of the queries of one class, for people and tests.
+// ClassEstimate is the Scheduler's current estimate for the queries of one class, for operators and tests.
 type ClassEstimate struct {
-	SubqueryWork   time.Duration // of a subquery without a hint
-	WorkPerHint    float64       // work for each unit of a hint
-	LatenessFactor float64       // by which admission takes queries to be later than estimated; at least 1
-	TrialLimit     float64       // attempts that may be in flight at a replica for a query that is admitted as a trial
+	SubqueryWork   time.Duration // work of a subquery without a hint
+	WorkPerHint    float64       // work per unit of a hint
+	LatenessFactor float64       // factor by which admission expects queries to take longer than estimated; at least 1
+	TrialLimit     float64       // attempts in flight at a slow replica, from which no trial query is admitted there
 }
 
-// ClassEstimates are the present estimates, by class index.
+// ClassEstimates returns the current estimates, by class index.
 func (scheduler *Scheduler) ClassEstimates() []ClassEstimate {
 	var estimates []ClassEstimate
 	for index := range scheduler.classes {
@@ -29,9 +29,8 @@
 	return estimates
 }
 
-// DescribeReplicas tells what the Scheduler knows of the replicas, for a person to read: a line of what concerns
-// all, then a line for each replica that is not removed. The words in it are those of the page that shows it, which
-// operators know.
+// DescribeReplicas describes the state of the replicas for operators: a line about all of them, then one for each
+// replica that is not removed. It uses the terms of the page that shows it, which operators know.
 func (scheduler *Scheduler) DescribeReplicas() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "lanes %.2f copies %.1f extras %d taken %d open %d\n",
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -7,68 +7,69 @@
 )
 
 const (
-	// referenceObjective is the latency objective for which the constants of waiting times are meant. Where all objectives
-	// are shorter, parameters.timeScale shortens those times alike.
+	// referenceObjective is the latency objective for which the wait constants are chosen. If all objectives are shorter,
+	// parameters.timeScale shortens those times in proportion.
 	referenceObjective = 1500 * time.Millisecond
 
-	// fewCoordinators is the number up to which each co-ordinator sees enough of the load by itself.
+	// fewCoordinators is the number of co-ordinators up to which each of them sees enough of the load itself.
 	fewCoordinators = 8.0
 
 	// unseenLoadGrowth is added to parameters.unseenLoadFactor each time that the number of co-ordinators beyond
-	// fewCoordinators grows e-fold.
+	// fewCoordinators grows by a factor of e.
 	unseenLoadGrowth = 0.5
 
-	// fanoutGrowth is parameters.fanoutSpread among many co-ordinators.
+	// fanoutGrowth is parameters.fanoutSpread with more than fewCoordinators co-ordinators.
 	fanoutGrowth = 1.2
 
-	// wastePriceWeight multiplies the price of waste; its square is what hedges are divided by, beside 1.
+	// wastePriceWeight multiplies the price of waste. parameters.hedgeScale divides by 1 plus the square of the product.
 	wastePriceWeight = 22.0
 
-	// initialWorkShare is the share of the latency objective that a subquery is taken to need before any was seen.
+	// initialWorkShare is the initial estimate of the work of a subquery, as a share of the latency objective.
 	initialWorkShare = 0.08
 )
 
-// parameters are the settings in the form that the policies use, and what follows from settings alone. They do not
+// parameters holds the settings in the form that the policies use, and values derived from settings alone. They do not
 // change while the Scheduler lives.
 type parameters struct {
-	coordinators int // how many there are
+	coordinators int // including this one
 	layout       cellLayout
 	ownZone      ZoneIndex
 
-	maxAttempts   int // of a subquery, the first included; math.MaxInt: any number
+	maxAttempts   int // of a subquery, including the first; math.MaxInt: no limit
 	cancelAllowed bool
 	hedgeAllowed  bool
 
 	shortestObjective time.Duration // of all classes
 	longestDeadline   time.Duration // of all classes
-	crossZoneDelay    time.Duration // added to the expected time at a replica of another zone, for what crossing costs
-	maxRetryAfter     time.Duration // 0: rejected clients are told no time
+	crossZoneDelay    time.Duration // cost of crossing zones, added to the expected time at a replica of another zone
+	maxRetryAfter     time.Duration // 0: rejected clients are not told when to retry
 
-	retryBudgetSpan  time.Duration // over which attempts are counted; 0: no budget
-	retryBudgetShare float64       // further attempts in that time, for each subquery that came
-	retryBudgetMin   float64       // further attempts in that time beside that share
+	retryBudgetSpan  time.Duration // window over which attempts are counted; 0: no budget
+	retryBudgetShare float64       // retries and hedges within the span, per query and subquery that arrived
+	retryBudgetMin   float64       // retries and hedges within the span in addition to that share
 
-	tenantQuotas []float64 // queries a second, by tenant: this co-ordinator's share where the others' use is not known
+	tenantQuotas []float64 // queries per second, by tenant: this co-ordinator's share if the others' usage is unknown
 
 	gossipEnabled bool // messages to the other co-ordinators are allowed, and there are others
-	listedSizes   bool // Endpoint.Size tells how much work a replica can do
+	listedSizes   bool // Endpoint.Size states how much work a replica can do
 
-	// hedgeScale multiplies the hedges that may be earned and saved: 1 where waste costs nothing, less where it does.
+	// hedgeScale multiplies the hedge tokens that can be earned and saved: 1 if waste costs nothing, less if it does.
 	hedgeScale float64
 
-	// timeScale multiplies the waiting times that are meant for longObjective: 1 or less.
+	// timeScale multiplies the wait times that are chosen for referenceObjective; at most 1.
 	timeScale float64
 
-	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of one's expected time, for each
-	// e-fold of subqueries. 0 among few co-ordinators, as their estimates contain what others send.
+	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of the expected time of one, each time
+	// that the number of subqueries grows by a factor of e. It is 0 with few co-ordinators, as their estimates include the
+	// load of the others.
 	fanoutSpread float64
 
-	// unseenLoadFactor multiplies the expected time at a replica, for work that other co-ordinators have sent
-	// there: 1 among few.
+	// unseenLoadFactor multiplies the expected time at a replica to account for work that other co-ordinators have sent
+	// there; 1 with few co-ordinators.
 	unseenLoadFactor float64
 }
 
-// newParameters derives them from a valid Config.
+// newParameters derives the parameters from a valid Config.
 func newParameters(config *Config) parameters {
 	derived := parameters{
 		coordinators: config.Coordinators,
@@ -109,18 +110,18 @@
 }
 
 func (derived *parameters) setLoadFactors(config *Config) {
-	crowd := math.Log(float64(config.Coordinators) / fewCoordinators)
-	derived.unseenLoadFactor = 1 + unseenLoadGrowth*max(0, crowd)
+	logExcess := math.Log(float64(config.Coordinators) / fewCoordinators)
+	derived.unseenLoadFactor = 1 + unseenLoadGrowth*max(0, logExcess)
 	if derived.manyCoordinators() {
 		derived.fanoutSpread = fanoutGrowth
 	}
 	derived.hedgeScale = 1 / (1 + math.Pow(wastePriceWeight*config.WastePrice, 2))
 }
 
-// manyCoordinators reports whether there are so many that each sees too little of the load by itself.
+// manyCoordinators reports whether there are so many co-ordinators that each sees too little of the load itself.
 func (derived *parameters) manyCoordinators() bool { return derived.unseenLoadFactor > 1 }
 
-// setTenantQuotas takes the quotas whole where gossip tells what the other co-ordinators admit, else a fair share.
+// setTenantQuotas uses the full quotas if gossip reports what the other co-ordinators admit, otherwise an equal share.
 func (derived *parameters) setTenantQuotas(quotas []float64) {
 	for _, quota := range quotas {
 		if !derived.gossipEnabled {
@@ -130,7 +131,7 @@
 	}
 }
 
-// newClasses gives each class its settings, and what is expected of it before anything was seen.
+// newClasses creates the classes with their settings and initial estimates.
 func newClasses(configs []ClassConfig) []class {
 	var classes []class
 	for index, config := range configs {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,21 +1,22 @@
 package scheduler
 
-// Placement: which holder of its shard each subquery goes to. Each new one takes its fastest holder; then a greedy
-// moves subqueries of the query off the replica with the largest expected finish, while that lowers the largest
-// finish. Inputs are expected times (estimate.go), which replicas are in use (outlier.go) and what slow start allows.
+// Placement: to which holder of its shard each subquery is sent. Each new subquery is assigned to its fastest holder;
+// then a greedy algorithm moves subqueries of the query off the replica with the largest expected finish, as long as
+// that lowers the largest finish. Inputs are expected times (estimate.go), which replicas are in use (outlier.go) and
+// the slow-start budget.
 
 import (
 	"math"
 	"time"
 )
 
-// movesPerSubquery bounds the greedy: moves for each subquery of a query.
+// movesPerSubquery bounds the greedy algorithm: moves per subquery of a query.
 const movesPerSubquery = 2
 
-// forbiddenCost is a cost that forbids a replica, as any below 0 does.
+// forbiddenCost excludes a replica, as does any cost below 0.
 const forbiddenCost time.Duration = -1
 
-// placement chooses replicas. It has no state of its own.
+// placement chooses replicas. It is stateless.
 type placement struct {
 	parameters *parameters
 	replicas   *replicaSet
@@ -23,13 +24,13 @@
 	hasRoom    func(*replicaState, *subquery) bool // within its slow-start budget
 }
 
-// usable reports whether a subquery may get an ordinary attempt at a replica.
+// usable reports whether a subquery may get an ordinary attempt, not a probe, at a replica.
 func (p *placement) usable(replica *replicaState, subquery *subquery) bool {
 	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
 }
 
-// cheapest is the usable holder of a subquery's shard with the least cost, in time; the first of several. One of
-// forbiddenCost is out of the question. nil: there is none.
+// cheapest returns the usable holder of a subquery's shard with the least cost, in time, and the first of several.
+// Holders with a negative cost, such as forbiddenCost, are excluded. It returns nil if there is none.
 func (p *placement) cheapest(subquery *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
 	least := time.Duration(math.MaxInt64)
@@ -43,9 +44,9 @@
 	return best
 }
 
-// fastest is the holder where a subquery would take the least time if nothing else were to be done. One where it had
-// an attempt already is taken only if there is no other; if its query is suspected of crashing replicas, it is the
-// other way round.
+// fastest returns the holder where a subquery would take the least time if the replica had no other work. A holder that
+// already had an attempt of it is chosen only if there is no other. If its query is suspected of crashing replicas, the
+// preference is reversed.
 func (p *placement) fastest(subquery *subquery) *replicaState {
 	return p.cheapest(subquery, func(replica *replicaState) time.Duration {
 		if subquery.triedAt(replica) != subquery.query.suspectedDeadly() {
@@ -55,7 +56,7 @@
 	})
 }
 
-// needsReplica reports whether a subquery waits for an attempt and is queued for no replica that it can go to.
+// needsReplica reports whether a subquery waits for an attempt and is not queued for a usable replica.
 func (p *placement) needsReplica(subquery *subquery) bool {
 	if subquery.answered || subquery.abandoned {
 		return false
@@ -66,7 +67,7 @@
 	return subquery.replica == nil || !p.usable(subquery.replica, subquery)
 }
 
-// place queues those subqueries of a query that need a replica, and lists them.
+// place queues the subqueries of a query that need a replica, and returns them.
 func (p *placement) place(now time.Duration, query *query) (placed []*subquery) {
 	for _, subquery := range query.subqueries {
 		if p.needsReplica(subquery) {
@@ -78,8 +79,8 @@
 	return placed
 }
 
-// rebalance moves subqueries off the replica with the largest expected finish, each to where it lowers that most. A
-// replica off which nothing can be moved is settled; then the next is looked at.
+// rebalance moves subqueries off the replica with the largest expected finish, each to where it lowers the largest
+// finish most. A replica from which no move helps is settled, and the next is tried.
 func (p *placement) rebalance(now time.Duration, placed []*subquery) {
 	settled := map[*replicaState]bool{nil: true}
 	for range movesPerSubquery * len(placed) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// slowest is the replica of the subqueries, settled ones aside, with the largest expected finish; nil: all are
-// settled.
+// slowest returns the replica with the largest expected finish among those of the subqueries that are not settled, or
+// nil if all are settled.
 func (p *placement) slowest(now time.Duration, placed []*subquery, settled map[*replicaState]bool) *replicaState {
 	var slowest *replicaState
 	most := time.Duration(-1)
@@ -113,13 +114,14 @@
 	return slowest
 }
 
-// bestMove is the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at
-// least a millisecond; of equal ones, the one to the replica that is done first. nil: there is none.
+// bestMove returns the move of a subquery off a replica that most lowers the larger finish of the two replicas, by at
+// least a millisecond. Of equal moves it prefers the one to the replica that finishes first. It returns nil if there is
+// none.
 func (p *placement) bestMove(
 	now time.Duration, placed []*subquery, from *replicaState,
 ) (moved *subquery, to *replicaState) {
 	least := p.estimates.expectedFinish(now, from, 0) - time.Millisecond
-	soonest := time.Duration(0)
+	earliest := time.Duration(0)
 	var last *subquery
 	for _, subquery := range placed {
 		if subquery.replica != from || subquery.query.suspectedDeadly() {
@@ -129,18 +131,18 @@
 			continue
 		}
 		last = subquery
-		remaining := p.estimates.expectedFinish(now, from, -subquery.work)
+		sourceFinish := p.estimates.expectedFinish(now, from, -subquery.work)
 		for _, replica := range p.replicas.holders(subquery.shard) {
 			if replica == from {
 				continue
 			}
-			there := p.estimates.expectedFinish(now, replica, subquery.work)
-			larger := max(remaining, there)
-			better := larger < least || larger == least && moved != nil && there < soonest
+			targetFinish := p.estimates.expectedFinish(now, replica, subquery.work)
+			larger := max(sourceFinish, targetFinish)
+			better := larger < least || larger == least && moved != nil && targetFinish < earliest
 			if better && p.usable(replica, subquery) && !subquery.triedAt(replica) {
 				moved, to = subquery, replica
 				least = larger
-				soonest = there
+				earliest = targetFinish
 			}
 		}
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Subqueries are queued for a replica in slow start whose budget is spent. They must not wait there while the other
+// Subqueries are queued for a replica in slow start whose budget is used up. They must not wait there while the other
 // holder is free.
 func TestSubqueriesLeaveStartingReplicasWithoutBudget(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
 	m.replicas[105].startedAt = m.now
 	m.list(false, false, 105)
-	m.replica(102).outstandingWork = 3 * time.Second // the warm one looks worse at first
+	m.replica(102).outstandingWork = 3 * time.Second // the warm replica looks slower at first
 	for range 6 {
 		m.newQuery(0, 1, 3*time.Second)
 	}
@@ -21,13 +21,13 @@
 	m.pass(50 * ms)
 	for _, query := range m.scheduler.open {
 		if len(query.subqueries[0].attempts) == 0 {
-			t.Fatalf("a subquery is not sent, held at %p, warm is %p", query.subqueries[0].replica, m.replica(102))
+			t.Fatalf("a subquery was not sent; queued for %p, warm replica is %p", query.subqueries[0].replica, m.replica(102))
 		}
 	}
 }
 
-// Eight subqueries have the same holders, all equally free. Moves that lower the largest finish alike go to the
-// emptiest holder, not all to the first.
+// Eight subqueries have the same, equally idle holders. Among moves that lower the largest finish equally, each must go
+// to the least loaded holder, not always to the first.
 func TestSubqueriesSpreadOverAllEqualHolders(t *testing.T) {
 	m := newModel(t, 0)
 	m.nextShard = 0
