--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -29,7 +29,7 @@
 	return replica.inUse(subquery.query.class) && p.hasRoom(replica, subquery)
 }
 
-// cheapest returns the usable holder of a subquery's shard with the least cost, in time, and the first of several.
+// cheapest returns the usable holder of a subquery's shard with the lowest cost, in time; of equal ones the first.
 // Holders with a negative cost, such as forbiddenCost, are excluded. It returns nil if there is none.
 func (p *placement) cheapest(subquery *subquery, cost func(*replicaState) time.Duration) *replicaState {
 	var best *replicaState
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -1,24 +1,24 @@
 package scheduler
 
-// Release: when queued subqueries are sent, in order of their queries' arrival. Each goes once its replica has room
-// under its concurrency limit and its slow-start budget, and a further attempt once the retry budget has room. One
-// that can no longer be answered in time is abandoned.
+// Release: when queued subqueries are sent, in order of their queries' arrival. Each is sent once its replica has room
+// under its concurrency limit and its slow-start budget; retries and hedges also need room in the retry budget. A
+// subquery that can no longer be answered in time is abandoned.
 
 import "time"
 
-// releaseScope is which of the queued subqueries a pass looks at.
+// releaseScope selects the queued subqueries that a pass considers.
 type releaseScope int
 
 const (
-	releaseWhereRoom  releaseScope = iota // those whose replica has room, and no query after the last such replica
-	releaseEverything                     // all: also those that are too late, or without a replica
+	releaseWhereRoom  releaseScope = iota // those whose replica has room; the pass ends once no replica has room left
+	releaseEverything                     // all, including those that are too late or have no replica
 )
 
-// releaseRound is what one pass over the queued subqueries finds.
+// releaseRound is the state of one pass over the queued subqueries.
 type releaseRound struct {
 	scope       releaseScope
-	blocked     []bool          // by replica: nothing more is to be sent there in this pass
-	queuedAhead []time.Duration // by replica: work of the subqueries that were passed over
+	blocked     []bool          // by replica: nothing more is sent there in this pass
+	queuedAhead []time.Duration // by replica: work of the subqueries that stay queued
 	open        int             // replicas that are not blocked
 }
 
@@ -36,8 +36,8 @@
 	return round
 }
 
-// passOver notes that a subquery stays queued for its replica. A first attempt that waits keeps later ones from
-// passing it.
+// passOver records that a subquery stays queued for its replica. If it is a first attempt, later ones must not overtake
+// it.
 func (r *releaseRound) passOver(subquery *subquery) {
 	index := subquery.replica.index
 	if len(subquery.attempts) == 0 && !r.blocked[index] {
@@ -47,7 +47,7 @@
 	r.queuedAhead[index] += subquery.work
 }
 
-// canSkip reports whether a pass that does not look at all need not look at a subquery.
+// canSkip reports whether the pass, given its scope, need not consider a subquery.
 func (r *releaseRound) canSkip(subquery *subquery) bool {
 	if r.scope == releaseEverything {
 		return false
@@ -55,7 +55,7 @@
 	return !subquery.queued || subquery.replica == nil || r.blocked[subquery.replica.index]
 }
 
-// release sends queued subqueries of a scope.
+// release sends the queued subqueries in scope.
 func (scheduler *Scheduler) release(scope releaseScope) {
 	round := scheduler.newReleaseRound(scope)
 	for _, query := range scheduler.open {
@@ -73,7 +73,7 @@
 	}
 }
 
-// isReleasable reports whether a subquery is queued and its query's canaries do not hold it back.
+// isReleasable reports whether a subquery is queued and not held back by its query's canaries or suspected crashes.
 func (scheduler *Scheduler) isReleasable(subquery *subquery) bool {
 	query := subquery.query
 	if query.ended || !subquery.queued {
@@ -85,7 +85,7 @@
 	return !query.suspectedDeadly() || len(subquery.attempts) > 0
 }
 
-// releaseSubquery abandons, probes with, passes over or sends a queued subquery.
+// releaseSubquery sends a queued subquery, uses it as a probe, leaves it queued or abandons it.
 func (scheduler *Scheduler) releaseSubquery(round *releaseRound, subquery *subquery) {
 	replica := subquery.replica
 	first := len(subquery.attempts) == 0
@@ -106,10 +106,10 @@
 		return
 	}
 	scheduler.startAttempt(subquery, replica)
-	scheduler.probe(subquery) // of an ejected holder, beside the attempt
+	scheduler.probe(subquery) // probes an ejected holder in addition to the attempt
 }
 
-// mustWait reports whether a queued subquery cannot be sent to its replica now.
+// mustWait reports whether a queued subquery cannot be sent to its replica yet.
 func (scheduler *Scheduler) mustWait(subquery *subquery, replica *replicaState) bool {
 	if scheduler.limits.full(scheduler.now, replica) || !scheduler.slowStartAdmits(replica, subquery) {
 		return true
@@ -120,19 +120,19 @@
 	if len(subquery.attempts) == 0 {
 		return false
 	}
-	// One without a token goes once nothing is in flight there: else nothing would ever earn any.
+	// Without a token it is sent once nothing is in flight there; otherwise no reply would ever earn one.
 	noToken := !scheduler.retries.hasToken(replica) && len(replica.outstanding) > 0
 	last := scheduler.retries.atMostOneLeft(subquery)
 	return noToken || scheduler.retries.backsOff(scheduler.now, replica, subquery, last)
 }
 
-// tooLate reports whether a queued subquery cannot be answered in time any more. At a replica at its limit, and in
-// the first phase, that is the query's objective, else its deadline.
+// tooLate reports whether a queued subquery can no longer be answered in time: before the query's objective if its
+// replica is at its limit and in the first phase, otherwise before the deadline.
 func (scheduler *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
 	query, replica := subquery.query, subquery.replica
 	left := query.deadlineAt - scheduler.now
 	if query.admittedAsTrial {
-		return scheduler.now >= query.objectiveAt // what is expected is in doubt
+		return scheduler.now >= query.objectiveAt // the trial tests the estimate, so it is not used here
 	}
 	if replica == nil {
 		return subquery.work > left
@@ -144,7 +144,7 @@
 	return scale(subquery.work+ahead, scheduler.estimates.timePerWork(replica)) > left
 }
 
-// probe sends an attempt of a subquery to an ejected holder that is due for one, if any, and reports whether it did.
+// probe sends an attempt of a subquery to an ejected holder that is due for a probe, and reports whether it did.
 func (scheduler *Scheduler) probe(subquery *subquery) bool {
 	if !scheduler.outliers.mayProbe(scheduler.now, subquery, &scheduler.retries) {
 		return false
--- a/scheduler/release_test.go
+++ b/scheduler/release_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// One replica takes one attempt at a time. The queued subqueries are sent in the order in which their queries
-// arrived.
+// The only replica takes one attempt at a time. Queued subqueries must be sent in order of arrival of their queries.
 func TestSubqueriesAreSentInOrderOfArrival(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
@@ -20,11 +19,11 @@
 		m.answerAllAfter(80 * ms)
 	}
 	if len(m.sent) < 4 || !slices.IsSorted(m.sent) {
-		t.Errorf("subqueries left in the order %v", m.sent)
+		t.Errorf("subqueries were sent in the order %v", m.sent)
 	}
 }
 
-// A subquery waits behind another until its answer could not come in time. It is not sent any more, and its query
+// A subquery waits behind another until its answer could no longer arrive in time. It must not be sent, and its query
 // ends.
 func TestQueuedSubqueryWithTooLittleTimeIsNotSent(t *testing.T) {
 	m := newModel(t, 0)
@@ -39,8 +38,8 @@
 	}
 }
 
-// With many queries open an iteration between ticks looks only at those for which something came in. Queued
-// subqueries must be sent with each reply all the same.
+// With many open queries, iterations between ticks consider only queries with new events. Queued subqueries must still
+// be sent with each reply.
 func TestIterationsWithManyOpenQueriesSendWithEachReply(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
@@ -57,7 +56,7 @@
 		m.answer(flight)
 		m.iterate()
 		if len(m.sent) == sent && len(replica.outstanding) < int(replica.limit) && replica.queuedWork > 0 {
-			t.Fatalf("nothing left with a reply: %d out, limit %v", len(replica.outstanding), replica.limit)
+			t.Fatalf("no subquery was sent after a reply: %d in flight, limit %v", len(replica.outstanding), replica.limit)
 		}
 	}
 }
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// replicaState is all that is known of one replica. Each replica of the endpoint list has one; replicaSet.newState
-// takes that of a replica that was removed long ago for a new one.
+// replicaState is the state of one replica of the endpoint list. replicaSet.newState reuses the state of a replica that
+// was removed long ago.
 type replicaState struct {
-	index int // place in replicaSet.all
+	index int // index in replicaSet.all
 
-	// As the endpoint list has it.
+	// From the endpoint list.
 	id           ReplicaID
 	state        EndpointState
-	cell         CellNumber // the last of the cells whose shards it holds: see cellLayout
+	cell         CellNumber // the last of the cells whose shards it holds; see cellLayout
 	zone         ZoneIndex
 	size         float64       // relative to the other replicas, above 0
-	startedAt    time.Duration // of its present incarnation; StartUnknown where no start is known
-	lastListedAt time.Duration // when it was last in the list, other than as removed
+	startedAt    time.Duration // of its current incarnation; StartUnknown if unknown
+	lastListedAt time.Duration // when it was last in the list, not as removed
 
 	// Load.
-	outstanding     []*attempt    // attempts in flight, in order of sending
+	outstanding     []*attempt    // attempts in flight, in the order in which they were sent
 	outstandingWork time.Duration // expected work of the attempts in flight
 	queuedWork      time.Duration // expected work of the subqueries queued for it
-	peerWork        time.Duration // work that other co-ordinators had in flight there at peerWorkAt
+	peerWork        time.Duration // work of other co-ordinators in flight there at peerWorkAt
 	peerWorkAt      time.Duration
-	utilization     float64       // share of its cores in use, from 0 to 1, by its last load report
-	utilizationAt   time.Duration // time of that report; 0: none yet
+	utilization     float64       // share of its cores in use, from 0 to 1, in its last load report
+	utilizationAt   time.Duration // time of that report; 0: none received
 
 	// Latency estimate.
-	slowdown        float64 // times the expected time that its subqueries take
-	recentLatency   float64 // mean of latency over expected work, of the last few replies
-	baselineLatency float64 // the same over a long time, to tell a rise by
+	slowdown        float64 // its latency as a multiple of the expected latency
+	recentLatency   float64 // mean of latency over expected work, for the last few replies
+	baselineLatency float64 // the same over a long time, to detect an increase
 
 	// Concurrency limit.
 	limit         float64       // attempts that may be in flight there
-	limitCeiling  float64       // what the limit may grow to: below what the replica rejected attempts at
+	limitCeiling  float64       // maximum of the limit: below the load at which the replica rejected attempts
 	limitHalvedAt time.Duration // when the limit was last halved
-	fullUntil     time.Duration // until then it counts as full, as it rejected an attempt
-	recovering    bool          // reinstated from ejection for all classes: the limit doubles with each reply
+	fullUntil     time.Duration // it counts as full until then, after it rejected an attempt
+	recovering    bool          // reinstated after ejection for all classes: the limit doubles with each reply
 
 	// Retries.
-	retryTokens float64       // retries and hedges that it has earned
+	retryTokens float64       // retries and hedges that its replies have earned
 	lastErrorAt time.Duration // when an attempt last ended there without an answer
 
 	// Outlier ejection.
 	classes       []replicaClassState // by class index
 	lastReplyAt   time.Duration       // when it last answered, for any class
 	nextProbeAt   time.Duration       // when the next probe is due, while it is ejected
-	probeInterval time.Duration       // from that probe to the one after it
+	probeInterval time.Duration       // from the next probe to the one after it
 
-	slowStartUsedUntil time.Duration // until then this co-ordinator's share of its slow-start budget is used up
+	slowStartUsedUntil time.Duration // time until which this co-ordinator's share of its slow-start budget is used up
 }
 
-// replicaClassState is what is known of a replica for one class of queries.
+// replicaClassState is the state of a replica for one query class.
 type replicaClassState struct {
 	ejected           bool
-	consecutiveErrors int           // attempts in a row that ended without an answer
-	lastReplyAt       time.Duration // when it last answered; 0: not since it was last sound
+	consecutiveErrors int           // consecutive attempts without an answer
+	lastReplyAt       time.Duration // when it last answered; 0: not since its state was last reset
 }
 
-// forClass is what is known of the replica for the queries of a class.
-func (r *replicaState) forClass(of *class) *replicaClassState { return &r.classes[of.index] }
+// forClass returns the state of the replica for a class.
+func (r *replicaState) forClass(class *class) *replicaClassState { return &r.classes[class.index] }
 
-// ejectedForAny reports whether the replica is ejected for one class at least.
+// ejectedForAny reports whether the replica is ejected for at least one class.
 func (r *replicaState) ejectedForAny() bool {
 	return slices.ContainsFunc(r.classes, func(state replicaClassState) bool { return state.ejected })
 }
@@ -87,41 +87,40 @@
 	})
 }
 
-// cellLayout says which shards the replicas of a cell hold. The cells form a ring; a shard is held by the cell of its
-// number, modulo cells, and by those after it. So a replica of a cell holds the shards of that cell and of those
-// before.
+// cellLayout maps shards to cells. The cells form a ring: a shard is held by the cell of its number, modulo cells, and
+// by the cells that follow. So a replica holds the shards of its own cell and of the cells before it.
 type cellLayout struct {
-	cells         int // into which replicas are grouped
-	cellsPerShard int // successive cells that hold a shard
+	cells         int // number of cells
+	cellsPerShard int // consecutive cells that hold a shard
 }
 
-// cellOf is the first of the cells that hold a shard.
+// cellOf returns the first of the cells that hold a shard.
 func (l cellLayout) cellOf(shard ShardNumber) CellNumber { return CellNumber(int(shard) % l.cells) }
 
-// holds reports whether the replicas of one cell hold the shards of another.
+// holds reports whether the replicas of cell holder hold the shards of cell.
 func (l cellLayout) holds(holder, cell CellNumber) bool {
-	behind := (int(holder) - int(cell) + l.cells) % l.cells
-	return behind < l.cellsPerShard
+	distance := (int(holder) - int(cell) + l.cells) % l.cells
+	return distance < l.cellsPerShard
 }
 
-// heldBy yields the cells whose shards the replicas of a cell hold: that cell first, then those before it.
+// heldBy yields the cells whose shards the replicas of cell holder hold: holder first, then the cells before it.
 func (l cellLayout) heldBy(holder CellNumber) iter.Seq[CellNumber] {
 	return func(yield func(CellNumber) bool) {
-		for back := range l.cellsPerShard {
-			if !yield(CellNumber((int(holder) - back + l.cells) % l.cells)) {
+		for distance := range l.cellsPerShard {
+			if !yield(CellNumber((int(holder) - distance + l.cells) % l.cells)) {
 				return
 			}
 		}
 	}
 }
 
-// replicaSet holds the state of each replica, in the order in which they were first listed.
+// replicaSet holds the states of all replicas, in the order in which they were first listed.
 type replicaSet struct {
 	layout cellLayout
 
 	all           []*replicaState
 	byID          map[ReplicaID]*replicaState
-	holdersByCell [][]*replicaState // the holders of a cell's shards; nil: to be made from the list
+	holdersByCell [][]*replicaState // cached holders of each cell's shards; nil: not computed
 }
 
 func newReplicaSet(layout cellLayout) replicaSet {
@@ -132,11 +131,10 @@
 	}
 }
 
-// newState gives a state for a replica that is listed for the first time. Its load and its times are zero or
-// outdated; the caller sets the others. It is that of a removed replica, if there is one to which nothing can refer
-// any more: it has no attempts in flight and was removed before the oldest open query arrived. So a long-lived
-// co-ordinator does not hold a state for each replica that was ever listed. One that is off the list for a moment,
-// up to maxProbeInterval, keeps its state.
+// newState returns a state for a replica that is listed for the first time. Its load and times are zero or outdated;
+// the caller sets the other fields. To bound memory in a long-lived co-ordinator, it reuses the state of a removed
+// replica if nothing can refer to that any more: it has no attempts in flight and was removed before the oldest open
+// query arrived. A replica that is off the list for no more than maxProbeInterval keeps its state.
 func (s *replicaSet) newState(now, oldestArrival time.Duration) *replicaState {
 	for _, replica := range s.all {
 		removed := replica.state == Removed && now-replica.lastListedAt > maxProbeInterval
@@ -151,13 +149,13 @@
 	return replica
 }
 
-// holders lists the replicas that hold a shard and that the endpoint list has as ready, ejected or not. The result
-// holds until listChanged.
+// holders returns the replicas that hold a shard and are listed as ready, ejected or not. The result is valid until
+// listChanged.
 func (s *replicaSet) holders(shard ShardNumber) []*replicaState {
 	return s.holdersOfCell(s.layout.cellOf(shard))
 }
 
-// holdersOfCell is holders for any shard of a cell.
+// holdersOfCell returns the holders of any shard of a cell.
 func (s *replicaSet) holdersOfCell(cell CellNumber) []*replicaState {
 	if s.holdersByCell[cell] == nil {
 		s.holdersByCell[cell] = []*replicaState{}
@@ -170,11 +168,11 @@
 	return s.holdersByCell[cell]
 }
 
-// listChanged says that the state or cell of a replica changes.
+// listChanged must be called when the state or cell of a replica changes.
 func (s *replicaSet) listChanged() { clear(s.holdersByCell) }
 
-// meanSize is the mean size of the replicas that are ready; if there is none, the one before.
-func (s *replicaSet) meanSize(before float64) float64 {
+// meanSize returns the mean size of the ready replicas, or previous if there is none.
+func (s *replicaSet) meanSize(previous float64) float64 {
 	sum, ready := 0.0, 0.0
 	for _, replica := range s.all {
 		if replica.state == Ready {
@@ -183,7 +181,7 @@
 		}
 	}
 	if ready == 0 {
-		return before
+		return previous
 	}
 	return sum / ready
 }
--- a/scheduler/replica_test.go
+++ b/scheduler/replica_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Five hundred replicas come and go. Their states are used again instead of kept, and a full list leaves those of the
-// others as they are.
-func TestStatesOfReplacedReplicasAreUsedAgain(t *testing.T) {
+// Five hundred replicas are added and removed. Their states must be reused rather than accumulate, and a full list must
+// not reset the states of the others.
+func TestStatesOfRemovedReplicasAreReused(t *testing.T) {
 	m := newModel(t, 0)
 	m.replica(102).slowdown = 1.5
 	for n := range 500 {
@@ -29,6 +29,6 @@
 		t.Errorf("%d states, %d ids for %d replicas", states, ids, len(m.order))
 	}
 	if m.replica(102).slowdown == 1 {
-		t.Error("the slowdown of a replica that stayed is lost")
+		t.Error("the slowdown of a replica that stayed listed was reset")
 	}
 }
