--- a/scheduler/model_fuzz_test.go
+++ b/scheduler/model_fuzz_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FuzzRules runs the model beside the module on generated inputs.
+// FuzzRules checks the rules of the model on generated event sequences.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(160) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -31,25 +31,25 @@
 	})
 }
 
-// failures are the outcomes other than an answer that randomEvent lets attempts have.
+// failures are the outcomes other than Succeeded that randomEvent gives to attempts.
 var failures = []Outcome{Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, MalformedReply}
 
-// randomEvent lets one thing happen.
-func (m *model) randomEvent(what, a, b int) {
-	outs := m.inFlight()
-	switch id := m.order[a%len(m.order)]; what % 16 {
+// randomEvent delivers one event that the arguments select.
+func (m *model) randomEvent(kind, a, b int) {
+	flights := m.inFlight()
+	switch id := m.order[a%len(m.order)]; kind % 16 {
 	case 0, 1, 2, 3:
 		m.nextShard = a / 4
 		m.newQuery(a%4, 1+b%4, time.Duration(200+b*10)*ms)
 	case 4, 5, 6, 7:
-		for _, flight := range outs[:min(len(outs), 1+b%6)] {
+		for _, flight := range flights[:min(len(flights), 1+b%6)] {
 			if m.now-flight.attempt().sentAt >= modelWork/2 {
 				m.answer(flight)
 			}
 		}
 	case 8:
-		if len(outs) > 0 {
-			flight := outs[a%len(outs)]
+		if len(flights) > 0 {
+			flight := flights[a%len(flights)]
 			m.endAttempt(flight.subquery, flight.number, failures[b%len(failures)])
 		}
 	case 9:
@@ -79,7 +79,8 @@
 	m.echoGossip(a, b)
 }
 
-// echoGossip hands messages back as if peers had sent the same: some of them malformed, some lost, at times all.
+// echoGossip returns the broadcast messages as if peers had sent them; some are corrupted and some are lost, at times
+// all.
 func (m *model) echoGossip(a, b int) {
 	messages := m.broadcasts
 	m.broadcasts = nil
@@ -90,6 +91,6 @@
 		case (a+n)%7 == 0:
 			message[(a+b)%len(message)] ^= byte(1 + b)
 		}
-		_ = m.scheduler.GossipReceived(m.now, PeerIndex(n%3), message) // a malformed one may be refused
+		_ = m.scheduler.GossipReceived(m.now, PeerIndex(n%3), message) // a malformed message may be rejected
 	}
 }
--- a/scheduler/model_host_test.go
+++ b/scheduler/model_host_test.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// The model as the scheduler's host: what it demands of each call.
+// The model as the scheduler's host: checks on each call.
 
 import (
 	"maps"
@@ -16,7 +16,7 @@
 func (m *model) StartAttempt(id RequestID, to ReplicaID, timeout time.Duration) {
 	subquery, replica := m.subqueries[id], m.replicas[to]
 	if subquery == nil || replica == nil {
-		m.fail("rule 1: an attempt of %d at %d, one of them not known", id, to)
+		m.fail("rule 1: attempt of subquery %d at replica %d, one of them unknown", id, to)
 	}
 	m.checkWanted(subquery)
 	m.checkReplica(subquery, to, replica)
@@ -31,28 +31,29 @@
 	m.sent = append(m.sent, id)
 }
 
-// checkWanted demands that somebody waits for the subquery's answer, and that it has an attempt left.
+// checkWanted checks that the subquery's answer is still needed and that it has an attempt left.
 func (m *model) checkWanted(subquery *modelSubquery) {
 	if subquery.query.ended || subquery.answered || m.now >= subquery.query.deadlineAt {
-		m.fail("rule 1: an attempt of %d after its end", subquery.id)
+		m.fail("rule 1: attempt of subquery %d after its end", subquery.id)
 	}
 	if len(subquery.attempts) >= m.maxAttempts {
-		m.fail("attempt %d of %d", len(subquery.attempts)+1, subquery.id)
+		m.fail("attempt %d of subquery %d exceeds the limit", len(subquery.attempts)+1, subquery.id)
 	}
 }
 
-// checkReplica demands that the replica holds the subquery's shard and is not draining or removed.
+// checkReplica checks that the replica holds the subquery's shard and is not draining or removed.
 func (m *model) checkReplica(subquery *modelSubquery, to ReplicaID, replica *modelReplica) {
-	behind := (replica.cell - subquery.shard%m.cells + m.cells) % m.cells
-	if behind >= m.cellsPerShard {
+	distance := (replica.cell - subquery.shard%m.cells + m.cells) % m.cells
+	if distance >= m.cellsPerShard {
 		m.fail("replica %d does not hold shard %d", to, subquery.shard)
 	}
 	if replica.state != Ready && m.now > replica.listedAt+modelGrace {
-		m.fail("rule 3: an attempt at %d, which was listed as draining or removed at %v", to, replica.listedAt)
+		m.fail("rule 3: attempt at replica %d, listed as draining or removed at %v", to, replica.listedAt)
 	}
 }
 
-// checkFirstAttempt demands the order of arrival within an iteration, and that the query has time left for an answer.
+// checkFirstAttempt checks that queries are served in order of arrival within an iteration, and that the query has time
+// left for an answer.
 func (m *model) checkFirstAttempt(subquery *modelSubquery) {
 	query := subquery.query
 	if query.id < m.lastFirstAttempt {
@@ -60,11 +61,11 @@
 	}
 	m.lastFirstAttempt = query.id
 	if query.deadlineAt-m.now < modelWork/4 {
-		m.fail("late: a first attempt of %d with %v left", subquery.id, query.deadlineAt-m.now)
+		m.fail("late: first attempt of subquery %d with %v left", subquery.id, query.deadlineAt-m.now)
 	}
 }
 
-// checkEffect demands that an attempt beside or after others does nothing twice.
+// checkEffect checks that a further attempt cannot repeat an effect.
 func (m *model) checkEffect(subquery *modelSubquery) {
 	running, mayHaveRun := 0, time.Duration(-1)
 	for _, attempt := range subquery.attempts {
@@ -76,21 +77,21 @@
 		}
 	}
 	if running > 0 && !m.hedgeAllowed {
-		m.fail("rule 2: two attempts of %d at once", subquery.id)
+		m.fail("rule 2: two concurrent attempts of subquery %d", subquery.id)
 	}
 	switch m.effects[subquery.query.class] {
 	case "side_effect":
 		if mayHaveRun >= 0 {
-			m.fail("rule 2: a further attempt of non-idempotent subquery %d", subquery.id)
+			m.fail("rule 2: further attempt of non-idempotent subquery %d", subquery.id)
 		}
 	case "token":
 		if mayHaveRun >= 0 && m.now > mayHaveRun+modelKeyWindow {
-			m.fail("rule 2: a further attempt of keyed subquery %d after its window", subquery.id)
+			m.fail("rule 2: further attempt of keyed subquery %d after its window", subquery.id)
 		}
 	}
 }
 
-// checkRetryBudget counts a further attempt and demands that the retry budget holds it.
+// checkRetryBudget counts a further attempt and checks that it is within the retry budget.
 func (m *model) checkRetryBudget() {
 	if m.retryShare == 0 {
 		return
@@ -102,7 +103,7 @@
 	}
 }
 
-// within counts the times of a list that are not older than a span.
+// within counts the times that are more recent than a span.
 func (m *model) within(times []time.Duration, span time.Duration) (count int) {
 	for _, at := range times {
 		if at > m.now-span {
@@ -112,8 +113,8 @@
 	return count
 }
 
-// checkSlowStart demands this co-ordinator's share of the budget of a replica that started a short while ago. Warm
-// replicas here do two subqueries at once, each of modelWork.
+// checkSlowStart checks this co-ordinator's share of the budget of a replica that started recently. Warm replicas of
+// the model process two subqueries concurrently, each of modelWork.
 func (m *model) checkSlowStart(to ReplicaID, replica *modelReplica) {
 	age := m.now - replica.startedAt
 	if replica.startedAt == StartUnknown || age >= modelWarmUpTime {
@@ -124,36 +125,36 @@
 	capacity := 0.2 + 0.8*max(0, age.Seconds())/modelWarmUpTime.Seconds()
 	budget := 3 * 2 * capacity * modelOverloadTime.Seconds() / modelCoordinators
 	if float64(recent)*modelWork.Seconds() > budget {
-		m.fail("rule 4: %d subqueries to starting replica %d of age %v", recent, to, age)
+		m.fail("rule 4: %d subqueries sent to starting replica %d of age %v", recent, to, age)
 	}
 }
 
 func (m *model) CancelAttempt(id RequestID, number AttemptNumber) {
 	subquery := m.subqueries[id]
 	if subquery == nil || int(number) >= len(subquery.attempts) || !m.cancelAllowed {
-		m.fail("cancel of attempt %d of %d", number, id)
+		m.fail("invalid cancellation of attempt %d of subquery %d", number, id)
 	}
 }
 
-// endQuery books a query's one final outcome.
+// endQuery records a query's only final outcome.
 func (m *model) endQuery(id RequestID) *modelQuery {
 	query := m.queries[id]
 	if query == nil || query.ended {
-		m.fail("rule 1: a second final outcome for %d, or one for none", id)
+		m.fail("rule 1: final outcome for query %d, which has ended or is unknown", id)
 	}
 	if m.now > query.deadlineAt+modelSlack {
-		m.fail("rule 1: %d ends %v late", id, m.now-query.deadlineAt)
+		m.fail("rule 1: query %d ended %v after its deadline", id, m.now-query.deadlineAt)
 	}
 	query.ended = true
 	return query
 }
 
-// checkAllEndInTime demands a final outcome of each query whose deadline has passed.
+// checkAllEndInTime checks that each query whose deadline has passed has a final outcome.
 func (m *model) checkAllEndInTime() {
 	for _, id := range slices.Sorted(maps.Keys(m.queries)) {
 		query := m.queries[id]
 		if !query.ended && m.now > query.deadlineAt+modelSlack {
-			m.fail("rule 1: %d got no final outcome", id)
+			m.fail("rule 1: query %d has no final outcome", id)
 		}
 	}
 }
@@ -170,14 +171,14 @@
 	completeWeight, minimum := m.requiredWeights(query)
 	falselyComplete := complete && (weight < completeWeight-0.0001 || query.phase == 1 && !query.firstPhaseComplete)
 	if weight < minimum-0.0001 || falselyComplete {
-		m.fail("rule 5: %d answered from %.3f, complete %v, phase %d", id, weight, complete, query.phase)
+		m.fail("rule 5: query %d answered with weight %.3f, complete %v, phase %d", id, weight, complete, query.phase)
 	}
 	if fetch := min(m.fetch[query.class], answered-m.fewerFetched); fetch > 0 && query.phase == 0 {
 		m.startSecondPhase(query, complete, fetch)
 	}
 }
 
-// requiredWeights are the weights that a complete answer and any answer need in the present phase.
+// requiredWeights returns the weights that a complete answer and any answer need in the current phase.
 func (m *model) requiredWeights(query *modelQuery) (complete, minimum float64) {
 	complete, minimum = m.completeWeight[query.class], m.minimumWeight[query.class]
 	if query.phase == 1 {
@@ -189,7 +190,7 @@
 	return complete, minimum
 }
 
-// startSecondPhase opens a query again; the subqueries of the second phase arrive before the next iteration.
+// startSecondPhase reopens a query; the subqueries of its second phase arrive before the next iteration.
 func (m *model) startSecondPhase(query *modelQuery, complete bool, subqueries int) {
 	query.ended = false
 	query.phase = 1
@@ -208,7 +209,7 @@
 	for _, subquery := range query.subqueries {
 		for _, attempt := range subquery.attempts {
 			if m.effects[query.class] == "side_effect" && !attempt.provablyNeverRan() {
-				m.fail("rule 2: non-idempotent %d rejected after an attempt that may have run", id)
+				m.fail("rule 2: non-idempotent query %d rejected after an attempt that may have run", id)
 			}
 		}
 	}
@@ -216,8 +217,8 @@
 
 func (m *model) Fail(id RequestID) { m.endQuery(id) }
 
-func (m *model) ScheduleWakeup(name string, in time.Duration) {
-	m.wakeups = append(m.wakeups, m.now+in)
+func (m *model) ScheduleWakeup(name string, after time.Duration) {
+	m.wakeups = append(m.wakeups, m.now+after)
 }
 
 func (m *model) PollEndpoints() { m.polls = append(m.polls, m.now) }
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -1,14 +1,15 @@
 package scheduler
 
-// The model is six rules in plain, slow form, written from their wording. It is the scheduler's host, judges each of
-// its calls (model_host_test.go), and knows nothing of how the scheduler decides. The rules:
+// The model checks six rules, implemented simply and independently of how the scheduler decides. It acts as the
+// scheduler's host and checks each call (model_host_test.go). The rules:
 //
-//  1. A query gets exactly one final outcome, in time, and no attempt after it; all that is named is known.
-//  2. A further attempt is only for what may be repeated: an idempotent subquery, a keyed one within its window, a
-//     non-idempotent one of which no attempt can have run. Nor is a query of the last kind rejected after one that can.
+//  1. A query gets exactly one final outcome, in time, and no attempt after it. Every id in a call is known.
+//  2. A subquery gets a further attempt only if it may be repeated: an idempotent subquery, a keyed one within its
+//     window, or a non-idempotent one of which no attempt can have run. A non-idempotent query is not rejected after
+//     an attempt that may have run.
 //  3. A replica that is listed as draining or removed gets no attempt.
-//  4. A starting replica is not sent more than slow start allows.
-//  5. An answer is complete, or given at all, only with the weight that this needs.
+//  4. A starting replica is sent no more than slow start allows.
+//  5. An answer is given, or marked complete, only with the required weight.
 //  6. Further attempts stay within the retry budget.
 
 import (
@@ -23,13 +24,13 @@
 
 type modelAttempt struct {
 	to      ReplicaID
-	timeout time.Duration // 0: until the client gives up
+	timeout time.Duration // 0: until the client's deadline
 	sentAt  time.Duration
 	ended   bool
 	outcome Outcome
 }
 
-// provablyNeverRan tells whether its end proves that the replica did not run it.
+// provablyNeverRan reports whether the attempt's outcome proves that the replica did not run it.
 func (a *modelAttempt) provablyNeverRan() bool {
 	return a.ended && (a.outcome == Overloaded || a.outcome == Unreachable || a.outcome == NeverSent)
 }
@@ -68,7 +69,7 @@
 	now       time.Duration
 	settings  map[string]string
 
-	// The rules.
+	// Settings that the rules depend on.
 	effects        []string  // by class
 	completeWeight []float64 // by class
 	minimumWeight  []float64 // by class
@@ -78,18 +79,18 @@
 	maxAttempts    int
 	cells          int
 	cellsPerShard  int
-	retryShare     float64 // of the retry budget; 0: there is none
+	retryShare     float64 // of the retry budget; 0: no budget
 
-	// What is there.
+	// Replicas and queries.
 	replicas     map[ReplicaID]*modelReplica
-	order        []ReplicaID // of the replicas at the start
+	order        []ReplicaID // the initial replicas, in order
 	queries      map[RequestID]*modelQuery
 	subqueries   map[RequestID]*modelSubquery
 	lastID       RequestID
-	nextShard    int // of the next query's first subquery
+	nextShard    int // shard of the next query's first subquery
 	fewerFetched int // subqueries of a second phase that do not arrive
 
-	// What the scheduler did.
+	// Recorded events and calls.
 	arrivals         []time.Duration
 	retries          []time.Duration
 	wakeups          []time.Duration
@@ -99,22 +100,22 @@
 	sent             []RequestID
 	rejected         int
 	lastFirstAttempt RequestID // query of the last first attempt in this iteration
-	nextIteration    []func()  // events before it
+	nextIteration    []func()  // events to deliver before the next iteration
 }
 
 const (
 	modelWork         = 100 * ms        // of each subquery
-	modelKeyWindow    = 900 * ms        // in which a keyed subquery may be repeated
+	modelKeyWindow    = 900 * ms        // during which a keyed subquery may be repeated
 	modelBudgetSpan   = 5 * time.Second // of the retry budget
-	modelFreeRetries  = 3               // beside its share
-	modelGrace        = 500 * ms        // for attempts to a replica that is no longer ready
+	modelFreeRetries  = 3               // retries allowed in addition to the share
+	modelGrace        = 500 * ms        // during which attempts may still be sent to a replica that is no longer ready
 	modelWarmUpTime   = 8 * time.Second
 	modelOverloadTime = 1500 * ms
-	modelSlack        = 20 * ms // for final outcomes after the deadline
+	modelSlack        = 20 * ms // allowed delay of final outcomes after the deadline
 	modelCoordinators = 2
 )
 
-// Bits of newModel: which permissions and rules hold.
+// Bits for newModel that select settings.
 const (
 	modelNoHedges = 1 << iota
 	modelNoCancels
@@ -125,7 +126,7 @@
 	modelManyWithGossip
 )
 
-// newModel starts a scheduler; the bits choose which permissions and rules hold.
+// newModel starts a scheduler with the settings that the bits select.
 func newModel(t testing.TB, bits int) *model {
 	m := &model{
 		t:              t,
@@ -158,7 +159,7 @@
 	return m
 }
 
-// newSettings tells the scheduler the model's rules.
+// newSettings returns scheduler settings that match the model's rules.
 func (m *model) newSettings(bits int) map[string]string {
 	settings := map[string]string{
 		"balancers":                fmt.Sprint(modelCoordinators),
@@ -207,7 +208,7 @@
 	return settings
 }
 
-// start starts the scheduler anew; what an earlier one had open is void.
+// start starts a new scheduler and discards the open queries of the previous one.
 func (m *model) start(seed uint64) {
 	m.queries = map[RequestID]*modelQuery{}
 	m.subqueries = map[RequestID]*modelSubquery{}
@@ -225,16 +226,16 @@
 	m.iterate()
 }
 
-// restartAsOneOf starts one of so many co-ordinators.
+// restartAsOneOf starts a new scheduler as one of several co-ordinators.
 func (m *model) restartAsOneOf(coordinators, self int) {
 	m.settings["balancers"] = fmt.Sprint(coordinators)
 	m.settings["selfIndex"] = fmt.Sprint(self)
 	m.start(1)
 }
 
-// list lists replicas to the scheduler.
-func (m *model) list(full, old bool, ids ...ReplicaID) {
-	m.scheduler.EndpointListBegins(m.now, full, old)
+// list sends the scheduler an endpoint list with the given replicas.
+func (m *model) list(full, restored bool, ids ...ReplicaID) {
+	m.scheduler.EndpointListBegins(m.now, full, restored)
 	for _, id := range ids {
 		replica := m.replicas[id]
 		m.scheduler.EndpointListed(m.now, Endpoint{
@@ -247,7 +248,7 @@
 	}
 }
 
-// keepOnly leaves the scheduler these replicas; the others are removed.
+// keepOnly removes all replicas except the given ones.
 func (m *model) keepOnly(ids ...ReplicaID) {
 	for _, id := range m.order {
 		if !slices.Contains(ids, id) {
@@ -257,7 +258,7 @@
 	m.list(true, false, ids...)
 }
 
-// holdersOf lists the replicas of the model that hold a shard.
+// holdersOf returns the model's replicas that hold a shard.
 func (m *model) holdersOf(shard int) (all []ReplicaID) {
 	for _, id := range m.order {
 		if (m.replicas[id].cell-shard%m.cells+m.cells)%m.cells < m.cellsPerShard {
@@ -267,24 +268,24 @@
 	return all
 }
 
-// replica is what the scheduler knows of a replica.
+// replica returns the scheduler's state of a replica.
 func (m *model) replica(id ReplicaID) *replicaState { return m.scheduler.replicas.byID[id] }
 
-// ejected tells whether the scheduler has ejected a replica for all classes.
+// ejected reports whether the scheduler has ejected a replica for all classes.
 func (m *model) ejected(id ReplicaID) bool { return m.replica(id).ejectedForAll() }
 
-// iterate tells the events that wait for the next iteration, and lets the scheduler decide.
+// iterate delivers the events of the next iteration and calls Decide.
 func (m *model) iterate() {
 	events := m.nextIteration
 	m.nextIteration = nil
-	for _, happen := range events {
-		happen()
+	for _, deliver := range events {
+		deliver()
 	}
 	m.lastFirstAttempt = 0
 	m.scheduler.Decide(m.now)
 }
 
-// newQuery hands the scheduler a query of so many subqueries.
+// newQuery sends the scheduler a query with this number of subqueries.
 func (m *model) newQuery(class, subqueries int, left time.Duration) *modelQuery {
 	query := m.newEmptyQuery(class, subqueries, left)
 	for n := range subqueries {
@@ -293,7 +294,7 @@
 	return query
 }
 
-// newEmptyQuery hands the scheduler a query whose subqueries are still to arrive.
+// newEmptyQuery sends the scheduler a query whose subqueries are still to arrive.
 func (m *model) newEmptyQuery(class, subqueries int, left time.Duration) *modelQuery {
 	m.lastID++
 	query := &modelQuery{id: m.lastID, number: QueryNumber(m.lastID), class: class, deadlineAt: m.now + left}
@@ -309,7 +310,7 @@
 	return query
 }
 
-// newSubquery hands the scheduler a subquery.
+// newSubquery sends the scheduler a subquery.
 func (m *model) newSubquery(query *modelQuery, shard int, weight float64) {
 	m.lastID++
 	subquery := &modelSubquery{id: m.lastID, query: query, shard: shard, weight: weight}
@@ -324,7 +325,7 @@
 	})
 }
 
-// endAttempt reports how an attempt ended.
+// endAttempt reports the end of an attempt to the scheduler.
 func (m *model) endAttempt(subquery *modelSubquery, number int, outcome Outcome) {
 	attempt := subquery.attempts[number]
 	attempt.ended = true
@@ -340,7 +341,7 @@
 	})
 }
 
-// flight is an attempt in flight.
+// flight identifies an attempt in flight.
 type flight struct {
 	subquery *modelSubquery
 	number   int
@@ -348,7 +349,7 @@
 
 func (f flight) attempt() *modelAttempt { return f.subquery.attempts[f.number] }
 
-// inFlight lists the attempts in flight, in a fixed order.
+// inFlight returns the attempts in flight, in a fixed order.
 func (m *model) inFlight() (all []flight) {
 	for _, id := range slices.Sorted(maps.Keys(m.subqueries)) {
 		for number, attempt := range m.subqueries[id].attempts {
@@ -360,10 +361,10 @@
 	return all
 }
 
-// answer answers an attempt in flight.
+// answer ends an attempt in flight as Succeeded.
 func (m *model) answer(attempt flight) { m.endAttempt(attempt.subquery, attempt.number, Succeeded) }
 
-// answerAllAfter lets all attempts in flight take so long more, then answers them.
+// answerAllAfter advances time, then answers all attempts in flight.
 func (m *model) answerAllAfter(after time.Duration) {
 	m.pass(after)
 	for _, attempt := range m.inFlight() {
@@ -372,7 +373,7 @@
 	m.iterate()
 }
 
-// pass lets time go by; wakeups come when due, and attempts time out with their queries.
+// pass advances time by d: it delivers wakeups when due, and attempts time out at the deadlines of their queries.
 func (m *model) pass(d time.Duration) {
 	for end := m.now + d; m.now < end; {
 		next := min(end, m.now+50*ms)
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -1,25 +1,25 @@
 package scheduler
 
-// Events of replicas: attempts that end, load reports, and the delay with which replies are read.
+// Replica events: attempts that end, load reports, and the delay with which replies are read.
 //
-// What the end of an attempt without an answer does, by outcome:
+// Effects of an attempt that ends without an answer, by outcome:
 //
 //	Overloaded       halves the replica's concurrency limit and lowers its ceiling (concurrency.go); where other
-//	                 co-ordinators fill it, it counts as full for a while
+//	                 co-ordinators may fill it, it counts as full for a while
 //	Unreachable      ejects the replica for all classes at once (outlier.go)
-//	ConnectionReset  may count as a crash that its query caused (canary.go)
+//	ConnectionReset  may count as a crash caused by its query (canary.go)
 //	each of these, and Failed, TimedOut, MalformedReply
-//	                 is one more error in a row of its class there: the third ejects the replica for that class, and
-//	                 until an answer further attempts there back off (retry.go)
+//	                 counts as a consecutive error of its class there: the third ejects the replica for that class,
+//	                 and until a reply further attempts there back off (retry.go)
 //	Cancelled, NeverSent
-//	                 say nothing of the replica
+//	                 have no effect on the replica
 //
-// Then the subquery is queued again if retry.go allows it. Else it is abandoned, and its query is given up if too
-// little is left for any answer (deadline.go).
+// Then the subquery is queued again if retry.go allows it. Otherwise it is abandoned, and its query is given up if the
+// remaining subqueries cannot make an answer (deadline.go).
 
 import "time"
 
-// AttemptEnds handles the end of an attempt. One that is not known, or that has ended before, changes nothing.
+// AttemptEnds handles the end of an attempt. It ignores attempts that are unknown or have ended before.
 func (scheduler *Scheduler) AttemptEnds(now time.Duration, result AttemptResult) {
 	scheduler.advanceClock(now)
 	subquery := scheduler.subqueries[result.Subquery]
@@ -34,12 +34,12 @@
 		scheduler.attemptSucceeded(ended, result.Took)
 	case ConnectionReset, MalformedReply, Failed, TimedOut, Overloaded, Unreachable:
 		scheduler.attemptFailed(ended, result.Outcome, result.Took)
-	case Cancelled, NeverSent: // says nothing of the replica
+	case Cancelled, NeverSent: // no effect on the replica
 	}
 	scheduler.continueSubquery(subquery)
 }
 
-// recordEnd takes an ended attempt off its replica's load.
+// recordEnd removes an ended attempt from its replica's load and reports it to the peers.
 func (scheduler *Scheduler) recordEnd(ended *attempt, outcome Outcome) {
 	ended.subquery.query.touched = true
 	ended.ended = true
@@ -56,7 +56,7 @@
 	}
 }
 
-// attemptSucceeded passes a reply to the policies, and counts the answer.
+// attemptSucceeded passes a reply to the policies and records the answer.
 func (scheduler *Scheduler) attemptSucceeded(ended *attempt, took time.Duration) {
 	replica, subquery := ended.replica, ended.subquery
 	query := subquery.query
@@ -88,7 +88,7 @@
 	scheduler.stopSending(subquery)
 }
 
-// attemptFailed passes an attempt that brought no answer to the policies.
+// attemptFailed passes an attempt without an answer to the policies.
 func (scheduler *Scheduler) attemptFailed(ended *attempt, outcome Outcome, took time.Duration) {
 	replica, query := ended.replica, ended.subquery.query
 	switch outcome {
@@ -105,13 +105,14 @@
 	scheduler.outliers.failed(scheduler.now, replica, query.class)
 }
 
-// halvingInterval is the shortest time between two halvings of a replica's concurrency limit: about one subquery's.
-// The limit is one for all classes, so the interval is that of the first class, whichever class the attempt has.
+// halvingInterval returns the minimum time between two halvings of a replica's concurrency limit: about the latency of
+// one subquery. One limit applies to all classes, so the interval is that of the first class, whichever class the
+// attempt has.
 func (scheduler *Scheduler) halvingInterval(replica *replicaState) time.Duration {
 	return scale(scheduler.classes[0].subqueryWork, replica.slowdown)
 }
 
-// continueSubquery queues a subquery for a retry after the end of an attempt, or abandons it if it may have none.
+// continueSubquery queues a subquery for a retry after the end of an attempt, or abandons it if no retry is allowed.
 func (scheduler *Scheduler) continueSubquery(subquery *subquery) {
 	if subquery.inFlight() || subquery.queued {
 		return
@@ -127,15 +128,14 @@
 	}
 }
 
-// LoadReported handles a load report: the share of its cores that a replica has in use, from 0 to 1, as it reports
-// itself.
+// LoadReported handles a load report: the share of its cores that a replica has in use, from 0 to 1.
 func (scheduler *Scheduler) LoadReported(now time.Duration, id ReplicaID, utilization float64) {
 	scheduler.advanceClock(now)
 	scheduler.hedges.loadReported(now, scheduler.replicas.byID[id], utilization)
 }
 
-// ReadDelayed sets for how long replies may wait here unread, as this co-ordinator's own core is busy. Without it
-// that time would count as the replicas'.
+// ReadDelayed sets how long replies may wait here unread because this co-ordinator's own core is busy. Without it, that
+// wait would be attributed to the replicas.
 func (scheduler *Scheduler) ReadDelayed(now, unread time.Duration) {
 	scheduler.advanceClock(now)
 	scheduler.readDelay = unread
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// The scheduler's loop. Each kind of event has a method, which records it. Once all events of one time are in,
-// Decide asks the policies in order, each of which has a file of its own, and carries out what they answer through
-// the Host in host.go.
+// The scheduler's main loop. Each kind of event has a method that records it. After all events of one time, Decide
+// consults the policies in order, each in a file of its own, and carries out their decisions through the Host in
+// host.go.
 
 import (
 	"cmp"
@@ -12,31 +12,31 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond // between looks at the clock: short beside any subquery's work
+	tickInterval = 10 * time.Millisecond // between full scans: short compared with any subquery's work
 
-	wakeupName = "look" // handed to the host and back with each wakeup
+	wakeupName = "look" // passed to the host and back with each wakeup
 
-	// maxOpenForFullScan is the number of open queries up to which all are looked at in each iteration.
+	// maxOpenForFullScan is the number of open queries up to which each iteration considers all of them.
 	maxOpenForFullScan = 64
 )
 
 // Scheduler makes the decisions of one co-ordinator. It does no I/O, reads no clock and starts no goroutine: the same
-// events at the same times give the same decisions. Its methods are to be called from one goroutine, with times that
-// do not go back.
+// events at the same times produce the same decisions. Its methods must be called from one goroutine, with times that
+// do not go backwards.
 type Scheduler struct {
 	parameters parameters
 	host       Host
 	random     random
 
-	// What the scheduler knows of.
+	// Known replicas and open queries.
 	classes         []class
 	replicas        replicaSet
 	open            []*query // in order of arrival
 	queriesByID     map[RequestID]*query
 	queriesByNumber map[QueryNumber]*query
-	subqueries      map[RequestID]*subquery // those with attempts in flight or of open queries
+	subqueries      map[RequestID]*subquery // those of open queries or with attempts in flight
 
-	// The policies.
+	// Policies.
 	estimates     latencyEstimator
 	limits        concurrencyLimiter
 	outliers      outlierDetector
@@ -52,15 +52,15 @@
 	// Time.
 	now        time.Duration
 	lastTickAt time.Duration
-	wakeupAt   time.Duration // when the next wakeup is due; math.MaxInt64: none is asked for
-	stalled    time.Duration // for which this co-ordinator stood still before now
-	readDelay  time.Duration // for which replies may wait unread; 0: not known to wait
+	wakeupAt   time.Duration // when the next wakeup is due; math.MaxInt64: none is requested
+	stalled    time.Duration // how long this co-ordinator was stalled before now
+	readDelay  time.Duration // how long replies may wait unread; 0: no known wait
 
 	poller endpointPoller
-	shadow *shadow // another configuration to compare decisions with; nil: none
+	shadow *shadow // another configuration whose decisions are compared; nil: none
 }
 
-// New starts a Scheduler. It fails if the configuration is not valid.
+// New creates a Scheduler. It returns an error if the configuration is invalid.
 func New(host Host, seed uint64, config Config) (*Scheduler, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -86,8 +86,8 @@
 	return scheduler, nil
 }
 
-// connectPolicies hands each policy what it asks: the parameters and other policies of this Scheduler. A copy of a
-// Scheduler has to be connected again.
+// connectPolicies gives each policy its references to the parameters and other policies of this Scheduler. It must be
+// called again on a copy of a Scheduler.
 func (scheduler *Scheduler) connectPolicies() {
 	parameters := &scheduler.parameters
 	scheduler.estimates.parameters = parameters
@@ -119,30 +119,31 @@
 	scheduler.admission.outliers = &scheduler.outliers
 }
 
-// Decide is called once all events of this time are in. In order, it polls the endpoint list if that is due, ejects
-// silent replicas, ends and places queries, sends queued subqueries, sends hedges and gossips. All queries are looked
-// at in each iteration while few are open, else at each tick; between ticks those for which something came in.
+// Decide is called after all events of this time. In order, it polls the endpoint list if that is due, ejects
+// unresponsive replicas, ends and places queries, sends queued subqueries, sends hedges and gossips. With few open
+// queries each iteration considers all of them; otherwise only ticks do, and iterations between ticks consider the
+// queries with new events.
 func (scheduler *Scheduler) Decide(now time.Duration) {
 	scheduler.advanceClock(now)
 	scheduler.pollEndpoints()
 	scheduler.retries.expire(now)
-	all := len(scheduler.open) <= maxOpenForFullScan || now >= scheduler.lastTickAt+tickInterval
-	if all {
+	fullScan := len(scheduler.open) <= maxOpenForFullScan || now >= scheduler.lastTickAt+tickInterval
+	if fullScan {
 		scheduler.tick()
 	}
 	for _, query := range scheduler.open {
-		if all || query.touched {
+		if fullScan || query.touched {
 			scheduler.endIfDue(query)
 			scheduler.place(query)
 		}
 	}
 	scope := releaseWhereRoom
-	if all {
+	if fullScan {
 		scope = releaseEverything
 	}
 	scheduler.release(scope)
 	for _, query := range scheduler.open {
-		if all || query.touched {
+		if fullScan || query.touched {
 			scheduler.hedge(query)
 		}
 		query.touched = false
@@ -154,12 +155,12 @@
 	}
 }
 
-// tick lets go of what time takes away and looks after the replicas.
+// tick applies the passage of time to the policies and checks the replicas.
 func (scheduler *Scheduler) tick() {
-	passed := scheduler.now - scheduler.lastTickAt
-	seconds := passed.Seconds()
+	elapsed := scheduler.now - scheduler.lastTickAt
+	seconds := elapsed.Seconds()
 	scheduler.lastTickAt = scheduler.now
-	scheduler.quotas.refill(passed)
+	scheduler.quotas.refill(elapsed)
 	for index := range scheduler.classes {
 		scheduler.classes[index].admission.fadeLatenessFactor(seconds)
 	}
@@ -180,7 +181,8 @@
 	scheduler.estimates.meanSize = scheduler.replicas.meanSize(scheduler.estimates.meanSize)
 }
 
-// place queues a query's subqueries for replicas, and admits or rejects a new query by where they are.
+// place queues a query's subqueries for replicas. For a new query, admission then accepts or rejects it on the basis of
+// that placement.
 func (scheduler *Scheduler) place(query *query) {
 	if !query.isActive() {
 		return
@@ -231,7 +233,7 @@
 	}
 }
 
-// wakeBy asks for a wakeup at a time, unless one before it is due.
+// wakeBy requests a wakeup at a time, unless an earlier one is due.
 func (scheduler *Scheduler) wakeBy(at time.Duration) {
 	if at < scheduler.wakeupAt {
 		scheduler.wakeupAt = max(at, scheduler.now+time.Millisecond)
@@ -239,7 +241,7 @@
 	}
 }
 
-// oldestArrival is when the oldest open query arrived; the end of time if none is open.
+// oldestArrival returns when the oldest open query arrived, or math.MaxInt64 if none is open.
 func (scheduler *Scheduler) oldestArrival() time.Duration {
 	if len(scheduler.open) == 0 {
 		return math.MaxInt64
