--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// referenceObjective is the latency objective for which the wait constants are chosen. If all objectives are shorter,
-	// parameters.timeScale shortens those times in proportion.
+	// referenceObjective is the latency objective for which the constant wait times are chosen. If all objectives are
+	// shorter, parameters.timeScale shortens those times in proportion.
 	referenceObjective = 1500 * time.Millisecond
 
 	// fewCoordinators is the number of co-ordinators up to which each of them sees enough of the load itself.
@@ -21,7 +21,7 @@
 	// fanoutGrowth is parameters.fanoutSpread with more than fewCoordinators co-ordinators.
 	fanoutGrowth = 1.2
 
-	// wastePriceWeight multiplies the price of waste. parameters.hedgeScale divides by 1 plus the square of the product.
+	// wastePriceWeight multiplies the price of waste: parameters.hedgeScale is 1 / (1 + (wastePriceWeight x price)^2).
 	wastePriceWeight = 22.0
 
 	// initialWorkShare is the initial estimate of the work of a subquery, as a share of the latency objective.
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -38,7 +38,7 @@
 	class              *class
 	tenant             TenantIndex
 	arrivedAt          time.Duration
-	objectiveAt        time.Duration // when its latency objective ends
+	objectiveAt        time.Duration // end of its latency objective
 	deadlineAt         time.Duration // when the client gives up
 	objectivePassed    bool          // it is a client's retry that arrived after the objective of the first try
 	callerEndsPhases   bool          // only StartNextPhase ends a phase, and each phase needs all of its subqueries
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -126,8 +126,8 @@
 	return noToken || scheduler.retries.backsOff(scheduler.now, replica, subquery, last)
 }
 
-// tooLate reports whether a queued subquery can no longer be answered in time: before the query's objective if its
-// replica is at its limit and in the first phase, otherwise before the deadline.
+// tooLate reports whether a queued subquery can no longer be answered in time: by the query's objective if its replica
+// is at its limit in the first phase, otherwise by the deadline.
 func (scheduler *Scheduler) tooLate(subquery *subquery, queuedAhead []time.Duration) bool {
 	query, replica := subquery.query, subquery.replica
 	left := query.deadlineAt - scheduler.now
