--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -103,7 +103,7 @@
 
 // Redeliver hands over the whole list as it is known.
 func (watcher *Watcher) Redeliver() {
-	list := watcher.endpoints.whole()
+	list := watcher.endpoints.full()
 	watcher.dropUnusable(list)
 	watcher.endpoints.update(list)
 	watcher.handler.EndpointsKnown(list)
@@ -114,14 +114,14 @@
 	watcher.stopWatch()
 	ctx, stop := context.WithCancel(context.Background())
 	watcher.stopWatch = stop
-	watcher.start(ctx, watcher.address)
+	watcher.startWatch(ctx, watcher.address)
 }
 
 // IsEmpty tells whether no endpoint is known.
 func (watcher *Watcher) IsEmpty() bool { return len(watcher.endpoints.known.Endpoints) == 0 }
 
-// received takes what a watch has read.
-func (watcher *Watcher) received(address string, list *wire.EndpointList) {
+// listReceived takes what a watch has read.
+func (watcher *Watcher) listReceived(address string, list *wire.EndpointList) {
 	if address != watcher.address {
 		watcher.finishMove(address)
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -14,9 +14,9 @@
 
 // event is what a handler was told.
 type event struct {
-	list   *wire.EndpointList // nil: a poll failed
-	isOld  bool               // the list as it was last known
-	isNews bool               // of the failure
+	list            *wire.EndpointList // nil: a poll failed
+	isLastKnown     bool               // the list as it was last known
+	notifyScheduler bool               // of the failure
 }
 
 // recorder is a Handler that passes on what it is told.
@@ -26,9 +26,9 @@
 	handler.events <- event{list: list}
 }
 func (handler recorder) EndpointsKnown(list *wire.EndpointList) {
-	handler.events <- event{list: list, isOld: true}
+	handler.events <- event{list: list, isLastKnown: true}
 }
-func (handler recorder) PollFailed(isNews bool) { handler.events <- event{isNews: isNews} }
+func (handler recorder) PollFailed(isNews bool) { handler.events <- event{notifyScheduler: isNews} }
 
 // fixture is a watcher on a loop that runs until the test ends.
 type fixture struct {
@@ -71,14 +71,14 @@
 
 func (f fixture) expectList(t *testing.T, revision int64, isOld bool) {
 	t.Helper()
-	if got := f.next(t); got.list == nil || got.list.Revision != revision || got.isOld != isOld {
+	if got := f.next(t); got.list == nil || got.list.Revision != revision || got.isLastKnown != isOld {
 		t.Errorf("told %+v, want the list of revision %d, old %t", got, revision, isOld)
 	}
 }
 
 func (f fixture) expectFailure(t *testing.T, isNews bool) {
 	t.Helper()
-	if got := f.next(t); got.list != nil || got.isNews != isNews {
+	if got := f.next(t); got.list != nil || got.notifyScheduler != isNews {
 		t.Errorf("told %+v, want a failure that is news %t", got, isNews)
 	}
 }
@@ -105,7 +105,7 @@
 
 // Discovery breaks off two polls in a row and comes back. Only the first failure is news; each poll is made
 // again, and after a list the next failure is news once more.
-func TestFailedPollIsRetriedAndNewsOnce(t *testing.T) {
+func TestFailedPollIsRetriedAndReportedOnce(t *testing.T) {
 	agent, address := newAgent(t)
 	f := newFixture(t, Config{Address: address, Known: knownList(3)})
 	f.expectList(t, 3, true)
@@ -127,7 +127,7 @@
 }
 
 // The scheduler decides when to poll. Nothing is polled before, no failure is retried, and each is news.
-func TestOnDemandNothingIsPolledUnasked(t *testing.T) {
+func TestOnDemandPollsOnlyWhenRequested(t *testing.T) {
 	agent, address := newAgent(t)
 	f := newFixture(t, Config{Address: address, Known: knownList(3), OnDemand: true})
 	f.expectList(t, 3, true)
@@ -144,7 +144,7 @@
 
 // SIGHUP names another agent, which does not answer at first. The old one is heard meanwhile, the failures of the
 // new one are no news; once the new one has told the whole list, the old one's watch ends.
-func TestOldAddressIsHeardUntilTheNewOneHasToldTheList(t *testing.T) {
+func TestOldAddressIsWatchedUntilNewOneSendsFullList(t *testing.T) {
 	oldAgent, oldAddress := newAgent(t)
 	nextAgent, nextAddress := newAgent(t)
 	f := newFixture(t, Config{Address: oldAddress, Known: knownList(3)})
@@ -170,7 +170,7 @@
 
 // A scheduler that panicked knows no endpoints. Repeat hands it the whole list: what was known, with the changes
 // since.
-func TestRepeatHandsOverTheWholeList(t *testing.T) {
+func TestRedeliverSendsFullList(t *testing.T) {
 	agent, address := newAgent(t)
 	f := newFixture(t, Config{Address: address, Known: knownList(3)})
 	f.expectList(t, 3, true)
@@ -182,7 +182,7 @@
 	f.expectList(t, 6, false)
 	f.loop.Post(f.watcher.Redeliver)
 	got := f.next(t)
-	if !got.isOld || !got.list.All || got.list.Revision != 6 || len(got.list.Endpoints) != 2 {
+	if !got.isLastKnown || !got.list.All || got.list.Revision != 6 || len(got.list.Endpoints) != 2 {
 		t.Errorf("told %+v", got)
 	}
 }
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -7,8 +7,8 @@
 	known wire.EndpointList
 }
 
-// whole is the list as one that names all endpoints.
-func (table *endpointTable) whole() *wire.EndpointList {
+// full is the list as one that names all endpoints.
+func (table *endpointTable) full() *wire.EndpointList {
 	list := table.known
 	list.All = true
 	return &list
@@ -21,11 +21,11 @@
 		table.known.Endpoints = list.Endpoints
 		return
 	}
-	table.change(list.Endpoints)
+	table.applyChanges(list.Endpoints)
 }
 
-// change replaces endpoints by their new states; removed ones are dropped.
-func (table *endpointTable) change(changed []wire.Endpoint) {
+// applyChanges replaces endpoints by their new states; removed ones are dropped.
+func (table *endpointTable) applyChanges(changed []wire.Endpoint) {
 	isChanged := map[string]bool{}
 	for _, endpoint := range changed {
 		isChanged[endpoint.UID] = true
--- a/discovery/move.go
+++ b/discovery/move.go
@@ -12,7 +12,7 @@
 	watcher.failing = false
 	ctx, stop := context.WithCancel(context.Background())
 	watcher.stopMove = stop
-	watcher.start(ctx, address)
+	watcher.startWatch(ctx, address)
 }
 
 // finishMove makes the address that has told the whole list the one that is followed.
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -42,7 +42,7 @@
 	stopCloser func() bool
 	reader     wire.EndpointListReader
 
-	listed   bool               // the whole list has come
+	hasList  bool               // the whole list has come
 	revision int64              // of the last list
 	pending  *wire.EndpointList // read and not delivered yet
 }
@@ -84,11 +84,11 @@
 	if last {
 		watch.disconnect()
 	}
-	continues := watch.listed && list.Revision >= watch.revision
+	continues := watch.hasList && list.Revision >= watch.revision
 	if !list.All && !continues {
 		return &RevisionError{Found: list.Revision, After: watch.revision}
 	}
-	watch.listed = true
+	watch.hasList = true
 	watch.revision = list.Revision
 	watch.pending = list
 	watch.responseTimeout = min(watch.responseTimeout, watchTimeout)
@@ -97,7 +97,7 @@
 
 // nextRequest is the next poll, and for how long the agent may hold it back.
 func (watch *watch) nextRequest() (request []byte, hold time.Duration) {
-	if !watch.listed {
+	if !watch.hasList {
 		return wire.ListRequest(watch.address), 0
 	}
 	return wire.WatchRequest(watch.address, watch.revision, watch.hold.Milliseconds()), watch.hold
--- a/discovery/watch_test.go
+++ b/discovery/watch_test.go
@@ -25,7 +25,7 @@
 
 // The inbox of the loop is full, so that a list cannot be delivered. The next poll goes out all the same: else
 // the watch would lapse.
-func TestWatchGoesOnWhileItsListWaitsForTheLoop(t *testing.T) {
+func TestWatchPollsWhileDeliveryIsBlocked(t *testing.T) {
 	agent, address := newAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
 	waits, ended := make(chan struct{}), make(chan struct{})
@@ -51,7 +51,7 @@
 // An agent swallows a poll, as while discovery is down. The poll is given up soon, so that what the agent tells
 // at its return is not late: a drain would count as told while the poll hangs. 0.6 s is some more than an agent
 // is waited for.
-func TestPollThatHangsIsGivenUpSoon(t *testing.T) {
+func TestHungPollTimesOut(t *testing.T) {
 	agent, address := newAgent(t)
 	for _, hold := range []time.Duration{0, 100 * time.Millisecond} { // the whole list; a watch
 		watch := newWatch(address, hold, agentTimeout, func(*wire.EndpointList) {})
@@ -71,7 +71,7 @@
 
 // A list that states no length ends with its connection. One whose connection is reset on the way has no end,
 // whatever of it came.
-func TestListWithoutALengthEndsWithItsConnectionAlone(t *testing.T) {
+func TestListWithoutLengthEndsOnlyAtCleanClose(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		agent, address := newAgent(t)
 		ctx, stop := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 }
 
 // Replicas are replaced again and again. The list that is known does not grow with those that have gone.
-func TestKnownListDoesNotGrowWithEndpointsThatHaveGone(t *testing.T) {
+func TestRemovedEndpointsLeaveTheKnownList(t *testing.T) {
 	table := endpointTable{}
 	for n := range 3000 {
 		gone := wire.Endpoint{UID: fmt.Sprint("s-", n-1), State: wire.Removed}
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -80,8 +80,8 @@
 		tracker.starts[uid] = known
 		return known.started, known.isExact
 	}
-	started = tracker.byWallClock(bootMS)
-	isExact = tracker.isPossible(started, now)
+	started = tracker.latestByWallClock(bootMS)
+	isExact = tracker.isPlausible(started, now)
 	if !isExact {
 		tracker.distrusted++
 		started = now
@@ -90,8 +90,8 @@
 	return started, isExact
 }
 
-// byWallClock is the latest start that the wall clock has given reason for.
-func (tracker *Tracker) byWallClock(bootMS int64) time.Duration {
+// latestByWallClock is the latest start that the wall clock has given reason for.
+func (tracker *Tracker) latestByWallClock(bootMS int64) time.Duration {
 	latest := Unknown
 	for _, offset := range tracker.offsets {
 		latest = max(latest, time.Duration(bootMS)*time.Millisecond-offset)
@@ -99,9 +99,9 @@
 	return latest
 }
 
-// isPossible tells whether a start that is told for the first time may have been then: not in the future, and not
+// isPlausible tells whether a start that is told for the first time may have been then: not in the future, and not
 // before the previous list, which would have told it.
-func (tracker *Tracker) isPossible(started, now time.Duration) bool {
+func (tracker *Tracker) isPlausible(started, now time.Duration) bool {
 	if started > now {
 		return false
 	}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -20,7 +20,7 @@
 func bootAt(at time.Duration) int64 { return epoch.Add(at).UnixMilli() }
 
 // With a true wall clock starts are what discovery tells, also when they are told again later.
-func TestStartsByATrueClock(t *testing.T) {
+func TestStartTimesWithAccurateClock(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, 0)
 	if got, _ := tracker.StartTime(0, "a", bootAt(-time.Minute)); got != -time.Minute {
@@ -40,7 +40,7 @@
 }
 
 // The wall clock is an hour slow, so that a replica seems to have started in the future. It counts as started now.
-func TestStartInTheFutureIsNow(t *testing.T) {
+func TestFutureStartCountsAsNow(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, -time.Hour)
 	if got, exact := tracker.StartTime(0, "a", bootAt(-time.Minute)); got != 0 || exact {
@@ -82,7 +82,7 @@
 }
 
 // The wall clock is stepped back by an hour. Of the starts that the two offsets give, the later counts.
-func TestLaterOfTwoClocksCounts(t *testing.T) {
+func TestLatestOfTwoClockOffsetsCounts(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, time.Hour)
 	tracker.ObserveWallClock(time.Second, epoch.Add(time.Second))
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -69,12 +69,12 @@
 	{"client_gone", soak.RuleClientThere, []faultbuild.Patch{
 		{
 			File: "server/notify.go",
-			Old:  "	client.left.Store(true)\n	if client.requestOpen {\n",
+			Old:  "	client.disconnected.Store(true)\n	if client.requestOpen {\n",
 			New:  "	if false {\n",
 		},
 		{
 			File: "server/presence.go",
-			Old:  "	if client.left.Load() {\n		return true\n	}\n",
+			Old:  "	if client.disconnected.Load() {\n		return true\n	}\n",
 			New:  "	if true {\n		return false\n	}\n",
 		},
 	}},
--- a/server/close_reason.go
+++ b/server/close_reason.go
@@ -7,35 +7,35 @@
 	"terntray/invariant"
 )
 
-// CloseReason says why a client's connection has ended.
+// CloseReason is the reason why a client connection was closed.
 type CloseReason int
 
-// The reasons.
+// Close reasons.
 const (
 	closedLastResponse CloseReason = iota // its last response was written
 	closedByClient                        // the client closed it
-	closedWriteFailed                     // a response could not be written, or not in time
-	closedBadRequest                      // what came is no request
-	closedSlowRequest                     // a request did not come whole in time
-	closedIdle                            // nothing came for long
-	closedEvicted                         // to make room for others
-	closedShutdown                        // this process shuts down
-	closedByPanic                         // its driver panicked
-	closeReasonCount                      // how many reasons there are
+	closedWriteFailed                     // writing a response failed or timed out
+	closedBadRequest                      // the client sent an invalid request
+	closedSlowRequest                     // a request was not received completely within its timeout
+	closedIdle                            // the idle timeout expired
+	closedEvicted                         // evicted to make room for other connections
+	closedShutdown                        // the process is shutting down
+	closedByPanic                         // its goroutine panicked
+	closeReasonCount                      // number of reasons
 )
 
-// closeReasonNames are the reasons as they stand in the counters.
+// closeReasonNames are the names of the reasons in the counters.
 var closeReasonNames = [closeReasonCount]string{
 	"last_answer", "by_client", "unwritable", "bad_request", "slow_request", "idle", "evicted", "shutdown", "broken",
 }
 
-// String is the reason as it stands in the counters and the log.
+// String returns the name of the reason in the counters and the log.
 func (reason CloseReason) String() string { return closeReasonNames[reason] }
 
-// CloseCounts is how many client connections have ended, by reason.
+// CloseCounts holds the number of closed client connections by reason.
 type CloseCounts [closeReasonCount]int
 
-// String is the part of the counters' line that begins with a space.
+// String formats the counts as part of the counters line, with a leading space.
 func (counts CloseCounts) String() string {
 	line := ""
 	for reason, count := range counts {
@@ -44,14 +44,14 @@
 	return line
 }
 
-// ConnClosed is a connection that has ended.
+// ConnClosed describes a closed connection.
 type ConnClosed struct {
 	Reason    CloseReason
-	Address   net.Addr         // of the client; nil: not known
-	Violation invariant.Reason // the rule that the close broke; Allowed: none
+	Address   net.Addr         // of the client; nil if unknown
+	Violation invariant.Reason // the invariant that the close violated; Allowed if none
 }
 
-// timeoutReason is why a connection ends on which nothing came in its time.
+// timeoutReason returns the reason for closing a connection whose read deadline has expired.
 func (client *ClientConn) timeoutReason() CloseReason {
 	switch {
 	case client.requests.Buffered() > 0:
@@ -64,8 +64,8 @@
 	return closedIdle
 }
 
-// endOfResponses is why a connection ends with a response.
-func (client *ClientConn) endOfResponses() CloseReason {
+// responseCloseReason returns the reason for closing a connection after a response.
+func (client *ClientConn) responseCloseReason() CloseReason {
 	if client.writeFailed {
 		return closedWriteFailed
 	}
--- a/server/connection.go
+++ b/server/connection.go
@@ -13,95 +13,95 @@
 	"terntray/internal/wire"
 )
 
-// ClientConn is one client's connection. One goroutine drives it. It reads also while a request is open, to
-// notice a client that leaves; a response wakes it. At most one request is open at a time; what a client sends
-// ahead waits in the buffer.
+// ClientConn is a client connection. It is served by one goroutine, which keeps reading while a request is open, to
+// detect a client that disconnects, and is woken up when the response is ready. At most one request is open at a
+// time; pipelined requests wait in the buffer.
 //
-// Fields without a remark belong to that goroutine.
+// Unless noted otherwise, fields are accessed only by that goroutine.
 type ClientConn struct {
 	server   *Server
 	conn     net.Conn
 	requests wire.RequestReader
 
-	requestOpen    bool      // a request was read and has had no response
-	requestCount   int       // requests so far
-	admitted       bool      // the request that is coming was admitted by its head alone
-	holdsLargeSlot bool      // one of the slots for large requests
-	discardedBytes int       // that came beyond maxReadAhead: the connection ends with its response
-	waitingSince   time.Time // of accept, the last response, or the first byte of a request that is incomplete
-	finalWaitEnds  time.Time // end of the last wait before the connection closes; zero: it is not about to close
-	writeFailed    bool      // a response could not be written
-
-	responses          chan response // from the loop; one at the most
-	woken              atomic.Bool   // there is more to see to than what the client sends
-	closeAfterResponse atomic.Bool   // the connection ends with the next response
-
-	left        atomic.Bool  // the client has left: nothing that it asked for is sent any more
-	lastSeen    atomic.Int64 // loop time at which the client was last known to be there
-	idleSince   atomic.Int64 // loop time since which no request is open; 0: one is
-	sentRequest atomic.Bool  // at least one; set under the table's lock
-	evicted     atomic.Bool  // it has to go for others; set under the table's lock
+	requestOpen    bool      // a request was read and has not been answered
+	requestCount   int       // requests read so far
+	admitted       bool      // the request being received was admitted based on its head alone
+	holdsLargeSlot bool      // holds a slot for large requests
+	discardedBytes int       // received beyond maxReadAhead; if not 0, the connection closes after its response
+	waitingSince   time.Time // time of accept, of the last response, or of the first byte of an incomplete request
+	finalWaitEnds  time.Time // end of the last wait before the connection closes; zero if it is not about to close
+	writeFailed    bool      // writing a response failed
+
+	responses          chan response // from the event loop; at most one
+	woken              atomic.Bool   // wake was called since the goroutine last checked
+	closeAfterResponse atomic.Bool   // the connection closes after the next response
+
+	disconnected atomic.Bool  // the client has disconnected: nothing more is sent to replicas on its behalf
+	lastSeen     atomic.Int64 // loop time at which the client was last known to be connected
+	idleSince    atomic.Int64 // loop time since which no request is open; 0 while one is
+	sentRequest  atomic.Bool  // the client has sent a request; written with the connTable locked
+	evicted      atomic.Bool  // selected for eviction; written with the connTable locked
 }
 
-// NewConn makes a client's connection; Serve drives it.
+// NewConn returns a ClientConn for an accepted connection. Call Serve to serve it.
 func (server *Server) NewConn(conn net.Conn) *ClientConn {
 	client := &ClientConn{server: server, conn: conn, responses: make(chan response, 1), waitingSince: time.Now()}
 	client.markIdle()
 	return client
 }
 
-// markIdle notes that no request is open.
+// markIdle records that no request is open.
 func (client *ClientConn) markIdle() {
 	client.idleSince.Store(max(1, int64(client.server.loop.Since(client.waitingSince))))
 }
 
-// wake has the connection's goroutine look up from its reading. Any goroutine may call it.
+// wake interrupts a blocking read of the connection's goroutine. It may be called from any goroutine.
 func (client *ClientConn) wake() {
 	client.woken.Store(true)
-	client.conn.SetReadDeadline(longAgo)
+	client.conn.SetReadDeadline(pastDeadline)
 }
 
-// Serve drives the connection until it ends; its caller closes it. A panic ends this connection alone: it counts
-// as if its client had left.
+// Serve serves the connection until it ends; the caller closes it. A panic ends only this connection and is handled
+// as a disconnect of the client.
 func (client *ClientConn) Serve() {
 	reason := closedByPanic
 	cause := eventloop.Recover(func() { reason = client.serve() })
 	if cause != "" {
 		client.server.log.Printf("event=client_panic cause=%q", cause)
-		client.postLeft()
+		client.postDisconnected()
 	}
 	client.postClosed(reason)
 }
 
-// serve returns why the connection ends.
+// serve serves requests until the connection ends and returns the reason.
 func (client *ClientConn) serve() CloseReason {
 	for {
 		if !client.writePending() {
-			return client.endOfResponses()
+			return client.responseCloseReason()
 		}
 		step, reason := client.takeRequest()
-		if step == awaitMore {
+		if step == awaitInput {
 			if !client.reserveForLargeRequest() {
-				return client.endOfResponses()
+				return client.responseCloseReason()
 			}
 			step, reason = client.awaitBytes()
 		}
-		if step == endConn {
+		if step == closeConn {
 			return reason
 		}
 	}
 }
 
-// nextStep is what a connection's goroutine does next.
+// nextStep is what the connection's goroutine does next.
 type nextStep int
 
 const (
-	lookAgain nextStep = iota // for a response to write and a request to take
-	awaitMore                 // no request is in whole, or one is open
-	endConn                   // the reason is given with it
+	proceed    nextStep = iota // check for a response to write and a request to process
+	awaitInput                 // read: no complete request is buffered, or one is open
+	closeConn                  // end the connection with the accompanying reason
 )
 
-// writePending writes the response that the loop has made, if any; it tells whether the connection goes on.
+// writePending writes the response from the event loop, if there is one. It reports whether the connection stays open.
 func (client *ClientConn) writePending() bool {
 	select {
 	case response := <-client.responses:
@@ -111,39 +111,39 @@
 	}
 }
 
-// awaitBytes reads what comes next, until the read deadline or until it is woken. The step is lookAgain or endConn.
+// awaitBytes reads until data arrives, the read deadline expires or wake is called. It returns proceed or closeConn.
 func (client *ClientConn) awaitBytes() (step nextStep, reason CloseReason) {
 	deadline := client.readDeadline()
 	client.conn.SetReadDeadline(deadline)
 	if client.woken.Swap(false) {
-		return lookAgain, 0
+		return proceed, 0
 	}
 	count, err := client.read()
 	if err == nil {
-		return lookAgain, 0
+		return proceed, 0
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		client.leave()
-		return endConn, closedByClient
+		client.markDisconnected()
+		return closeConn, closedByClient
 	}
 	hasTimedOut := !client.requestOpen && count == 0 && !time.Now().Before(deadline)
-	if !hasTimedOut { // it was woken
-		return lookAgain, 0
+	if !hasTimedOut { // interrupted by wake
+		return proceed, 0
 	}
-	// The connection is about to close. A request may cross that, so the client is given finalWaitTime more; and that
-	// again for as long as something lies unread, as this process may have stood still over all of the first wait.
+	// The connection is about to close. A request may already be on its way, so wait another finalWaitTime, and repeat
+	// that while unread data is available: this process may have been stalled for the whole of the first wait.
 	if client.finalWaitEnds.IsZero() || netconn.Peek(client.conn) == netconn.Readable {
 		client.finalWaitEnds = time.Now().Add(finalWaitTime)
-		return lookAgain, 0
+		return proceed, 0
 	}
-	return endConn, client.timeOut()
+	return closeConn, client.timeOut()
 }
 
-// timeOut ends a connection on which nothing more came in time.
+// timeOut ends a connection whose read deadline has expired.
 func (client *ClientConn) timeOut() CloseReason {
 	reason := client.timeoutReason()
 	if reason == closedSlowRequest {
-		client.refuse(&wire.ProtocolError{
+		client.respondError(&wire.ProtocolError{
 			Status:  http.StatusRequestTimeout,
 			Message: "the request did not come whole in time",
 		})
@@ -151,43 +151,44 @@
 	return reason
 }
 
-// takeRequest takes the next request, if none is open and one is in whole, and answers it or hands it over.
+// takeRequest processes the next request if none is open and the next one is completely buffered: it answers the
+// request or passes it to the event loop.
 func (client *ClientConn) takeRequest() (step nextStep, reason CloseReason) {
 	if client.requestOpen {
-		return awaitMore, 0
+		return awaitInput, 0
 	}
 	if client.requests.Buffered() > 0 {
 		unread := client.peekForUnread()
-		if client.left.Load() {
-			return endConn, closedByClient
+		if client.disconnected.Load() {
+			return closeConn, closedByClient
 		}
 		if unread {
-			return awaitMore, 0
+			return awaitInput, 0
 		}
 	}
 	if !client.rejectWhileShedding() {
-		return endConn, client.endOfResponses()
+		return closeConn, client.responseCloseReason()
 	}
 	request, expectsContinue, err := client.requests.Next()
 	if err != nil {
-		client.refuse(err)
-		return endConn, closedBadRequest
+		client.respondError(err)
+		return closeConn, closedBadRequest
 	}
 	if expectsContinue {
 		client.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if request == nil {
-		return awaitMore, 0
+		return awaitInput, 0
 	}
 	if !client.dispatch(request, client.receivedAt()) {
-		return endConn, client.endOfResponses()
+		return closeConn, client.responseCloseReason()
 	}
-	return lookAgain, 0
+	return proceed, 0
 }
 
-// receivedAt is when the request that was just read came. A connection's first one may have waited for accept;
-// how long ago its last bytes came is then known to the kernel alone. Without that, responses and the times told
-// to replicas would be late by that wait.
+// receivedAt returns the loop time at which the request just read was received. The first request of a connection may
+// have been received by the kernel before accept, so the time of its last data is taken from the kernel. Otherwise its
+// response, and the deadlines sent to replicas, would be late by the time spent in the accept queue.
 func (client *ClientConn) receivedAt() time.Duration {
 	now := client.server.now()
 	if client.requestCount > 0 {
--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -14,12 +14,12 @@
 // panickingConn is a connection whose reads panic once it is told to.
 type panickingConn struct {
 	net.Conn
-	now chan struct{}
+	armed chan struct{}
 }
 
 func (conn *panickingConn) Read(buffer []byte) (int, error) {
 	select {
-	case <-conn.now:
+	case <-conn.armed:
 		panic("as if")
 	default:
 	}
@@ -28,7 +28,7 @@
 
 // A client's driver panics while a query is open. That costs its own connection alone: the handler is told that
 // the client has left, and the slot is given back.
-func TestPanicOfADriverCountsAsItsClientLeaving(t *testing.T) {
+func TestConnPanicCountsAsClientDisconnect(t *testing.T) {
 	f := newFixture()
 	near, far := connPair(t)
 	conn := &panickingConn{near, make(chan struct{})}
@@ -36,7 +36,7 @@
 	go f.serve(client)
 	io.WriteString(far, queryRequest("q"))
 	f.runOne()
-	close(conn.now)
+	close(conn.armed)
 	client.wake()
 	f.runOne()
 	if count, err := far.Read(make([]byte, 1)); err == nil {
@@ -47,14 +47,14 @@
 			t.Fatal("its slot is taken")
 		}
 	}
-	if len(f.handler.arrivals) != 1 || len(f.handler.left) != 1 || f.handler.left[0] != client {
-		t.Errorf("%d queries arrived, %d clients left", len(f.handler.arrivals), len(f.handler.left))
+	if len(f.handler.arrivals) != 1 || len(f.handler.disconnected) != 1 || f.handler.disconnected[0] != client {
+		t.Errorf("%d queries arrived, %d clients left", len(f.handler.arrivals), len(f.handler.disconnected))
 	}
 }
 
 // A client sends a query and leaves while that lies unread in the kernel, behind a crowd or a standstill of this
 // process. Nothing of it is taken in, however much stands before the client's end.
-func TestRequestWhoseClientHasLeftUnreadIsNotTakenIn(t *testing.T) {
+func TestUnreadRequestOfDisconnectedClientIsNotAccepted(t *testing.T) {
 	for name, text := range map[string]string{
 		"alone":             queryRequest("q"),
 		"with half of more": queryRequest("q") + queryRequest("r")[:40],
@@ -82,7 +82,7 @@
 
 // A client sends on and on while its request is open, and no large-request slot is free. What comes beyond is
 // dropped; the open request gets its own response, and none that says that nothing ran.
-func TestOpenRequestIsNotRejectedForWhatComesBehindIt(t *testing.T) {
+func TestOpenRequestIsNotRejectedForPipelinedData(t *testing.T) {
 	for _, ahead := range []int{largeRequestBytes + 2000, maxReadAhead + 5000, 600_000} {
 		f := newFixture()
 		f.server.largeSlots.tryAcquire() // the only one
@@ -107,7 +107,7 @@
 		for end := time.Now().Add(20 * time.Second); netconn.Peek(near) == netconn.Readable && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if len(client.responses) > 0 || len(f.handler.left) > 0 {
+		if len(client.responses) > 0 || len(f.handler.disconnected) > 0 {
 			t.Fatalf("%d bytes behind it: it is answered", ahead)
 		}
 		client.Respond(func(last bool) []byte { return wire.CompleteResponse(true, nil, last) })
@@ -121,24 +121,24 @@
 
 // The server evicts a client while what that sends is on its way. A request that comes during the final peek is
 // served, also if this process stood still over the whole of it, and also if its rest comes a little later.
-func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
+func TestRequestInFlightDuringEvictionIsServed(t *testing.T) {
 	crosses := map[string]func(client *ClientConn, far net.Conn) (inTime bool){
 		"a standstill": func(client *ClientConn, far net.Conn) bool {
 			client.finalWaitEnds = time.Now().Add(-time.Second)
-			io.WriteString(far, requestUp)
+			io.WriteString(far, upRequest)
 			awaitState(t, client.conn, netconn.Readable)
 			go client.Serve()
 			return true
 		},
 		"in two pieces": func(client *ClientConn, far net.Conn) bool {
-			io.WriteString(far, requestUp[:9])
+			io.WriteString(far, upRequest[:9])
 			awaitState(t, client.conn, netconn.Readable)
 			began := time.Now()
 			client.finalWaitEnds = began.Add(finalWaitTime)
 			go client.Serve()
 			awaitState(t, client.conn, netconn.Quiet)
 			time.Sleep(2 * finalWaitTime) // it is over by then
-			io.WriteString(far, requestUp[9:])
+			io.WriteString(far, upRequest[9:])
 			return time.Since(began) < lateRequestTime // else it may have come too late
 		},
 	}
--- a/server/eviction.go
+++ b/server/eviction.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// connTable knows the open connections and chooses which of them has to go to make room for others: the one that
-// has been idle for longest, first of all those that never sent a request. A connection with an open request is
-// never chosen.
+// connTable holds the open connections and selects which one to evict when room is needed: the one that has been idle
+// longest, preferring those that have never sent a request. A connection with an open request is never selected.
 //
-// Eviction guards against crowds of clients that keep their connections and send nothing, or once and never
-// again, until no slot or descriptor is left: it would show as requests that nobody reads. It holds because only
-// a connection that has sent a request counts as active, and active ones are bounded as well.
+// Eviction keeps many clients that hold idle connections open, without ever sending a request or after a single one,
+// from using up all slots or descriptors, which would leave requests of other clients unread. Only connections that
+// have sent a request count as active, and the number of active connections is bounded as well.
 type connTable struct {
 	mu        sync.Mutex
 	conns     map[*ClientConn]struct{}
 	active    int // connections that have sent a request and are not evicted
 	maxActive int
 
-	evicted atomic.Int64 // so far
+	evicted atomic.Int64 // evictions so far
 }
 
 func newConnTable(maxActive int) connTable {
@@ -41,8 +40,8 @@
 	}
 }
 
-// leaving counts the evicted connections that are idle and so about to end.
-func (table *connTable) leaving() (count int) {
+// evictedIdle returns the number of evicted connections that are idle and therefore about to close.
+func (table *connTable) evictedIdle() (count int) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for client := range table.conns {
@@ -53,7 +52,7 @@
 	return count
 }
 
-// wakeAll has all connections look up from their reading.
+// wakeAll wakes the goroutines of all connections.
 func (table *connTable) wakeAll() {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -62,7 +61,8 @@
 	}
 }
 
-// noteFirstRequest tells that a client has sent its first request. With too many active ones, one of them has to go.
+// noteFirstRequest records that a client has sent its first request and, if that makes too many connections active,
+// evicts an active one.
 func (server *Server) noteFirstRequest(client *ClientConn) {
 	table := &server.conns
 	table.mu.Lock()
@@ -76,42 +76,43 @@
 	}
 }
 
-// evictIdle evicts the connection that has been idle for longest; it tells whether there was one.
+// evictIdle evicts the connection that has been idle longest. It reports whether there was one.
 func (server *Server) evictIdle() bool {
 	server.conns.mu.Lock()
 	defer server.conns.mu.Unlock()
 	return server.conns.evictLongestIdle(server.now(), func(*ClientConn) bool { return true })
 }
 
-// evictLongestIdle evicts one of the connections that may be chosen. The table is locked.
-func (table *connTable) evictLongestIdle(now time.Duration, mayChoose func(*ClientConn) bool) bool {
-	var chosen *ClientConn
+// evictLongestIdle evicts the longest idle of the eligible connections. The table must be locked.
+func (table *connTable) evictLongestIdle(now time.Duration, eligible func(*ClientConn) bool) bool {
+	var selected *ClientConn
 	longest := time.Duration(-1)
 	for client := range table.conns {
 		idle, isIdle := client.idleFor(now)
-		if !isIdle || client.evicted.Load() || !mayChoose(client) {
+		if !isIdle || client.evicted.Load() || !eligible(client) {
 			continue
 		}
 		if idle > longest {
-			chosen, longest = client, idle
+			selected, longest = client, idle
 		}
 	}
-	if chosen == nil {
+	if selected == nil {
 		return false
 	}
-	if chosen.isActive() {
+	if selected.isActive() {
 		table.active--
 	}
-	chosen.evicted.Store(true)
+	selected.evicted.Store(true)
 	table.evicted.Add(1)
-	chosen.wake()
+	selected.wake()
 	return true
 }
 
-// isActive tells whether a connection has sent a request and is not evicted. The table is locked.
+// isActive reports whether the connection has sent a request and is not evicted. The table must be locked.
 func (client *ClientConn) isActive() bool { return client.sentRequest.Load() && !client.evicted.Load() }
 
-// idleFor is for how long no request has been open, weighted for clients that never sent one; false: one is open.
+// idleFor returns how long the connection has been idle, multiplied by silentIdleWeight if it has never sent a
+// request. isIdle is false while a request is open.
 func (client *ClientConn) idleFor(now time.Duration) (idle time.Duration, isIdle bool) {
 	since := time.Duration(client.idleSince.Load())
 	if since == 0 {
--- a/server/listener.go
+++ b/server/listener.go
@@ -11,28 +11,29 @@
 	"terntray/internal/netconn"
 )
 
-// Listen opens the listener. One that has ended a moment ago may still hold the address, and the machine may be
-// short of something for a moment: both are retried for bindTimeout.
+// Listen opens a TCP listener. For up to bindTimeout it retries if the address is in use, since a process that has just
+// exited may still hold it, or if the host is temporarily out of resources.
 func Listen(address string) (net.Listener, error) {
 	end := time.Now().Add(bindTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
-		if !isPassing(err) || time.Now().After(end) {
+		if !isTransient(err) || time.Now().After(end) {
 			return listener, err
 		}
 		time.Sleep(bindRetryInterval)
 	}
 }
 
-func isPassing(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || netconn.IsShortage(err) }
+func isTransient(err error) bool {
+	return errors.Is(err, syscall.EADDRINUSE) || netconn.IsShortage(err)
+}
 
-// acceptAll accepts connections until the listener's deadline, which Shutdown sets; then it accepts for
-// finalAcceptTime what the kernel has queued by then, and closes the listener.
+// acceptAll accepts connections until the listener's deadline, which Shutdown sets. After that, the final accept takes
+// the connections already queued by the kernel, for finalAcceptTime; then the listener is closed.
 //
-// The final accept guards against connections that the kernel has taken for this process before the deadline and
-// that nobody would serve: their clients would see a reset. It holds also where this process stood still over the
-// deadline, or found no slot free or an error in that time: the final accept then begins anew, for as long as
-// finalAcceptMayRestart.
+// Without the final accept, connections that the kernel has established before the deadline would be reset. If this
+// process was stalled over the deadline, or the final accept ran into an error or found no free slot, it starts over
+// for as long as finalAcceptMayRestart allows.
 func (server *Server) acceptAll() {
 	defer server.listener.Close()
 	final := false
@@ -66,7 +67,7 @@
 	}
 }
 
-// startConn serves a connection that holds a slot.
+// startConn starts serving an accepted connection. The caller has acquired its slot.
 func (server *Server) startConn(conn net.Conn) {
 	client := server.NewConn(conn)
 	server.conns.add(client)
@@ -76,7 +77,7 @@
 	})
 }
 
-// release closes a client's connection and gives back what it held.
+// release closes a client connection and releases its slots.
 func (server *Server) release(client *ClientConn) {
 	client.conn.Close()
 	if client.holdsLargeSlot {
@@ -86,17 +87,18 @@
 	server.slots.release()
 }
 
-// setAcceptDeadline has Accept fail once a time has passed.
+// setAcceptDeadline makes Accept fail after the given time.
 func (server *Server) setAcceptDeadline(in time.Duration) {
 	if listener, ok := server.listener.(*net.TCPListener); ok {
 		listener.SetDeadline(time.Now().Add(in))
 	}
 }
 
-// acceptFailures counts accepts that failed, and logs one now and then: a shortage may last.
+// acceptFailures counts failed accepts and logs them at most once per acceptLogInterval, as a resource shortage may
+// persist.
 type acceptFailures struct {
 	count    atomic.Int64
-	loggedAt time.Time // belongs to the goroutine that accepts
+	loggedAt time.Time // accessed only by the accepting goroutine
 }
 
 func (failures *acceptFailures) note(server *Server, err error) {
--- a/server/listener_test.go
+++ b/server/listener_test.go
@@ -30,15 +30,15 @@
 	return listener.(*net.TCPListener)
 }
 
-// connectAndAskUp connects to a listener and asks whether the service is up.
-func connectAndAskUp(t *testing.T, listener net.Listener) net.Conn {
+// connectAndRequestUp connects to a listener and asks whether the service is up.
+func connectAndRequestUp(t *testing.T, listener net.Listener) net.Conn {
 	far, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { far.Close() })
 	far.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(far, requestUp)
+	io.WriteString(far, upRequest)
 	return far
 }
 
@@ -57,7 +57,7 @@
 
 // Descriptors run out and accept fails several times. That loses no slot and ends nothing: the connection that
 // waits in the kernel is accepted a little later.
-func TestAcceptThatFailsIsRetried(t *testing.T) {
+func TestFailedAcceptIsRetried(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
 	listener := newListener(t)
@@ -65,16 +65,16 @@
 	f.server.listener = &failingListener{listener, 5}
 	go f.server.acceptAll()
 	defer listener.Close()
-	expectUp(t, connectAndAskUp(t, listener))
+	expectUp(t, connectAndRequestUp(t, listener))
 }
 
 // At SIGTERM this process stands still until the listener's deadline has passed, and a client has connected
 // meanwhile. It is served all the same.
-func TestConnectionQueuedBeforeTheListenersEndIsServed(t *testing.T) {
+func TestConnQueuedBeforeListenerClosesIsServed(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
 	listener := newListener(t)
-	far := connectAndAskUp(t, listener)
+	far := connectAndRequestUp(t, listener)
 	listener.SetDeadline(time.Now().Add(-time.Second))
 	f.server.listener = listener
 	go f.server.acceptAll()
@@ -83,14 +83,14 @@
 
 // The same with a single slot, which another connection holds until the final accept is over. The final accept
 // begins anew once the slot is free, and the second connection is served.
-func TestConnectionQueuedBeforeTheListenersEndIsServedOnceThereIsASlot(t *testing.T) {
+func TestConnQueuedBeforeListenerClosesIsServedOnceASlotIsFree(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
 	f.server.slots = newConnSlots(1)
 	listener := newListener(t)
 	var far [2]net.Conn
 	for n := range far {
-		far[n] = connectAndAskUp(t, listener)
+		far[n] = connectAndRequestUp(t, listener)
 	}
 	f.finalAcceptAfterShutdown(listener)
 	expectStatus(t, far[0], "HTTP/1.1 503") // that it shuts down
--- a/server/notify.go
+++ b/server/notify.go
@@ -2,31 +2,31 @@
 
 import "terntray/invariant"
 
-// What a connection's goroutine tells the handler, through the loop.
+// This file contains the notifications that a connection's goroutine posts to the Handler on the event loop.
 
-// leave notes that the client has left, and has the loop end what it has open.
-func (client *ClientConn) leave() {
-	client.left.Store(true)
+// markDisconnected records that the client has disconnected and, if a request is open, notifies the Handler.
+func (client *ClientConn) markDisconnected() {
+	client.disconnected.Store(true)
 	if client.requestOpen {
-		client.postLeft()
+		client.postDisconnected()
 	}
 }
 
-func (client *ClientConn) postLeft() {
+func (client *ClientConn) postDisconnected() {
 	server := client.server
 	server.loop.Post(func() { server.handler.ClientDisconnected(client) })
 }
 
-// postRefused has a request counted that was answered with an error of the client.
+// postRefused reports to the Handler a request that was answered with a client error.
 func (client *ClientConn) postRefused() {
 	server := client.server
 	server.loop.Post(server.handler.RequestRefused)
 }
 
-// postClosed has the end of the connection counted, and whether the protocol allowed it.
+// postClosed reports to the Handler that the connection has ended, and whether closing it violated an invariant.
 func (client *ClientConn) postClosed(reason CloseReason) {
 	server := client.server
-	clientGone := client.left.Load() || client.writeFailed
+	clientGone := client.disconnected.Load() || client.writeFailed
 	violation := invariant.ClientClose{RequestOpen: client.requestOpen, ClientGone: clientGone}.Check()
 	closed := ConnClosed{Reason: reason, Address: client.conn.RemoteAddr(), Violation: violation}
 	server.loop.Post(func() { server.handler.ConnClosed(closed) })
--- a/server/presence.go
+++ b/server/presence.go
@@ -6,40 +6,40 @@
 	"terntray/internal/netconn"
 )
 
-// Whether a client is still there. A query whose client has left must not send anything to replicas any more;
-// what tells of the leaving may wait behind a full inbox of the loop, or lie unread in the kernel while this
-// process stood still.
+// This file detects disconnected clients. Nothing may be sent to replicas for a query whose client has disconnected,
+// but the notification of that may be delayed by a full event loop queue, or the FIN may be unread in the kernel while
+// this process is stalled.
 
-// seenRecently is how old the knowledge that a client is there may be when an attempt is written. An attempt may
-// begin 0.1 s after its client has left at the latest, and one write may take 60 ms (replicaconn's writeTimeout);
-// these 40 ms and those 60 ms stay within that.
-const seenRecently = 40 * time.Millisecond
+// maxPresenceAge is how long a client is assumed to be still connected after the last check. An attempt may start at
+// most 0.1 s after its client has disconnected, and one write to a replica may take 60 ms (replicaconn's writeTimeout).
+const maxPresenceAge = 40 * time.Millisecond
 
-// HasDisconnected tells whether the client has left by a loop time that is about now. It asks the kernel where the last
-// look was a while ago, as the connection's reader may not have been able to tell yet. Any goroutine may call it.
+// HasDisconnected reports whether the client has disconnected; now is the current loop time. If the last check is
+// older than maxPresenceAge it asks the kernel, as the connection's goroutine may not have noticed yet. It may be
+// called from any goroutine.
 func (client *ClientConn) HasDisconnected(now time.Duration) bool {
-	if client.left.Load() {
+	if client.disconnected.Load() {
 		return true
 	}
-	if now-time.Duration(client.lastSeen.Load()) < seenRecently {
+	if now-time.Duration(client.lastSeen.Load()) < maxPresenceAge {
 		return false
 	}
 	if netconn.HasHungUp(client.conn) {
-		client.left.Store(true)
+		client.disconnected.Store(true)
 		return true
 	}
 	client.lastSeen.Store(int64(now))
 	return false
 }
 
-// peekForUnread asks the kernel, before a request is taken, whether more of the client lies unread, and notes a
-// client that has left. Without it, requests would run whose clients left while the requests lay unread, after a
-// stall of this process or behind many others. What a client sends is read up to its end, as far as machines
-// buffer.
+// peekForUnread is called before a request is processed. It checks the socket, records a disconnect, and reports
+// whether there is unread data that has to be read first. Without this check, a request whose client disconnected
+// while the request was unread, because this process was stalled or busy with other requests, would still be
+// executed. Data is read up to the client's FIN, within maxDiscardedBytes.
 func (client *ClientConn) peekForUnread() bool {
 	switch netconn.Peek(client.conn) {
 	case netconn.Ended:
-		client.leave()
+		client.markDisconnected()
 	case netconn.Readable:
 		return client.discardedBytes <= maxDiscardedBytes
 	}
--- a/server/reading.go
+++ b/server/reading.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// longAgo as a read deadline has a read return at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past, which makes a read return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// read reads what comes next. What comes beyond what a client may send ahead of its response is discarded, as
-// only the client's end is of interest in it; the connection then ends with its response, as nothing behind it
-// can be a request.
+// read reads available data. Data beyond what a client may send ahead of its response is discarded and read only to
+// detect a disconnect. The connection then closes after its response, since no request can be parsed after the gap.
 func (client *ClientConn) read() (count int, err error) {
 	if !client.mayBuffer() {
 		return client.discard()
@@ -21,19 +20,19 @@
 	return count, err
 }
 
-// mayBuffer tells whether what comes next may become a request.
+// mayBuffer reports whether the data read next is to be buffered, and not discarded.
 func (client *ClientConn) mayBuffer() bool {
-	most := maxRequestBytes
+	limit := maxRequestBytes
 	if client.requestOpen {
-		most = maxReadAhead
+		limit = maxReadAhead
 	}
 	buffered := client.requests.Buffered()
-	fits := buffered <= most
+	fits := buffered <= limit
 	roomForLarge := client.holdsLargeSlot || buffered < largeRequestBytes
 	return client.discardedBytes == 0 && fits && roomForLarge
 }
 
-// noteFirstByte notes that a request begins to come.
+// noteFirstByte updates the timeouts when the first byte of a request is received.
 func (client *ClientConn) noteFirstByte() {
 	if client.requestCount > 0 {
 		client.waitingSince = time.Now()
@@ -41,15 +40,15 @@
 	if client.finalWaitEnds.IsZero() {
 		return
 	}
-	hasToGo := client.evicted.Load() || client.server.isShuttingDown()
-	if hasToGo {
+	mustClose := client.evicted.Load() || client.server.isShuttingDown()
+	if mustClose {
 		client.finalWaitEnds = time.Now().Add(lateRequestTime)
 	} else {
 		client.finalWaitEnds = time.Time{}
 	}
 }
 
-// discard reads and drops, with pauses between bursts.
+// discard reads data and drops it, pausing after each discardBurstBytes.
 func (client *ClientConn) discard() (count int, err error) {
 	client.closeAfterResponse.Store(true)
 	buffer := make([]byte, discardBufferBytes)
@@ -62,9 +61,9 @@
 	return count, err
 }
 
-// readDeadline is until when the client may be silent, or its request incomplete; zero while a request is open.
-// It guards against crowds that connect and say nothing, heads without end, half requests and connections that
-// are kept for good, which would use up all slots.
+// readDeadline returns the time by which the client must send data or complete its request; zero, for no deadline,
+// while a request is open. The deadline keeps clients that connect without sending anything, send endless heads or
+// partial requests, or keep idle connections open, from using up all slots.
 func (client *ClientConn) readDeadline() time.Time {
 	if client.requestOpen {
 		return time.Time{}
@@ -73,13 +72,13 @@
 		return client.finalWaitEnds
 	}
 	if client.evicted.Load() {
-		return longAgo
+		return pastDeadline
 	}
 	awaitsRequest := client.requestCount == 0 || client.requests.Buffered() > 0
 	shutdownStart := client.server.shutdownStart.Load()
 	switch {
 	case shutdownStart != nil && !awaitsRequest:
-		return longAgo
+		return pastDeadline
 	case shutdownStart != nil:
 		return client.shutdownReadDeadline(*shutdownStart)
 	case !awaitsRequest:
@@ -88,16 +87,16 @@
 	return client.waitingSince.Add(requestTimeout)
 }
 
-// reserveForLargeRequest takes a large-request slot where the request that is coming needs one. Without one the
-// client is rejected; it may send its request again. It tells whether the connection goes on. The slots guard
-// against many clients that send their largest requests at once, which would use up the memory.
+// reserveForLargeRequest acquires a large-request slot if the request being received needs one. If none is free the
+// request is rejected, and the client may retry it. It reports whether the connection stays open. The slots bound the
+// memory used by many clients that send requests of the maximum size at once.
 func (client *ClientConn) reserveForLargeRequest() bool {
 	isSmall := client.requests.Buffered() < largeRequestBytes
 	if client.holdsLargeSlot || isSmall || client.discardedBytes > 0 {
 		return true
 	}
 	client.holdsLargeSlot = client.server.largeSlots.tryAcquire()
-	if client.holdsLargeSlot || client.requestOpen { // while a request is open, read discards what is too much
+	if client.holdsLargeSlot || client.requestOpen { // while a request is open, read discards the excess
 		return true
 	}
 	client.postRefused()
--- a/server/response.go
+++ b/server/response.go
@@ -8,54 +8,56 @@
 	"terntray/internal/wire"
 )
 
-// lastResponse, for makers of responses, says that the connection ends with this one.
+// lastResponse, passed to a function that builds a response, means that the connection closes after it.
 const lastResponse = true
 
-// response is a response as it is written.
+// response is an encoded response.
 type response struct {
 	bytes []byte
-	last  bool // the connection ends with it
+	last  bool // the connection closes after it
 }
 
-// Respond gives the open request its one response. It is called on the loop. Last tells build whether the
-// connection ends with the response, which has to say so.
+// Respond sends the response to the open request; it is called once per request, on the event loop. The argument of
+// build is true if the connection closes after the response, which the response then has to state.
 func (client *ClientConn) Respond(build func(last bool) []byte) {
 	client.responses <- client.newResponse(build)
 	client.wake()
 }
 
-// CloseAfterResponse has the connection end with the response to the open request. Any goroutine may call it.
+// CloseAfterResponse makes the connection close after the response to the open request. It may be called from any
+// goroutine.
 func (client *ClientConn) CloseAfterResponse() { client.closeAfterResponse.Store(true) }
 
-// newResponse makes a response. One look decides both what the response says of its connection and what becomes
-// of that: with two, a connection that is evicted in between would end although its response keeps it, and the
-// client's next request would be read and dropped.
+// newResponse builds a response. isLastResponse is evaluated once, for both the response and the connection: if it
+// were evaluated twice, a connection evicted in between would close after a response that promised to keep it open,
+// and the client's next request would be read and dropped.
 func (client *ClientConn) newResponse(build func(last bool) []byte) response {
 	last := client.isLastResponse()
 	return response{bytes: build(last), last: last}
 }
 
-// isLastResponse tells whether a response made now is the connection's last.
+// isLastResponse reports whether the connection has to close after a response built now.
 func (client *ClientConn) isLastResponse() bool {
-	hasToGo := client.evicted.Load() || client.server.slots.waiting.Load()
-	return client.closeAfterResponse.Load() || client.server.isShuttingDown() || hasToGo
+	mustClose := client.evicted.Load() || client.server.slots.waiting.Load()
+	return client.closeAfterResponse.Load() || client.server.isShuttingDown() || mustClose
 }
 
-// respondNow makes and writes a response; it tells whether the connection goes on.
+// respondNow builds and writes a response. It reports whether the connection stays open.
 func (client *ClientConn) respondNow(build func(last bool) []byte) bool {
 	return client.writeResponse(client.newResponse(build))
 }
 
-// refuse answers what is no request and ends the connection: where the next request begins is in doubt.
-func (client *ClientConn) refuse(err error) (goesOn bool) {
+// respondError answers an invalid request with an error and closes the connection, because it is not known where the
+// next request starts.
+func (client *ClientConn) respondError(err error) (staysOpen bool) {
 	client.postRefused()
-	refused := wire.AsProtocolError(err)
-	text := wire.TextResponse(refused.Status, refused.Message, lastResponse)
+	protocolErr := wire.AsProtocolError(err)
+	text := wire.TextResponse(protocolErr.Status, protocolErr.Message, lastResponse)
 	return client.writeResponse(response{bytes: text, last: lastResponse})
 }
 
-// writeResponse writes a response and tells whether the connection goes on. No request is open afterwards; none was
-// before where the response refuses what never became a request (refuse, reserveForLargeRequest).
+// writeResponse writes a response and reports whether the connection stays open. Afterwards no request is open. None
+// was open before if the response rejects an incomplete or invalid request (respondError, reserveForLargeRequest).
 func (client *ClientConn) writeResponse(response response) bool {
 	if !client.write(response.bytes) {
 		client.writeFailed = true
@@ -81,8 +83,8 @@
 	return err == nil
 }
 
-// linger closes the connection's sending side and reads what still comes, for lingerTimeout and maxLingerBytes at
-// the most. Without it unread bytes would have the kernel reset the connection, and the client would lose its
+// linger shuts down the sending side of the connection and reads remaining input, for at most lingerTimeout and
+// maxLingerBytes. Otherwise unread input would make the kernel reset the connection, and the client could lose its
 // last response.
 func (client *ClientConn) linger() {
 	half, ok := client.conn.(interface{ CloseWrite() error })
@@ -95,7 +97,7 @@
 		client.conn.SetReadDeadline(until)
 		count, err := client.conn.Read(buffer)
 		read += count
-		// The notification of this very response may come late, and sets a read deadline in the past.
+		// The wake for this response may come only now; it sets a read deadline in the past.
 		wasWoken := errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until)
 		if err != nil && !wasWoken {
 			return
--- a/server/response_test.go
+++ b/server/response_test.go
@@ -14,7 +14,7 @@
 // A client is evicted while its response is made. What the response says of the connection is what becomes of it:
 // else the connection would end by a response that keeps it, and the client's next request would be read and
 // dropped.
-func TestResponseSaysWhatBecomesOfItsConnection(t *testing.T) {
+func TestResponseHeaderMatchesConnectionClose(t *testing.T) {
 	f := newFixture()
 	near, far := net.Pipe()
 	defer far.Close()
@@ -33,7 +33,7 @@
 // A connection has sent its last response and reads what the client still sends; then the notification of that
 // response comes late and interrupts the reading. It goes on all the same: unread bytes would reset the
 // connection and cut the response off.
-func TestLastResponseIsNotCutOffByALateWakeup(t *testing.T) {
+func TestLastResponseIsNotCutOffByLateWakeup(t *testing.T) {
 	for try := 0; ; try++ {
 		f := newFixture()
 		near, far := connPair(t)
--- a/server/routes.go
+++ b/server/routes.go
@@ -9,18 +9,18 @@
 	"terntray/invariant"
 )
 
-// The pages for operators. All other paths begin with a class of queries.
+// Paths of the operator pages. All other paths start with the name of a class.
 const (
 	pathUp        = "/up"
 	pathCounters  = "/counters"
 	pathEstimates = "/beliefs"
 )
 
-// idempotencyKey is the field in which clients mark requests of keyed classes.
+// idempotencyKey is the header field that carries the idempotency key of a Keyed request.
 const idempotencyKey = "Idempotency-Key"
 
-// dispatch answers a request or hands it over to the loop; it tells whether the connection goes on.
-func (client *ClientConn) dispatch(request *wire.Request, receivedAt time.Duration) (goesOn bool) {
+// dispatch answers a request or passes it to the event loop. It reports whether the connection stays open.
+func (client *ClientConn) dispatch(request *wire.Request, receivedAt time.Duration) (staysOpen bool) {
 	client.beginRequest(request.Close)
 	defer func() { client.admitted = false }()
 	switch request.Path {
@@ -30,26 +30,26 @@
 	class, known := client.server.classes[request.Class()]
 	switch {
 	case !known:
-		return client.refuse(unknownClass)
+		return client.respondError(errUnknownClass)
 	case request.Method != http.MethodPost:
-		return client.refuse(wrongMethod)
+		return client.respondError(errWrongMethod)
 	case !client.admitted && !client.server.handler.Admit():
 		return client.respondNow(Rejection("busy"))
 	}
-	if lacks := class.unsupported(request.Header); lacks != "" {
+	if reason := class.unsupported(request.Header); reason != "" {
 		client.postRefused()
-		return client.respondNow(Text(http.StatusNotImplemented, lacks))
+		return client.respondNow(Text(http.StatusNotImplemented, reason))
 	}
 	return client.dispatchQuery(request, class, receivedAt)
 }
 
-// The errors of requests whose path and method mean nothing here.
+// Errors for requests with an unknown path or an unsupported method.
 var (
-	wrongMethod  = &wire.ProtocolError{Status: http.StatusMethodNotAllowed, Message: "this is for another method"}
-	unknownClass = &wire.ProtocolError{Status: http.StatusNotFound, Message: "no track is called so"}
+	errWrongMethod  = &wire.ProtocolError{Status: http.StatusMethodNotAllowed, Message: "this is for another method"}
+	errUnknownClass = &wire.ProtocolError{Status: http.StatusNotFound, Message: "no track is called so"}
 )
 
-// beginRequest notes that a request has been read.
+// beginRequest records that a request has been read. If last is set, the connection closes after its response.
 func (client *ClientConn) beginRequest(last bool) {
 	client.requestCount++
 	client.closeAfterResponse.Store(last || client.discardedBytes > 0)
@@ -61,10 +61,10 @@
 	client.finalWaitEnds = time.Time{}
 }
 
-// dispatchPage answers one of the operators' pages.
-func (client *ClientConn) dispatchPage(request *wire.Request) (goesOn bool) {
+// dispatchPage answers a request for an operator page.
+func (client *ClientConn) dispatchPage(request *wire.Request) (staysOpen bool) {
 	if request.Method != http.MethodGet {
-		return client.refuse(wrongMethod)
+		return client.respondError(errWrongMethod)
 	}
 	handler := client.server.handler
 	switch request.Path {
@@ -79,37 +79,38 @@
 	return client.respondNow(Text(http.StatusOK, "up"))
 }
 
-// respondOnLoop has the loop answer with a text that it makes.
-func (client *ClientConn) respondOnLoop(text func() string) (goesOn bool) {
+// respondOnLoop answers with the text that a function, called on the event loop, returns.
+func (client *ClientConn) respondOnLoop(text func() string) (staysOpen bool) {
 	return client.server.loop.Post(func() { client.Respond(Text(http.StatusOK, text())) })
 }
 
-// unsupported is what the clients' protocol lacks for a query of the class; empty: nothing.
+// unsupported returns why a query of the class cannot be executed over this protocol, or "" if it can. The text is sent
+// to the client.
 func (class *Class) unsupported(header http.Header) string {
 	switch {
 	case class.TwoStep:
 		return "the protocol has no second step"
-	case class.Effect == invariant.Keyed && header.Get(idempotencyKey) != "": // without the key a repeat would run
+	case class.Effect == invariant.Keyed && header.Get(idempotencyKey) != "": // a retry without it would execute again
 		return "a reference cannot be passed on to replicas"
 	}
 	return ""
 }
 
-// dispatchQuery reads a query and hands it over to the loop.
-func (client *ClientConn) dispatchQuery(request *wire.Request, class Class, receivedAt time.Duration) (goesOn bool) {
+// dispatchQuery parses a query and passes it to the event loop.
+func (client *ClientConn) dispatchQuery(request *wire.Request, class Class, receivedAt time.Duration) (staysOpen bool) {
 	server := client.server
 	query, err := wire.ReadQuery(request, wire.QueryRules{MaxTimeout: class.MaxTimeout, TwoPhase: class.TwoPhase})
 	if err != nil {
-		return client.refuse(err)
+		return client.respondError(err)
 	}
 	arrival := Arrival{Client: client, Query: query, ReceivedAt: receivedAt, ParsedAt: server.now()}
 	return server.loop.Post(func() { server.handler.QueryArrived(arrival) })
 }
 
-// rejectWhileShedding rejects requests by their heads alone while load is shed; it tells whether the connection
-// goes on. Otherwise the core, which is what is short then, would be spent on parsing what is rejected. A request
-// whose head is out of the ordinary is parsed as ever, and rejected after that (dispatch).
-func (client *ClientConn) rejectWhileShedding() (goesOn bool) {
+// rejectWhileShedding rejects requests based on their heads alone during load shedding. It reports whether the
+// connection stays open. CPU time is scarce then and must not be spent on parsing requests that are rejected anyway. A
+// request without a simple head is parsed as usual and may be rejected afterwards by dispatch.
+func (client *ClientConn) rejectWhileShedding() (staysOpen bool) {
 	handler := client.server.handler
 	for !client.admitted && handler.IsSheddingLoad() {
 		path, size := client.requests.PeekSimple()
--- a/server/routes_test.go
+++ b/server/routes_test.go
@@ -32,7 +32,7 @@
 		}
 		return response.StatusCode, string(text), false
 	}
-	io.WriteString(far, requestUp)
+	io.WriteString(far, upRequest)
 	if _, err := http.ReadResponse(reader, nil); err != nil {
 		t.Errorf("the connection is kept and does not serve: %v", err)
 	}
@@ -46,14 +46,14 @@
 
 // Requests of all kinds come, each on a connection of its own. Each gets its status; what is no request of a
 // client that knows the protocol ends the connection, all others keep it.
-func TestRequestsGetTheirStatus(t *testing.T) {
+func TestResponseStatuses(t *testing.T) {
 	for name, test := range map[string]struct {
 		request string
 		status  int
 		body    string // its beginning
 		keeps   bool
 	}{
-		"up":             {requestUp, 200, "up\n", true},
+		"up":             {upRequest, 200, "up\n", true},
 		"counters":       {requestTo("GET", "/counters", ""), 200, "counters\n", true},
 		"estimates":      {requestTo("GET", "/beliefs", ""), 200, "estimates\n", true},
 		"a page posted":  {requestTo("POST", "/counters", ""), 405, "this is for another method\n", false},
@@ -83,7 +83,7 @@
 // The endpoint list is not known yet: the process serves nobody, and a load balancer keeps clients away.
 func TestNotReadyUntilTheHandlerIs(t *testing.T) {
 	f := newFixture()
-	status, body, keeps := f.exchange(t, requestUp)
+	status, body, keeps := f.exchange(t, upRequest)
 	if status != 503 || body != "not ready\n" || !keeps {
 		t.Errorf("%d %q, keeps the connection %t", status, body, keeps)
 	}
@@ -91,7 +91,7 @@
 
 // The core is short and nothing is admitted. Requests are rejected without being parsed where their head is
 // simple, and all the same where it is not; the connection is kept, as the client may try again.
-func TestNothingIsParsedWhileLoadIsShed(t *testing.T) {
+func TestRequestsAreRejectedWhileSheddingLoad(t *testing.T) {
 	notSimple := strings.Replace(queryRequest("q"), "Host: b", "Host: b\r\nConnection: keep-alive", 1)
 	for name, request := range map[string]string{
 		"simple":                  queryRequest("q"),
--- a/server/server.go
+++ b/server/server.go
@@ -1,10 +1,9 @@
-// Package server takes clients' requests: it owns the listener, the client connections and their life from accept
-// to close. Each connection has one goroutine. What is to become of a request is decided elsewhere: queries go to
-// a Handler on the event loop, which responds through the ClientConn that the query came on.
+// Package server accepts client connections, reads requests from them and writes responses; it owns the listener and
+// the connections. Each connection has one goroutine. Queries are passed to a Handler on the event loop, which
+// responds through the ClientConn of the query.
 //
-// Where to look: listener.go accepts, slots.go and eviction.go bound how many connections are open, connection.go
-// drives one, routes.go dispatches its requests, response.go writes, and shutdown.go tells what happens at
-// SIGTERM.
+// listener.go accepts connections, slots.go and eviction.go bound their number, connection.go serves one, routes.go
+// dispatches its requests, response.go writes responses, and shutdown.go describes graceful shutdown.
 package server
 
 import (
@@ -18,59 +17,61 @@
 	"terntray/invariant"
 )
 
-// Loop is what the server needs of the event loop.
+// Loop is the part of the event loop that the server uses.
 type Loop interface {
-	// Post runs a function on the loop; false says that the loop has ended and never will run it.
-	Post(do func()) bool
-	// Since is the loop's time at a moment: the time since the process' start.
+	// Post queues a function to run on the loop. It returns false if the loop has ended and will not run it.
+	Post(fn func()) bool
+	// Since returns the loop time, the time since the start of the process, that corresponds to at.
 	Since(at time.Time) time.Duration
 }
 
-// Handler decides what becomes of requests.
+// Handler processes requests.
 type Handler interface {
-	// Ready is what /up says; queries are taken at any time. Any goroutine may call it, as the two that follow.
+	// Ready reports whether /up answers that the process is ready; queries are accepted regardless. Ready,
+	// IsSheddingLoad and Admit may be called from any goroutine.
 	Ready() bool
-	// IsSheddingLoad tells whether some arrivals are rejected at once.
+	// IsSheddingLoad reports whether load shedding is active, so that a share of the requests is rejected.
 	IsSheddingLoad() bool
-	// Admit counts one arrival and tells whether it is admitted.
+	// Admit counts a request and reports whether it is admitted.
 	Admit() bool
 
-	// QueryArrived takes a query over, which has to get one response. It is called on the loop, as all that follow.
+	// QueryArrived processes a query and has to respond to it exactly once. It and the methods below are called on the
+	// event loop.
 	QueryArrived(arrival Arrival)
-	// ClientDisconnected tells that a client has closed its connection, or that its driver has failed.
+	// ClientDisconnected is called when a client has closed its connection or the connection's goroutine has panicked.
 	ClientDisconnected(client *ClientConn)
-	// RequestRefused counts a request that was answered with an error of the client.
+	// RequestRefused counts a request that was answered with a client error.
 	RequestRefused()
-	// ConnClosed counts a connection that has ended.
+	// ConnClosed counts a closed connection.
 	ConnClosed(closed ConnClosed)
-	// CountersText is the page of the counters.
+	// CountersText returns the text of the counters page.
 	CountersText() string
-	// EstimatesText is the page of what the scheduler has learned.
+	// EstimatesText returns the text of the page with the scheduler's estimates.
 	EstimatesText() string
 }
 
-// Arrival is a query that a client sent.
+// Arrival is a query received from a client.
 type Arrival struct {
 	Client     *ClientConn
 	Query      *wire.Query
-	ReceivedAt time.Duration // when its last byte came, as far as that can be told; loop time
-	ParsedAt   time.Duration // when it was handed to the loop; loop time
+	ReceivedAt time.Duration // loop time at which its last byte was received, as far as known
+	ParsedAt   time.Duration // loop time at which it was parsed and posted to the loop
 }
 
-// Class is what the server has to know of a class of queries.
+// Class configures the requests of one class of queries.
 type Class struct {
-	MaxTimeout time.Duration    // the longest time that a client may say it waits
-	TwoPhase   bool             // its queries may ask for two phases
-	TwoStep    bool             // needs a second step, which the clients' protocol lacks: its queries are answered 501
-	Effect     invariant.Effect // of running a subquery twice
+	MaxTimeout time.Duration    // the longest timeout that a client may request
+	TwoPhase   bool             // queries may request two-phase execution
+	TwoStep    bool             // needs a second step, which the client protocol does not support: answered with 501
+	Effect     invariant.Effect // effect of executing a subquery twice
 }
 
-// Config sets a Server up.
+// Config configures a Server.
 type Config struct {
-	Classes         map[string]Class // by the first element of a request's path
-	MemoryMB        int              // the process' limit; 0: none
-	Sockets         int              // the process' limit on descriptors; 0: none
-	ReservedSockets int              // descriptors for all that is no client connection
+	Classes         map[string]Class // by the first element of the request path
+	MemoryMB        int              // memory limit of the process; 0 for none
+	Sockets         int              // descriptor limit of the process; 0 for none
+	ReservedSockets int              // descriptors reserved for uses other than client connections
 }
 
 // Server accepts client connections and reads requests from them.
@@ -84,15 +85,15 @@
 	slots      connSlots
 	largeSlots largeRequestSlots
 	conns      connTable
-	running    sync.WaitGroup // the listener and all connections
+	running    sync.WaitGroup // goroutines of the listener and the connections
 
-	shutdownStart atomic.Pointer[time.Time] // nil: not told to shut down
+	shutdownStart atomic.Pointer[time.Time] // nil until Shutdown is called
 
 	accepted       atomic.Int64
 	acceptFailures acceptFailures
 }
 
-// New makes a server that accepts nothing yet.
+// New returns a server. Call Start to accept connections.
 func New(config Config, handler Handler, loop Loop, logger *log.Logger) *Server {
 	server := &Server{
 		handler: handler,
@@ -107,20 +108,20 @@
 	return server
 }
 
-// Start accepts connections until Shutdown is called. It takes the listener over.
+// Start starts accepting connections, until Shutdown is called. The server takes ownership of the listener.
 func (server *Server) Start(listener net.Listener) {
 	server.listener = listener
 	server.running.Go(server.acceptAll)
 }
 
-// Counts is what the server has done so far.
+// Counts holds totals since the start of the process.
 type Counts struct {
-	Accepted       int64 // connections
-	Evicted        int64 // of them, closed while idle to make room
+	Accepted       int64 // connections accepted
+	Evicted        int64 // connections evicted while idle to make room
 	AcceptFailures int64
 }
 
-// Counts may be called from any goroutine.
+// Counts returns the current totals. It may be called from any goroutine.
 func (server *Server) Counts() Counts {
 	return Counts{
 		Accepted:       server.accepted.Load(),
@@ -129,15 +130,16 @@
 	}
 }
 
-// now is the loop's time.
+// now returns the current loop time.
 func (server *Server) now() time.Duration { return server.loop.Since(time.Now()) }
 
-// Text gives a maker of responses with a status and a line of text, for ClientConn.Respond.
+// Text returns a function for ClientConn.Respond that builds a response with a status and a line of text.
 func Text(status int, text string) func(last bool) []byte {
 	return func(last bool) []byte { return wire.TextResponse(status, text, last) }
 }
 
-// Rejection gives a maker of responses that say that the request was not run and may be sent again.
+// Rejection returns a function for ClientConn.Respond that builds a response which says that the request was not
+// executed and may be retried.
 func Rejection(text string) func(last bool) []byte {
 	return func(last bool) []byte { return wire.RejectResponse(0, text, last) }
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -16,12 +16,12 @@
 
 // recorder is a Handler that keeps what it is told and answers nothing by itself.
 type recorder struct {
-	ready    atomic.Bool
-	shedding atomic.Bool // nothing is admitted
-	arrivals []Arrival
-	left     []*ClientConn
-	refused  int
-	closed   []ConnClosed
+	ready        atomic.Bool
+	shedding     atomic.Bool // nothing is admitted
+	arrivals     []Arrival
+	disconnected []*ClientConn
+	refused      int
+	closed       []ConnClosed
 }
 
 func (handler *recorder) Ready() bool          { return handler.ready.Load() }
@@ -31,7 +31,7 @@
 	handler.arrivals = append(handler.arrivals, arrival)
 }
 func (handler *recorder) ClientDisconnected(client *ClientConn) {
-	handler.left = append(handler.left, client)
+	handler.disconnected = append(handler.disconnected, client)
 }
 func (handler *recorder) RequestRefused() { handler.refused++ }
 func (handler *recorder) ConnClosed(closed ConnClosed) {
@@ -97,8 +97,8 @@
 // shutDown is as Shutdown was called at a time, without what follows later.
 func (f fixture) shutDown(at time.Time) { f.server.shutdownStart.Store(&at) }
 
-// requestUp is a request that is answered without the loop.
-const requestUp = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
+// upRequest is a request that is answered without the loop.
+const upRequest = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
 
 // queryRequest is a request of a query.
 func queryRequest(id string) string {
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// At SIGTERM:
+// Graceful shutdown on SIGTERM:
 //
 //  1. The coordinator calls Shutdown on the event loop (coordinator/shutdown.go). From then on /up answers 503, each
-//     response is its connection's last, and idle connections close.
-//  2. For shutdownAcceptTime clients may still connect, and a connection on which no request has come yet, or only a
-//     part of one, may still send it. They are served as ever, as a load balancer notices the 503 only after a while.
-//  3. Then the listener closes, after a final accept of what the kernel has queued (acceptAll).
-//  4. Each connection ends with its response, or when its request is late (readDeadline). Queries in flight run on
+//     response closes its connection, and idle connections are closed.
+//  2. For shutdownAcceptTime clients may still connect, and connections that have not yet sent a complete request may
+//     still send it. They are served as usual, because a load balancer notices the 503 only with a delay.
+//  3. Then the listener closes, after a final accept of the connections queued by the kernel (acceptAll).
+//  4. Each connection closes after its response, or when its request is late (readDeadline). Queries in flight continue
 //     until their own deadlines; nothing is cancelled.
-//  5. When the last connection has ended, done is called; the coordinator ends its loop once no query is open.
+//  5. When the last connection has closed, done is called. The coordinator ends its loop once no query is open.
 
-// Shutdown begins the graceful shutdown; it returns at once. Done is called on a goroutine of its own.
+// Shutdown starts a graceful shutdown and returns immediately. It calls done on a separate goroutine when all
+// connections have closed.
 func (server *Server) Shutdown(done func()) {
 	now := time.Now()
 	server.shutdownStart.Store(&now)
@@ -27,22 +28,23 @@
 
 func (server *Server) isShuttingDown() bool { return server.shutdownStart.Load() != nil }
 
-// finalAcceptMayRestart tells whether the final accept, which found no slot or an error, may begin anew: until
-// writeTimeout after shutdownAcceptTime. Later, no response would reach a client before the process is killed.
+// finalAcceptMayRestart reports whether a final accept that found no free slot or failed may start over: until
+// writeTimeout after the end of shutdownAcceptTime. Later, no response would reach a client before the process is
+// killed.
 func (server *Server) finalAcceptMayRestart() bool {
 	start := server.shutdownStart.Load()
 	return start == nil || time.Since(*start) < shutdownAcceptTime+writeTimeout
 }
 
-// shutdownReadDeadline is until when a request may come that has begun, or is a connection's first, at the
-// shutdown: as long as clients may connect, as later ones might not be answered before the process is killed. One
-// that has just begun to come has a moment in any case. The start keeps its monotonic reading, so that a step of
-// the wall clock ends nothing.
+// shutdownReadDeadline returns the read deadline during shutdown for a request that is incomplete or the first of its
+// connection: the end of shutdownAcceptTime, since later requests might not be answered before the process is killed,
+// but no earlier than lateRequestTime after its first byte or, for the first request, after accept. The start time must
+// have a monotonic clock reading, so that a step of the wall clock does not end connections.
 func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {
 	limit := start.Add(shutdownAcceptTime)
-	least := client.waitingSince.Add(lateRequestTime)
-	if limit.Before(least) {
-		limit = least
+	earliest := client.waitingSince.Add(lateRequestTime)
+	if limit.Before(earliest) {
+		limit = earliest
 	}
 	return limit
 }
--- a/server/shutdown_test.go
+++ b/server/shutdown_test.go
@@ -20,7 +20,7 @@
 
 // A response is made just before the shutdown and written after it; it keeps its connection. The request that the
 // client sends next is served all the same, and told that it was the last.
-func TestRequestBehindAResponseMadeBeforeTheShutdownIsServed(t *testing.T) {
+func TestRequestAfterResponseBuiltBeforeShutdownIsServed(t *testing.T) {
 	f := newFixture()
 	near, far := connPair(t)
 	client := f.server.NewConn(near)
@@ -29,7 +29,7 @@
 	f.runOne()
 	client.Respond(func(last bool) []byte { return wire.CompleteResponse(true, nil, last) })
 	f.shutDown(time.Now())
-	io.WriteString(far, requestUp)
+	io.WriteString(far, upRequest)
 	text, err := io.ReadAll(far)
 	responses := strings.Split(string(text), "HTTP/1.1 ")
 	if err != nil || len(responses) != 3 {
@@ -46,7 +46,7 @@
 
 // After the start of the shutdown a client sends its request in pieces. It has until clients may not connect any
 // more, and a moment where it connected late: what comes later may not be answered before the process is killed.
-func TestRequestsInPiecesEndWithTheTimeToConnect(t *testing.T) {
+func TestPartialRequestDeadlineDuringShutdown(t *testing.T) {
 	f := newFixture()
 	near, _ := connPair(t)
 	client := f.server.NewConn(near)
--- a/server/slots.go
+++ b/server/slots.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// connSlots bounds how many client connections are open. The listener takes a slot before it accepts; the
-// connection's end gives it back.
+// connSlots bounds the number of open client connections. A slot is acquired before a connection is accepted and
+// released when the connection ends.
 type connSlots struct {
-	used    chan struct{} // one element for each connection
-	waiting atomic.Bool   // the listener finds none free: clients that have their response have to go; any goroutine
+	used    chan struct{} // one element per connection
+	waiting atomic.Bool   // no slot is free, so connections close after their response; used by any goroutine
 }
 
 func newConnSlots(capacity int) connSlots { return connSlots{used: make(chan struct{}, capacity)} }
 
 func (slots *connSlots) release() { <-slots.used }
 
-// usable is how many slots may be taken before idle clients have to go.
+// usable returns how many slots may be in use before idle clients are evicted.
 func (slots *connSlots) usable() int {
 	capacity := cap(slots.used)
 	return capacity - capacity/freeSlotDivisor - 1
 }
 
-// acquireSlot waits for a slot. Idle clients leave for it, and while none is free also those that get their
-// responses: a connection in the kernel's queue must not wait behind one that has its response and rests. It
-// tells whether it had to wait.
+// acquireSlot acquires a slot and reports whether it had to wait for one. It evicts idle clients to free slots. While
+// none is free, connections close after their next response: a connection in the kernel's accept queue must not wait
+// for one that has been answered and is idle.
 func (server *Server) acquireSlot() (waited bool) {
 	defer server.slots.waiting.Store(false)
 	for {
@@ -40,25 +40,24 @@
 	}
 }
 
-// fewSlotsFree tells whether few slots are free or about to be. An evicted client that is idle is about to free
-// its slot; one with an open request does so only after its response.
+// fewSlotsFree reports whether too few slots are free or about to be freed. An evicted client that is idle is about to
+// free its slot; one with an open request frees it only after its response.
 func (server *Server) fewSlotsFree() bool {
 	excess := len(server.slots.used) - server.slots.usable()
 	if excess < 0 {
 		return false
 	}
-	return excess >= server.conns.leaving()
+	return excess >= server.conns.evictedIdle()
 }
 
 // IsNearConnLimit reports whether the clients with open queries hold so many connection slots that too few remain
-// for others.
-// Requests would lie unread behind waiting ones until their time is over; so the caller rejects, which is
-// harmless, where replicas hang and sockets or memory are few.
+// for others. Their requests would stay unread until they expire, for example when replicas hang and sockets or memory
+// are scarce; the caller should reject new queries instead.
 func (server *Server) IsNearConnLimit(openQueries int) bool {
 	return openQueries >= max(1, server.slots.usable())
 }
 
-// largeRequestSlots bounds how many requests of largeRequestBytes or more are read at a time.
+// largeRequestSlots bounds the number of requests of largeRequestBytes or more that are read concurrently.
 type largeRequestSlots chan struct{}
 
 func newLargeRequestSlots(capacity int) largeRequestSlots { return make(chan struct{}, capacity) }
@@ -74,19 +73,19 @@
 
 func (slots largeRequestSlots) release() { <-slots }
 
-// maxConns is how many client connections the machine's limits allow.
+// maxConns returns the number of client connections that the memory and descriptor limits allow.
 func (config *Config) maxConns() int {
-	most := defaultMaxConns
+	limit := defaultMaxConns
 	if config.MemoryMB > 0 {
-		most = max(1, config.MemoryMB<<20/connMemoryDivisor/connBytes)
+		limit = max(1, config.MemoryMB<<20/connMemoryDivisor/connBytes)
 	}
 	if config.Sockets > 0 {
-		most = min(most, max(leastConnsBySocket, config.Sockets-config.ReservedSockets))
+		limit = min(limit, max(minConns, config.Sockets-config.ReservedSockets))
 	}
-	return most
+	return limit
 }
 
-// maxLargeRequests is how many large requests the memory allows at a time.
+// maxLargeRequests returns the number of concurrent large requests that the memory limit allows.
 func (config *Config) maxLargeRequests(maxConns int) int {
 	if config.MemoryMB == 0 {
 		return maxConns
@@ -94,10 +93,10 @@
 	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryDivisor/maxRequestBytes))
 }
 
-// maxActive is how many connections that have sent a request may be open.
+// maxActive returns how many connections that have sent a request may be open.
 func (config *Config) maxActive(maxConns int) int {
 	if config.Sockets == 0 {
 		return maxConns
 	}
-	return max(1, int(activeKeptShare*float64(config.Sockets/activeSocketDivisor)))
+	return max(1, int(maxActiveShare*float64(config.Sockets/activeSocketDivisor)))
 }
--- a/twophase/class.go
+++ b/twophase/class.go
@@ -26,7 +26,7 @@
 	minSummaryWork        = time.Millisecond / 10
 	learningRate          = 0.1              // weight of one query in what is learned
 	deviationsAllowed     = 3.0              // mean deviations above the mean in the upper estimate of a phase
-	learningTimeConstant  = 60 * time.Second // in which what is learned loses two thirds of its distance to the initial value
+	decayTimeConstant     = 60 * time.Second // in which what is learned loses two thirds of its distance to the initial value
 	distrustTime          = 10 * time.Minute // for which summaries of a replica are distrusted after a false one
 	maxDistrusted         = 1024             // replicas; beyond it some are forgotten early
 	versionMemory         = 30 * time.Second // after which the version that a replica had is no longer compared
@@ -40,9 +40,9 @@
 	canMatch, fetch phaseTime
 	fetchedShare    float64 // of shards that are fetched from after a can-match phase
 	summaryCost     float64 // work of a summary, as a share of that of an answer
-	uselessShare    float64 // of can-match phases after which all shards were fetched from
+	unprunedShare   float64 // of can-match phases after which all shards were fetched from
 	sinceTwoPhases  int     // queries in a row that were executed in one phase
-	fadedAt         time.Duration
+	decayedAt       time.Duration
 	distrustedUntil map[Replica]time.Duration // replicas that gave a false summary
 	versions        map[Shard][]versionSeen
 }
@@ -92,10 +92,10 @@
 	return time.Duration(float64(duration) * factor)
 }
 
-// fade moves what is learned back towards the initial values, by the time since the last query.
-func (class *Class) fade(now time.Duration) {
-	kept := math.Exp(-float64(now-class.fadedAt) / float64(learningTimeConstant))
-	class.fadedAt = now
+// decay moves what is learned back towards the initial values, by the time since the last query.
+func (class *Class) decay(now time.Duration) {
+	kept := math.Exp(-float64(now-class.decayedAt) / float64(decayTimeConstant))
+	class.decayedAt = now
 	fadeTo := func(value *float64, initial float64) { *value = initial + (*value-initial)*kept }
 	initial := initialPhaseTime(class.objective)
 	fadeTo(&class.canMatch.mean, initial.mean)
@@ -103,7 +103,7 @@
 	fadeTo(&class.canMatch.deviation, initial.deviation)
 	fadeTo(&class.fetch.deviation, initial.deviation)
 	fadeTo(&class.fetchedShare, initialFetchedShare)
-	fadeTo(&class.uselessShare, 0)
+	fadeTo(&class.unprunedShare, 0)
 }
 
 // observeCanMatch learns from a can-match phase. One that was cut short would have taken at least as long.
@@ -120,7 +120,7 @@
 		useless = 1
 	}
 	class.fetchedShare += learningRate * (float64(fetched)/float64(shards) - class.fetchedShare)
-	class.uselessShare += learningRate * (useless - class.uselessShare)
+	class.unprunedShare += learningRate * (useless - class.unprunedShare)
 }
 
 // ObserveCost learns the work of a summary beside that of an answer, as the scheduler's estimates have them; 0:
@@ -181,7 +181,7 @@
 func (class *Class) String() string {
 	const precision = 100 * time.Microsecond
 	return fmt.Sprintf("share=%.2f cost=%.2f vain=%.2f first=%v second=%v spoilt=%d",
-		class.fetchedShare, class.summaryCost, class.uselessShare, class.canMatch.estimate().Round(precision),
+		class.fetchedShare, class.summaryCost, class.unprunedShare, class.canMatch.estimate().Round(precision),
 		class.fetch.estimate().Round(precision), len(class.distrustedUntil))
 }
 
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -29,12 +29,12 @@
 type shardState int
 
 const (
-	pending     shardState = iota // no summary has come yet
-	summarized                    // its summary has come
-	withoutInfo                   // no usable summary will come: it has to be fetched from
-	pruned                        // its summary proves that it adds nothing
-	fetching                      // it was asked for its hits
-	answered                      // its hits are there
+	pending    shardState = iota // no summary has come yet
+	summarized                   // its summary has come
+	noSummary                    // no usable summary will come: it has to be fetched from
+	pruned                       // its summary proves that it adds nothing
+	fetching                     // it was asked for its hits
+	answered                     // its hits are there
 )
 
 // shardProgress is what a query knows of one shard.
@@ -59,26 +59,26 @@
 type phase int
 
 const (
-	notBegun phase = iota
+	notStarted phase = iota
 	canMatchPhase
 	fetchPhase
 )
 
 // Query is one query that is executed in one or two phases. It belongs to the goroutine of its Class.
 type Query struct {
-	class       *Class
-	options     Options
-	shards      []*shardProgress // in the order in which the query named them
-	byID        map[Shard]*shardProgress
-	beganAt     time.Duration
-	objectiveAt time.Duration // by when it should be complete
-	deadlineAt  time.Duration // by when it must be
-	twoPhases   bool
-	phase       phase
-	wavesLeft   int           // of the fetch phase, the next one included
-	waveAt      time.Duration // when the present wave began
-	fetched     int           // shards that were asked for hits
-	rejection   string        // why it was rejected; empty: it was not
+	class         *Class
+	options       Options
+	shards        []*shardProgress // in the order in which the query named them
+	byID          map[Shard]*shardProgress
+	startedAt     time.Duration
+	objectiveAt   time.Duration // by when it should be complete
+	deadlineAt    time.Duration // by when it must be
+	twoPhases     bool
+	phase         phase
+	wavesLeft     int           // of the fetch phase, the next one included
+	waveStartedAt time.Duration // when the present wave began
+	fetched       int           // shards that were asked for hits
+	rejection     string        // why it was rejected; empty: it was not
 }
 
 // Begin opens a query over some shards, which should be complete at objectiveAt and must be at deadlineAt.
@@ -94,7 +94,7 @@
 		class:       class,
 		options:     options,
 		byID:        map[Shard]*shardProgress{},
-		beganAt:     now,
+		startedAt:   now,
 		objectiveAt: objectiveAt,
 		deadlineAt:  deadlineAt,
 	}
@@ -106,7 +106,7 @@
 		query.shards = append(query.shards, shard)
 		query.byID[id] = shard
 	}
-	class.fade(now)
+	class.decay(now)
 	query.twoPhases = maxAttempts > 1 && class.worthTwoPhases(len(shards), objectiveAt-now)
 	return query, nil
 }
@@ -121,17 +121,17 @@
 		return Step{Action: Done, Reason: "no hits are wanted"}
 	}
 	switch {
-	case query.phase == notBegun && query.twoPhases:
+	case query.phase == notStarted && query.twoPhases:
 		query.phase = canMatchPhase
-		return Step{Action: CanMatch, Shards: query.inState(pending)}
-	case query.phase == notBegun:
+		return Step{Action: CanMatch, Shards: query.shardsInState(pending)}
+	case query.phase == notStarted:
 		query.phase = fetchPhase
-		query.waveAt = now
+		query.waveStartedAt = now
 		return query.fetch(query.shards, "in one phase")
 	case query.phase == canMatchPhase:
-		return query.gather(now)
+		return query.awaitSummaries(now)
 	}
-	if len(query.inState(fetching)) == 0 {
+	if len(query.shardsInState(fetching)) == 0 {
 		return query.nextWave(now)
 	}
 	if now >= query.deadlineAt {
@@ -145,8 +145,8 @@
 	return Step{Action: Reject, Reason: reason}
 }
 
-// inState lists the shards in a state.
-func (query *Query) inState(state shardState) []Shard {
+// shardsInState lists the shards in a state.
+func (query *Query) shardsInState(state shardState) []Shard {
 	var shards []Shard
 	for _, shard := range query.shards {
 		if shard.state == state {
@@ -156,28 +156,28 @@
 	return shards
 }
 
-// gather waits for summaries as long as that serves the answer, then begins the fetch phase. All are waited for
+// awaitSummaries waits for summaries as long as that serves the answer, then begins the fetch phase. All are waited for
 // until the fetch phase would come too late; the last fifth only as long as a can-match phase usually takes.
 // Otherwise one slow or silent shard would cost the whole answer. A shard whose summary is not waited for is
 // fetched from.
-func (query *Query) gather(now time.Duration) Step {
-	missing := len(query.inState(pending))
+func (query *Query) awaitSummaries(now time.Duration) Step {
+	missing := len(query.shardsInState(pending))
 	until := query.latestFetchStart()
 	arrived := float64(len(query.shards) - missing)
 	if arrived >= quorumOfShards*float64(len(query.shards)) {
-		until = min(until, query.beganAt+query.class.canMatch.upperEstimate())
+		until = min(until, query.startedAt+query.class.canMatch.upperEstimate())
 	}
 	if missing > 0 && now < until {
 		return Step{Action: Wait, Wakeup: until}
 	}
 	for _, shard := range query.shards {
 		if shard.state == pending {
-			shard.state = withoutInfo
+			shard.state = noSummary
 		}
 	}
-	query.class.observeCanMatch(now-query.beganAt, missing == 0)
+	query.class.observeCanMatch(now-query.startedAt, missing == 0)
 	query.phase = fetchPhase
-	query.waveAt = now
+	query.waveStartedAt = now
 	query.wavesLeft = query.wavesWithin(now)
 	return query.nextWave(now)
 }
@@ -186,7 +186,7 @@
 // reach, by the deadline.
 func (query *Query) latestFetchStart() time.Duration {
 	needed := phaseOverhead + query.class.fetch.upperEstimate()
-	if latest := query.objectiveAt - needed; latest > query.beganAt {
+	if latest := query.objectiveAt - needed; latest > query.startedAt {
 		return latest
 	}
 	return query.deadlineAt - needed
@@ -240,7 +240,7 @@
 func (query *Query) unresolved() []*shardProgress {
 	var left []*shardProgress
 	for _, shard := range query.shards {
-		if shard.state == summarized || shard.state == withoutInfo {
+		if shard.state == summarized || shard.state == noSummary {
 			left = append(left, shard)
 		}
 	}
--- a/twophase/reports.go
+++ b/twophase/reports.go
@@ -20,7 +20,7 @@
 	}
 	replicasAgree := query.class.observeVersion(now, id, from, summary.Version)
 	if !summary.consistent() {
-		shard.state = withoutInfo
+		shard.state = noSummary
 		return false
 	}
 	shard.state = summarized
@@ -33,7 +33,7 @@
 // NoSummary says that no summary of a shard will come: it is fetched from.
 func (query *Query) NoSummary(id Shard) {
 	if shard := query.byID[id]; shard != nil && shard.state == pending {
-		shard.state = withoutInfo
+		shard.state = noSummary
 	}
 }
 
@@ -58,9 +58,9 @@
 	}
 	shard.state = answered
 	shard.answer = answer
-	if len(query.inState(fetching)) == 0 {
-		query.class.fetch.observe(now - query.waveAt)
-		query.waveAt = now
+	if len(query.shardsInState(fetching)) == 0 {
+		query.class.fetch.observe(now - query.waveStartedAt)
+		query.waveStartedAt = now
 	}
 	return nil
 }
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -15,8 +15,8 @@
 // shardData is what a shard holds: the hits of the query, in any order.
 type shardData []Hit
 
-// best answers a query from a shard's data, the slow and plain way.
-func (data shardData) best(options Options) []Hit {
+// topHits answers a query from a shard's data, the slow and plain way.
+func (data shardData) topHits(options Options) []Hit {
 	hits := slices.Clone(data)
 	slices.SortFunc(hits, CompareHits)
 	if options.Ranked {
@@ -31,7 +31,7 @@
 	for _, data := range shards {
 		all = append(all, data...)
 	}
-	return all.best(options)
+	return all.topHits(options)
 }
 
 func (data shardData) summary(version Version) Summary {
@@ -79,7 +79,7 @@
 						t.Fatal(err)
 					}
 					runs++
-					finish(t, query, options, shards, subset, order)
+					runToEnd(t, query, options, shards, subset, order)
 				}
 			}
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// finish plays a query to its end: summaries of a subset arrive, the others never do.
-func finish(t *testing.T, query *Query, options Options, shards []shardData, subset int, order []int) {
+// runToEnd plays a query to its end: summaries of a subset arrive, the others never do.
+func runToEnd(t *testing.T, query *Query, options Options, shards []shardData, subset int, order []int) {
 	t.Helper()
 	now := time.Duration(0)
 	wereAsked := 0
@@ -107,7 +107,7 @@
 		case Fetch:
 			for _, id := range s.Shards {
 				wereAsked |= 1 << id
-				if err := query.Answered(now, id, Replica(id), Answer{"v1", shards[id].best(options)}); err != nil {
+				if err := query.Answered(now, id, Replica(id), Answer{"v1", shards[id].topHits(options)}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -177,7 +177,7 @@
 				fill(int(id))
 			}
 			v := version[id]
-			if err := query.Answered(now, id, 1, Answer{Version(fmt.Sprint("v", v)), states[id][v].best(options)}); err != nil {
+			if err := query.Answered(now, id, 1, Answer{Version(fmt.Sprint("v", v)), states[id][v].topHits(options)}); err != nil {
 				t.Fatal(err)
 			}
 			was[id] = v
@@ -270,7 +270,7 @@
 
 // The can-match phase takes so long that the fetch phase can meet the deadline alone, or not even that. In the
 // second case the query is rejected at once and nothing is fetched.
-func TestCanMatchPhaseThatTakesAllTheTime(t *testing.T) {
+func TestSlowCanMatchPhase(t *testing.T) {
 	class := alwaysTwoPhases()
 	class.fetch = phaseTime{0.3, 0.01}
 	query, _ := class.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
@@ -328,7 +328,7 @@
 
 // Pruning leaves all shards, or a jam makes phases slow. Queries are executed in one phase then, and in two again
 // afterwards.
-func TestTwoPhasesOnlyWhereTheyPay(t *testing.T) {
+func TestTwoPhasesOnlyWhereTheySaveWork(t *testing.T) {
 	class, now := NewClass(time.Second), time.Duration(0)
 	play := func(left float64, takes time.Duration) (two int) {
 		for range 200 {
