--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -11,7 +11,7 @@
 	"terntray/internal/wire"
 )
 
-// panickingConn is a connection whose reads panic once it is told to.
+// panickingConn is a connection whose Read panics once armed is closed.
 type panickingConn struct {
 	net.Conn
 	armed chan struct{}
@@ -20,58 +20,58 @@
 func (conn *panickingConn) Read(buffer []byte) (int, error) {
 	select {
 	case <-conn.armed:
-		panic("as if")
+		panic("panic in Read")
 	default:
 	}
 	return conn.Conn.Read(buffer)
 }
 
-// A client's driver panics while a query is open. That costs its own connection alone: the handler is told that
-// the client has left, and the slot is given back.
+// The goroutine of a connection panics while a query is open. Only this connection ends: the handler is notified of a
+// disconnect and the slot is released.
 func TestConnPanicCountsAsClientDisconnect(t *testing.T) {
 	f := newFixture()
-	near, far := connPair(t)
-	conn := &panickingConn{near, make(chan struct{})}
+	serverEnd, clientEnd := connPair(t)
+	conn := &panickingConn{serverEnd, make(chan struct{})}
 	client := f.newConn(conn)
 	go f.serve(client)
-	io.WriteString(far, queryRequest("q"))
+	io.WriteString(clientEnd, queryRequest("q"))
 	f.runOne()
 	close(conn.armed)
 	client.wake()
 	f.runOne()
-	if count, err := far.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes come", count)
+	if count, err := clientEnd.Read(make([]byte, 1)); err == nil {
+		t.Errorf("received %d bytes, want none", count)
 	}
 	for end := time.Now().Add(20 * time.Second); len(f.server.slots.used) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("its slot is taken")
+			t.Fatal("the slot was not released")
 		}
 	}
 	if len(f.handler.arrivals) != 1 || len(f.handler.disconnected) != 1 || f.handler.disconnected[0] != client {
-		t.Errorf("%d queries arrived, %d clients left", len(f.handler.arrivals), len(f.handler.disconnected))
+		t.Errorf("%d queries arrived, %d clients disconnected", len(f.handler.arrivals), len(f.handler.disconnected))
 	}
 }
 
-// A client sends a query and leaves while that lies unread in the kernel, behind a crowd or a standstill of this
-// process. Nothing of it is taken in, however much stands before the client's end.
+// A client sends a query and disconnects while the query is unread in the kernel, because this process is busy or
+// stalled. The query is not accepted, no matter how much data precedes the FIN or reset.
 func TestUnreadRequestOfDisconnectedClientIsNotAccepted(t *testing.T) {
 	for name, text := range map[string]string{
-		"alone":             queryRequest("q"),
-		"with half of more": queryRequest("q") + queryRequest("r")[:40],
-		"with more ahead":   strings.Repeat(queryRequest("q"), 9),
-		"with far more":     strings.Repeat(queryRequest("q"), 900),
-		"with a body beyond": queryRequest("q") + "POST /look HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" +
+		"alone":                               queryRequest("q"),
+		"with a partial request behind":       queryRequest("q") + queryRequest("r")[:40],
+		"pipelined":                           strings.Repeat(queryRequest("q"), 9),
+		"pipelined, more than the read-ahead": strings.Repeat(queryRequest("q"), 900),
+		"with an oversized body behind": queryRequest("q") + "POST /look HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" +
 			strings.Repeat("x", 200_000),
 	} {
 		for _, reset := range []bool{false, true} {
 			f := newFixture()
-			near, far := connPair(t)
-			io.WriteString(far, text) // what the machines buffer
+			serverEnd, clientEnd := connPair(t)
+			io.WriteString(clientEnd, text) // the part that fits in the socket buffers
 			if reset {
-				far.SetLinger(0)
+				clientEnd.SetLinger(0)
 			}
-			far.Close()
-			f.serve(f.newConn(near))
+			clientEnd.Close()
+			f.serve(f.newConn(serverEnd))
 			f.runPosted()
 			if len(f.handler.arrivals) > 0 {
 				t.Errorf("%s, reset %t: %d queries arrived", name, reset, len(f.handler.arrivals))
@@ -80,82 +80,82 @@
 	}
 }
 
-// A client sends on and on while its request is open, and no large-request slot is free. What comes beyond is
-// dropped; the open request gets its own response, and none that says that nothing ran.
+// A client keeps sending data while its request is open, and no large-request slot is free. The excess data is dropped.
+// The open request gets its own response and not a rejection, which would say that it was not executed.
 func TestOpenRequestIsNotRejectedForPipelinedData(t *testing.T) {
 	for _, ahead := range []int{largeRequestBytes + 2000, maxReadAhead + 5000, 600_000} {
 		f := newFixture()
-		f.server.largeSlots.tryAcquire() // the only one
-		near, far := connPair(t)
-		client := f.newConn(near)
+		f.server.largeSlots.tryAcquire() // takes the only slot
+		serverEnd, clientEnd := connPair(t)
+		client := f.newConn(serverEnd)
 		served := make(chan struct{})
 		go func() {
 			f.serve(client)
 			close(served)
 		}()
-		io.WriteString(far, queryRequest("q"))
+		io.WriteString(clientEnd, queryRequest("q"))
 		f.runOne()
 		if len(f.handler.arrivals) != 1 {
-			t.Fatal("it is not taken in")
+			t.Fatal("the query did not arrive")
 		}
 		sent := make(chan struct{})
 		go func() {
-			io.WriteString(far, strings.Repeat("x", ahead))
+			io.WriteString(clientEnd, strings.Repeat("x", ahead))
 			close(sent)
 		}()
 		<-sent
-		for end := time.Now().Add(20 * time.Second); netconn.Peek(near) == netconn.Readable && time.Now().Before(end); {
+		for end := time.Now().Add(20 * time.Second); netconn.Peek(serverEnd) == netconn.Readable && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if len(client.responses) > 0 || len(f.handler.disconnected) > 0 {
-			t.Fatalf("%d bytes behind it: it is answered", ahead)
+			t.Fatalf("%d bytes behind it: the open request was answered early", ahead)
 		}
 		client.Respond(func(last bool) []byte { return wire.CompleteResponse(true, nil, last) })
-		if status, err := readStatus(far); err != nil || status != "HTTP/1.1 200" {
+		if status, err := readStatus(clientEnd); err != nil || status != "HTTP/1.1 200" {
 			t.Errorf("%d bytes behind it: %q, %v", ahead, status, err)
 		}
-		far.Close()
+		clientEnd.Close()
 		<-served
 	}
 }
 
-// The server evicts a client while what that sends is on its way. A request that comes during the final peek is
-// served, also if this process stood still over the whole of it, and also if its rest comes a little later.
+// The server evicts a client whose next request is already on its way. A request that arrives during the final wait is
+// served, even if this process was stalled for all of that time or if the rest of the request arrives a little later.
 func TestRequestInFlightDuringEvictionIsServed(t *testing.T) {
-	crosses := map[string]func(client *ClientConn, far net.Conn) (inTime bool){
-		"a standstill": func(client *ClientConn, far net.Conn) bool {
+	arrivals := map[string]func(client *ClientConn, clientEnd net.Conn) (inTime bool){
+		"stalled process": func(client *ClientConn, clientEnd net.Conn) bool {
 			client.finalWaitEnds = time.Now().Add(-time.Second)
-			io.WriteString(far, upRequest)
+			io.WriteString(clientEnd, upRequest)
 			awaitState(t, client.conn, netconn.Readable)
 			go client.Serve()
 			return true
 		},
-		"in two pieces": func(client *ClientConn, far net.Conn) bool {
-			io.WriteString(far, upRequest[:9])
+		"two parts": func(client *ClientConn, clientEnd net.Conn) bool {
+			io.WriteString(clientEnd, upRequest[:9])
 			awaitState(t, client.conn, netconn.Readable)
-			began := time.Now()
-			client.finalWaitEnds = began.Add(finalWaitTime)
+			started := time.Now()
+			client.finalWaitEnds = started.Add(finalWaitTime)
 			go client.Serve()
 			awaitState(t, client.conn, netconn.Quiet)
-			time.Sleep(2 * finalWaitTime) // it is over by then
-			io.WriteString(far, upRequest[9:])
-			return time.Since(began) < lateRequestTime // else it may have come too late
+			time.Sleep(2 * finalWaitTime) // the first final wait has ended by then
+			io.WriteString(clientEnd, upRequest[9:])
+			return time.Since(started) < lateRequestTime // otherwise the rest may have arrived too late
 		},
 	}
-	for name := range crosses {
-		for try := 0; ; try++ {
+	for name := range arrivals {
+		for attempt := 0; ; attempt++ {
 			f := newFixture()
 			f.handler.ready.Store(true)
-			near, far := connPair(t)
-			client := f.server.NewConn(near)
+			serverEnd, clientEnd := connPair(t)
+			client := f.server.NewConn(serverEnd)
 			client.evicted.Store(true)
-			inTime := crosses[name](client, far)
-			status, err := readStatus(far)
+			inTime := arrivals[name](client, clientEnd)
+			status, err := readStatus(clientEnd)
 			if err == nil && status == "HTTP/1.1 200" {
 				break
 			}
-			if inTime || try == 50 {
-				t.Errorf("%s: %q, %v, try %d", name, status, err, try)
+			if inTime || attempt == 50 {
+				t.Errorf("%s: %q, %v, attempt %d", name, status, err, attempt)
 				break
 			}
 		}
--- a/server/listener_test.go
+++ b/server/listener_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// failingListener is a listener of which some accepts fail, as where descriptors are used up.
+// failingListener is a listener whose first accepts fail as if there were no descriptors left.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -30,33 +30,33 @@
 	return listener.(*net.TCPListener)
 }
 
-// connectAndRequestUp connects to a listener and asks whether the service is up.
+// connectAndRequestUp connects to a listener and sends a request for /up.
 func connectAndRequestUp(t *testing.T, listener net.Listener) net.Conn {
-	far, err := net.Dial("tcp", listener.Addr().String())
+	clientEnd, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	far.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(far, upRequest)
-	return far
+	t.Cleanup(func() { clientEnd.Close() })
+	clientEnd.SetDeadline(time.Now().Add(20 * time.Second))
+	io.WriteString(clientEnd, upRequest)
+	return clientEnd
 }
 
-// expectUp checks that the response says so.
-func expectUp(t *testing.T, far net.Conn) {
+// expectUp checks that the response reports the service as up.
+func expectUp(t *testing.T, clientEnd net.Conn) {
 	t.Helper()
-	expectStatus(t, far, "HTTP/1.1 200")
+	expectStatus(t, clientEnd, "HTTP/1.1 200")
 }
 
-func expectStatus(t *testing.T, far net.Conn, want string) {
+func expectStatus(t *testing.T, clientEnd net.Conn, want string) {
 	t.Helper()
-	if status, err := readStatus(far); err != nil || status != want {
+	if status, err := readStatus(clientEnd); err != nil || status != want {
 		t.Fatalf("%q, want %q, %v", status, want, err)
 	}
 }
 
-// Descriptors run out and accept fails several times. That loses no slot and ends nothing: the connection that
-// waits in the kernel is accepted a little later.
+// Accept fails several times because there are no descriptors left. No slot is leaked and the listener keeps
+// running: the connection in the kernel's queue is accepted later.
 func TestFailedAcceptIsRetried(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
@@ -68,33 +68,33 @@
 	expectUp(t, connectAndRequestUp(t, listener))
 }
 
-// At SIGTERM this process stands still until the listener's deadline has passed, and a client has connected
-// meanwhile. It is served all the same.
+// During shutdown the process is stalled until the listener's deadline has passed, and a client connects in that time.
+// The client is still served.
 func TestConnQueuedBeforeListenerClosesIsServed(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
 	listener := newListener(t)
-	far := connectAndRequestUp(t, listener)
+	clientEnd := connectAndRequestUp(t, listener)
 	listener.SetDeadline(time.Now().Add(-time.Second))
 	f.server.listener = listener
 	go f.server.acceptAll()
-	expectUp(t, far)
+	expectUp(t, clientEnd)
 }
 
-// The same with a single slot, which another connection holds until the final accept is over. The final accept
-// begins anew once the slot is free, and the second connection is served.
+// As above, but with a single slot, which another connection holds until the final accept has ended. The final accept
+// starts over once the slot is free, and the second connection is served.
 func TestConnQueuedBeforeListenerClosesIsServedOnceASlotIsFree(t *testing.T) {
 	f := newFixture()
 	f.handler.ready.Store(true)
 	f.server.slots = newConnSlots(1)
 	listener := newListener(t)
-	var far [2]net.Conn
-	for n := range far {
-		far[n] = connectAndRequestUp(t, listener)
+	var clientEnd [2]net.Conn
+	for n := range clientEnd {
+		clientEnd[n] = connectAndRequestUp(t, listener)
 	}
 	f.finalAcceptAfterShutdown(listener)
-	expectStatus(t, far[0], "HTTP/1.1 503") // that it shuts down
-	time.Sleep(2 * finalAcceptTime)         // it keeps its slot until the final accept is over
-	far[0].Close()
-	expectStatus(t, far[1], "HTTP/1.1 503")
+	expectStatus(t, clientEnd[0], "HTTP/1.1 503") // the server is shutting down
+	time.Sleep(2 * finalAcceptTime)               // holds its slot until the final accept has ended
+	clientEnd[0].Close()
+	expectStatus(t, clientEnd[1], "HTTP/1.1 503")
 }
--- a/server/response_test.go
+++ b/server/response_test.go
@@ -11,14 +11,14 @@
 	"terntray/internal/wire"
 )
 
-// A client is evicted while its response is made. What the response says of the connection is what becomes of it:
-// else the connection would end by a response that keeps it, and the client's next request would be read and
+// A client is evicted while its response is built. The connection closes only if the response says so: otherwise it
+// would close after a response that promised to keep it open, and the client's next request would be read and
 // dropped.
 func TestResponseHeaderMatchesConnectionClose(t *testing.T) {
 	f := newFixture()
-	near, far := net.Pipe()
-	defer far.Close()
-	client := f.server.NewConn(near)
+	serverEnd, clientEnd := net.Pipe()
+	defer clientEnd.Close()
+	client := f.server.NewConn(serverEnd)
 	client.Respond(func(last bool) []byte {
 		text := wire.CompleteResponse(true, nil, last)
 		client.evicted.Store(true)
@@ -26,46 +26,45 @@
 	})
 	response := <-client.responses
 	if response.last != strings.Contains(string(response.bytes), "Connection: close") {
-		t.Errorf("its connection ends %t with %q", response.last, response.bytes)
+		t.Errorf("connection closes: %t, response %q", response.last, response.bytes)
 	}
 }
 
-// A connection has sent its last response and reads what the client still sends; then the notification of that
-// response comes late and interrupts the reading. It goes on all the same: unread bytes would reset the
-// connection and cut the response off.
+// After its last response a connection reads remaining input, and a late wake for that response interrupts the read.
+// Reading continues: unread input would make the kernel reset the connection and cut off the response.
 func TestLastResponseIsNotCutOffByLateWakeup(t *testing.T) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		f := newFixture()
-		near, far := connPair(t)
-		client := f.server.NewConn(near)
-		began, ended := time.Now(), make(chan struct{})
+		serverEnd, clientEnd := connPair(t)
+		client := f.server.NewConn(serverEnd)
+		started, ended := time.Now(), make(chan struct{})
 		go func() {
 			client.linger()
 			close(ended)
 		}()
-		far.Read(make([]byte, 1)) // its end
+		clientEnd.Read(make([]byte, 1)) // until the FIN
 		for range 3 {
 			client.wake()
 			time.Sleep(time.Millisecond)
 		}
-		io.WriteString(far, "more")
+		io.WriteString(clientEnd, "more")
 		read := false
 		for end := time.Now().Add(lingerTimeout); !read && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			select {
 			case <-ended:
-				end = began
+				end = started
 			default:
-				read = netconn.Peek(near) == netconn.Quiet
+				read = netconn.Peek(serverEnd) == netconn.Quiet
 			}
 		}
-		inTime := time.Since(began) < lingerTimeout
-		far.Close()
+		inTime := time.Since(started) < lingerTimeout
+		clientEnd.Close()
 		<-ended
 		if read {
 			return
 		}
-		if inTime || try == 50 {
-			t.Fatalf("what still came was left unread, try %d", try)
+		if inTime || attempt == 50 {
+			t.Fatalf("remaining input was not read, attempt %d", attempt)
 		}
 	}
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -14,10 +14,10 @@
 	"terntray/invariant"
 )
 
-// recorder is a Handler that keeps what it is told and answers nothing by itself.
+// recorder is a Handler that records its calls and never responds.
 type recorder struct {
 	ready        atomic.Bool
-	shedding     atomic.Bool // nothing is admitted
+	shedding     atomic.Bool // rejects all requests
 	arrivals     []Arrival
 	disconnected []*ClientConn
 	refused      int
@@ -40,7 +40,7 @@
 func (handler *recorder) CountersText() string  { return "counters" }
 func (handler *recorder) EstimatesText() string { return "estimates" }
 
-// fixture is a server whose event loop the test runs itself.
+// fixture is a server whose event loop is run by the test.
 type fixture struct {
 	server  *Server
 	handler *recorder
@@ -60,10 +60,10 @@
 	return fixture{server: server, handler: handler, loop: loop}
 }
 
-// runOne runs the next thing that the server posts.
+// runOne runs the next function posted to the loop.
 func (f fixture) runOne() { f.loop.Receive()() }
 
-// runPosted runs all that the server has posted.
+// runPosted runs all functions posted to the loop so far.
 func (f fixture) runPosted() { f.loop.RunIteration(func() {}, func() {}) }
 
 // run runs the loop until the test ends.
@@ -80,7 +80,7 @@
 	})
 }
 
-// newConn makes a connection that holds a slot, as an accepted one does.
+// newConn returns a connection that holds a slot, like an accepted one.
 func (f fixture) newConn(conn net.Conn) *ClientConn {
 	client := f.server.NewConn(conn)
 	f.server.slots.used <- struct{}{}
@@ -88,27 +88,27 @@
 	return client
 }
 
-// serve drives a connection to its end and gives back what it holds.
+// serve serves a connection until it ends and releases its slots.
 func (f fixture) serve(client *ClientConn) {
 	client.Serve()
 	f.server.release(client)
 }
 
-// shutDown is as Shutdown was called at a time, without what follows later.
+// shutDown sets the state as if Shutdown had been called at a time, without closing the listener later.
 func (f fixture) shutDown(at time.Time) { f.server.shutdownStart.Store(&at) }
 
-// upRequest is a request that is answered without the loop.
+// upRequest is a request that is answered without using the event loop.
 const upRequest = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
 
-// queryRequest is a request of a query.
+// queryRequest returns a request with a query.
 func queryRequest(id string) string {
 	body := `{"segments":[{"segment":0,"boost":1}],"text":"x"}`
 	head := "POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s"
 	return fmt.Sprintf(head, id, len(body), body)
 }
 
-// connPair gives the two ends of a connection on loopback, the server's first.
-func connPair(t *testing.T) (near, far *net.TCPConn) {
+// connPair returns the two ends of a loopback connection.
+func connPair(t *testing.T) (serverEnd, clientEnd *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,17 +127,17 @@
 	return other.(*net.TCPConn), conn.(*net.TCPConn)
 }
 
-// awaitState waits until a connection's end shows something.
+// awaitState waits until a connection is in a state.
 func awaitState(t *testing.T, conn net.Conn, state netconn.State) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); netconn.Peek(conn) != state; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing comes")
+			t.Fatal("the connection does not reach the state")
 		}
 	}
 }
 
-// readStatus reads the status line's beginning.
+// readStatus reads the start of the status line, up to the status code.
 func readStatus(conn net.Conn) (string, error) {
 	status := make([]byte, len("HTTP/1.1 200"))
 	_, err := io.ReadFull(conn, status)
