--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,15 +1,15 @@
-// Package discovery follows the list of replicas' endpoints that a discovery agent serves: it polls the whole
-// list, then watches for changes, retries, and moves to another agent while the old one is still heard.
+// Package discovery keeps the endpoint list of the replicas up to date. It polls the full list from a discovery agent,
+// then watches for changes, retries after failures, and can move to another agent while still watching the old one.
 //
-// How a new endpoint list reaches the decisions:
+// An endpoint list is processed as follows:
 //
-//  1. A watch (watch.go, a goroutine) reads the list from its connection and posts it to the event loop.
-//  2. Watcher.received, on the loop, drops endpoints that cannot be used, keeps the rest as the list that is known
-//     (endpoints.go), and hands what came to the Handler.
-//  3. The Handler, which is the coordinator (coordinator/endpoints.go), passes each endpoint on to the connections, to
-//     the connection pool and to the scheduler, which decides at the end of the same iteration.
+//  1. A watch (watch.go, on its own goroutine) reads the list from its connection and posts it to the event loop.
+//  2. Watcher.listReceived, on the loop, drops unusable endpoints, updates the last known list (endpoints.go) and
+//     passes the received list to the Handler.
+//  3. The Handler, implemented by the coordinator (coordinator/endpoints.go), passes each endpoint to the replica
+//     connections, the connection pool and the scheduler, which makes its decisions at the end of the same iteration.
 //
-// A poll that fails is retried (retry.go); the list that is known stays in force meanwhile.
+// A failed poll is retried (retry.go); the last known list remains in use meanwhile.
 package discovery
 
 import (
@@ -23,31 +23,31 @@
 )
 
 const (
-	defaultHold = 5 * time.Second // for which the agent may hold a poll back, where the settings imply no time
-	maxHold     = time.Minute     // the longest such time
+	defaultHold = 5 * time.Second // how long the agent may hold a poll if no poll interval is configured
+	maxHold     = time.Minute     // upper limit of the hold
 )
 
-// Handler takes what discovery says. The Watcher calls it on the event loop.
+// Handler receives endpoint lists. The Watcher calls it on the event loop.
 type Handler interface {
-	// EndpointsReceived takes the whole list (All) or the endpoints that have changed.
+	// EndpointsReceived is called with a list from the agent: the full list if All is set, else the changed endpoints.
 	EndpointsReceived(list *wire.EndpointList)
-	// EndpointsKnown takes the whole list as it was last known: at the start, and for a scheduler that has lost it.
+	// EndpointsKnown is called with the full last known list: at the start and on Redeliver.
 	EndpointsKnown(list *wire.EndpointList)
-	// PollFailed tells that a poll failed. The scheduler has to be told where that is news to it: it asked for
-	// the poll, or it is the first failure in a row.
-	PollFailed(isNews bool)
+	// PollFailed is called when a poll has failed. notifyScheduler is set if the scheduler has to be notified: it
+	// requested the poll, or this is the first of several consecutive failures.
+	PollFailed(notifyScheduler bool)
 }
 
-// Config sets a Watcher up.
+// Config configures a Watcher.
 type Config struct {
 	Address      string            // of the discovery agent
-	Known        wire.EndpointList // as it was known when the process was last configured
-	OnDemand     bool              // changes come only to those who poll, and the scheduler decides when (Poll)
-	PollInterval time.Duration     // the longest time between two polls of the scheduler; 0: not stated
+	Known        wire.EndpointList // the last known list, from the configuration
+	OnDemand     bool              // the agent does not push changes; the scheduler requests polls (Poll)
+	PollInterval time.Duration     // the scheduler's maximum time between polls; 0 if not configured
 }
 
-// hold is how long the agent may hold a poll back while nothing changes. Half of the interval leaves room for a
-// second poll before silence means that the list is out of date.
+// hold returns how long the agent may hold a poll open while nothing changes. Half of the poll interval leaves time for
+// a second poll before the list counts as out of date.
 func (config *Config) hold() time.Duration {
 	if config.PollInterval <= 0 {
 		return defaultHold
@@ -55,7 +55,7 @@
 	return min(config.PollInterval/2, maxHold)
 }
 
-// Watcher follows the endpoint list. Its methods and fields belong to the event loop.
+// Watcher keeps the endpoint list up to date. It may be used only on the event loop.
 type Watcher struct {
 	handler  Handler
 	loop     *eventloop.Loop
@@ -63,16 +63,16 @@
 	onDemand bool
 	hold     time.Duration
 
-	address   string // of the agent that is followed
+	address   string // of the current agent
 	failing   bool   // the last poll failed
 	endpoints endpointTable
 
 	stopWatch context.CancelFunc
-	stopMove  context.CancelFunc // of the watch at a new address that has yet to tell the whole list; nil: none
-	running   sync.WaitGroup     // the watches' goroutines
+	stopMove  context.CancelFunc // of the watch at a new address that has not sent the full list yet; nil if none
+	running   sync.WaitGroup     // goroutines of the watches
 }
 
-// New makes a watcher that does nothing yet.
+// New returns a Watcher. Call Start to start it.
 func New(config Config, handler Handler, loop *eventloop.Loop, logger *log.Logger) *Watcher {
 	return &Watcher{
 		handler:   handler,
@@ -86,7 +86,7 @@
 	}
 }
 
-// Start hands over the list as it was last known and, unless polls are on demand, begins to follow it.
+// Start passes the last known list to the Handler and, unless polls are on demand, starts watching.
 func (watcher *Watcher) Start() {
 	watcher.Redeliver()
 	if !watcher.onDemand {
@@ -94,14 +94,14 @@
 	}
 }
 
-// Stop ends all watches and waits for that. The loop has ended.
+// Stop ends all watches and waits for their goroutines. It must be called after the loop has ended.
 func (watcher *Watcher) Stop() {
 	watcher.stopWatch()
 	watcher.cancelMove()
 	watcher.running.Wait()
 }
 
-// Redeliver hands over the whole list as it is known.
+// Redeliver passes the full last known list to the Handler, for a scheduler that has lost its state.
 func (watcher *Watcher) Redeliver() {
 	list := watcher.endpoints.full()
 	watcher.dropUnusable(list)
@@ -109,7 +109,7 @@
 	watcher.handler.EndpointsKnown(list)
 }
 
-// Poll begins a watch in place of the present one.
+// Poll starts a new watch, which begins with a poll of the full list, in place of the current one.
 func (watcher *Watcher) Poll() {
 	watcher.stopWatch()
 	ctx, stop := context.WithCancel(context.Background())
@@ -117,10 +117,10 @@
 	watcher.startWatch(ctx, watcher.address)
 }
 
-// IsEmpty tells whether no endpoint is known.
+// IsEmpty reports whether no endpoint is known.
 func (watcher *Watcher) IsEmpty() bool { return len(watcher.endpoints.known.Endpoints) == 0 }
 
-// listReceived takes what a watch has read.
+// listReceived processes a list read by the watch of an address.
 func (watcher *Watcher) listReceived(address string, list *wire.EndpointList) {
 	if address != watcher.address {
 		watcher.finishMove(address)
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -12,14 +12,14 @@
 	"terntray/internal/wire"
 )
 
-// event is what a handler was told.
+// event is a call of a Handler method.
 type event struct {
-	list            *wire.EndpointList // nil: a poll failed
-	isLastKnown     bool               // the list as it was last known
-	notifyScheduler bool               // of the failure
+	list            *wire.EndpointList // nil if a poll failed
+	isLastKnown     bool               // the last known list, passed to EndpointsKnown
+	notifyScheduler bool               // argument of PollFailed
 }
 
-// recorder is a Handler that passes on what it is told.
+// recorder is a Handler that sends its calls to a channel.
 type recorder struct{ events chan event }
 
 func (handler recorder) EndpointsReceived(list *wire.EndpointList) {
@@ -28,7 +28,9 @@
 func (handler recorder) EndpointsKnown(list *wire.EndpointList) {
 	handler.events <- event{list: list, isLastKnown: true}
 }
-func (handler recorder) PollFailed(isNews bool) { handler.events <- event{notifyScheduler: isNews} }
+func (handler recorder) PollFailed(notifyScheduler bool) {
+	handler.events <- event{notifyScheduler: notifyScheduler}
+}
 
 // fixture is a watcher on a loop that runs until the test ends.
 type fixture struct {
@@ -57,40 +59,40 @@
 	return fixture{watcher: watcher, loop: loop, handler: handler}
 }
 
-// next is the next thing that the handler is told.
+// next returns the next call of the handler.
 func (f fixture) next(t *testing.T) event {
 	t.Helper()
 	select {
 	case next := <-f.handler.events:
 		return next
 	case <-time.After(20 * time.Second):
-		t.Fatal("the handler is told nothing")
+		t.Fatal("the handler is not called")
 		return event{}
 	}
 }
 
-func (f fixture) expectList(t *testing.T, revision int64, isOld bool) {
+func (f fixture) expectList(t *testing.T, revision int64, isLastKnown bool) {
 	t.Helper()
-	if got := f.next(t); got.list == nil || got.list.Revision != revision || got.isLastKnown != isOld {
-		t.Errorf("told %+v, want the list of revision %d, old %t", got, revision, isOld)
+	if got := f.next(t); got.list == nil || got.list.Revision != revision || got.isLastKnown != isLastKnown {
+		t.Errorf("got %+v, want the list of revision %d, last known: %t", got, revision, isLastKnown)
 	}
 }
 
-func (f fixture) expectFailure(t *testing.T, isNews bool) {
+func (f fixture) expectFailure(t *testing.T, notifyScheduler bool) {
 	t.Helper()
-	if got := f.next(t); got.list != nil || got.notifyScheduler != isNews {
-		t.Errorf("told %+v, want a failure that is news %t", got, isNews)
+	if got := f.next(t); got.list != nil || got.notifyScheduler != notifyScheduler {
+		t.Errorf("got %+v, want a failed poll, notify scheduler: %t", got, notifyScheduler)
 	}
 }
 
-// nextCall is the next poll that reaches an agent.
+// nextCall returns the next poll that an agent receives.
 func nextCall(t *testing.T, agent *fake.DiscoveryAgent) fake.DiscoveryCall {
 	t.Helper()
 	select {
 	case call := <-agent.Calls:
 		return call
 	case <-time.After(20 * time.Second):
-		t.Fatal("no poll comes")
+		t.Fatal("the agent receives no poll")
 		return fake.DiscoveryCall{}
 	}
 }
@@ -103,8 +105,8 @@
 	return wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{endpoint}}
 }
 
-// Discovery breaks off two polls in a row and comes back. Only the first failure is news; each poll is made
-// again, and after a list the next failure is news once more.
+// The agent drops the connection during two consecutive polls and recovers. Each poll is retried, but only the first
+// failure is reported to the scheduler. After a list was received, the next failure is reported again.
 func TestFailedPollIsRetriedAndReportedOnce(t *testing.T) {
 	agent, address := newAgent(t)
 	f := newFixture(t, Config{Address: address, Known: knownList(3)})
@@ -117,16 +119,16 @@
 	f.expectList(t, 5, false)
 	watch := nextCall(t, agent)
 	if !strings.Contains(watch.Path, "from=5") {
-		t.Errorf("the watch is %s", watch.Path)
+		t.Errorf("the watch polls %s", watch.Path)
 	}
 	watch.Conn.Close()
 	f.expectFailure(t, true)
 	if whole := nextCall(t, agent); strings.Contains(whole.Path, "from=") {
-		t.Errorf("after a failure the poll is %s, not of the whole list", whole.Path)
+		t.Errorf("after a failure the poll is %s, want the full list", whole.Path)
 	}
 }
 
-// The scheduler decides when to poll. Nothing is polled before, no failure is retried, and each is news.
+// On demand, polls are sent only when the scheduler requests them. No failure is retried, and each is reported.
 func TestOnDemandPollsOnlyWhenRequested(t *testing.T) {
 	agent, address := newAgent(t)
 	f := newFixture(t, Config{Address: address, Known: knownList(3), OnDemand: true})
@@ -134,7 +136,7 @@
 	for range 2 {
 		time.Sleep(2 * retryInterval)
 		if len(agent.Calls) > 0 {
-			t.Fatal("it polls unasked")
+			t.Fatal("a poll was sent without a request")
 		}
 		f.loop.Post(f.watcher.Poll)
 		nextCall(t, agent).Conn.Close()
@@ -142,8 +144,9 @@
 	}
 }
 
-// SIGHUP names another agent, which does not answer at first. The old one is heard meanwhile, the failures of the
-// new one are no news; once the new one has told the whole list, the old one's watch ends.
+// After a reload with a new agent address, the new agent does not answer at first. The old agent is still watched
+// meanwhile, and failures of the new one are not reported. Once the new one has sent the full list, the watch of
+// the old one ends.
 func TestOldAddressIsWatchedUntilNewOneSendsFullList(t *testing.T) {
 	oldAgent, oldAddress := newAgent(t)
 	nextAgent, nextAddress := newAgent(t)
@@ -161,14 +164,14 @@
 	nextCall(t, nextAgent).Respond(`{"rev":1,"all":true,"targets":[]}`)
 	f.expectList(t, 1, false)
 	if _, err := oldWatch.Conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the old address is still asked")
+		t.Error("the old address is still polled")
 	}
 	if next := nextCall(t, nextAgent); !strings.Contains(next.Path, "from=1") {
-		t.Errorf("the new address is asked %s", next.Path)
+		t.Errorf("the poll of the new address is %s", next.Path)
 	}
 }
 
-// A scheduler that panicked knows no endpoints. Repeat hands it the whole list: what was known, with the changes
+// After a panic the scheduler knows no endpoints. Redeliver sends it the full list: the last full list with all changes
 // since.
 func TestRedeliverSendsFullList(t *testing.T) {
 	agent, address := newAgent(t)
@@ -183,6 +186,6 @@
 	f.loop.Post(f.watcher.Redeliver)
 	got := f.next(t)
 	if !got.isLastKnown || !got.list.All || got.list.Revision != 6 || len(got.list.Endpoints) != 2 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got %+v", got)
 	}
 }
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -2,19 +2,19 @@
 
 import "terntray/internal/wire"
 
-// endpointTable is the endpoint list as it is known: the last whole one and all changes since.
+// endpointTable holds the last known endpoint list: the last full list with all changes since.
 type endpointTable struct {
 	known wire.EndpointList
 }
 
-// full is the list as one that names all endpoints.
+// full returns the last known list, marked as a full list.
 func (table *endpointTable) full() *wire.EndpointList {
 	list := table.known
 	list.All = true
 	return &list
 }
 
-// update applies a whole list, or changes.
+// update applies a full list or a list of changes.
 func (table *endpointTable) update(list *wire.EndpointList) {
 	table.known.Revision = list.Revision
 	if list.All {
@@ -24,7 +24,7 @@
 	table.applyChanges(list.Endpoints)
 }
 
-// applyChanges replaces endpoints by their new states; removed ones are dropped.
+// applyChanges replaces changed endpoints and drops removed ones.
 func (table *endpointTable) applyChanges(changed []wire.Endpoint) {
 	isChanged := map[string]bool{}
 	for _, endpoint := range changed {
--- a/discovery/move.go
+++ b/discovery/move.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// MoveTo has the list followed at another address, after a change of the configuration. The old address is heard
-// until the new one has told the whole list: else a wrong new address would leave the process without any news.
+// MoveTo starts watching the list at another address, after a configuration change. The old address is watched
+// until the new one has sent the full list, so that a wrong new address does not cut the process off from updates.
 func (watcher *Watcher) MoveTo(address string) {
 	watcher.cancelMove()
 	if address == watcher.address {
@@ -15,7 +15,7 @@
 	watcher.startWatch(ctx, address)
 }
 
-// finishMove makes the address that has told the whole list the one that is followed.
+// finishMove switches to the new address, which has sent the full list.
 func (watcher *Watcher) finishMove(address string) {
 	watcher.stopWatch()
 	watcher.log.Printf("event=discovery_moved from=%s to=%s", watcher.address, address)
--- a/discovery/retry.go
+++ b/discovery/retry.go
@@ -7,16 +7,16 @@
 	"terntray/internal/wire"
 )
 
-// retryInterval is the least time between the beginnings of two watches, where they are not on demand.
+// retryInterval is the minimum time between the starts of two watches, except on demand.
 const retryInterval = 200 * time.Millisecond
 
-// startWatch starts a watch's goroutine and restarts it after a failure, until the context ends.
+// startWatch starts a watch on its own goroutine and restarts it after a failure, until the context is cancelled.
 func (watcher *Watcher) startWatch(ctx context.Context, address string) {
-	began := watcher.loop.Now()
-	post := func(do func()) {
+	startedAt := watcher.loop.Now()
+	post := func(fn func()) {
 		watcher.loop.Post(func() {
 			if ctx.Err() == nil {
-				do()
+				fn()
 			}
 		})
 	}
@@ -26,19 +26,19 @@
 	watch := newWatch(address, watcher.hold, watcher.responseTimeout(), deliver)
 	watcher.running.Go(func() {
 		err := watch.run(ctx)
-		post(func() { watcher.watchEnded(ctx, address, began, err) })
+		post(func() { watcher.watchEnded(ctx, address, startedAt, err) })
 	})
 }
 
-// watchEnded takes a watch that has ended. On demand the scheduler says when to poll again. Else the watch begins
-// anew: at once, if it went well for retryInterval or longer.
-func (watcher *Watcher) watchEnded(ctx context.Context, address string, began time.Duration, cause error) {
+// watchEnded handles the end of a watch. On demand, the scheduler requests the next poll. Otherwise the watch is
+// restarted: immediately if it ran for retryInterval or longer, else once that time has passed since its start.
+func (watcher *Watcher) watchEnded(ctx context.Context, address string, startedAt time.Duration, cause error) {
 	watcher.reportFailure(address, cause)
 	isMoving := watcher.stopMove != nil
 	if watcher.onDemand && !isMoving {
 		return
 	}
-	wait := began + retryInterval - watcher.loop.Now()
+	wait := startedAt + retryInterval - watcher.loop.Now()
 	watcher.loop.After(wait, "", func() {
 		if ctx.Err() == nil {
 			watcher.startWatch(ctx, address)
@@ -46,14 +46,14 @@
 	})
 }
 
-// reportFailure logs a failure and tells the handler. While the list moves to another address a failure is no news
-// to the scheduler: the new address has yet to tell it.
+// reportFailure logs a failure and notifies the Handler. During a move to another address the scheduler is not
+// notified, as the new address has not sent it a list yet.
 func (watcher *Watcher) reportFailure(address string, cause error) {
 	isMoving := watcher.stopMove != nil
-	isNews := !isMoving && (watcher.onDemand || !watcher.failing)
-	if isNews || !watcher.failing {
+	notifyScheduler := !isMoving && (watcher.onDemand || !watcher.failing)
+	if notifyScheduler || !watcher.failing {
 		watcher.log.Printf("event=poll_failed at=%s cause=%q", address, cause)
 	}
 	watcher.failing = true
-	watcher.handler.PollFailed(isNews)
+	watcher.handler.PollFailed(notifyScheduler)
 }
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -12,14 +12,14 @@
 	"terntray/internal/wire"
 )
 
-// How long a poll may take beyond the time for which the agent may hold it back.
+// Response timeouts of polls, in addition to the time for which the agent may hold a poll.
 const (
-	// listTimeout is for a poll of the whole list, where changes come only to those who poll.
+	// listTimeout applies to polls of the full list on demand.
 	listTimeout = 2 * time.Second
-	// watchTimeout is for a poll of changes there. Every co-ordinator counts as knowing a change 2 s after the agent
-	// has it; a poll whose response is lost has to be noticed, and made again, before that.
+	// watchTimeout applies to polls for changes on demand. Each co-ordinator is expected to know of a change 2 s
+	// after the agent does; a poll whose response is lost has to be detected and retried within that time.
 	watchTimeout = 1 * time.Second
-	// agentTimeout is for polls of either kind to an agent on this machine, which pushes changes.
+	// agentTimeout applies to all polls of an agent on the same host, which pushes changes.
 	agentTimeout = 500 * time.Millisecond
 )
 
@@ -30,28 +30,28 @@
 	return agentTimeout
 }
 
-// watch polls the whole list and then, again and again, what has changed, on one connection for as long as the agent
-// keeps that open. It belongs to one goroutine.
+// watch polls the full list and then repeatedly polls for changes, on one connection for as long as the agent keeps it
+// open. It is used by a single goroutine.
 type watch struct {
 	address         string
-	hold            time.Duration // for which the agent may hold a poll for changes back
-	responseTimeout time.Duration // beyond that
+	hold            time.Duration // how long the agent may hold a poll for changes
+	responseTimeout time.Duration // in addition to hold
 	deliver         func(list *wire.EndpointList)
 
-	conn       net.Conn // nil: none
+	conn       net.Conn // nil if not connected
 	stopCloser func() bool
 	reader     wire.EndpointListReader
 
-	hasList  bool               // the whole list has come
+	hasList  bool               // the full list was received
 	revision int64              // of the last list
-	pending  *wire.EndpointList // read and not delivered yet
+	pending  *wire.EndpointList // received but not delivered yet
 }
 
 func newWatch(address string, hold, responseTimeout time.Duration, deliver func(*wire.EndpointList)) *watch {
 	return &watch{address: address, hold: hold, responseTimeout: responseTimeout, deliver: deliver}
 }
 
-// run polls until a poll fails or the context ends; it returns the failure.
+// run polls until a poll fails or the context is cancelled, and returns the error.
 func (watch *watch) run(ctx context.Context) error {
 	defer watch.disconnect()
 	for {
@@ -67,8 +67,8 @@
 	}
 }
 
-// poll makes one poll. What the last one brought is delivered only once this one is sent: delivery waits where
-// the inbox of the loop is full, and the watch would lapse meanwhile.
+// poll sends one poll and reads its response. The previous poll's list is delivered only after this poll has been sent:
+// delivery blocks while the queue of the event loop is full, and the watch would expire meanwhile.
 func (watch *watch) poll() error {
 	request, hold := watch.nextRequest()
 	watch.conn.SetDeadline(time.Now().Add(hold + watch.responseTimeout))
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// nextRequest is the next poll, and for how long the agent may hold it back.
+// nextRequest returns the next poll request and how long the agent may hold it.
 func (watch *watch) nextRequest() (request []byte, hold time.Duration) {
 	if !watch.hasList {
 		return wire.ListRequest(watch.address), 0
@@ -130,8 +130,9 @@
 	watch.conn = nil
 }
 
-// readList reads one response; last tells that the agent closes the connection behind it. A response without a length
-// ends with its connection, but only if that was closed in order: after a reset a part of the list may be missing.
+// readList reads one response; last is true if the agent closes the connection after it. A response without a
+// length ends when the agent closes the connection, but not with a reset, after which part of the list may be
+// missing.
 func (watch *watch) readList() (list *wire.EndpointList, last bool, err error) {
 	for {
 		list, last, err = watch.reader.Next()
@@ -151,13 +152,13 @@
 	}
 }
 
-// RevisionError says that an agent told changes that do not continue the list as it is known.
+// RevisionError is returned if changes sent by an agent do not follow the last received list.
 type RevisionError struct {
 	Found int64 // revision of the changes
-	After int64 // revision that they had to continue
+	After int64 // revision of the last received list
 }
 
-// Error is the text in the log.
+// Error returns the text for the log.
 func (err *RevisionError) Error() string {
-	return fmt.Sprintf("changes of revision %d after %d", err.Found, err.After)
+	return fmt.Sprintf("received changes of revision %d after revision %d", err.Found, err.After)
 }
--- a/discovery/watch_test.go
+++ b/discovery/watch_test.go
@@ -23,13 +23,13 @@
 	return agent, agent.Listener.Addr().String()
 }
 
-// The inbox of the loop is full, so that a list cannot be delivered. The next poll goes out all the same: else
-// the watch would lapse.
+// The event loop's queue is full, which blocks the delivery of a list. The next poll is sent anyway, since the watch
+// would expire otherwise.
 func TestWatchPollsWhileDeliveryIsBlocked(t *testing.T) {
 	agent, address := newAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
-	waits, ended := make(chan struct{}), make(chan struct{})
-	watch := newWatch(address, defaultHold, agentTimeout, func(*wire.EndpointList) { <-waits })
+	unblock, ended := make(chan struct{}), make(chan struct{})
+	watch := newWatch(address, defaultHold, agentTimeout, func(*wire.EndpointList) { <-unblock })
 	go func() {
 		watch.run(ctx)
 		close(ended)
@@ -41,19 +41,19 @@
 			t.Errorf("the next poll is %s", next.Path)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("no next poll comes before the list is delivered")
+		t.Error("no further poll is sent before the list is delivered")
 	}
-	close(waits)
+	close(unblock)
 	stop()
 	<-ended
 }
 
-// An agent swallows a poll, as while discovery is down. The poll is given up soon, so that what the agent tells
-// at its return is not late: a drain would count as told while the poll hangs. 0.6 s is some more than an agent
-// is waited for.
+// An agent does not answer a poll, for example during an outage of discovery. The poll times out quickly, so that
+// changes are received soon after the agent recovers: a drain counts as announced even while the poll hangs. The
+// limit of 1.2 s beyond the hold is well above agentTimeout.
 func TestHungPollTimesOut(t *testing.T) {
 	agent, address := newAgent(t)
-	for _, hold := range []time.Duration{0, 100 * time.Millisecond} { // the whole list; a watch
+	for _, hold := range []time.Duration{0, 100 * time.Millisecond} { // poll of the full list; poll for changes
 		watch := newWatch(address, hold, agentTimeout, func(*wire.EndpointList) {})
 		ended := make(chan error)
 		go func() { ended <- watch.run(context.Background()) }()
@@ -62,15 +62,15 @@
 			call.Respond(`{"rev":5,"all":true,"targets":[]}`)
 			<-agent.Calls
 		}
-		began := time.Now()
-		if <-ended; time.Since(began) > hold+1200*time.Millisecond {
-			t.Errorf("a poll that may be held %v is given up after %v", hold, time.Since(began))
+		started := time.Now()
+		if <-ended; time.Since(started) > hold+1200*time.Millisecond {
+			t.Errorf("a poll with a hold of %v timed out after %v", hold, time.Since(started))
 		}
 	}
 }
 
-// A list that states no length ends with its connection. One whose connection is reset on the way has no end,
-// whatever of it came.
+// A list without Content-Length ends when its connection is closed. If the connection is reset, the list is incomplete
+// and not delivered, even if all of its bytes were received.
 func TestListWithoutLengthEndsOnlyAtCleanClose(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		agent, address := newAgent(t)
@@ -89,12 +89,12 @@
 			if reset || list.Revision != 5 {
 				t.Errorf("reset %t: delivered %+v", reset, list)
 			}
-			if next := <-agent.Calls; !strings.Contains(next.Path, "from=5") { // on a connection of its own
+			if next := <-agent.Calls; !strings.Contains(next.Path, "from=5") { // on a new connection
 				t.Errorf("the next poll is %s", next.Path)
 			}
 		case err := <-ended:
 			if !reset {
-				t.Errorf("it is taken for a failure: %v", err)
+				t.Errorf("the poll failed: %v", err)
 			}
 			ended <- err
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-// Replicas are replaced again and again. The list that is known does not grow with those that have gone.
+// Replicas are replaced repeatedly. Removed ones do not accumulate in the last known list.
 func TestRemovedEndpointsLeaveTheKnownList(t *testing.T) {
 	table := endpointTable{}
 	for n := range 3000 {
