--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,13 +1,15 @@
-// Package incarnation places the starts of replicas' processes, which discovery tells by the wall clock, on this
-// process' monotonic clock. Slow start, and the closing of connections from before a restart, rest on them; a
-// wall clock may be off, or be stepped by seconds or an hour at any time.
+// Package incarnation converts the start times of replica processes, which discovery reports in wall clock time, to the
+// monotonic clock of this process. Slow start and the closing of connections that predate a restart depend on them, and
+// a wall clock may be off, or be stepped by seconds or an hour, at any time.
 //
-// What is known without any wall clock goes first. A start that differs from the one told before lies after the
-// list before; so does, for all that is known, the start of a replica that no list had. Where the wall clock says
-// otherwise it is wrong, and the replica counts as started now: to count as too cold is safe, to count as too
-// warm is not. Where the wall clock has been seen to be stepped, the latest of the starts that it gives counts.
+// Knowledge that does not depend on a wall clock takes precedence. A start time that differs from the one listed before
+// must be after the previous list, and so, as far as is known, must be the start of a replica that was not listed
+// before. If the wall clock contradicts this it is wrong, and the replica is taken to have started now: it is safe to
+// treat a replica as colder than it is, but not as warmer. If the wall clock has been stepped, the latest of the
+// possible start times is used.
 //
-// All times are since this process' start, by the monotonic clock. The package does no I/O and reads no clock.
+// All times are relative to the start of this process, on the monotonic clock. The package does no I/O and reads no
+// clock.
 package incarnation
 
 import (
@@ -15,39 +17,39 @@
 	"time"
 )
 
-// Unknown is the start of a replica whose start is not told: long ago.
+// Unknown is the start time of a replica for which discovery reports none; it counts as long ago.
 const Unknown = time.Duration(math.MinInt64)
 
 const (
-	listLag       = time.Second     // by which a list may be behind a replica's start
-	sameOffset    = 2 * time.Second // offsets of the wall clock that differ by less are one: slewing, and late reading
-	maxOffsets    = 8               // offsets that are remembered, the latest ones
-	maxRemembered = 16384           // replicas that are remembered: some times the largest fleet
+	listLag       = time.Second     // how late a list may include a replica that has started
+	sameOffset    = 2 * time.Second // wall clock offsets that differ by less are equal, because of slewing and late reads
+	maxOffsets    = 8               // most recent offsets remembered
+	maxRemembered = 16384           // replicas remembered; several times the largest fleet
 )
 
-// Tracker remembers the starts that were told. Make one with New.
+// Tracker remembers the start times of replicas. Use New to create one.
 type Tracker struct {
-	offsets      []time.Duration  // of the wall clock from the monotonic one, as seen so far
-	starts       map[string]start // by the replica's uid
-	previousList time.Duration    // when the list before the present one came; below 0: none did
-	currentList  time.Duration    // when the present list came; below 0: none did
-	distrusted   int              // starts so far that contradicted the wall clock
+	offsets      []time.Duration  // observed differences between the wall clock and the monotonic clock
+	starts       map[string]start // by UID of the replica
+	previousList time.Duration    // when the list before the current one was received; negative if none was
+	currentList  time.Duration    // when the current list was received; negative if none was
+	distrusted   int              // number of start times that contradicted the wall clock
 }
 
-// start is the start of a replica's process.
+// start is the start time of a replica process.
 type start struct {
-	bootMS     int64         // as discovery tells it: Unix time in milliseconds
-	started    time.Duration // the latest time at which it may have been
-	isExact    bool          // nothing contradicts the wall clock
+	bootMS     int64         // as reported by discovery: Unix time in milliseconds
+	started    time.Duration // the latest possible start time
+	isExact    bool          // not contradicted: started is the time according to the wall clock
 	lastListed time.Duration
 }
 
-// New makes a tracker that knows nothing.
+// New returns an empty Tracker.
 func New() *Tracker {
 	return &Tracker{starts: map[string]start{}, previousList: -1, currentList: -1}
 }
 
-// ObserveWallClock notes what the wall clock says at a time. It is to be called before each list.
+// ObserveWallClock records the current wall clock time. It must be called before each list is processed.
 func (tracker *Tracker) ObserveWallClock(now time.Duration, wallClock time.Time) {
 	offset := time.Duration(wallClock.UnixNano()) - now
 	for _, seen := range tracker.offsets {
@@ -61,15 +63,15 @@
 	tracker.offsets = append(tracker.offsets, offset)
 }
 
-// ListReceived notes that a list from discovery has come: what it does not name is as it was before.
+// ListReceived records that a list was received from discovery. Replicas that it does not name are unchanged.
 func (tracker *Tracker) ListReceived(now time.Duration) {
 	tracker.previousList = tracker.currentList
 	tracker.currentList = now
 }
 
-// StartTime is when the process of a replica started that the present list names. BootMS is the start as discovery
-// tells it, in Unix time in milliseconds; 0 stands for long ago. Where isExact is false the wall clock is
-// contradicted: the process may have started at any time since the list before, and started is the latest.
+// StartTime returns the start time of a replica process in the current list. bootMS is the start time reported by
+// discovery, as Unix time in milliseconds, or 0 if it reports none. If isExact is false, the wall clock was
+// contradicted: the process may have started at any time since the previous list, and started is the latest possible.
 func (tracker *Tracker) StartTime(now time.Duration, uid string, bootMS int64) (started time.Duration, isExact bool) {
 	if bootMS <= 0 {
 		return Unknown, true
@@ -90,7 +92,7 @@
 	return started, isExact
 }
 
-// latestByWallClock is the latest start that the wall clock has given reason for.
+// latestByWallClock returns the latest start time that follows from any of the observed wall clock offsets.
 func (tracker *Tracker) latestByWallClock(bootMS int64) time.Duration {
 	latest := Unknown
 	for _, offset := range tracker.offsets {
@@ -99,8 +101,8 @@
 	return latest
 }
 
-// isPlausible tells whether a start that is told for the first time may have been then: not in the future, and not
-// before the previous list, which would have told it.
+// isPlausible reports whether a newly reported start time is possible: not in the future and not before the previous
+// list, which would already have reported it.
 func (tracker *Tracker) isPlausible(started, now time.Duration) bool {
 	if started > now {
 		return false
@@ -108,18 +110,18 @@
 	return tracker.previousList < 0 || started >= tracker.previousList-listLag
 }
 
-// Distrusted is how many starts have contradicted the wall clock so far.
+// Distrusted returns the number of start times so far that contradicted the wall clock.
 func (tracker *Tracker) Distrusted() int { return tracker.distrusted }
 
-func (tracker *Tracker) remember(uid string, told start) {
+func (tracker *Tracker) remember(uid string, reported start) {
 	_, isKnown := tracker.starts[uid]
 	if !isKnown && len(tracker.starts) >= maxRemembered {
 		tracker.forgetOldest()
 	}
-	tracker.starts[uid] = told
+	tracker.starts[uid] = reported
 }
 
-// forgetOldest forgets the replica that was told longest ago; of several the first by uid.
+// forgetOldest removes the replica that was listed longest ago; of several, the one with the lowest UID.
 func (tracker *Tracker) forgetOldest() {
 	oldestUID := ""
 	oldest := time.Duration(math.MaxInt64)
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// epoch is the true time at the process' start.
+// epoch is the true time of the start of this process.
 var epoch = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// receiveList plays the coming of a list at a time, with a wall clock that is off.
+// receiveList simulates receiving a list at time now, with a wall clock that is off by the given amount.
 func receiveList(tracker *Tracker, now, off time.Duration) {
 	tracker.ObserveWallClock(now, epoch.Add(now+off))
 	tracker.ListReceived(now)
@@ -19,15 +19,15 @@
 
 func bootAt(at time.Duration) int64 { return epoch.Add(at).UnixMilli() }
 
-// With a true wall clock starts are what discovery tells, also when they are told again later.
+// With an accurate wall clock, start times are those reported by discovery, also when they are reported again.
 func TestStartTimesWithAccurateClock(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, 0)
 	if got, _ := tracker.StartTime(0, "a", bootAt(-time.Minute)); got != -time.Minute {
-		t.Errorf("a minute before: %v", got)
+		t.Errorf("started a minute ago: %v", got)
 	}
 	if got, _ := tracker.StartTime(0, "b", 0); got != Unknown {
-		t.Errorf("not told: %v", got)
+		t.Errorf("no start time reported: %v", got)
 	}
 	receiveList(tracker, 10*time.Second, 0)
 	if got, _ := tracker.StartTime(10*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
@@ -35,11 +35,11 @@
 	}
 	receiveList(tracker, 20*time.Second, 0)
 	if got, _ := tracker.StartTime(20*time.Second, "a", bootAt(9*time.Second)); got != 9*time.Second {
-		t.Errorf("told again: %v", got)
+		t.Errorf("reported again: %v", got)
 	}
 }
 
-// The wall clock is an hour slow, so that a replica seems to have started in the future. It counts as started now.
+// The wall clock is an hour slow, so a replica appears to have started in the future. It counts as started now.
 func TestFutureStartCountsAsNow(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, -time.Hour)
@@ -48,9 +48,8 @@
 	}
 }
 
-// A replica restarts between two lists, or appears, while the wall clock is stepped to and fro. It never counts
-// as started before the first of the two, whatever the wall clock said at any time: it would count as warm while
-// it is cold.
+// A replica restarts or appears between two lists while the wall clock is stepped back and forth. It never counts as
+// started before the first of the two lists, whatever the wall clock showed: a cold replica would count as warm.
 func TestRestartIsNeverTakenForOlderThanItCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		off := func(name string) time.Duration {
@@ -66,22 +65,22 @@
 			receiveList(tracker, now, off(fmt.Sprint("off", n)))
 			boot := before + time.Duration(rapid.Int64Range(0, int64(now-before)).Draw(t, fmt.Sprint("boot", n)))
 			started, _ := tracker.StartTime(now, "a", bootAt(boot))
-			if bootAt(boot) == lastBoot { // drawn in the same millisecond: the same process is listed again, it has not restarted
+			if bootAt(boot) == lastBoot { // drawn in the same millisecond: listed again, not restarted
 				if started != lastStart {
-					t.Fatalf("between %v and %v, told as %v, before as %v", before, now, started, lastStart)
+					t.Fatalf("listed again between %v and %v: start time %v, before %v", before, now, started, lastStart)
 				}
 			} else if started > now || started < before-listLag {
-				t.Fatalf("between %v and %v, told as %v", before, now, started)
+				t.Fatalf("restarted between %v and %v: start time %v", before, now, started)
 			}
 			lastBoot, lastStart = bootAt(boot), started
 			if got, _ := tracker.StartTime(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listLag {
-				t.Fatalf("new between %v and %v, told as %v", before, now, got)
+				t.Fatalf("first listed between %v and %v: start time %v", before, now, got)
 			}
 		}
 	})
 }
 
-// The wall clock is stepped back by an hour. Of the starts that the two offsets give, the later counts.
+// The wall clock is stepped back by an hour. The later of the start times according to the two offsets is used.
 func TestLatestOfTwoClockOffsetsCounts(t *testing.T) {
 	tracker := New()
 	receiveList(tracker, 0, time.Hour)
@@ -91,8 +90,8 @@
 	}
 }
 
-// Replicas are replaced and the wall clock is stepped again and again. What is remembered stays bounded, and the
-// replica that was told longest ago is forgotten first.
+// Replicas are replaced and the wall clock is stepped repeatedly. Memory stays bounded, and the replica that was listed
+// longest ago is removed first.
 func TestMemoryIsBounded(t *testing.T) {
 	tracker := New()
 	for n := range maxRemembered + 50 {
@@ -104,6 +103,6 @@
 		t.Errorf("%d replicas, %d offsets", len(tracker.starts), len(tracker.offsets))
 	}
 	if _, had := tracker.starts["0"]; had {
-		t.Error("the oldest is remembered")
+		t.Error("the oldest replica was not removed")
 	}
 }
