--- a/twophase/class.go
+++ b/twophase/class.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// When two phases are worth it.
+// Conditions for two-phase execution.
 const (
-	minShards         = 4    // fewer are fetched from at once: a can-match phase would save hardly anything
-	maxRelativeWork   = 0.75 // of the work of one phase that two may be expected to cost; the rest is for the attempts
-	maxObjectiveShare = 0.9  // of the time until the objective that both phases may be expected to take
-	probeInterval     = 32   // queries that are not worth it, after which one is executed in two phases all the same
-	maxProbeShare     = 0.4  // of the time until the objective that such a probe may be expected to take: none in a jam
+	minShards         = 4    // with fewer shards a can-match phase saves hardly any work
+	maxRelativeWork   = 0.75 // expected work relative to one phase; the rest is margin for additional attempts
+	maxObjectiveShare = 0.9  // expected time of both phases relative to the time until the objective
+	probeInterval     = 32   // queries in one phase after which one is executed in two phases as a probe
+	maxProbeShare     = 0.4  // like maxObjectiveShare, for a probe; this prevents probes under overload
 )
 
-// What is assumed before anything was learned.
+// Initial values of the learned estimates, and their parameters.
 const (
-	initialSummaryCost    = 0.15 // work of a summary, as a share of that of an answer
-	initialFetchedShare   = 0.3  // of shards that are fetched from after a can-match phase
-	initialPhaseShare     = 0.2  // of the latency objective that a phase takes
-	defaultWorkShare      = 0.05 // of the latency objective that an answer works, where the client gives no hint
-	maxSummaryCost        = 0.3  // of an answer's work: beyond it the round trip hides how cheap a summary is
+	initialSummaryCost    = 0.15 // work of a summary relative to that of an answer
+	initialFetchedShare   = 0.3  // share of the shards fetched from after a can-match phase
+	initialPhaseShare     = 0.2  // duration of a phase relative to the latency objective
+	defaultWorkShare      = 0.05 // work of an answer relative to the latency objective, if the client gives no hint
+	maxSummaryCost        = 0.3  // limit for observed costs: above it the round trip dominates the measurement
 	minSummaryWork        = time.Millisecond / 10
-	learningRate          = 0.1              // weight of one query in what is learned
+	learningRate          = 0.1              // weight of one query in the estimates
 	deviationsAllowed     = 3.0              // mean deviations above the mean in the upper estimate of a phase
-	decayTimeConstant     = 60 * time.Second // in which what is learned loses two thirds of its distance to the initial value
-	distrustTime          = 10 * time.Minute // for which summaries of a replica are distrusted after a false one
-	maxDistrusted         = 1024             // replicas; beyond it some are forgotten early
-	versionMemory         = 30 * time.Second // after which the version that a replica had is no longer compared
-	maxReplicasRemembered = 16               // replicas of a shard whose versions are remembered
-	maxShardsRemembered   = 4096             // shards whose replicas' versions are remembered; beyond it all are forgotten
+	decayTimeConstant     = 60 * time.Second // time constant of the exponential decay to the initial values
+	distrustTime          = 10 * time.Minute // how long summaries of a replica are distrusted after a false one
+	maxDistrusted         = 1024             // distrusted replicas; beyond it some are removed early
+	versionMemory         = 30 * time.Second // how long the version of a shard on a replica is remembered
+	maxReplicasRemembered = 16               // replicas per shard whose versions are remembered
+	maxShardsRemembered   = 4096             // shards whose versions are remembered; beyond it all are cleared
 )
 
-// Class is what is learned of the queries of one class. It belongs to one goroutine, as its queries do.
+// Class holds the estimates learned from the queries of one class. It and its queries must be used by one goroutine.
 type Class struct {
-	objective       time.Duration // the class's latency objective
+	objective       time.Duration // latency objective of the class
 	canMatch, fetch phaseTime
-	fetchedShare    float64 // of shards that are fetched from after a can-match phase
-	summaryCost     float64 // work of a summary, as a share of that of an answer
-	unprunedShare   float64 // of can-match phases after which all shards were fetched from
-	sinceTwoPhases  int     // queries in a row that were executed in one phase
+	fetchedShare    float64 // share of the shards fetched from after a can-match phase
+	summaryCost     float64 // work of a summary relative to that of an answer
+	unprunedShare   float64 // share of the can-match phases after which all shards were fetched from
+	sinceTwoPhases  int     // consecutive queries executed in one phase
 	decayedAt       time.Duration
-	distrustedUntil map[Replica]time.Duration // replicas that gave a false summary
+	distrustedUntil map[Replica]time.Duration // replicas that sent a false summary
 	versions        map[Shard][]versionSeen
 }
 
-// versionSeen is the version of a shard that a replica had when it was last heard.
+// versionSeen is the last known version of a shard on a replica.
 type versionSeen struct {
 	replica Replica
 	version Version
 	at      time.Duration
 }
 
-// NewClass returns a Class that has learned nothing. The objective is the class's latency objective.
+// NewClass returns a Class with initial estimates. objective is the latency objective of the class.
 func NewClass(objective time.Duration) *Class {
 	initial := initialPhaseTime(objective)
 	return &Class{
@@ -68,10 +68,9 @@
 	}
 }
 
-// worthTwoPhases decides whether a query over so many shards is executed in two phases: if that is expected to cost
-// less work than one phase, and to be complete in time. In a jam phases take long, so that none is begun in vain
-// then. Since a class's queries change, one is executed in two phases now and then all the same, while there is
-// time for it.
+// worthTwoPhases reports whether a query over a number of shards is executed in two phases: if that is expected to cost
+// less work than one phase and to complete in time. Under overload, phases take long, so queries use one phase. As
+// queries of a class change over time, some are executed in two phases as a probe if there is enough time.
 func (class *Class) worthTwoPhases(shards int, untilObjective time.Duration) bool {
 	if shards < minShards {
 		return false
@@ -92,39 +91,39 @@
 	return time.Duration(float64(duration) * factor)
 }
 
-// decay moves what is learned back towards the initial values, by the time since the last query.
+// decay moves the estimates towards their initial values, depending on the time since the last query.
 func (class *Class) decay(now time.Duration) {
 	kept := math.Exp(-float64(now-class.decayedAt) / float64(decayTimeConstant))
 	class.decayedAt = now
-	fadeTo := func(value *float64, initial float64) { *value = initial + (*value-initial)*kept }
+	decayTo := func(value *float64, initial float64) { *value = initial + (*value-initial)*kept }
 	initial := initialPhaseTime(class.objective)
-	fadeTo(&class.canMatch.mean, initial.mean)
-	fadeTo(&class.fetch.mean, initial.mean)
-	fadeTo(&class.canMatch.deviation, initial.deviation)
-	fadeTo(&class.fetch.deviation, initial.deviation)
-	fadeTo(&class.fetchedShare, initialFetchedShare)
-	fadeTo(&class.unprunedShare, 0)
+	decayTo(&class.canMatch.mean, initial.mean)
+	decayTo(&class.fetch.mean, initial.mean)
+	decayTo(&class.canMatch.deviation, initial.deviation)
+	decayTo(&class.fetch.deviation, initial.deviation)
+	decayTo(&class.fetchedShare, initialFetchedShare)
+	decayTo(&class.unprunedShare, 0)
 }
 
-// observeCanMatch learns from a can-match phase. One that was cut short would have taken at least as long.
+// observeCanMatch updates the estimates with a can-match phase. An incomplete phase gives a lower bound of its
+// duration.
 func (class *Class) observeCanMatch(took time.Duration, complete bool) {
 	if complete || took > class.canMatch.estimate() {
 		class.canMatch.observe(took)
 	}
 }
 
-// observePruning learns from a query in two phases how many of its shards were fetched from.
+// observePruning updates the estimates with the number of shards fetched from in a two-phase query.
 func (class *Class) observePruning(shards, fetched int) {
-	useless := 0.0
+	unpruned := 0.0
 	if fetched >= shards {
-		useless = 1
+		unpruned = 1
 	}
 	class.fetchedShare += learningRate * (float64(fetched)/float64(shards) - class.fetchedShare)
-	class.unprunedShare += learningRate * (useless - class.unprunedShare)
+	class.unprunedShare += learningRate * (unpruned - class.unprunedShare)
 }
 
-// ObserveCost learns the work of a summary beside that of an answer, as the scheduler's estimates have them; 0:
-// unknown.
+// ObserveCost updates the relative cost of a summary with the mean work of a summary and of an answer; 0 is unknown.
 func (class *Class) ObserveCost(summary, answer time.Duration) {
 	if summary <= 0 || answer <= 0 {
 		return
@@ -133,8 +132,8 @@
 	class.summaryCost += learningRate * (cost - class.summaryCost)
 }
 
-// WorkHint is the expected work of a subquery: for an answer what the client said, if anything, or a share of the
-// latency objective; for a summary a share of that, as learned.
+// WorkHint returns the expected work of a subquery. For an answer it is the client's hint or, without one, a share
+// of the latency objective; for a summary it is the learned share of that.
 func (query *Query) WorkHint(summary bool, clientHint time.Duration) time.Duration {
 	work := clientHint
 	if work == 0 {
@@ -146,8 +145,8 @@
 	return work
 }
 
-// observeVersion notes which version a replica has of a shard, and reports whether all its replicas that were heard
-// of late have the same.
+// observeVersion records the version of a shard on a replica and reports whether all replicas of the shard seen within
+// versionMemory have the same version.
 func (class *Class) observeVersion(now time.Duration, id Shard, from Replica, version Version) (agree bool) {
 	others := slices.DeleteFunc(class.versions[id], func(seen versionSeen) bool {
 		return seen.replica == from || now-seen.at > versionMemory
@@ -156,14 +155,14 @@
 		others = others[1:]
 	}
 	if class.versions[id] == nil && len(class.versions) >= maxShardsRemembered {
-		clear(class.versions) // they are learned again within a query or two
+		clear(class.versions) // they are relearned within one or two queries
 		others = nil
 	}
 	class.versions[id] = append(others, versionSeen{from, version, now})
 	return !slices.ContainsFunc(others, func(seen versionSeen) bool { return seen.version != version })
 }
 
-// distrust has a replica's summaries prove nothing for distrustTime.
+// distrust excludes the summaries of a replica from use as proofs for distrustTime.
 func (class *Class) distrust(now time.Duration, replica Replica) {
 	for other, until := range class.distrustedUntil {
 		if until <= now || len(class.distrustedUntil) >= maxDistrusted {
@@ -177,7 +176,7 @@
 	return class.distrustedUntil[replica] > now
 }
 
-// String describes what was learned, for a person to read.
+// String formats the estimates for the operator page.
 func (class *Class) String() string {
 	const precision = 100 * time.Microsecond
 	return fmt.Sprintf("share=%.2f cost=%.2f vain=%.2f first=%v second=%v spoilt=%d",
@@ -185,29 +184,29 @@
 		class.fetch.estimate().Round(precision), len(class.distrustedUntil))
 }
 
-// phaseTime is how long a phase takes, in seconds.
+// phaseTime estimates the duration of a phase, in seconds.
 type phaseTime struct {
 	mean      float64
 	deviation float64 // mean absolute deviation
 }
 
-// initialPhaseTime is what is assumed of a class with this latency objective.
+// initialPhaseTime returns the initial estimate for a class with a latency objective.
 func initialPhaseTime(objective time.Duration) phaseTime {
 	mean := initialPhaseShare * objective.Seconds()
 	return phaseTime{mean: mean, deviation: mean / deviationsAllowed}
 }
 
-// estimate is the expected time.
+// estimate returns the expected duration.
 func (t phaseTime) estimate() time.Duration { return time.Duration(t.mean * float64(time.Second)) }
 
-// upperEstimate is a time that few phases exceed.
+// upperEstimate returns a duration that few phases exceed.
 func (t phaseTime) upperEstimate() time.Duration {
 	return time.Duration((t.mean + deviationsAllowed*t.deviation) * float64(time.Second))
 }
 
-// observe learns from one phase.
+// observe updates the estimate with the duration of one phase.
 func (t *phaseTime) observe(took time.Duration) {
-	off := took.Seconds() - t.mean
-	t.mean += learningRate * off
-	t.deviation += learningRate * (math.Abs(off) - t.deviation)
+	diff := took.Seconds() - t.mean
+	t.mean += learningRate * diff
+	t.deviation += learningRate * (math.Abs(diff) - t.deviation)
 }
--- a/twophase/prune.go
+++ b/twophase/prune.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// This file has the proofs by which a shard is left out of the fetch phase. A shard adds nothing if its summary
-// says that nothing matches, or if no hit of it can score as much as the last of the wanted hits that are known to
-// exist. An equal score proves nothing, as ties are decided by shard and id.
+// This file decides which shards are pruned, that is, proved to contribute nothing and skipped in the fetch phase.
+// A shard is pruned if its summary says that nothing matches, or if its upper bound is below the score that the
+// wanted number of hits is known to reach (threshold). A bound equal to the threshold proves nothing, as ties are
+// decided by shard and id.
 //
-// The proofs are looked at anew before each wave and before the end. What a summary promises counts only until its
-// shard has answered, so that in the end all proofs rest on hits alone: promises that were not kept, and versions
-// that moved meanwhile, have the shard fetched from after all.
+// Pruning is repeated before each wave and before the query completes. Once a shard has answered, its hits replace the
+// hits promised by its summary, so in the end all proofs are based on actual hits. If a promise was not kept, or the
+// version has changed meanwhile, the shards concerned are fetched from after all.
 
-// prune marks the shards that are proved to add nothing, and takes back what is no longer proved.
+// prune marks the shards that are proved to contribute nothing and unmarks those whose proof no longer holds.
 func (query *Query) prune() {
 	threshold, known := query.threshold()
 	for _, shard := range query.shards {
@@ -31,7 +32,7 @@
 	}
 }
 
-// usableAsProof reports whether a shard's summary may prove anything.
+// usableAsProof reports whether the summary of a shard may be used as a proof.
 func (query *Query) usableAsProof(shard *shardProgress) bool {
 	if shard.distrusted {
 		return false
@@ -39,8 +40,8 @@
 	return !query.options.SharedVersions || !query.hasOtherVersion(shard.summary.Version)
 }
 
-// threshold is the score that the wanted number of hits is known to reach. It is not known while there are fewer
-// hits. A shard that helps to reach it by its own promise cannot be below it.
+// threshold returns the score that the wanted number of hits is known to reach, or false if fewer hits are known. A
+// shard whose own promised hits count towards the threshold cannot be below it.
 func (query *Query) threshold() (score float64, known bool) {
 	if !query.options.Ranked {
 		return 0, false
@@ -56,7 +57,7 @@
 	return scores[len(scores)-query.options.Limit], true
 }
 
-// appendKnownScores appends a score for each hit that a shard has given or, by its summary, promised.
+// appendKnownScores appends a score for each hit that a shard has returned or that its summary promises.
 func (query *Query) appendKnownScores(scores []float64, shard *shardProgress) []float64 {
 	switch shard.state {
 	case answered:
@@ -74,7 +75,7 @@
 	return scores
 }
 
-// hasOtherVersion reports whether an answer of another version has come.
+// hasOtherVersion reports whether a shard has answered with another version.
 func (query *Query) hasOtherVersion(version Version) bool {
 	return slices.ContainsFunc(query.shards, func(shard *shardProgress) bool {
 		return shard.state == answered && shard.answer.Version != version
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// phaseOverhead is the time that this process is expected to take between two phases or waves, for gathering and
-	// pruning. It is added to the estimate of a fetch wherever the time that is left is judged.
+	// phaseOverhead is the expected processing time of this process between two phases or waves. It is added to the
+	// estimated duration of a fetch when checking whether the remaining time suffices.
 	phaseOverhead = 2 * time.Millisecond
-	// maxWaves is how many waves the fetch phase may have: hits of one may prove that shards of the next add nothing.
+	// maxWaves is the maximum number of waves in the fetch phase. Hits of one wave can prune shards of the next.
 	maxWaves = 3
-	// minWaveShards is how many shards a wave has at the least, as smaller ones cost time and save little work.
+	// minWaveShards is the minimum number of shards per wave: smaller waves take time and save little work.
 	minWaveShards = 4
-	// quorumOfShards is the share of summaries from which on missing ones are waited for only as long as a can-match
-	// phase usually takes (gather).
+	// quorumOfShards is the share of shards with a summary from which on the query waits for the others only as long as
+	// a can-match phase usually takes (awaitSummaries).
 	quorumOfShards = 0.8
 )
 
-// ErrInvalidOptions is returned by Begin for options that contradict themselves, or for no shards.
+// ErrInvalidOptions is returned by Begin if the options contradict themselves or there are no shards. Its text is
+// sent to the client.
 var ErrInvalidOptions = errors.New("a form that cannot be")
 
-// shardState is how far a query has come with one shard.
+// shardState is the state of one shard in a query.
 type shardState int
 
 const (
-	pending    shardState = iota // no summary has come yet
-	summarized                   // its summary has come
-	noSummary                    // no usable summary will come: it has to be fetched from
-	pruned                       // its summary proves that it adds nothing
-	fetching                     // it was asked for its hits
-	answered                     // its hits are there
+	pending    shardState = iota // no summary received yet
+	summarized                   // summary received
+	noSummary                    // no usable summary available: has to be fetched from
+	pruned                       // its summary proves that it contributes nothing
+	fetching                     // asked for its hits
+	answered                     // hits received
 )
 
-// shardProgress is what a query knows of one shard.
+// shardProgress is the state and the replies of one shard in a query.
 type shardProgress struct {
 	id         Shard
 	state      shardState
 	summary    Summary
-	summarizer Replica // the replica that the summary came from
-	distrusted bool    // its replicas' versions differ, or the summarizer has given a false summary
+	summarizer Replica // the replica that sent the summary
+	distrusted bool    // the versions of its replicas differ, or the summarizer has sent a false summary
 	answer     Answer
 }
 
-// upperBound is the score that no hit of the shard exceeds; +Inf where nothing proves one.
+// upperBound returns the upper bound of the scores of the shard, or +Inf if none is proved.
 func (shard *shardProgress) upperBound() float64 {
 	if shard.state != summarized || shard.distrusted {
 		return math.Inf(1)
@@ -55,7 +56,7 @@
 	return shard.summary.Upper
 }
 
-// phase is where a query stands.
+// phase is the current phase of a query.
 type phase int
 
 const (
@@ -64,26 +65,26 @@
 	fetchPhase
 )
 
-// Query is one query that is executed in one or two phases. It belongs to the goroutine of its Class.
+// Query is a query executed in one or two phases. It must be used by the goroutine of its Class.
 type Query struct {
 	class         *Class
 	options       Options
-	shards        []*shardProgress // in the order in which the query named them
+	shards        []*shardProgress // in the order passed to Begin
 	byID          map[Shard]*shardProgress
 	startedAt     time.Duration
-	objectiveAt   time.Duration // by when it should be complete
-	deadlineAt    time.Duration // by when it must be
+	objectiveAt   time.Duration // time by which it should complete
+	deadlineAt    time.Duration // time by which it must complete
 	twoPhases     bool
 	phase         phase
-	wavesLeft     int           // of the fetch phase, the next one included
-	waveStartedAt time.Duration // when the present wave began
-	fetched       int           // shards that were asked for hits
-	rejection     string        // why it was rejected; empty: it was not
+	wavesLeft     int           // waves left in the fetch phase, including the next one
+	waveStartedAt time.Duration // start of the current wave
+	fetched       int           // number of shards asked for hits
+	rejection     string        // reason for rejecting the query; empty if it is not rejected
 }
 
-// Begin opens a query over some shards, which should be complete at objectiveAt and must be at deadlineAt.
-// maxAttempts is how many attempts each shard may get in all; two phases need two. It fails with ErrInvalidOptions,
-// or if a shard is named twice.
+// Begin opens a query over some shards, which should complete by objectiveAt and must complete by deadlineAt.
+// maxAttempts is the maximum number of attempts per shard; two phases need at least two. Begin returns
+// ErrInvalidOptions for inconsistent options and an error, whose text is sent to the client, for a duplicate shard.
 func (class *Class) Begin(now time.Duration, options Options, shards []Shard,
 	objectiveAt, deadlineAt time.Duration, maxAttempts int) (*Query, error) {
 	limitWithoutRank := !options.Ranked && options.Limit > 0
@@ -111,8 +112,8 @@
 	return query, nil
 }
 
-// Next returns the next step. CanMatch, and Fetch of the same shards, are returned once. After Done or Reject the query
-// is over, a further call returns the same again, and its owner calls Close.
+// Next returns the next step. CanMatch is returned at most once, and so is Fetch for any one shard. After Done or
+// Reject the query has ended: further calls return the same step, and the owner has to call Close.
 func (query *Query) Next(now time.Duration) Step {
 	if query.rejection != "" {
 		return Step{Action: Reject, Reason: query.rejection}
@@ -135,7 +136,7 @@
 		return query.nextWave(now)
 	}
 	if now >= query.deadlineAt {
-		return query.reject("the deadline has passed")
+		return query.reject("deadline exceeded")
 	}
 	return Step{Action: Wait, Wakeup: query.deadlineAt}
 }
@@ -145,7 +146,7 @@
 	return Step{Action: Reject, Reason: reason}
 }
 
-// shardsInState lists the shards in a state.
+// shardsInState returns the shards that are in a state.
 func (query *Query) shardsInState(state shardState) []Shard {
 	var shards []Shard
 	for _, shard := range query.shards {
@@ -156,10 +157,9 @@
 	return shards
 }
 
-// awaitSummaries waits for summaries as long as that serves the answer, then begins the fetch phase. All are waited for
-// until the fetch phase would come too late; the last fifth only as long as a can-match phase usually takes.
-// Otherwise one slow or silent shard would cost the whole answer. A shard whose summary is not waited for is
-// fetched from.
+// awaitSummaries waits for summaries and then starts the fetch phase. It waits until the fetch phase would start
+// too late or, once quorumOfShards have a summary, only as long as a can-match phase usually takes. Otherwise a
+// single slow or unresponsive shard could prevent an answer. Shards without a summary are fetched from.
 func (query *Query) awaitSummaries(now time.Duration) Step {
 	missing := len(query.shardsInState(pending))
 	until := query.latestFetchStart()
@@ -182,8 +182,8 @@
 	return query.nextWave(now)
 }
 
-// latestFetchStart is when the fetch phase has to begin to be complete by the objective or, where that is out of
-// reach, by the deadline.
+// latestFetchStart returns the latest time at which the fetch phase has to start in order to complete by the objective
+// or, if that is not possible, by the deadline.
 func (query *Query) latestFetchStart() time.Duration {
 	needed := phaseOverhead + query.class.fetch.upperEstimate()
 	if latest := query.objectiveAt - needed; latest > query.startedAt {
@@ -192,8 +192,8 @@
 	return query.deadlineAt - needed
 }
 
-// wavesWithin is how many waves of fetching the time allows, where several can save work: the hits of the first may
-// prove that further shards add nothing.
+// wavesWithin returns how many waves of fetching fit before the objective. Only ranked queries have several waves, in
+// which hits of earlier waves can prune shards of later ones.
 func (query *Query) wavesWithin(now time.Duration) int {
 	if !query.options.Ranked {
 		return 1
@@ -203,17 +203,18 @@
 	return max(1, min(maxWaves, waves))
 }
 
-// nextWave fetches from the next shards that may contribute, or ends the query if there are none.
+// nextWave fetches from the next shards that may contribute, or completes the query if there are none.
 func (query *Query) nextWave(now time.Duration) Step {
 	query.prune()
 	left := query.unresolved()
 	if len(left) == 0 {
-		return Step{Action: Done, Reason: fmt.Sprintf("%d of %d shards fetched from", query.fetched, len(query.shards))}
+		return Step{Action: Done, Reason: fmt.Sprintf("fetched from %d of %d shards", query.fetched, len(query.shards))}
 	}
 	if now+phaseOverhead+query.class.fetch.estimate() > query.deadlineAt {
-		return query.reject("too little time is left to fetch from the remaining shards")
+		return query.reject("not enough time left to fetch from the remaining shards")
 	}
-	// The best bounds go first. A shard without a bound goes in the first wave in any case.
+	// Shards with the highest bounds are fetched from first. waveSize puts all shards without a bound in the first
+	// wave.
 	slices.SortStableFunc(left, func(a, b *shardProgress) int { return cmp.Compare(b.upperBound(), a.upperBound()) })
 	query.wavesLeft--
 	if query.wavesLeft > 0 {
@@ -222,8 +223,8 @@
 	return query.fetch(left, "")
 }
 
-// waveSize is how many of the shards that are left, best bounds first, go in the next wave of several: an equal
-// share, all without a bound, and as many as promise enough hits.
+// waveSize returns how many of the remaining shards, sorted by descending bound, are in the next of several waves: at
+// least an equal share, all shards without a bound, and enough shards to promise the wanted number of hits.
 func (query *Query) waveSize(left []*shardProgress) int {
 	size := max(minWaveShards, (len(left)+query.wavesLeft)/(query.wavesLeft+1))
 	for size < len(left) {
@@ -236,7 +237,7 @@
 	return min(size, len(left))
 }
 
-// unresolved lists the shards that are neither fetched from nor proved to add nothing.
+// unresolved returns the shards that are neither fetched from nor pruned.
 func (query *Query) unresolved() []*shardProgress {
 	var left []*shardProgress
 	for _, shard := range query.shards {
@@ -247,7 +248,7 @@
 	return left
 }
 
-// promisedHits is how many hits the trusted summaries of some shards promise.
+// promisedHits returns the number of hits that the trusted summaries of some shards promise.
 func promisedHits(shards []*shardProgress) int {
 	hits := 0
 	for _, shard := range shards {
@@ -258,7 +259,7 @@
 	return hits
 }
 
-// fetch marks shards as asked for their hits and returns the step that asks them.
+// fetch marks shards as fetching and returns the step that asks them for their hits.
 func (query *Query) fetch(shards []*shardProgress, reason string) Step {
 	step := Step{Action: Fetch, Reason: reason}
 	for _, shard := range shards {
@@ -270,7 +271,8 @@
 	return step
 }
 
-// Hits is the complete answer, once Next has returned Done: in order, Options.Limit at the most where it is ranked.
+// Hits returns the complete answer in order, after Next has returned Done; for a ranked query, at most
+// Options.Limit hits.
 func (query *Query) Hits() []Hit {
 	var hits []Hit
 	for _, shard := range query.shards {
@@ -285,7 +287,7 @@
 	return hits
 }
 
-// Version is the version of a shard's summary, for the request for its hits; empty: there was no summary.
+// Version returns the version of a shard's summary, for the fetch request; empty if there is no summary.
 func (query *Query) Version(id Shard) Version {
 	if shard := query.byID[id]; shard != nil {
 		return shard.summary.Version
@@ -293,14 +295,14 @@
 	return ""
 }
 
-// Close ends the query, however that came about, and has the class learn from it.
+// Close ends the query, whatever its outcome, and updates the estimates of the class.
 func (query *Query) Close() {
 	if query.phase == fetchPhase && query.twoPhases {
 		query.class.observePruning(len(query.shards), query.fetched)
 	}
 }
 
-// Phases returns in how many phases the query is executed and how many shards were asked for hits.
+// Phases returns the number of phases of the query and the number of shards asked for hits.
 func (query *Query) Phases() (phases, shardsFetched int) {
 	if query.twoPhases {
 		return 2, query.fetched
--- a/twophase/reports.go
+++ b/twophase/reports.go
@@ -8,11 +8,10 @@
 	"time"
 )
 
-var errNoVersion = errors.New("no version")
+var errNoVersion = errors.New("answer has no version")
 
-// Summarized takes the summary of a shard, from a replica, and reports whether it can be used. One that contradicts
-// itself proves nothing: the shard is fetched from. A summary that comes too late, or for a shard that is not asked
-// for one, changes nothing.
+// Summarized records the summary of a shard, sent by a replica, and reports whether it can be used. If it contradicts
+// itself, the shard is fetched from. A summary that is late or was not requested is ignored.
 func (query *Query) Summarized(now time.Duration, id Shard, from Replica, summary Summary) (usable bool) {
 	shard := query.byID[id]
 	if shard == nil || shard.state != pending || query.phase != canMatchPhase {
@@ -30,23 +29,23 @@
 	return true
 }
 
-// NoSummary says that no summary of a shard will come: it is fetched from.
+// NoSummary records that no summary of a shard is available, so that it is fetched from.
 func (query *Query) NoSummary(id Shard) {
 	if shard := query.byID[id]; shard != nil && shard.state == pending {
 		shard.state = noSummary
 	}
 }
 
-// Answered takes the hits of a shard, from a replica. An error says why they cannot be used; the shard has still to be
-// answered then.
+// Answered records the hits of a shard, sent by a replica. It returns an error if they cannot be used; the shard then
+// still needs an answer.
 //
-// Hits that the shard's own summary of the same version excludes show that the summary was false. Other shards may have
-// been left out because of it, so the query is rejected, and summaries of the replica that gave it are distrusted for a
-// while.
+// If the hits contradict the shard's summary of the same version, the summary was false. As other shards may have
+// been pruned because of it, the query is rejected, and summaries of the replica that sent it are distrusted for
+// distrustTime.
 func (query *Query) Answered(now time.Duration, id Shard, from Replica, answer Answer) error {
 	shard := query.byID[id]
 	if shard == nil || shard.state != fetching {
-		return fmt.Errorf("shard %d was not fetched from", id)
+		return fmt.Errorf("unexpected answer: shard %d was not asked for hits", id)
 	}
 	if err := query.checkAnswer(id, answer); err != nil {
 		return err
@@ -65,21 +64,22 @@
 	return nil
 }
 
-// checkAnswer checks an answer by itself.
+// checkAnswer validates an answer without regard to the summary.
 func (query *Query) checkAnswer(id Shard, answer Answer) error {
 	if answer.Version == "" {
 		return errNoVersion
 	}
 	if query.options.Ranked && len(answer.Hits) > query.options.Limit {
-		return fmt.Errorf("found %d hits, wanted %d at the most", len(answer.Hits), query.options.Limit)
+		return fmt.Errorf("answer has %d hits, want at most %d", len(answer.Hits), query.options.Limit)
 	}
 	seen := make(map[string]bool, len(answer.Hits))
 	for n, hit := range answer.Hits {
 		switch {
 		case hit.Shard != id || hit.ID == "" || seen[hit.ID]:
-			return fmt.Errorf("hit %d of shard %d, id %.40q", n, hit.Shard, hit.ID)
+			return fmt.Errorf("hit %d has an unexpected shard or an empty or duplicate id: shard %d, id %.40q",
+				n, hit.Shard, hit.ID)
 		case math.IsNaN(hit.Score) || math.IsInf(hit.Score, 0):
-			return fmt.Errorf("hit %d has no score", n)
+			return fmt.Errorf("hit %d has no finite score", n)
 		case n > 0 && CompareHits(answer.Hits[n-1], hit) >= 0:
 			return fmt.Errorf("hit %d is out of order", n)
 		}
--- a/twophase/twophase.go
+++ b/twophase/twophase.go
@@ -1,15 +1,15 @@
-// Package twophase decides how a query is executed in two phases: can-match, in which each shard is asked for a summary
-// of what it has, and fetch, in which only those shards are asked for hits that may contribute to the answer.
+// Package twophase controls the execution of two-phase queries. In the can-match phase each shard is asked for a
+// summary of its matches; in the fetch phase only the shards that may contribute to the answer are asked for hits.
 //
-// A Class keeps what was learned of the queries of one class. Class.Begin opens a Query; its owner calls
-// Query.Next, carries out the Step that it returns, reports what came by Summarized, NoSummary and Answered, and
-// asks Next again. The time comes with each call. The package does no I/O, has no clock and no goroutine, and
-// places nothing: which replica gets a subquery, and whether again, is decided in package scheduler.
+// A Class holds estimates learned from the queries of one class. Class.Begin opens a Query. Its owner calls Query.Next,
+// carries out the returned Step, reports the replies by Summarized, NoSummary and Answered, and calls Next again. The
+// current time is an argument of each call. The package does no I/O and has no clock and no goroutine. Placement and
+// retries of subqueries are decided by package scheduler.
 //
-// It promises that an answer is the one that fetching from every shard would have given, each shard in a state that it
-// had at some moment during the query, or that there is none. A shard is left out only on the proof of its own summary
-// (prune.go), and only as long as the answers bear that proof out. A query that can no longer be complete in time is
-// rejected at once. Each shard is asked for hits once.
+// The package guarantees that an answer is equal to that of fetching from every shard, each in a state that it had at
+// some time during the query; otherwise the query has no answer. A shard is skipped only if its own summary proves that
+// it cannot contribute (prune.go), and only while the answers do not invalidate that proof. A query that can no longer
+// complete in time is rejected at once. Each shard is asked for hits at most once.
 package twophase
 
 import (
@@ -19,32 +19,32 @@
 )
 
 type (
-	// Shard names a shard.
+	// Shard identifies a shard.
 	Shard int
-	// Replica names a replica that holds some shards.
+	// Replica identifies a replica, which holds some of the shards.
 	Replica uint32
-	// Version names a state of a shard's data; empty is no version.
+	// Version identifies a state of a shard's data; empty means that there is none.
 	Version string
 )
 
-// Options are what a query wants.
+// Options specifies which hits a query wants.
 type Options struct {
-	Ranked bool // the best hits by score; else all that match
-	Limit  int  // number of hits that are wanted; only where Ranked
-	// SharedVersions says that all shards share one sequence of versions: an answer of another version than a summary
-	// ends that summary's proof.
+	Ranked bool // the best hits by score; otherwise all matches
+	Limit  int  // number of hits wanted; only if Ranked
+	// SharedVersions means that all shards share one sequence of versions: an answer with a different version than a
+	// summary invalidates that summary as a proof.
 	SharedVersions bool
 }
 
-// Summary is what a shard says of a query without answering it.
+// Summary describes the hits of a shard for a query without listing them.
 type Summary struct {
 	Version Version
-	Count   int     // of its hits
-	Upper   float64 // no hit scores above; +Inf where that is not known
-	Lower   float64 // every hit scores at least this; -Inf where that is not known
+	Count   int     // number of hits
+	Upper   float64 // upper bound of the scores; +Inf if unknown
+	Lower   float64 // lower bound of the scores; -Inf if unknown
 }
 
-// consistent reports whether a summary can be used as a proof. One that contradicts itself proves nothing.
+// consistent reports whether a summary does not contradict itself and so can be used as a proof.
 func (summary Summary) consistent() bool {
 	if summary.Version == "" || summary.Count < 0 {
 		return false
@@ -59,7 +59,7 @@
 	return summary.Lower <= summary.Upper && !unreachable
 }
 
-// Hit is one result. Its score has no meaning where the query is not ranked.
+// Hit is one result. Its score is meaningless if the query is not ranked.
 type Hit struct {
 	Shard Shard
 	ID    string
@@ -72,29 +72,29 @@
 	return cmp.Or(cmp.Compare(b.Score+0, a.Score+0), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.ID, b.ID))
 }
 
-// Answer is the hits of one shard: of a ranked query the best ones in order, Options.Limit at the most.
+// Answer holds the hits of one shard, in order; for a ranked query, at most the best Options.Limit of them.
 type Answer struct {
 	Version Version
 	Hits    []Hit
 }
 
-// Action is what the owner of a query has to do next.
+// Action is the next action of the owner of a query.
 type Action int
 
 // The actions.
 const (
-	Wait     Action = iota // nothing until something is reported, or until Step.Wakeup
+	Wait     Action = iota // wait for the next reply, at most until Step.Wakeup
 	CanMatch               // ask Step.Shards for their summaries
-	Fetch                  // ask Step.Shards for their hits; what is still out for summaries is cancelled
-	Done                   // the answer is complete: Query.Hits
-	Reject                 // no complete answer can come in time
+	Fetch                  // cancel pending summary requests and ask Step.Shards for their hits
+	Done                   // the answer is complete; see Query.Hits
+	Reject                 // a complete answer is no longer possible in time
 )
 
-// Step is the next action of a query.
+// Step describes the next action of a query.
 type Step struct {
 	Action Action
 	Shards []Shard
 	Reason string // for logs
-	// Wakeup, where the action is Wait, is when Next has to be called again at the latest.
+	// Wakeup is the latest time for the next call of Next, if the action is Wait.
 	Wakeup time.Duration
 }
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -12,10 +12,10 @@
 
 const ms = time.Millisecond
 
-// shardData is what a shard holds: the hits of the query, in any order.
+// shardData holds the hits of a shard for the query, in any order.
 type shardData []Hit
 
-// topHits answers a query from a shard's data, the slow and plain way.
+// topHits is a simple reference implementation of answering a query from the data of a shard.
 func (data shardData) topHits(options Options) []Hit {
 	hits := slices.Clone(data)
 	slices.SortFunc(hits, CompareHits)
@@ -25,7 +25,7 @@
 	return hits
 }
 
-// onePhaseAnswer is what fetching from every shard would give.
+// onePhaseAnswer returns the answer of fetching from every shard.
 func onePhaseAnswer(options Options, shards []shardData) []Hit {
 	var all shardData
 	for _, data := range shards {
@@ -45,7 +45,7 @@
 
 func equal(a, b []Hit) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// alwaysTwoPhases is a class that executes a query in two phases whenever it may.
+// alwaysTwoPhases returns a class that executes a query in two phases whenever that is allowed.
 func alwaysTwoPhases() *Class {
 	class := NewClass(time.Second)
 	class.fetchedShare = 0
@@ -55,8 +55,8 @@
 	return class
 }
 
-// Any subset of the summaries arrives, in any order, in small fleets. The answer is that of one phase, and a shard
-// without a summary is fetched from.
+// For small fleets, any subset of the summaries arrives, in any order. The answer equals that of one phase, and shards
+// without a summary are fetched from.
 func TestAnySubsetOfSummariesGivesTheOnePhaseAnswer(t *testing.T) {
 	kinds := [][]float64{{}, {1}, {2}, {1, 2}, {2, 2}}
 	orders := [][]int{{0, 1, 2, 3}, {3, 2, 1, 0}, {1, 3, 0, 2}, {2, 0, 3, 1}}
@@ -64,16 +64,16 @@
 	for mix := range 5 * 5 * 5 {
 		var shards []shardData
 		for n, kind := range []int{mix % 5, mix / 5 % 5, mix / 25, 1} {
-			var d shardData
+			var data shardData
 			for i, score := range kinds[kind] {
-				d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score})
+				data = append(data, Hit{Shard(n), fmt.Sprint("h", i), score})
 			}
-			shards = append(shards, d)
+			shards = append(shards, data)
 		}
-		for best := range 5 {
+		for limit := range 5 {
 			for subset := range 16 {
 				for _, order := range orders {
-					options := Options{Ranked: true, Limit: best}
+					options := Options{Ranked: true, Limit: limit}
 					query, err := alwaysTwoPhases().Begin(0, options, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
 					if err != nil {
 						t.Fatal(err)
@@ -89,11 +89,11 @@
 	}
 }
 
-// runToEnd plays a query to its end: summaries of a subset arrive, the others never do.
+// runToEnd runs a query to its end. The summaries of a subset of the shards arrive, the others never do.
 func runToEnd(t *testing.T, query *Query, options Options, shards []shardData, subset int, order []int) {
 	t.Helper()
 	now := time.Duration(0)
-	wereAsked := 0
+	fetchedFrom := 0
 	for range 40 {
 		switch s := query.Next(now); s.Action {
 		case CanMatch:
@@ -106,48 +106,49 @@
 			now = s.Wakeup
 		case Fetch:
 			for _, id := range s.Shards {
-				wereAsked |= 1 << id
+				fetchedFrom |= 1 << id
 				if err := query.Answered(now, id, Replica(id), Answer{"v1", shards[id].topHits(options)}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		case Done:
 			if got, want := query.Hits(), onePhaseAnswer(options, shards); !equal(got, want) {
-				t.Fatalf("best %d of %v, summaries %b: %v, want %v", options.Limit, shards, subset, got, want)
+				t.Fatalf("limit %d, shards %v, summaries %b: got %v, want %v", options.Limit, shards, subset, got, want)
 			}
-			if options.Limit > 0 && wereAsked|subset != 15 {
-				t.Fatalf("shards %b neither summarized nor asked", 15&^(wereAsked|subset))
+			if options.Limit > 0 && fetchedFrom|subset != 15 {
+				t.Fatalf("shards %b neither summarized nor fetched from", 15&^(fetchedFrom|subset))
 			}
 			return
 		case Reject:
-			t.Fatalf("refused: %s", s.Reason)
+			t.Fatalf("rejected: %s", s.Reason)
 		}
 	}
-	t.Fatal("it does not end")
+	t.Fatal("the query does not end")
 }
 
-// Summaries are missing, malformed, with loose bounds or false, arrive in any order, and data change meanwhile. An
-// answer is that of all shards, each in a state that it had during the query, or there is none.
+// Summaries are missing, malformed, false or have loose bounds, arrive in any order, and data changes meanwhile.
+// Either the answer equals that of all shards, each in a state that it had during the query, or the query is
+// rejected.
 func TestAnyFleet(t *testing.T) { rapid.Check(t, anyFleet) }
 
-// FuzzAnyFleet hunts on.
+// FuzzAnyFleet runs the same check with inputs from the fuzzer.
 func FuzzAnyFleet(f *testing.F) { f.Fuzz(rapid.MakeFuzz(anyFleet)) }
 
 func anyFleet(t *rapid.T) {
 	options := Options{Ranked: rapid.Bool().Draw(t, "ranked"), SharedVersions: rapid.Bool().Draw(t, "shared")}
 	if options.Ranked {
-		options.Limit = rapid.IntRange(0, 6).Draw(t, "best")
+		options.Limit = rapid.IntRange(0, 6).Draw(t, "limit")
 	}
 	count := rapid.IntRange(1, 9).Draw(t, "shards")
 	version := make([]int, count)
 	states := make([][]shardData, count) // by version
 	score := rapid.SampledFrom([]float64{-2, -1, math.Copysign(0, -1), 0, 0.5, 1, 1, 2, math.MaxFloat64, -math.MaxFloat64})
 	fill := func(n int) {
-		var d shardData
+		var data shardData
 		for i := range rapid.IntRange(0, 4).Draw(t, "hits") {
-			d = append(d, Hit{Shard(n), fmt.Sprint("h", i), score.Draw(t, "score")})
+			data = append(data, Hit{Shard(n), fmt.Sprint("h", i), score.Draw(t, "score")})
 		}
-		states[n] = append(states[n], d)
+		states[n] = append(states[n], data)
 	}
 	var ids []Shard
 	for n := range count {
@@ -155,32 +156,33 @@
 		ids = append(ids, Shard(n))
 	}
 	class := alwaysTwoPhases()
-	query, err := class.Begin(0, options, ids, time.Second, 2*time.Second, rapid.IntRange(1, 3).Draw(t, "allowance"))
+	query, err := class.Begin(0, options, ids, time.Second, 2*time.Second, rapid.IntRange(1, 3).Draw(t, "max attempts"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	proved := make([]int, count) // the version of the summary that was taken; below 0: none
-	lied, was := false, make([]int, count)
+	summaryVersion := make([]int, count) // version of the accepted summary; negative if none
+	sentFalse, answeredVersion := false, make([]int, count)
 	for n := range count {
-		proved[n], was[n] = -1, -1
+		summaryVersion[n], answeredVersion[n] = -1, -1
 	}
 	asked := make([]bool, count)
 	var pending []Shard
 	for range 300 {
 		if len(pending) > 0 {
-			at := rapid.IntRange(0, len(pending)-1).Draw(t, "which")
+			at := rapid.IntRange(0, len(pending)-1).Draw(t, "next answer")
 			id := pending[at]
 			pending = slices.Delete(pending, at, at+1)
-			if rapid.IntRange(0, 3).Draw(t, "moves") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "data changes") == 0 {
 				version[id]++
 				fill(int(id))
 			}
 			v := version[id]
-			if err := query.Answered(now, id, 1, Answer{Version(fmt.Sprint("v", v)), states[id][v].topHits(options)}); err != nil {
+			if err := query.Answered(now, id, 1,
+				Answer{Version(fmt.Sprint("v", v)), states[id][v].topHits(options)}); err != nil {
 				t.Fatal(err)
 			}
-			was[id] = v
+			answeredVersion[id] = v
 		}
 		switch s := query.Next(now); s.Action {
 		case CanMatch:
@@ -193,23 +195,23 @@
 					bad := []Summary{{Count: 1}, {Version: "v", Count: -1}, {Version: "v", Count: 1, Upper: math.NaN()},
 						{Version: "v", Count: 1, Upper: 1, Lower: 2}, {Version: "v", Count: 2, Upper: math.Inf(-1), Lower: math.Inf(-1)}}
 					if query.Summarized(now, id, 1, bad[rapid.IntRange(0, len(bad)-1).Draw(t, "bad")]) {
-						t.Fatal("a summary that contradicts itself is taken")
+						t.Fatal("a summary that contradicts itself was accepted")
 					}
 				case 2: // loose
 					good.Upper, good.Lower = math.Inf(1), math.Inf(-1)
 					query.Summarized(now, id, 1, good)
-					proved[id] = v
+					summaryVersion[id] = v
 				case 3: // false, too low
 					if good.Count > 0 {
-						good.Upper, good.Lower, lied = -3, -4, true
+						good.Upper, good.Lower, sentFalse = -3, -4, true
 					}
 					query.Summarized(now, id, 1, good)
-					proved[id] = v
+					summaryVersion[id] = v
 				default:
 					query.Summarized(now, id, 1, good)
-					proved[id] = v
+					summaryVersion[id] = v
 				}
-				if rapid.IntRange(0, 4).Draw(t, "data moves") == 0 {
+				if rapid.IntRange(0, 4).Draw(t, "data changes") == 0 {
 					version[id]++
 					fill(int(id))
 				}
@@ -221,7 +223,7 @@
 		case Fetch:
 			for _, id := range s.Shards {
 				if asked[id] {
-					t.Fatalf("shard %d is asked twice", id)
+					t.Fatalf("shard %d is fetched from twice", id)
 				}
 				asked[id] = true
 			}
@@ -231,7 +233,7 @@
 		case Done:
 			if options.Ranked && options.Limit == 0 {
 				if len(query.Hits()) > 0 {
-					t.Fatal("hits where none are wanted")
+					t.Fatal("got hits with a limit of 0")
 				}
 				return
 			}
@@ -239,26 +241,27 @@
 			for n := range count {
 				switch {
 				case asked[n]:
-					held = append(held, states[n][was[n]])
-				case proved[n] < 0:
-					t.Fatalf("shard %d was left out without a summary", n)
+					held = append(held, states[n][answeredVersion[n]])
+				case summaryVersion[n] < 0:
+					t.Fatalf("shard %d was pruned without a summary", n)
 				default:
-					held = append(held, states[n][proved[n]])
+					held = append(held, states[n][summaryVersion[n]])
 				}
 			}
-			if want := onePhaseAnswer(options, held); !lied && !equal(query.Hits(), want) {
-				t.Fatalf("%v, want %v", query.Hits(), want)
+			if want := onePhaseAnswer(options, held); !sentFalse && !equal(query.Hits(), want) {
+				t.Fatalf("got %v, want %v", query.Hits(), want)
 			}
 			return
 		}
 	}
-	t.Fatal("it does not end")
+	t.Fatal("the query does not end")
 }
 
-// A shard's upper bound equals the score of the last wanted hit. The tie is decided by shard and id, so the shard
-// is not pruned.
+// A shard whose upper bound equals the score of the last wanted hit is not pruned, since ties are decided by shard
+// and id.
 func TestTiesAreFetched(t *testing.T) {
-	query, _ := alwaysTwoPhases().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
+	query, _ := alwaysTwoPhases().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3},
+		time.Second, 2*time.Second, 2)
 	query.Next(0)
 	for n, upper := range []float64{5, 5, 4, math.Copysign(0, -1)} {
 		query.Summarized(0, Shard(n), Replica(n), Summary{"v", 1, upper, upper})
@@ -268,28 +271,29 @@
 	}
 }
 
-// The can-match phase takes so long that the fetch phase can meet the deadline alone, or not even that. In the
-// second case the query is rejected at once and nothing is fetched.
+// After a slow can-match phase, the fetch phase can meet only the deadline, but not the objective, or neither of
+// them. In the second case the query is rejected at once and nothing is fetched.
 func TestSlowCanMatchPhase(t *testing.T) {
 	class := alwaysTwoPhases()
 	class.fetch = phaseTime{0.3, 0.01}
 	query, _ := class.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
 	query.Next(0)
-	if s := query.Next(900 * ms); s.Action != Fetch { // too late for the agreed time; the cut-off can be kept
+	if s := query.Next(900 * ms); s.Action != Fetch { // too late for the objective, in time for the deadline
 		t.Errorf("%+v", s)
 	}
 	query, _ = class.Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3, 4}, time.Second, 2*time.Second, 2)
 	query.Next(0)
 	if s := query.Next(1800 * ms); s.Action != Reject || query.fetched != 0 {
-		t.Errorf("%+v after %d asks", s, query.fetched)
+		t.Errorf("%+v, fetched from %d shards", s, query.fetched)
 	}
 }
 
-// Two replicas of a shard have different versions of it. Their summaries prove nothing until they agree.
+// If two replicas of a shard have different versions, its summaries are not used as proofs until the versions agree.
 func TestReplicasWithDifferentVersionsProveNothing(t *testing.T) {
 	class := alwaysTwoPhases()
-	ask := func(now time.Duration, from Replica, v Version) Step {
-		query, _ := class.Begin(now, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3}, now+time.Second, now+2*time.Second, 2)
+	run := func(now time.Duration, from Replica, v Version) Step {
+		query, _ := class.Begin(now, Options{Ranked: true, Limit: 1}, []Shard{0, 1, 2, 3},
+			now+time.Second, now+2*time.Second, 2)
 		query.Next(now)
 		for n := range 3 {
 			query.Summarized(now, Shard(n), 7, Summary{"v", 1, 9, 9})
@@ -298,18 +302,18 @@
 		return query.Next(now)
 	}
 	for n, step := range []struct {
-		from  Replica
-		v     Version
-		asked bool
+		from    Replica
+		v       Version
+		fetched bool
 	}{{1, "a", false}, {2, "b", true}, {2, "a", false}, {1, "b", true}, {2, "b", false}} {
-		if s := ask(time.Duration(n)*ms, step.from, step.v); slices.Contains(s.Shards, 3) != step.asked {
+		if s := run(time.Duration(n)*ms, step.from, step.v); slices.Contains(s.Shards, 3) != step.fetched {
 			t.Errorf("step %d: %+v", n, s)
 		}
 	}
 }
 
-// A replica gives a summary whose upper bound its shard's hits exceed. The query is rejected, and that replica's
-// summaries are distrusted for a while.
+// The hits of a shard exceed the upper bound of its summary. The query is rejected, and summaries of the replica
+// that sent it are distrusted for a while.
 func TestFalseSummaryRejectsTheQuery(t *testing.T) {
 	class := alwaysTwoPhases()
 	query, _ := class.Begin(0, Options{Ranked: true, Limit: 2}, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 2)
@@ -321,16 +325,17 @@
 	if err := query.Answered(0, 2, 2, Answer{"v", []Hit{{2, "a", 7}, {2, "b", 1}}}); err != nil {
 		t.Fatal(err)
 	}
-	if s := query.Next(0); s.Action != Reject || !class.distrusts(0, 2) || class.distrusts(0, 1) || class.distrusts(distrustTime, 2) {
+	if s := query.Next(0); s.Action != Reject || !class.distrusts(0, 2) || class.distrusts(0, 1) ||
+		class.distrusts(distrustTime, 2) {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Pruning leaves all shards, or a jam makes phases slow. Queries are executed in one phase then, and in two again
-// afterwards.
+// Queries are executed in one phase if no shards can be pruned or if phases are slow because of overload, and in
+// two phases again afterwards.
 func TestTwoPhasesOnlyWhereTheySaveWork(t *testing.T) {
 	class, now := NewClass(time.Second), time.Duration(0)
-	play := func(left float64, takes time.Duration) (two int) {
+	run := func(matching float64, latency time.Duration) (twoPhase int) {
 		for range 200 {
 			now += 20 * ms
 			var ids []Shard
@@ -341,17 +346,17 @@
 			for s := query.Next(now); s.Action != Done && s.Action != Reject; s = query.Next(now) {
 				switch s.Action {
 				case CanMatch:
-					two++
-					now += takes
+					twoPhase++
+					now += latency
 					for n := range 20 {
 						count := 1
-						if float64(n) >= left*20 {
+						if float64(n) >= matching*20 {
 							count = 0
 						}
 						query.Summarized(now, Shard(n), 1, Summary{"v", count, 1, 1})
 					}
 				case Fetch:
-					now += takes
+					now += latency
 					for _, id := range s.Shards {
 						query.Answered(now, id, 1, Answer{"v", []Hit{{id, "a", 1}}})
 					}
@@ -359,22 +364,22 @@
 			}
 			query.Close()
 		}
-		return two
+		return twoPhase
 	}
-	if n := play(0.1, 50*ms); n < 180 {
-		t.Errorf("%d of 200 in two phases where a tenth is left", n)
+	if n := run(0.1, 50*ms); n < 180 {
+		t.Errorf("%d of 200 in two phases if a tenth of the shards match", n)
 	}
-	play(1, 50*ms)
-	if n := play(1, 50*ms); n > 12 {
-		t.Errorf("%d of 200 in two phases where all are left", n)
+	run(1, 50*ms)
+	if n := run(1, 50*ms); n > 12 {
+		t.Errorf("%d of 200 in two phases if all shards match", n)
 	}
-	play(0.1, 450*ms)
-	if n := play(0.1, 450*ms); n > 0 {
-		t.Errorf("%d of 200 in two phases in a jam", n)
+	run(0.1, 450*ms)
+	if n := run(0.1, 450*ms); n > 0 {
+		t.Errorf("%d of 200 in two phases under overload", n)
 	}
-	play(0.1, 50*ms)
-	if n := play(0.1, 50*ms); n < 150 {
-		t.Errorf("%d of 200 in two phases after it", n)
+	run(0.1, 50*ms)
+	if n := run(0.1, 50*ms); n < 150 {
+		t.Errorf("%d of 200 in two phases after overload", n)
 	}
 }
 
@@ -382,17 +387,18 @@
 	for _, bad := range []struct {
 		options Options
 		shards  []Shard
-	}{{Options{Limit: 3}, []Shard{1}}, {Options{Ranked: true, Limit: -1}, []Shard{1}}, {Options{}, nil}, {Options{}, []Shard{1, 1}}} {
+	}{{Options{Limit: 3}, []Shard{1}}, {Options{Ranked: true, Limit: -1}, []Shard{1}}, {Options{}, nil},
+		{Options{}, []Shard{1, 1}}} {
 		if _, err := alwaysTwoPhases().Begin(0, bad.options, bad.shards, time.Second, time.Second, 2); err == nil {
-			t.Errorf("%+v passes", bad)
+			t.Errorf("%+v was accepted", bad)
 		}
 	}
 	query, _ := alwaysTwoPhases().Begin(0, Options{Ranked: true, Limit: 1}, []Shard{0}, time.Second, time.Second, 1)
 	query.Next(0)
-	for _, bad := range []Answer{{"", nil}, {"v", []Hit{{0, "a", 1}, {0, "b", 1}}}, {"v", []Hit{{1, "a", 1}}}, {"v", []Hit{{0, "", 1}}},
-		{"v", []Hit{{0, "a", math.NaN()}}}, {"v", []Hit{{0, "a", math.Inf(1)}}}} {
+	for _, bad := range []Answer{{"", nil}, {"v", []Hit{{0, "a", 1}, {0, "b", 1}}}, {"v", []Hit{{1, "a", 1}}},
+		{"v", []Hit{{0, "", 1}}}, {"v", []Hit{{0, "a", math.NaN()}}}, {"v", []Hit{{0, "a", math.Inf(1)}}}} {
 		if query.Answered(0, 0, 1, bad) == nil {
-			t.Errorf("%+v passes", bad)
+			t.Errorf("%+v was accepted", bad)
 		}
 	}
 }
