--- a/server/presence.go
+++ b/server/presence.go
@@ -11,7 +11,8 @@
 // this process is stalled.
 
 // maxPresenceAge is how long a client is assumed to be still connected after the last check. An attempt may start at
-// most 0.1 s after its client has disconnected, and one write to a replica may take 60 ms (replicaconn's writeTimeout).
+// most 0.1 s after its client has disconnected, and one write to a replica may take 60 ms (replicaconn's writeTimeout),
+// which leaves 40 ms.
 const maxPresenceAge = 40 * time.Millisecond
 
 // HasDisconnected reports whether the client has disconnected; now is the current loop time. If the last check is
