--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -22,7 +22,7 @@
 
 const (
 	listLag       = time.Second     // how late a list may include a replica that has started
-	sameOffset    = 2 * time.Second // wall clock offsets that differ by less are equal, because of slewing and late reads
+	sameOffset    = 2 * time.Second // offsets that differ by less are equal, because of slewing and late reads
 	maxOffsets    = 8               // most recent offsets remembered
 	maxRemembered = 16384           // replicas remembered; several times the largest fleet
 )
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -67,7 +67,8 @@
 			started, _ := tracker.StartTime(now, "a", bootAt(boot))
 			if bootAt(boot) == lastBoot { // drawn in the same millisecond: listed again, not restarted
 				if started != lastStart {
-					t.Fatalf("listed again between %v and %v: start time %v, before %v", before, now, started, lastStart)
+					t.Fatalf("listed again between %v and %v: start time %v, before %v",
+						before, now, started, lastStart)
 				}
 			} else if started > now || started < before-listLag {
 				t.Fatalf("restarted between %v and %v: start time %v", before, now, started)
--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -60,7 +60,7 @@
 		"with a partial request behind":       queryRequest("q") + queryRequest("r")[:40],
 		"pipelined":                           strings.Repeat(queryRequest("q"), 9),
 		"pipelined, more than the read-ahead": strings.Repeat(queryRequest("q"), 900),
-		"with an oversized body behind": queryRequest("q") + "POST /look HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" +
+		"with a body longer than declared": queryRequest("q") + "POST /look HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" +
 			strings.Repeat("x", 200_000),
 	} {
 		for _, reset := range []bool{false, true} {
@@ -104,7 +104,8 @@
 			close(sent)
 		}()
 		<-sent
-		for end := time.Now().Add(20 * time.Second); netconn.Peek(serverEnd) == netconn.Readable && time.Now().Before(end); {
+		for end := time.Now().Add(20 * time.Second); netconn.Peek(serverEnd) == netconn.Readable &&
+			time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if len(client.responses) > 0 || len(f.handler.disconnected) > 0 {
--- a/server/listener_test.go
+++ b/server/listener_test.go
@@ -88,13 +88,13 @@
 	f.handler.ready.Store(true)
 	f.server.slots = newConnSlots(1)
 	listener := newListener(t)
-	var clientEnd [2]net.Conn
-	for n := range clientEnd {
-		clientEnd[n] = connectAndRequestUp(t, listener)
+	var clientEnds [2]net.Conn
+	for n := range clientEnds {
+		clientEnds[n] = connectAndRequestUp(t, listener)
 	}
 	f.finalAcceptAfterShutdown(listener)
-	expectStatus(t, clientEnd[0], "HTTP/1.1 503") // the server is shutting down
-	time.Sleep(2 * finalAcceptTime)               // holds its slot until the final accept has ended
-	clientEnd[0].Close()
-	expectStatus(t, clientEnd[1], "HTTP/1.1 503")
+	expectStatus(t, clientEnds[0], "HTTP/1.1 503") // the server is shutting down
+	time.Sleep(2 * finalAcceptTime)                // holds its slot until the final accept has ended
+	clientEnds[0].Close()
+	expectStatus(t, clientEnds[1], "HTTP/1.1 503")
 }
--- a/twophase/twophase_test.go
+++ b/twophase/twophase_test.go
@@ -74,7 +74,8 @@
 			for subset := range 16 {
 				for _, order := range orders {
 					options := Options{Ranked: true, Limit: limit}
-					query, err := alwaysTwoPhases().Begin(0, options, []Shard{0, 1, 2, 3}, time.Second, 2*time.Second, 3)
+					query, err := alwaysTwoPhases().Begin(0, options, []Shard{0, 1, 2, 3},
+						time.Second, 2*time.Second, 3)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -142,7 +143,8 @@
 	count := rapid.IntRange(1, 9).Draw(t, "shards")
 	version := make([]int, count)
 	states := make([][]shardData, count) // by version
-	score := rapid.SampledFrom([]float64{-2, -1, math.Copysign(0, -1), 0, 0.5, 1, 1, 2, math.MaxFloat64, -math.MaxFloat64})
+	score := rapid.SampledFrom([]float64{-2, -1, math.Copysign(0, -1), 0, 0.5, 1, 1, 2,
+		math.MaxFloat64, -math.MaxFloat64})
 	fill := func(n int) {
 		var data shardData
 		for i := range rapid.IntRange(0, 4).Draw(t, "hits") {
@@ -173,7 +175,7 @@
 			at := rapid.IntRange(0, len(pending)-1).Draw(t, "next answer")
 			id := pending[at]
 			pending = slices.Delete(pending, at, at+1)
-			if rapid.IntRange(0, 3).Draw(t, "data changes") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "data changes before answer") == 0 {
 				version[id]++
 				fill(int(id))
 			}
@@ -193,7 +195,8 @@
 				case 0: // missing
 				case 1: // malformed
 					bad := []Summary{{Count: 1}, {Version: "v", Count: -1}, {Version: "v", Count: 1, Upper: math.NaN()},
-						{Version: "v", Count: 1, Upper: 1, Lower: 2}, {Version: "v", Count: 2, Upper: math.Inf(-1), Lower: math.Inf(-1)}}
+						{Version: "v", Count: 1, Upper: 1, Lower: 2},
+						{Version: "v", Count: 2, Upper: math.Inf(-1), Lower: math.Inf(-1)}}
 					if query.Summarized(now, id, 1, bad[rapid.IntRange(0, len(bad)-1).Draw(t, "bad")]) {
 						t.Fatal("a summary that contradicts itself was accepted")
 					}
@@ -211,7 +214,7 @@
 					query.Summarized(now, id, 1, good)
 					summaryVersion[id] = v
 				}
-				if rapid.IntRange(0, 4).Draw(t, "data changes") == 0 {
+				if rapid.IntRange(0, 4).Draw(t, "data changes after summary") == 0 {
 					version[id]++
 					fill(int(id))
 				}
