--- a/twophase/query.go
+++ b/twophase/query.go
@@ -17,7 +17,7 @@
 	maxWaves = 3
 	// minWaveShards is the minimum number of shards per wave: smaller waves take time and save little work.
 	minWaveShards = 4
-	// quorumOfShards is the share of shards with a summary from which on the query waits for the others only as long as
+	// quorumOfShards is the share of shards that have replied from which on the query waits for the others only as long as
 	// a can-match phase usually takes (awaitSummaries).
 	quorumOfShards = 0.8
 )
@@ -158,7 +158,7 @@
 }
 
 // awaitSummaries waits for summaries and then starts the fetch phase. It waits until the fetch phase would start
-// too late or, once quorumOfShards have a summary, only as long as a can-match phase usually takes. Otherwise a
+// too late or, once quorumOfShards have replied, only as long as a can-match phase usually takes. Otherwise a
 // single slow or unresponsive shard could prevent an answer. Shards without a summary are fetched from.
 func (query *Query) awaitSummaries(now time.Duration) Step {
 	missing := len(query.shardsInState(pending))
