--- a/twophase/query.go
+++ b/twophase/query.go
@@ -17,8 +17,8 @@
 	maxWaves = 3
 	// minWaveShards is the minimum number of shards per wave: smaller waves take time and save little work.
 	minWaveShards = 4
-	// quorumOfShards is the share of shards that have replied from which on the query waits for the others only as long as
-	// a can-match phase usually takes (awaitSummaries).
+	// quorumOfShards is the share of shards that have replied from which on the query waits for the others only as
+	// long as a can-match phase usually takes (awaitSummaries).
 	quorumOfShards = 0.8
 )
 
