--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -2,30 +2,30 @@
 
 import "terntray/internal/wire"
 
-// endpointTable is the endpoint list as it is known: the last whole one and all changes since.
+// endpointTable holds the last known endpoint list: the last full list with all changes since.
 type endpointTable struct {
 	known wire.EndpointList
 }
 
-// whole is the list as one that names all endpoints.
-func (table *endpointTable) whole() *wire.EndpointList {
+// full returns the last known list, marked as a full list.
+func (table *endpointTable) full() *wire.EndpointList {
 	list := table.known
 	list.All = true
 	return &list
 }
 
-// update applies a whole list, or changes.
+// update applies a full list or a list of changes.
 func (table *endpointTable) update(list *wire.EndpointList) {
 	table.known.Revision = list.Revision
 	if list.All {
 		table.known.Endpoints = list.Endpoints
 		return
 	}
-	table.change(list.Endpoints)
+	table.applyChanges(list.Endpoints)
 }
 
-// change replaces endpoints by their new states; removed ones are dropped.
-func (table *endpointTable) change(changed []wire.Endpoint) {
+// applyChanges replaces changed endpoints and drops removed ones.
+func (table *endpointTable) applyChanges(changed []wire.Endpoint) {
 	isChanged := map[string]bool{}
 	for _, endpoint := range changed {
 		isChanged[endpoint.UID] = true
