--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -82,9 +82,9 @@
 	for file, want := range map[string]string{
 		peersFile("127.0.0.1:0", "127.0.0.1:9"):              "peers.others: setting bounds.peers allows no messages",
 		`{"sizes":[{"model":"slow-*","size":0.75}]}`:         `sizes: setting weightKind is "", wanted nominal or rough`,
-		`{"watch":{"settings":{"lanes.count":"1"}}}`:         "watch.settings: the shadow configuration has other classes, cells or cells of a shard",
+		`{"watch":{"settings":{"lanes.count":"1"}}}`:         "watch.settings: the shadow configuration has a different number of classes, cells or cells per shard",
 		`{"watch":{"settings":{"balancers":"many"}}}`:        "watch.settings: setting balancers: found \"many\", wanted a finite number",
-		`{"watch":{"settings":{"familyInfo.cells":"1000"}}}`: "watch.settings: the shadow configuration has other classes, cells or cells of a shard",
+		`{"watch":{"settings":{"familyInfo.cells":"1000"}}}`: "watch.settings: the shadow configuration has a different number of classes, cells or cells per shard",
 	} {
 		if _, err := newInstalled(t, nil, file); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", file, err, want)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,32 +1,31 @@
 package scheduler
 
-// Admission: which queries are rejected on arrival because they cannot be expected to meet their latency objective.
-// admissionController.decide decides, once for each query: Scheduler.place asks it when the query's subqueries have
-// been placed, and Scheduler.reject carries a rejection out through Host.Reject.
+// Admission control: a query is rejected on arrival if it is not expected to meet its latency objective.
+// admissionController.decide makes the decision once for each query: Scheduler.place calls it after placing the
+// query's subqueries, and Scheduler.reject carries out a rejection through Host.Reject.
 //
-// A query whose subqueries have just been placed at n replicas is rejected if
+// A query whose subqueries have been placed at n replicas is rejected if
 //
 //	mean(finish) x slowestFactor(n)  >  (time to the objective) / latenessFactor     [x overQuotaShare over quota]
 //
 // or if the replicas that finish within the right-hand side hold too little weight for any answer. finish is a
-// replica's expected finish, slowestFactor what the slowest of n takes (estimate.go). A query with a second phase to
-// come adds that phase's slowestFactor on the left, and takes an allowance for its work off the time on the right.
-// latenessFactor grows with each query that ends late and shrinks with each in time, so that about one in twenty is
-// late.
+// replica's expected finish time, and slowestFactor scales it to that of the slowest of n replicas (estimate.go). For
+// a query whose second phase is still to come, that phase's slowestFactor is added on the left, and an allowance for
+// its work is subtracted from the time on the right. latenessFactor rises with each query that ends late and falls
+// with each that ends in time, so that about one query in twenty is late.
 //
-// The rejection carries the time after which the client may retry: by how much the left side is larger, at most
-// Config.MaxRetryAfter. 0 means that no time is told.
+// A rejection carries the time after which the client may retry: the excess of the left side over the right, at most
+// Config.MaxRetryAfter. 0 means that no time is given.
 //
-// Where peers are silent, both sides are divided by unseenLoad, which multiplies expected times for what they may
-// have sent: it cancels out of the comparison above. It does remain in the second phase's allowance, in the bound
-// on each replica's finish, in the bound that a trial is judged by, and in the time after which the client may
-// retry.
+// While peers are silent, both sides are divided by unseenLoad, the factor that allows for the work they may have
+// sent, so it cancels out of the comparison above. It remains in the second phase's allowance, in the bound on each
+// replica's finish, in the bound that a trial has to exceed, and in the time after which the client may retry.
 //
-// Estimates may be wrong for good if nothing goes to the replicas any more: so from time to time one query is
+// A wrong estimate would never be corrected if it kept all queries away from the replicas. So a query is occasionally
 // admitted against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected
 // replica.
 //
-// Other rejections are decided elsewhere; the body of the answer tells which it was:
+// Other rejections are decided elsewhere; the response body tells them apart:
 //
 //	body                                  decided by                                       counter
 //	turned back                           here; of a two-phase query twophase/query.go     turned_back; refused_questions
@@ -42,36 +41,36 @@
 )
 
 const (
-	targetLateShare = 0.05 // share of queries to end after their objective
+	targetLateShare = 0.05 // share of queries that end after their objective
 
-	// Steps of the lateness factor's logarithm. A step after a longer time is larger, as a co-ordinator that sees few
-	// queries of a class would notice a jam only once it is over.
+	// Steps of the lateness factor's logarithm. The step grows with the time since the last one: with a small fixed
+	// step, a co-ordinator that sees few queries of a class would react to congestion only after it is over.
 	minLatenessStep       = 0.1
-	latenessStepPerSecond = 0.2 // for each second since a query of the class was last judged
+	latenessStepPerSecond = 0.2 // per second since the class's lateness factor was last adjusted
 	maxLatenessStep       = 0.7
-	latenessDecaySeconds  = 8.0 // seconds in which what it is over 1 fades to a third
+	latenessDecaySeconds  = 8.0 // time constant with which the factor decays towards 1
 	maxLatenessFactor     = 6.0
 
 	// Trials of the estimate.
 	firstTrialInterval     = 500 * time.Millisecond // from the first rejection to the first trial
-	maxTrialInterval       = 2 * time.Second        // longest wait for the next after a late one
-	maxTrialIntervalFactor = 60.0                   // times these, with very many co-ordinators or subqueries
-	maxTrialLimit          = 64.0                   // attempts in flight; from then on enough is learned
+	maxTrialInterval       = 2 * time.Second        // from a late trial to the next, at most
+	maxTrialIntervalFactor = 60.0                   // upper bound of trialIntervalFactor
+	maxTrialLimit          = 64.0                   // attempts in flight; more would teach the estimate nothing new
 
-	sheddingQuietPeriod = 5 * time.Second // without a rejection, after which shedding counts as ended
+	sheddingQuietPeriod = 5 * time.Second // without a rejection, after which load shedding counts as ended
 
-	overQuotaShare = 0.3 // of the time to the objective that a query beyond its tenant's quota may expect
+	overQuotaShare = 0.3 // share of the time to the objective that a query over its tenant's quota may use
 )
 
 // classAdmission is the state of admission control for one class.
 type classAdmission struct {
-	latenessFactor     float64       // times the expected time that queries are taken to need, at least 1
-	latenessAdjustedAt time.Duration // when a query last moved latenessFactor
+	latenessFactor     float64       // multiple of the expected time that queries are assumed to need, at least 1
+	latenessAdjustedAt time.Duration // when a query last changed latenessFactor
 	lastExcessAt       time.Duration // when a new query last exceeded its bound; 0: never
 
 	// Trials of the estimate.
-	trialLimit    float64       // attempts in flight at a slow replica, from which no trial goes there
-	nextTrialAt   time.Duration // from when one may be admitted
+	trialLimit    float64       // attempts in flight at a slow replica at which it gets no more trials
+	nextTrialAt   time.Duration // earliest time of the next trial
 	trialInterval time.Duration // from a late trial to the next
 }
 
@@ -84,15 +83,15 @@
 	lastRejectedAt time.Duration // 0: never
 }
 
-// admissionDecision says what becomes of a new query.
+// admissionDecision is whether a new query is admitted or rejected.
 type admissionDecision struct {
 	rejected       bool
-	retryAfter     time.Duration // the client may retry then; 0: no time is named
-	startsShedding bool          // it is the first rejection after a quiet time
+	retryAfter     time.Duration // after which the client may retry; 0: none is given
+	startsShedding bool          // this is the first rejection since sheddingQuietPeriod
 }
 
-// decide admits or rejects a query whose subqueries have just been placed. unseenLoad multiplies expected times, for
-// what silent peers may have sent; 1: the peers tell.
+// decide admits or rejects a query whose subqueries have just been placed. unseenLoad is the factor on expected times
+// for work that silent peers may have sent; 1 if the peers report what they send.
 func (a *admissionController) decide(
 	now time.Duration, query *query, placed []*subquery, unseenLoad float64,
 ) admissionDecision {
@@ -100,17 +99,17 @@
 	if excess <= 0 || a.admitAsTrial(now, query, placed, bound) {
 		return admissionDecision{}
 	}
-	begins := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuietPeriod
+	startsShedding := a.lastRejectedAt == 0 || now > a.lastRejectedAt+sheddingQuietPeriod
 	a.lastRejectedAt = now
 	return admissionDecision{
 		rejected:       true,
 		retryAfter:     min(excess, a.parameters.maxRetryAfter),
-		startsShedding: begins,
+		startsShedding: startsShedding,
 	}
 }
 
-// expectedExcess is by how much a query is expected to miss the bound on its expected time; 0 or less: it meets it.
-// It changes nothing.
+// expectedExcess returns the bound on a query's expected time and by how much the query is expected to exceed it; 0
+// or less if it does not. It has no side effects.
 func (a *admissionController) expectedExcess(
 	now time.Duration, query *query, unseenLoad float64,
 ) (excess, bound time.Duration) {
@@ -128,8 +127,8 @@
 	return excess, bound
 }
 
-// fetchPhaseFactor is the slowest factor of a second phase that is still to come; 0: none is. Its subqueries are taken to
-// need as long as the first phase's.
+// fetchPhaseFactor returns the slowest factor of a second phase that is still to come, or 0 if there is none. Its
+// subqueries are assumed to take as long as those of the first phase.
 func (a *admissionController) fetchPhaseFactor(query *query) float64 {
 	if query.class.fetchSubqueries == 0 || query.phase > 0 {
 		return 0
@@ -137,8 +136,8 @@
 	return a.estimates.slowestFactor(query.class.fetchSubqueries)
 }
 
-// finishBound is the bound on a query's expected time: the time to the objective less the second phase's work, over
-// the lateness factor and unseenLoad, and overQuotaShare of that beyond the tenant's quota.
+// finishBound returns the bound on a query's expected time: the time to the objective less the second phase's work,
+// divided by the lateness factor and unseenLoad, and multiplied by overQuotaShare if the tenant is over its quota.
 func finishBound(query *query, fetchFactor, unseenLoad float64) time.Duration {
 	left := query.objectiveAt - query.arrivedAt
 	left -= scale(query.class.subqueryWork, unseenLoad*fetchFactor)
@@ -149,16 +148,16 @@
 	return bound
 }
 
-// minimumWeightInTime reports whether the subqueries whose replicas are expected to finish within the bound, and those that
-// are queued for none, weigh enough for an answer.
+// minimumWeightInTime reports whether the subqueries whose replicas are expected to finish within the bound, together
+// with those that are queued for no replica, have enough weight for an answer.
 func (a *admissionController) minimumWeightInTime(now time.Duration, query *query, bound time.Duration) bool {
 	return query.reachesMinimum(func(subquery *subquery) bool {
 		return subquery.replica == nil || a.expectedFinish(now, subquery.replica) <= bound
 	})
 }
 
-// expectedFinishSum lists the replicas that a query's subqueries are queued for, and the sum of their expected finishes.
-// Subqueries at one replica end together.
+// expectedFinishSum returns the replicas that a query's subqueries are queued for, and the sum of their expected
+// finish times. Subqueries at the same replica count once, as they end together.
 func (a *admissionController) expectedFinishSum(
 	now time.Duration, query *query,
 ) (replicas []*replicaState, sum time.Duration) {
@@ -176,10 +175,10 @@
 	return a.estimates.expectedFinish(now, replica, 0)
 }
 
-// admitAsTrial admits a query that would be rejected, as a trial of the estimate at the replicas whose expected
-// finish exceeds the bound, or to bring an ejected replica its long overdue probe. No trial goes to a slow replica
-// with trialLimit attempts in flight; each trial that ends in time doubles that limit, a late one begins anew after
-// a wait.
+// admitAsTrial reports whether a query that would be rejected is admitted, either as a trial of the estimate at the
+// replicas whose expected finish exceeds the bound, or to send an ejected replica its overdue probe. A slow replica
+// gets no trial while it has trialLimit attempts in flight. Each trial that ends in time doubles that limit; a late
+// one resets it to 1 and starts a wait.
 func (a *admissionController) admitAsTrial(
 	now time.Duration, query *query, placed []*subquery, bound time.Duration,
 ) bool {
@@ -191,21 +190,21 @@
 		state.nextTrialAt = now + wait
 	}
 	state.lastExcessAt = now
-	bound = scale(bound, state.latenessFactor) // the lateness factor fades by itself and needs no trial
+	bound = scale(bound, state.latenessFactor) // the lateness factor decays by itself and needs no trial
 	tooSlow := func(subquery *subquery) bool {
 		return subquery.replica != nil && a.expectedFinish(now, subquery.replica) > bound
 	}
-	worthATrial := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
+	needsTrial := func(subquery *subquery) bool { return tooSlow(subquery) || a.probeOverdue(now, subquery) }
 	atTrialLimit := func(subquery *subquery) bool {
 		return tooSlow(subquery) && float64(len(subquery.replica.outstanding)) >= state.trialLimit
 	}
 	query.admittedAsTrial = now >= state.nextTrialAt &&
-		slices.ContainsFunc(placed, worthATrial) && !slices.ContainsFunc(placed, atTrialLimit)
+		slices.ContainsFunc(placed, needsTrial) && !slices.ContainsFunc(placed, atTrialLimit)
 	return query.admittedAsTrial
 }
 
-// probeOverdue reports whether an ejected holder of a subquery's shard has long been due for a probe, which a query
-// brings.
+// probeOverdue reports whether the probe of an ejected holder of a subquery's shard is overdue. Only an admitted
+// query can send it.
 func (a *admissionController) probeOverdue(now time.Duration, subquery *subquery) bool {
 	for _, replica := range a.replicas.holders(subquery.shard) {
 		if a.outliers.probeOverdue(now, replica, subquery.query.class) {
@@ -215,15 +214,16 @@
 	return false
 }
 
-// trialIntervalFactor multiplies the times between trials of the estimate: other co-ordinators admit some as well,
-// and all of them load the same replicas; large queries load them more.
+// trialIntervalFactor returns the factor on the intervals between trials of the estimate. It grows with the number of
+// co-ordinators, whose trials all load the same replicas, and with the size of the query.
 func (a *admissionController) trialIntervalFactor(query *query) float64 {
-	crowd := max(1, float64(a.parameters.coordinators)/fewCoordinators)
-	size := max(1, float64(len(query.subqueries))/canaryThreshold)
-	return a.parameters.timeScale * min(maxTrialIntervalFactor, crowd*math.Pow(size, 2))
+	coordinatorFactor := max(1, float64(a.parameters.coordinators)/fewCoordinators)
+	sizeFactor := max(1, float64(len(query.subqueries))/canaryThreshold)
+	return a.parameters.timeScale * min(maxTrialIntervalFactor, coordinatorFactor*math.Pow(sizeFactor, 2))
 }
 
-// recordOutcome counts whether a query met its objective, once, as soon as that is known.
+// recordOutcome adjusts the admission state to whether a query met its objective. Only the first call for a query
+// has an effect.
 func (a *admissionController) recordOutcome(now time.Duration, query *query, inTime bool) {
 	if query.judged {
 		return
@@ -239,7 +239,8 @@
 	}
 }
 
-// recordTrialOutcome lets more trials go after one in time; after a late one it waits, longer each time.
+// recordTrialOutcome allows more trials after one that ended in time. After a late one it delays the next, with a
+// delay that doubles each time.
 func (a *admissionController) recordTrialOutcome(now time.Duration, query *query, inTime bool) {
 	state := &query.class.admission
 	factor := a.trialIntervalFactor(query)
@@ -253,8 +254,8 @@
 	state.trialInterval = min(scale(maxTrialInterval, factor), 2*state.trialInterval)
 }
 
-// adjustLatenessFactor raises the factor by a late query and lowers it by one in time, so that they balance at
-// targetLateShare.
+// adjustLatenessFactor raises the factor after a late query and lowers it after one in time. The steps balance when
+// targetLateShare of the queries are late.
 func (c *classAdmission) adjustLatenessFactor(now time.Duration, inTime bool) {
 	direction := 1 - targetLateShare
 	if inTime {
@@ -265,7 +266,7 @@
 	c.latenessAdjustedAt = now
 }
 
-// decayLatenessFactor lets the factor return to 1 as seconds pass.
+// decayLatenessFactor lets the factor decay towards 1 for the given number of seconds.
 func (c *classAdmission) decayLatenessFactor(seconds float64) {
 	c.latenessFactor = 1 + (c.latenessFactor-1)*math.Exp(-seconds/latenessDecaySeconds)
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Endpoint discovery: what the endpoint list says of the replicas becomes their state, and endpointPoller decides
-// when the list is polled. The way of a list from the agent to here is told in package discovery.
+// Endpoint discovery: endpoint lists update the state of the replicas, and endpointPoller decides when to poll for a
+// list. Package discovery documents how a list gets here from the discovery agent.
 
 import (
 	"cmp"
@@ -11,29 +11,29 @@
 )
 
 const (
-	// firstPollBackoff is the mean time from a failed poll to the next; it doubles with each failure in a row.
+	// firstPollBackoff is the mean time from a failed poll to the next. It doubles with each failure in a row.
 	firstPollBackoff = 500 * time.Millisecond
 
-	// maxPollBackoff bounds that time. With its random half on top, and the two seconds after which package discovery
-	// gives up a request for the list, a change of the list is known within six seconds after discovery is back.
+	// maxPollBackoff bounds that mean time. Jitter adds up to half of it, and package discovery gives up a request for
+	// the list after two seconds, so a change of the list is known within six seconds of discovery's return.
 	maxPollBackoff = 2 * time.Second
 
-	// pollTimeout is the time after which a poll that has no answer counts as lost.
+	// pollTimeout is the time after which an unanswered poll counts as lost.
 	pollTimeout = 8 * time.Second
 )
 
-// endpointPoller decides when the list is polled where its changes come only after a poll. An answered poll is
-// followed by all changes until a failure is reported.
+// endpointPoller decides when to poll for the endpoint list, if changes are delivered only after a poll. After an
+// answered poll all changes are delivered until a failure is reported.
 //
-// It guards against a list that is lost, by a failure that is reported or by silence: changes would stay unknown, and
-// attempts go to replicas that have left. Polls of many co-ordinators could swamp a discovery service that is just
-// back, so they wait longer with each failure, and by chance.
+// A lost subscription, whether reported as a failure or unanswered, would leave changes unknown and send attempts to
+// replicas that have left, so the list is polled again. Polls of many co-ordinators could overload a discovery service
+// that has just come back, so polls back off exponentially, with jitter.
 type endpointPoller struct {
-	mustPoll     bool          // changes come only after a poll
+	mustPoll     bool          // changes are delivered only after a poll
 	pollInterval time.Duration // longest time between two polls; math.MaxInt64: no limit
 
-	following  bool          // a list has come since the last failure
-	nextPollAt time.Duration // while not following
+	following  bool          // a list has been received since the last failure
+	nextPollAt time.Duration // when the next poll is due, unless following
 	backoff    time.Duration // mean time from the next failure to the poll after it
 }
 
@@ -45,24 +45,24 @@
 	}
 }
 
-// listReceived notes a list that has come from discovery.
+// listReceived records that a list was received from discovery.
 func (p *endpointPoller) listReceived() {
 	p.following = true
 	p.backoff = firstPollBackoff
 }
 
-// pollFailed notes that a poll has pollFailed, or that the list is not followed any more. The chance, from 0 to 1, spreads
-// the polls of many co-ordinators.
-func (p *endpointPoller) pollFailed(now time.Duration, chance float64) {
+// pollFailed records that a poll failed, or that changes of the list are no longer delivered. jitter, a number from 0
+// to 1, spreads the polls of many co-ordinators.
+func (p *endpointPoller) pollFailed(now time.Duration, jitter float64) {
 	p.following = false
-	p.nextPollAt = now + scale(p.backoff, 0.5+chance)
+	p.nextPollAt = now + scale(p.backoff, 0.5+jitter)
 	p.backoff = min(maxPollBackoff, p.pollInterval/4, 2*p.backoff)
 }
 
-// pollPending tells whether a poll is due, now or at nextPollAt.
+// pollPending reports whether a poll is due, now or at nextPollAt.
 func (p *endpointPoller) pollPending() bool { return p.mustPoll && !p.following }
 
-// claimPoll tells whether to poll now; if so, nextPollAt is when that poll counts as lost.
+// claimPoll reports whether to poll now. If so, it sets nextPollAt to when that poll counts as lost.
 func (p *endpointPoller) claimPoll(now time.Duration) bool {
 	if now < p.nextPollAt {
 		return false
@@ -71,7 +71,7 @@
 	return true
 }
 
-// pollEndpoints polls the list if that is due, and asks to be woken for the next time.
+// pollEndpoints polls for the list if a poll is due, and schedules a wakeup for the next one.
 func (scheduler *Scheduler) pollEndpoints() {
 	if !scheduler.poller.pollPending() {
 		return
@@ -82,9 +82,9 @@
 	scheduler.wakeBy(scheduler.poller.nextPollAt)
 }
 
-// EndpointListBegins opens a list, whose entries follow by EndpointListed. After a full list replicas that are not in
-// it are removed; otherwise they stay as they were. A restored list is one that the caller kept from before this
-// Scheduler was made; it is no news of discovery.
+// EndpointListBegins starts an endpoint list, whose entries are passed to EndpointListed. If the list is full, replicas
+// that it does not contain are removed; otherwise they are unchanged. A restored list is one that the caller kept from
+// before this Scheduler was created; it does not show that discovery is working.
 func (scheduler *Scheduler) EndpointListBegins(now time.Duration, full, restored bool) {
 	scheduler.clock(now)
 	scheduler.replicas.listChanged()
@@ -100,7 +100,7 @@
 	}
 }
 
-// EndpointListed takes one entry of the list that EndpointListBegins opened.
+// EndpointListed handles one entry of the list that EndpointListBegins started.
 func (scheduler *Scheduler) EndpointListed(now time.Duration, endpoint Endpoint) {
 	scheduler.replicas.listChanged()
 	replica, known := scheduler.replicas.byID[endpoint.ID]
@@ -116,7 +116,7 @@
 	}
 }
 
-// addReplica gives a replica that is listed for the first time its state.
+// addReplica creates the state of a replica that is listed for the first time.
 func (scheduler *Scheduler) addReplica(now time.Duration, id ReplicaID) *replicaState {
 	replica := scheduler.replicas.newState(now, scheduler.oldestArrival())
 	scheduler.replicas.byID[id] = replica
@@ -137,7 +137,7 @@
 	return replica
 }
 
-// replicaStarted forgets what held for an earlier incarnation of a replica.
+// replicaStarted resets what was known of an earlier incarnation of a replica.
 func (scheduler *Scheduler) replicaStarted(replica *replicaState, startedAt time.Duration) {
 	replica.startedAt = startedAt
 	replica.limit = initialLimit
@@ -149,7 +149,7 @@
 	}
 }
 
-// EndpointPollFailed tells that a poll of the list has failed, or that its changes do not come any more.
+// EndpointPollFailed handles a failed poll of the list, or the loss of the subscription to its changes.
 func (scheduler *Scheduler) EndpointPollFailed(now time.Duration) {
 	scheduler.clock(now)
 	scheduler.poller.pollFailed(now, scheduler.random.next())
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Gossip lets each of many co-ordinators count on the work that the others have sent to a replica, which none sees
-// by itself. Inputs are the own attempts as they are sent and end, and the messages of peers; the result is each
-// replica's peerWork, and a correction of its slowdown, of the parallelism and of tenants' allowances. Messages may
-// be lost, doubled or late: what they tell fades with time. gossip_message.go has their form.
+// Gossip tells each co-ordinator about the work that its peers have sent to the replicas, which it cannot observe
+// itself. Inputs are the start and end of this co-ordinator's attempts, and messages from peers. Outputs are each
+// replica's peerWork, and corrections of its slowdown, of the parallelism and of the tenants' quotas. Messages may be
+// lost, duplicated or late, so the reported work decays with time. gossip_message.go defines the message format.
 
 import (
 	"fmt"
@@ -12,52 +12,52 @@
 )
 
 const (
-	// peerTimeout is the time without any message after which the others count as silent.
+	// peerTimeout is the time without any message after which the peers count as silent.
 	peerTimeout = 1 * time.Second
 
-	// peerWorkDecayTime is the time in which the work that peers told of fades to a third.
+	// peerWorkDecayTime is the time constant with which the work that peers reported decays.
 	peerWorkDecayTime = 2 * time.Second
 
-	// lateAttemptFactor is how many times longer than expected an attempt takes whose lateness is told.
+	// lateAttemptFactor is the multiple of its expected time beyond which an attempt is reported as late.
 	lateAttemptFactor = 2.0
 
-	// gossipBatchDelay is the time for which ends are gathered, as each message costs work at every peer. Attempts that
-	// were sent are told at once, as others may be about to choose the same replica.
+	// gossipBatchDelay is the time for which ends of attempts are batched, as every peer has to process each message.
+	// Starts are reported at once, as a peer may be about to choose the same replica.
 	gossipBatchDelay = 100 * time.Millisecond
 )
 
-// gossip is what a co-ordinator has to tell its peers, and when it last heard one.
+// gossip holds what a co-ordinator has yet to report to its peers, and when it last received a message.
 type gossip struct {
-	lastReceivedAt time.Duration // last message of a peer that could be read; 0: none yet
+	lastReceivedAt time.Duration // time of the last valid message from a peer; 0: none yet
 	pending        [attemptEventCount]attemptTally
 }
 
-// peersHeard tells whether the peers tell what they send.
+// peersHeard reports whether a peer has sent a valid message within peerTimeout.
 func (g *gossip) peersHeard(now time.Duration) bool {
 	return g.lastReceivedAt > 0 && now < g.lastReceivedAt+peerTimeout
 }
 
-// attemptSent notes an attempt that is now in flight.
+// attemptSent records the start of an attempt.
 func (g *gossip) attemptSent(now time.Duration, cell CellNumber, work time.Duration) {
 	g.pending[attemptsSent].add(now, cell, work, 1)
 }
 
-// queryAdmitted notes a tenant's query whose first attempt was just noted.
+// queryAdmitted records a tenant's query, after attemptSent has recorded its first attempt.
 func (g *gossip) queryAdmitted(tenant TenantIndex) {
 	sent := &g.pending[attemptsSent]
 	sent.tenants = append(sent.tenants, tenant)
 }
 
-// endedAttempt is the end of an attempt, as far as peers are told of it.
+// endedAttempt is the end of an attempt, with what decides how it is reported to peers.
 type endedAttempt struct {
 	attempt   *attempt
-	lateness  float64 // times the expected time that it took
-	readLate  bool    // this co-ordinator may have been late itself in reading the answer
+	lateness  float64 // time taken, as a multiple of the expected time
+	readLate  bool    // this co-ordinator itself may have delayed reading the answer
 	cancelled bool
 }
 
-// attemptEnded notes the end of an attempt. A late one is told as late unless the answer was read late. A cancelled
-// attempt is told only if it was late, as the replica may go on with it.
+// attemptEnded records the end of an attempt. A late one is reported as late unless the answer may have been read
+// late. A cancelled attempt is reported only if it was late, as the replica may still be working on it.
 func (g *gossip) attemptEnded(now time.Duration, ended endedAttempt) {
 	cell, work := ended.attempt.replica.cell, ended.attempt.work
 	switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-// broadcast sends what is due and asks to be woken for the rest.
+// broadcast sends the messages that are due and schedules a wakeup for the others.
 func (scheduler *Scheduler) broadcast() {
 	for event := range attemptEventCount {
 		tally := &scheduler.gossip.pending[event]
@@ -85,8 +85,8 @@
 	}
 }
 
-// GossipReceived takes a message of another co-ordinator. One that cannot be read changes nothing; the error wraps a
-// *GossipError.
+// GossipReceived handles a message from another co-ordinator. A malformed message changes nothing and returns an error
+// that wraps a *GossipError.
 func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
 	scheduler.clock(now)
 	decoded, err := decodeGossip(message, scheduler.parameters.layout.cells)
@@ -96,10 +96,10 @@
 	for _, tenant := range decoded.tenants {
 		scheduler.quotas.peerAdmitted(tenant)
 	}
-	for _, told := range decoded.cells {
-		for _, replica := range scheduler.replicas.holdersOfCell(told.cell) {
-			if replica.cell == told.cell {
-				scheduler.applyPeerAttempts(replica, decoded, told.attempts)
+	for _, entry := range decoded.cells {
+		for _, replica := range scheduler.replicas.holdersOfCell(entry.cell) {
+			if replica.cell == entry.cell {
+				scheduler.applyPeerAttempts(replica, decoded, entry.attempts)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// applyPeerAttempts applies what a peer tells of attempts at a replica.
+// applyPeerAttempts updates the estimates from a peer's message about attempts at a replica.
 func (scheduler *Scheduler) applyPeerAttempts(replica *replicaState, message *gossipMessage, attempts int) {
 	work := time.Duration(attempts) * message.work
 	if message.event == attemptsEnded {
@@ -119,12 +119,13 @@
 		work = -work
 		scheduler.applyPeerLatency(replica, message, attempts)
 	}
-	most := scale(scheduler.parameters.shortestObjective, scheduler.estimates.parallelism)
-	replica.peerWork = max(0, min(most, replica.peerBacklog(scheduler.now)+work))
+	maxWork := scale(scheduler.parameters.shortestObjective, scheduler.estimates.parallelism)
+	replica.peerWork = max(0, min(maxWork, replica.peerBacklog(scheduler.now)+work))
 	replica.peerWorkAt = scheduler.now
 }
 
-// applyPeerLatency moves a replica's slowdown as own replies do. Attempts in the expected time only lower it.
+// applyPeerLatency adjusts a replica's slowdown in the same way as a reply does. Attempts that were not late can only
+// lower it.
 func (scheduler *Scheduler) applyPeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
 	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
 	if message.event != attemptsLate && surprise >= 0 {
@@ -134,14 +135,15 @@
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
-// peerBacklog is the work that other co-ordinators have in flight at a replica, as they told. It fades, as the
-// message of an attempt's end may be lost.
+// peerBacklog returns the work that other co-ordinators have in flight at a replica, by their messages. It decays, as
+// the message about an attempt's end may be lost.
 func (r *replicaState) peerBacklog(now time.Duration) time.Duration {
 	age := now - r.peerWorkAt
 	return scale(r.peerWork, math.Exp(-float64(age)/float64(peerWorkDecayTime)))
 }
 
-// unseenLoad multiplies an expected time for the work that silent peers may have in flight; 1 where they tell.
+// unseenLoad returns the factor on expected times for work that silent peers may have in flight; 1 if the peers are
+// not silent.
 func (scheduler *Scheduler) unseenLoad() float64 {
 	if scheduler.gossip.peersHeard(scheduler.now) {
 		return 1
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -1,21 +1,22 @@
 package scheduler
 
-// Messages between co-ordinators tell what became of attempts, so that each knows what the others have in flight. A
-// message is one datagram of at most 256 bytes, in version 2 of its form:
+// Gossip messages report the starts and ends of attempts, so that each co-ordinator knows what the others have in
+// flight. A message is one datagram of at most 256 bytes. This is version 2 of the format:
 //
-//	byte 0    0xa8: the kind of message and its version
-//	byte 1    lowest bit: how the cells follow, 0 a list, 1 a map; above it: what became of the attempts
+//	byte 0    0xa8: message type and version
+//	byte 1    lowest bit: encoding of the cells, 0 for a list, 1 for a map; higher bits: the attempts' event
 //	byte 2-3  mean expected work of an attempt, big endian, in units of 100 µs, at most 0xffff
-//	byte 4    sent:  how many tenants follow, at most 16
-//	          ended: the subqueries that the sender takes a replica to do side by side, in sixteenths, at least 16
-//	          late:  how many times longer than expected the attempts took, in eighths, more than 8
-//	tenants   sent: a byte for each query admitted, its tenant; otherwise nothing
-//	list      for each attempt the cell of its replica, as an unsigned varint
-//	map       for each cell two bits with the number of its attempts, the first cell in the lowest bits of a byte
+//	byte 4    sent:  number of tenants that follow, at most 16
+//	          ended: subqueries that a replica processes in parallel, as estimated by the sender, in sixteenths, at
+//	                 least 16
+//	          late:  time that the attempts took, as a multiple of the expected time, in eighths, more than 8
+//	tenants   sent: one byte for each admitted query, its tenant; otherwise absent
+//	list      for each attempt, the cell of its replica, as an unsigned varint
+//	map       for each cell, the number of its attempts in two bits, the first cell in the lowest bits of a byte
 //
-// The cells are a map where that is shorter and fits. Attempts that do not fit in one message go in a further one.
-// Tenants go with them, at most 16 a message: those that are left once all attempts are told are not told. A tenant
-// is told by the lowest byte of its index, so one above 255 is taken for another.
+// The cells are encoded as a map if it fits and is shorter. Attempts that do not fit into one message are sent in
+// further ones. These carry the remaining tenants as well, at most 16 each; tenants that remain after the last attempt
+// are not sent. A tenant is encoded as the lowest byte of its index, so an index above 255 is mistaken for another.
 
 import (
 	"encoding/binary"
@@ -24,42 +25,47 @@
 	"time"
 )
 
-// PeerIndex is a co-ordinator's number among all.
+// PeerIndex is the number of a co-ordinator among all co-ordinators.
 type PeerIndex int
 
-// attemptEvent is what became of the attempts that a message tells of.
+// attemptEvent is the event that a message reports for its attempts.
 type attemptEvent int
 
 const (
-	attemptsSent      attemptEvent = iota // just sent; tells for whom as well
-	attemptsEnded                         // ended in about the expected time, or with nothing to tell of it
-	attemptsLate                          // ended or cancelled, much later than expected
-	attemptEventCount                     // how many there are
+	attemptsSent      attemptEvent = iota // just sent; the message lists the tenants as well
+	attemptsEnded                         // ended without being late, or the answer may have been read late
+	attemptsLate                          // ended or were cancelled much later than expected
+	attemptEventCount                     // number of events
 )
 
 const (
 	gossipMagic      = 0xa8
 	gossipHeaderSize = 5   // bytes
-	maxGossipSize    = 256 // bytes of a message
+	maxGossipSize    = 256 // bytes
 
 	gossipCellMap    = 1 // bit of byte 1
 	gossipEventShift = 1 // of byte 1
 
 	gossipWorkUnit        = 100 * time.Microsecond
-	gossipParallelismUnit = 16 // of one subquery
-	gossipLatenessUnit    = 8  // of the expected time
-
-	cellsPerByte          = 4                                                             // of a map
-	bitsPerCell           = 2                                                             // of a map
-	maxAttemptsPerMapCell = 1<<bitsPerCell - 1                                            // attempts of a cell in a map
-	maxTenantsPerMessage  = 16                                                            // in a message
-	maxCellsInList        = (maxGossipSize - gossipHeaderSize - maxTenantsPerMessage) / 3 // cells in a list, of three bytes at most
-	maxAttemptTally       = 4096                                                          // attempts gathered; further ones are not told of
+	gossipParallelismUnit = 16 // encoding of one subquery
+	gossipLatenessUnit    = 8  // encoding of the expected time
+
+	// The map encoding.
+	cellsPerByte          = 4
+	bitsPerCell           = 2
+	maxAttemptsPerMapCell = 1<<bitsPerCell - 1
+
+	maxTenantsPerMessage = 16
+
+	// The list encoding, with at most three bytes for a cell.
+	maxCellsInList = (maxGossipSize - gossipHeaderSize - maxTenantsPerMessage) / 3
+
+	maxAttemptTally = 4096 // attempts in a tally; further ones are not reported
 )
 
-// GossipError says why a message of another co-ordinator cannot be read.
+// GossipError reports that a message from another co-ordinator is malformed.
 type GossipError struct {
-	Field  string // the part of the message at fault
+	Field  string // the invalid part of the message
 	Found  int
 	Wanted string
 }
@@ -68,13 +74,13 @@
 	return fmt.Sprintf("gossip message: %s: found %d, wanted %s", e.Field, e.Found, e.Wanted)
 }
 
-// gossipMessage is one that has been read.
+// gossipMessage is a decoded message.
 type gossipMessage struct {
 	event       attemptEvent
-	work        time.Duration // mean of an attempt
-	tenants     []TenantIndex // attemptsSent: one for each query admitted
-	parallelism float64       // attemptsEnded: subqueries side by side at a replica, by the sender; at least 1
-	lateness    float64       // attemptsLate: times the expected time that the attempts took; above 1
+	work        time.Duration // mean expected work of an attempt
+	tenants     []TenantIndex // attemptsSent: one for each admitted query
+	parallelism float64       // attemptsEnded: parallelism of a replica as estimated by the sender, at least 1
+	lateness    float64       // attemptsLate: time that the attempts took over the expected time, above 1
 	cells       []cellAttempts
 }
 
@@ -84,10 +90,10 @@
 	attempts int
 }
 
-// mapSize is the length of a map of cells in bytes.
+// mapSize returns the size of a map of cells in bytes.
 func mapSize(cells int) int { return (cells + cellsPerByte - 1) / cellsPerByte }
 
-// decodeGossip reads a message whole or not at all. The error is a *GossipError.
+// decodeGossip decodes a message. The error is a *GossipError.
 func decodeGossip(message []byte, cells int) (*gossipMessage, error) {
 	if len(message) <= gossipHeaderSize || len(message) > maxGossipSize {
 		wanted := fmt.Sprintf("more than %d and at most %d", gossipHeaderSize, maxGossipSize)
@@ -115,30 +121,31 @@
 	return decoded, nil
 }
 
-// readDetail reads what byte 4 says of the event, and the tenants behind it. It returns the bytes that tell of cells.
+// readDetail decodes byte 4, whose meaning depends on the event, and the tenants. It returns the remaining bytes, which
+// encode the cells.
 func (m *gossipMessage) readDetail(detail byte, body []byte) ([]byte, error) {
 	switch m.event {
 	case attemptsSent:
 		return m.readTenants(int(detail), body)
 	case attemptsEnded:
 		if detail < gossipParallelismUnit {
-			return nil, &GossipError{"subqueries side by side", int(detail), "at least one, which is 16"}
+			return nil, &GossipError{"parallelism", int(detail), "at least 16, which stands for one subquery"}
 		}
 		m.parallelism = float64(detail) / gossipParallelismUnit
 	case attemptsLate:
 		if detail <= gossipLatenessUnit {
-			return nil, &GossipError{"lateness", int(detail), "more than the expected time, which is 8"}
+			return nil, &GossipError{"lateness", int(detail), "more than 8, which stands for the expected time"}
 		}
 		m.lateness = float64(detail) / gossipLatenessUnit
 	default:
-		return nil, &GossipError{"event", int(m.event), "attempts sent, ended or late, which are 0, 1 and 2"}
+		return nil, &GossipError{"event", int(m.event), "0 (attempts sent), 1 (ended) or 2 (late)"}
 	}
 	return body, nil
 }
 
 func (m *gossipMessage) readTenants(count int, body []byte) ([]byte, error) {
 	if count > maxTenantsPerMessage || count >= len(body) {
-		return nil, &GossipError{"tenants", count, fmt.Sprintf("at most %d, and cells behind them", maxTenantsPerMessage)}
+		return nil, &GossipError{"tenants", count, fmt.Sprintf("at most %d, followed by cells", maxTenantsPerMessage)}
 	}
 	for _, tenant := range body[:count] {
 		m.tenants = append(m.tenants, TenantIndex(tenant))
@@ -164,7 +171,7 @@
 	for len(body) > 0 {
 		cell, length := binary.Uvarint(body)
 		if length <= 0 {
-			return &GossipError{"cell, bytes left", len(body), "an unsigned varint"}
+			return &GossipError{"remaining bytes of the cell list", len(body), "an unsigned varint"}
 		}
 		if cell >= uint64(cells) {
 			return &GossipError{"cell", int(min(cell, math.MaxInt)), fmt.Sprintf("less than %d", cells)}
@@ -175,16 +182,16 @@
 	return nil
 }
 
-// attemptTally gathers attempts of one event until the others are told.
+// attemptTally collects attempts of one event until they are reported to the peers.
 type attemptTally struct {
 	cells        []CellNumber  // one for each attempt
-	tenants      []TenantIndex // one for each query admitted
+	tenants      []TenantIndex // one for each admitted query
 	work         time.Duration // of all attempts
-	logLateness  float64       // sum of the logarithms of their lateness
-	firstAddedAt time.Duration // when the first was gathered
+	logLateness  float64       // sum of the logarithms of the attempts' lateness
+	firstAddedAt time.Duration // when the first attempt was added
 }
 
-// add gathers an attempt that took so many times the expected time.
+// add adds an attempt; lateness is the time that it took over the expected time.
 func (t *attemptTally) add(now time.Duration, cell CellNumber, work time.Duration, lateness float64) {
 	if len(t.cells) == 0 {
 		t.firstAddedAt = now
@@ -196,7 +203,7 @@
 	}
 }
 
-// flush encodes what was gathered, in as few bytes as it takes, and empties the tally.
+// flush encodes the collected attempts in the shorter encoding and empties the tally.
 func (t *attemptTally) flush(event attemptEvent, cells int, parallelism float64) (messages [][]byte) {
 	if len(t.cells) == 0 {
 		return nil
@@ -217,15 +224,15 @@
 	return messages
 }
 
-// gossipEncoder writes attempts into as many messages as they take.
+// gossipEncoder encodes attempts into as many messages as are needed.
 type gossipEncoder struct {
 	event       attemptEvent
 	mapSize     int           // bytes
-	work        time.Duration // mean of an attempt
-	lateness    float64       // mean of an attempt
+	work        time.Duration // mean of the attempts
+	lateness    float64       // geometric mean of the attempts
 	parallelism float64
-	tenants     []TenantIndex // that no message has told yet
-	remaining   []CellNumber  // of attempts that no message has told yet
+	tenants     []TenantIndex // not yet encoded
+	remaining   []CellNumber  // cells of the attempts not yet encoded
 }
 
 func (e *gossipEncoder) next() []byte {
@@ -235,7 +242,7 @@
 	return e.cellMap()
 }
 
-// listIsBetter tells whether the map does not fit, or is longer than a list that holds all that is left.
+// listIsBetter reports whether the map does not fit, or is longer than a list of all remaining attempts.
 func (e *gossipEncoder) listIsBetter() bool {
 	if gossipHeaderSize+maxTenantsPerMessage+e.mapSize > maxGossipSize {
 		return true
@@ -253,28 +260,28 @@
 	return message
 }
 
-// cellMap leaves the attempts for a further message that are more than a cell's bits can count.
+// cellMap encodes a message with a map. Attempts beyond the maximum of their cell remain for a further message.
 func (e *gossipEncoder) cellMap() []byte {
 	message := e.header(gossipCellMap)
 	cells := make([]byte, e.mapSize)
-	var left []CellNumber
+	var remaining []CellNumber
 	for _, cell := range e.remaining {
-		at, shift := int(cell)/cellsPerByte, bitsPerCell*(int(cell)%cellsPerByte)
-		if cells[at]>>shift&maxAttemptsPerMapCell == maxAttemptsPerMapCell {
-			left = append(left, cell)
+		index, shift := int(cell)/cellsPerByte, bitsPerCell*(int(cell)%cellsPerByte)
+		if cells[index]>>shift&maxAttemptsPerMapCell == maxAttemptsPerMapCell {
+			remaining = append(remaining, cell)
 			continue
 		}
-		cells[at] += 1 << shift
+		cells[index] += 1 << shift
 	}
-	e.remaining = left
+	e.remaining = remaining
 	return append(message, cells...)
 }
 
-// header is a message up to its cells.
-func (e *gossipEncoder) header(form byte) []byte {
+// header encodes the part of a message before its cells; encoding is that of the cells.
+func (e *gossipEncoder) header(encoding byte) []byte {
 	tenants := e.tenants[:min(len(e.tenants), maxTenantsPerMessage)]
 	e.tenants = e.tenants[len(tenants):]
-	message := []byte{gossipMagic, byte(e.event)<<gossipEventShift | form}
+	message := []byte{gossipMagic, byte(e.event)<<gossipEventShift | encoding}
 	message = binary.BigEndian.AppendUint16(message, uint16(min(math.MaxUint16, e.work/gossipWorkUnit)))
 	message = append(message, e.detail(len(tenants)))
 	for _, tenant := range tenants {
@@ -283,7 +290,7 @@
 	return message
 }
 
-// detail is byte 4 of a message.
+// detail returns byte 4 of a message.
 func (e *gossipEncoder) detail(tenants int) byte {
 	switch e.event {
 	case attemptsEnded:
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// gossipOf encodes attempts that each took so many times the expected time. The sender takes two subqueries to be
-// worked on side by side.
+// gossipOf encodes attempts of the given lateness. The sender estimates a parallelism of two.
 func gossipOf(event attemptEvent, attempts []CellNumber, work time.Duration, lateness float64,
 	tenants []TenantIndex, cells int) [][]byte {
 	tally := attemptTally{tenants: tenants}
@@ -56,18 +55,17 @@
 		if isLate != (event == attemptsLate) || (decoded.parallelism == 2) != (event == attemptsEnded) {
 			t.Errorf("lateness %.1f, parallelism %.1f", decoded.lateness, decoded.parallelism)
 		}
-		for _, told := range decoded.cells {
-			received[told.cell] += told.attempts
+		for _, entry := range decoded.cells {
+			received[entry.cell] += entry.attempts
 		}
 		receivedTenants = append(receivedTenants, decoded.tenants...)
 	}
 	if !slices.Equal(received, sent) || !slices.Equal(receivedTenants, tenants) {
-		t.Errorf("received other attempts than were sent, or other tenants: %v", receivedTenants)
+		t.Errorf("received attempts or tenants differ from those sent; tenants received: %v", receivedTenants)
 	}
 }
 
-// Co-ordinators of several releases run side by side while one replaces the other, so the bytes must not change
-// within a version.
+// Co-ordinators of two releases exchange messages during a rollout, so the encoding must not change within a version.
 func TestGossipBytes(t *testing.T) {
 	attempts := []CellNumber{0, 2, 2, 2, 2}
 	for _, test := range []struct {
@@ -90,7 +88,8 @@
 	}
 }
 
-// The same over many sizes, with values that the bytes cannot hold; by their digest, as there are many.
+// Covers the encoding of many sizes, and of values that do not fit into their bytes. The messages are compared by their
+// digest, as there are many.
 func TestGossipBytesOfManySizes(t *testing.T) {
 	digest, messages := sha256.New(), 0
 	for _, cells := range []int{1, 3, 162, 900, 5000} {
@@ -113,7 +112,8 @@
 	}
 }
 
-// manyAttempts encodes attempts, each fifth of a tenant's new query. The value is their lateness and the parallelism.
+// manyAttempts encodes attempts, every fifth of which is the first of a tenant's query. value is their lateness and the
+// parallelism.
 func manyAttempts(event attemptEvent, cells, attempts int, work time.Duration, value float64) [][]byte {
 	tally := attemptTally{}
 	for n := range attempts {
@@ -125,12 +125,12 @@
 	return tally.flush(event, cells, value)
 }
 
-// What is no message of this version is refused by name, and nothing that it says is believed, not even in part.
+// A malformed message is rejected with an error that names the invalid field, and no part of it takes effect.
 func TestMalformedGossipChangesNothing(t *testing.T) {
-	sound := gossipOf(attemptsSent, []CellNumber{0, 1}, 100*ms, 1, []TenantIndex{0}, 3)[0]
-	changed := func(at int, to byte) []byte {
-		message := slices.Clone(sound)
-		message[at] = to
+	valid := gossipOf(attemptsSent, []CellNumber{0, 1}, 100*ms, 1, []TenantIndex{0}, 3)[0]
+	changed := func(index int, value byte) []byte {
+		message := slices.Clone(valid)
+		message[index] = value
 		return message
 	}
 	for name, test := range map[string]struct {
@@ -138,23 +138,23 @@
 		field   string
 	}{
 		"empty":                         {[]byte{}, "length"},
-		"cut in its header":             {sound[:gossipHeaderSize], "length"},
-		"cut behind its tenants":        {sound[:gossipHeaderSize+1], "tenants"},
+		"cut off after its header":      {valid[:gossipHeaderSize], "length"},
+		"cut off after its tenants":     {valid[:gossipHeaderSize+1], "tenants"},
 		"of version 1":                  {changed(0, 0xa7), "first byte"},
 		"of an unknown event":           {changed(1, 7<<gossipEventShift), "event"},
 		"with more tenants than it has": {changed(4, maxTenantsPerMessage), "tenants"},
 		"with too many tenants":         {changed(4, maxTenantsPerMessage+1), "tenants"},
 		"about an unknown cell":         {[]byte{gossipMagic, 0, 0, 1, 0, 3}, "cell"},
-		"with half a cell":              {[]byte{gossipMagic, 0, 0, 1, 0, 0x80}, "cell, bytes left"},
-		"too long":                      {append(slices.Clone(sound), make([]byte, maxGossipSize)...), "length"},
+		"with an incomplete cell":       {[]byte{gossipMagic, 0, 0, 1, 0, 0x80}, "remaining bytes of the cell list"},
+		"too long":                      {append(slices.Clone(valid), make([]byte, maxGossipSize)...), "length"},
 		"late by nothing": {
 			[]byte{gossipMagic, byte(attemptsLate) << gossipEventShift, 0, 1, gossipLatenessUnit, 0}, "lateness"},
-		"with no subquery at a time": {
-			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 0, 0}, "subqueries side by side"},
-		"with less than one subquery at a time": {
-			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 3, 0}, "subqueries side by side"},
-		"a map too short": {[]byte{gossipMagic, gossipCellMap, 0, 1, 0}, "length"},
-		"a map too long":  {[]byte{gossipMagic, gossipCellMap, 0, 1, 0, 0, 0}, "length of the map"},
+		"with a parallelism of 0": {
+			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 0, 0}, "parallelism"},
+		"with a parallelism below 1": {
+			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 3, 0}, "parallelism"},
+		"with a map too short": {[]byte{gossipMagic, gossipCellMap, 0, 1, 0}, "length"},
+		"with a map too long":  {[]byte{gossipMagic, gossipCellMap, 0, 1, 0, 0, 0}, "length of the map"},
 	} {
 		m := newModel(t, 32)
 		m.settings["bounds.peers"] = "true"
@@ -162,20 +162,20 @@
 		allowance := m.scheduler.quotas.tokens[0]
 		var fault *GossipError
 		if err := m.scheduler.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
-			t.Errorf("a message %s: %v, want a fault in %s", name, err, test.field)
+			t.Errorf("a message %s: error %v, want a *GossipError for field %s", name, err, test.field)
 		}
 		for _, replica := range m.scheduler.replicas.all {
 			if replica.peerBacklog(m.scheduler.now) != 0 || replica.slowdown != 1 {
-				t.Errorf("a message %s is believed of replica %d", name, replica.id)
+				t.Errorf("a message %s changed the state of replica %d", name, replica.id)
 			}
 		}
 		if m.scheduler.gossip.peersHeard(m.scheduler.now) || m.scheduler.quotas.tokens[0] != allowance {
-			t.Errorf("a message %s is believed", name)
+			t.Errorf("a message %s counts as received or changed a quota", name)
 		}
 	}
 }
 
-// FuzzGossip: bytes from elsewhere are read or refused whole, and what peers have in flight stays within bounds.
+// FuzzGossip checks that any bytes are either applied or rejected as a whole, and that estimates stay within bounds.
 func FuzzGossip(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(gossipOf(attemptsSent, []CellNumber{0, 1, 2}, time.Second, 1, []TenantIndex{0}, 3)[0])
@@ -191,16 +191,16 @@
 		before := m.scheduler.gossip.lastReceivedAt
 		err := m.scheduler.GossipReceived(m.now, 1, message)
 		if (err == nil) != (m.scheduler.gossip.lastReceivedAt != before) {
-			t.Errorf("%v, and heard at %v", err, m.scheduler.gossip.lastReceivedAt)
+			t.Errorf("error %v, but last received at %v", err, m.scheduler.gossip.lastReceivedAt)
 		}
-		most := scale(m.scheduler.parameters.shortestObjective, m.scheduler.estimates.parallelism)
+		maxBacklog := scale(m.scheduler.parameters.shortestObjective, m.scheduler.estimates.parallelism)
 		for _, replica := range m.scheduler.replicas.all {
 			backlog := replica.peerBacklog(m.scheduler.now)
-			if backlog < 0 || backlog > most || err != nil && backlog > 0 {
-				t.Errorf("%v in flight after %v", backlog, err)
+			if backlog < 0 || backlog > maxBacklog || err != nil && backlog > 0 {
+				t.Errorf("%v in flight, error %v", backlog, err)
 			}
 			if replica.slowdown < 0.9 || replica.slowdown > 32 {
-				t.Errorf("slowdown %.1f after %v", replica.slowdown, err)
+				t.Errorf("slowdown %.1f, error %v", replica.slowdown, err)
 			}
 		}
 	})
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -1,19 +1,20 @@
 package scheduler
 
-// Hedges: when a second attempt of a straggling subquery goes to another replica while the first is in flight. A
-// straggler takes several times the expected time while most of its query is answered, or hangs. Inputs are the
-// attempt's age, the time left to the objective, the retry budget and tokens (retry.go), the replicas' reported
-// utilization and the hedge tokens that replies earn. The attempt in flight goes on; the first answer counts.
+// Hedges: when a second attempt of a straggling subquery is sent to another replica while the first is in flight. A
+// straggler is an attempt that takes several times the expected time while most of its query is answered. Attempts
+// that hang are hedged as well. Inputs are the attempt's age, the time left to the objective, the retry budget and
+// tokens (retry.go), the replicas' reported utilization and the hedge tokens that replies earn. The attempt in flight
+// is not cancelled; the first answer counts.
 //
 //	case                                  age of the attempt                            hedge token
-//	straggler                             hedgePatience x expected time x slowdown;     one
+//	straggler                             stragglerFactor x expected time x slowdown;   one
 //	                                      less in a query of many subqueries
-//	straggler, of the last twelfth        lastStragglerAge x expected time              none
+//	straggler, of the last twelfth        lastStragglerFactor x expected time           none
 //	straggler, the only one missing       as any straggler                              none
-//	attempt that hangs (outlier.go)       any, once it counts as lost                   as above
+//	attempt that hangs (outlier.go)       any, once it is presumed lost                 as above
 //
-// Ages of stragglers are multiplied by how late the query's other subqueries were as well. All need a retry token of
-// the hedge's replica and a place in the retry budget.
+// The ages of stragglers are also multiplied by the mean lateness of the query's other subqueries. Every hedge needs a
+// retry token of its replica and room in the retry budget.
 
 import (
 	"math"
@@ -21,25 +22,33 @@
 )
 
 const (
-	answeredForHedge    = 0.8  // share of a query's other subqueries that must be answered before one is a straggler
-	manySubqueries      = 12.0 // subqueries; a query of more has more stragglers: less patience, and more room for a hedge
-	minStragglerFactor  = 2.5  // times the expected time; an attempt is a straggler no sooner
-	stragglerFactor     = 6.0  // times the expected time after which a hedge is thought of
-	hedgeHeadroomFactor = 2.5  // times a hedge's expected time; while more is left the first attempt is waited for
-
-	hedgeTokensPerReply    = 0.3             // hedges that a reply earns, from whichever replica
-	maxHedgeTokens         = 24.0            // hedges that may be saved up
-	maxMissingWithoutToken = 1.5             // subqueries; while no more of a query are missing, a hedge needs no token
-	lastShareDivisor       = 12.0            // of a large query the last twelfth needs none either
-	lastStragglerFactor    = 1.5             // times the expected time at a sound replica, for the last twelfth
-	idleUtilization        = 0.4             // share of a replica's cores in use, up to which hedges delay nobody
-	busyUtilization        = 0.7             // the same; from here a queue forms, and each hedge makes it longer
-	utilizationStep        = 0.05            // weight of a load report in the mean utilization
-	loadReportMaxAge       = 2 * time.Second // for which a replica's own report tells more than the mean of all
-	loadReportsTimeout     = 5 * time.Second // without any load report, after which replicas count as idle
+	answeredForHedge = 0.8 // share of a query's other subqueries that must be answered before one is a straggler
+
+	// manySubqueries is the number of subqueries above which a query, as it has more stragglers, hedges them at an
+	// earlier age and with more time left to the objective.
+	manySubqueries = 12.0
+
+	// Multiples of an attempt's expected time.
+	minStragglerFactor  = 2.5 // lower bound of the age of a straggler
+	stragglerFactor     = 6.0 // age of a straggler in a query of few subqueries
+	lastStragglerFactor = 1.5 // age of a straggler among the last twelfth of a query, at a healthy replica
+
+	// hedgeHeadroomFactor is a multiple of a hedge's expected time. While more time than that is left to the
+	// objective, the first attempt is waited for.
+	hedgeHeadroomFactor = 2.5
+
+	hedgeTokensPerReply = 0.3             // hedge tokens that a reply from any replica earns
+	maxHedgeTokens      = 24.0            // hedge tokens that can be accumulated
+	maxMissingTokenFree = 1.5             // missing subqueries of a query up to which a hedge needs no token
+	lastShareDivisor    = 12.0            // in a large query, the last twelfth needs no token either
+	idleUtilization     = 0.4             // share of a replica's cores in use up to which hedges cause no delay
+	busyUtilization     = 0.7             // share of cores in use from which a queue forms that hedges lengthen
+	utilizationStep     = 0.05            // weight of a load report in the mean utilization
+	loadReportMaxAge    = 2 * time.Second // below which a replica's own report is preferred to the mean of all
+	loadReportsTimeout  = 5 * time.Second // without any load report, after which replicas count as idle
 )
 
-// hedgePolicy decides on hedges.
+// hedgePolicy decides which attempts are hedged, and at which replica.
 type hedgePolicy struct {
 	parameters *parameters
 	estimates  *latencyEstimator
@@ -48,12 +57,12 @@
 	retries    *retryBudget
 	placement  *placement
 
-	tokens           float64 // hedges that replies have earned
-	meanUtilization  float64 // share of the replicas' cores in use, by their reports
+	tokens           float64 // hedge tokens that replies have earned
+	meanUtilization  float64 // moving average of the share of cores in use, over all load reports
 	lastLoadReportAt time.Duration
 }
 
-// loadReported records a replica's report of the share of its cores in use; replica is nil if it is not known.
+// loadReported records a load report, the share of a replica's cores in use; replica is nil if it is unknown.
 func (h *hedgePolicy) loadReported(now time.Duration, replica *replicaState, utilization float64) {
 	h.meanUtilization += utilizationStep * (utilization - h.meanUtilization)
 	h.lastLoadReportAt = now
@@ -63,24 +72,25 @@
 	}
 }
 
-// expireLoadReports lets replicas count as idle once nobody has reported for a while.
+// expireLoadReports resets the mean utilization once no replica has reported for loadReportsTimeout.
 func (h *hedgePolicy) expireLoadReports(now time.Duration) {
 	if now > h.lastLoadReportAt+loadReportsTimeout {
 		h.meanUtilization = 0
 	}
 }
 
-// earn adds the tokens of a reply.
+// earn adds the hedge tokens that a reply earns.
 func (h *hedgePolicy) earn(now time.Duration, replica *replicaState) {
 	earned := hedgeTokensPerReply * h.parameters.hedgeScale * h.headroom(now, replica)
 	h.tokens = min(maxHedgeTokens*h.parameters.hedgeScale, h.tokens+earned)
 }
 
-// spend takes a token for a hedge that is sent. One that needs no token takes what there is.
+// spend removes a token for a hedge that is sent, or what is left of one if the hedge needs no token.
 func (h *hedgePolicy) spend() { h.tokens = max(0, h.tokens-1) }
 
-// headroom is how much headroom a replica has for hedges, from 0 to 1: by its own report if that is fresh, else by the mean
-// of all. One of many co-ordinators does not see by itself that hedges make a jam.
+// headroom returns a replica's spare capacity for hedges, from 0 to 1: by its own load report if that is recent,
+// otherwise by the mean of all. Load reports are needed because one of many co-ordinators cannot tell from its own
+// attempts that hedges cause congestion.
 func (h *hedgePolicy) headroom(now time.Duration, replica *replicaState) float64 {
 	utilization := h.meanUtilization
 	if replica.utilizationAt > 0 && now-replica.utilizationAt < loadReportMaxAge {
@@ -89,7 +99,7 @@
 	return max(0, min(1, (busyUtilization-utilization)/(busyUtilization-idleUtilization)))
 }
 
-// target is where a hedge beside a subquery's last attempt is to go now; nil: nowhere.
+// target returns the replica to which a hedge of a subquery's last attempt is to be sent now, or nil if none is.
 func (h *hedgePolicy) target(now time.Duration, attempt *attempt) *replicaState {
 	if !h.wanted(now, attempt) {
 		return nil
@@ -97,13 +107,13 @@
 	best := h.placement.cheapest(attempt.subquery, func(replica *replicaState) time.Duration {
 		return h.cost(now, attempt, replica)
 	})
-	if best == nil || attempt.subquery.query.nearlyAnswered(maxMissingWithoutToken) || h.tokens*h.headroom(now, best) >= 1 {
+	if best == nil || attempt.subquery.query.nearlyAnswered(maxMissingTokenFree) || h.tokens*h.headroom(now, best) >= 1 {
 		return best
 	}
 	return nil
 }
 
-// wanted reports whether an attempt is a straggler or hangs, and another attempt of its subquery may go.
+// wanted reports whether an attempt is a straggler or hangs, and another attempt of its subquery is allowed.
 func (h *hedgePolicy) wanted(now time.Duration, attempt *attempt) bool {
 	subquery := attempt.subquery
 	settled := subquery.answered || subquery.abandoned || subquery.queued
@@ -113,13 +123,13 @@
 	return now-attempt.sentAt >= attempt.stragglerAge(stragglerFactor) || h.outliers.hangs(now, attempt)
 }
 
-// cost is the expected time of a hedge at a replica; forbiddenCost: it must not go there, or the first attempt is
-// better waited for.
+// cost returns the expected time of a hedge at a replica, or forbiddenCost if the hedge must not be sent there or it is
+// better to wait for the first attempt.
 func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
 	subquery := attempt.subquery
 	query := subquery.query
-	waits := h.limits.atLimit(replica) || h.retries.backsOff(now, replica, subquery, false)
-	if waits || subquery.mayHaveRunAt(replica) || !h.retries.hasToken(replica) {
+	mustWait := h.limits.atLimit(replica) || h.retries.backsOff(now, replica, subquery, false)
+	if mustWait || subquery.mayHaveRunAt(replica) || !h.retries.hasToken(replica) {
 		return forbiddenCost
 	}
 	age := now - attempt.sentAt
@@ -134,25 +144,26 @@
 	return finish
 }
 
-// relativeFanout is the number of the query's subqueries over manySubqueries.
+// relativeFanout returns the number of the query's subqueries divided by manySubqueries.
 func (q *query) relativeFanout() float64 { return float64(len(q.subqueries)) / manySubqueries }
 
-// nearlyAnswered reports whether no more than the last twelfth of a query, or than so many subqueries, are missing.
-func (q *query) nearlyAnswered(subqueries float64) bool {
-	return q.unanswered() <= max(subqueries, float64(len(q.subqueries))/lastShareDivisor)
+// nearlyAnswered reports whether at most the last twelfth of a query, or at most maxMissing subqueries, is missing.
+func (q *query) nearlyAnswered(maxMissing float64) bool {
+	return q.unanswered() <= max(maxMissing, float64(len(q.subqueries))/lastShareDivisor)
 }
 
-// stragglerAge is the age from which an attempt is a straggler among its query's: so many times the time that the
-// query's other subqueries took over theirs, fewer with many subqueries. While most others are unanswered there is
-// none, as the query is heavy or the replicas are in a jam.
-func (a *attempt) stragglerAge(times float64) time.Duration {
+// stragglerAge returns the age from which an attempt is a straggler: factor times its expected time, scaled by its
+// replica's slowdown and by the lateness of the query's other subqueries, and less in a query of many subqueries.
+// While most of the others are unanswered no attempt is a straggler, as the query is heavy or the replicas are
+// congested.
+func (a *attempt) stragglerAge(factor float64) time.Duration {
 	query := a.subquery.query
 	fanout := query.relativeFanout()
 	if query.answered < answeredForHedge*min(1, fanout)*float64(len(query.subqueries)-1) {
 		return math.MaxInt64
 	}
 	slowdown := a.replica.slowdown
-	multiple := max(minStragglerFactor, times/max(1, fanout))
+	multiple := max(minStragglerFactor, factor/max(1, fanout))
 	if query.nearlyAnswered(0) {
 		multiple = lastStragglerFactor
 		slowdown = min(1, slowdown)
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -1,19 +1,19 @@
 package scheduler
 
-// Outlier ejection: which replicas get no ordinary attempts, for one class or all, and how they are found sound
-// again. A replica is ejected for all classes when it cannot be reached or is silent with attempts in flight, and
-// for one class when several of its attempts in a row bring no answer or when it answers other classes only.
-// Subqueries queued for it are placed anew. The last usable holder of a shard is not ejected for silence or for
-// answering other classes only; it is for errors, and where it cannot be reached. Only the first ejection is
-// logged: a replica that is ejected for one class already logs no line when it is ejected for others.
+// Outlier ejection: which replicas get no ordinary attempts, for one class or for all, and how they are reinstated. A
+// replica is ejected for all classes when it is unreachable, or when it is silent with attempts in flight. It is
+// ejected for one class when several attempts of that class in a row end without an answer, or when it answers other
+// classes only. Subqueries queued for it are placed again. The last usable holder of a shard is not ejected for silence
+// or for answering other classes only, but it is for errors and for being unreachable. Only the first ejection is
+// logged: there is no further log line when a replica that is ejected for one class is ejected for others.
 //
-// While a replica is ejected it gets probes: attempts of live queries that need one of its shards; without such
-// queries there is none. The first is due firstProbeInterval after the ejection, and the interval doubles up to
-// maxProbeInterval. Where hedges are allowed, a subquery that another holder can take goes there first and probes
-// beside that; its first attempt probes only once the probe is overdue by maxProbeInterval. An answer reinstates
-// the replica for the class that it answered; one that was ejected for all classes it reinstates for all, with a
-// concurrency limit of one. A new start of the replica reinstates it at once, without a log line. Inputs are the
-// ends of attempts and the time since replies.
+// An ejected replica is sent probes, which are attempts of live queries that need one of its shards; without such
+// queries there are none. The first probe is due firstProbeInterval after the ejection, and the interval doubles up to
+// maxProbeInterval. Where hedges are allowed, a subquery that another holder can take is sent there first, and the
+// probe is a further attempt beside that one; its first attempt is the probe only if the probe is overdue by
+// maxProbeInterval. An answer reinstates the replica for the class of the answered attempt, or for all classes, with a
+// concurrency limit of one, if it was ejected for all. A restart of the replica reinstates it at once, without a log
+// line. Inputs are the ends of attempts and the time since the last replies.
 
 import (
 	"fmt"
@@ -22,37 +22,43 @@
 	"terntray/invariant"
 )
 
-// Spans are those for long latency objectives; parameters.timeScale shortens them.
+// The durations are for long latency objectives; parameters.timeScale shortens them.
 const (
-	silentAfter        = 800 * time.Millisecond // without a reply, with attempts in flight; above ordinary pauses
-	silentFactor       = 4.0                    // times the expected time, by stragglerAge: a slow replica is not silent
-	overtakenLimit     = 4                      // later attempts answered, after which one counts as lost
-	errorLimit         = 3                      // attempts of a class in a row without an answer, not at the same time
-	firstProbeInterval = 1 * time.Second        // from the ejection to the first probe
-	maxProbeInterval   = 4 * time.Second        // longest time between probes
+	// silentAfter is the time without a reply, with attempts in flight, after which a replica may count as silent. It
+	// is longer than ordinary pauses.
+	silentAfter = 800 * time.Millisecond
+
+	// silentFactor is a multiple of the expected time, for stragglerAge. It keeps a slow replica from counting as
+	// silent.
+	silentFactor = 4.0
+
+	overtakenLimit     = 4               // later attempts answered, after which an attempt is presumed lost
+	errorLimit         = 3               // attempts of a class in a row without an answer that eject a replica
+	firstProbeInterval = 1 * time.Second // from the ejection to the first probe
+	maxProbeInterval   = 4 * time.Second // longest time between probes
 )
 
-// ejectionReason is why a replica is ejected, as the log tells it.
+// ejectionReason is why a replica was ejected, for the log.
 type ejectionReason string
 
 const (
-	ejectedUnreachable ejectionReason = "cannot be reached"
-	ejectedErrors      ejectionReason = "brings errors only"
+	ejectedUnreachable ejectionReason = "unreachable"
+	ejectedErrors      ejectionReason = "consecutive errors"
 	ejectedOneClass    ejectionReason = "answers other classes only"
-	ejectedSilent      ejectionReason = "has gone silent"
+	ejectedSilent      ejectionReason = "no replies to attempts in flight"
 )
 
-// outlierDetector ejects and reinstates replicas. Which are ejected is in replicaState.
+// outlierDetector ejects and reinstates replicas. The ejections are stored in replicaState.
 type outlierDetector struct {
 	parameters *parameters
 	replicas   *replicaSet
 	classes    int
 	limits     *concurrencyLimiter
-	hasRoom    func(*replicaState, *subquery) bool // within its slow-start budget
+	hasRoom    func(*replicaState, *subquery) bool // whether the slow-start budget allows the subquery
 	log        func(string)
 }
 
-// eject takes a replica out of ordinary use for one class; for all if that is nil.
+// eject ejects a replica for one class, or for all classes if only is nil.
 func (d *outlierDetector) eject(now time.Duration, replica *replicaState, only *class, reason ejectionReason) {
 	if !replica.ejectedForAny() {
 		replica.nextProbeAt = now + replica.probeInterval
@@ -65,8 +71,8 @@
 	}
 }
 
-// reinstate takes an ejected replica back into use for a class that it has answered. One that was ejected for all
-// classes is back for all, with a concurrency limit of one.
+// reinstate ends the ejection of a replica for a class after an answer. A replica that was ejected for all classes is
+// reinstated for all, with a concurrency limit of one.
 func (d *outlierDetector) reinstate(replica *replicaState, class *class) {
 	if replica.ejectedForAll() {
 		d.limits.restart(replica)
@@ -75,10 +81,10 @@
 	replica.forClass(class).ejected = false
 	replica.probeInterval = d.initialInterval()
 	replica.recentLatency = min(replica.recentLatency, replica.usualLatency)
-	d.log(fmt.Sprintf("replica %d reinstated: answers again", replica.id))
+	d.log(fmt.Sprintf("replica %d reinstated: answered an attempt", replica.id))
 }
 
-// reset drops all that speaks against a replica: its errors and its ejection for any class.
+// reset clears a replica's errors, its ejections and its probe interval.
 func (d *outlierDetector) reset(replica *replicaState) {
 	replica.classes = make([]replicaClassState, d.classes)
 	replica.probeInterval = d.initialInterval()
@@ -92,8 +98,8 @@
 	return scale(maxProbeInterval, d.parameters.timeScale)
 }
 
-// replied records that a replica has answered an attempt: of its class's errors none counts any more, and the
-// attempts in flight there that were sent before are overtaken once more.
+// replied records that a replica answered an attempt. It clears the consecutive errors of the attempt's class there,
+// and counts the earlier attempts in flight there as overtaken once more.
 func (d *outlierDetector) replied(now time.Duration, answered *attempt) {
 	replica := answered.replica
 	state := replica.forClass(answered.subquery.query.class)
@@ -107,8 +113,8 @@
 	}
 }
 
-// failed records an attempt of a class that ended at a replica without an answer. Several that end at the same time
-// count once.
+// failed records that an attempt of a class ended without an answer, and ejects the replica for that class at
+// errorLimit. Several attempts that end at the same time count as one.
 func (d *outlierDetector) failed(now time.Duration, replica *replicaState, class *class) {
 	state := replica.forClass(class)
 	if replica.lastErrorAt != now {
@@ -120,8 +126,7 @@
 	}
 }
 
-// detect ejects a replica that has attempts in flight and is silent, or does not answer one class, if others can do
-// its work.
+// detect ejects a replica that is silent with attempts in flight, or does not answer one class, if it is replaceable.
 func (d *outlierDetector) detect(now time.Duration, replica *replicaState) {
 	for index, attempt := range replica.outstanding {
 		class := attempt.subquery.query.class
@@ -138,29 +143,30 @@
 	}
 }
 
-// silent reports whether a replica has been silent since an attempt, for longer than a slow one is.
+// silent reports whether an attempt's replica has been silent since the attempt was sent, for longer than a slow
+// replica would be.
 func (d *outlierDetector) silent(now time.Duration, attempt *attempt) bool {
 	silence := now - max(attempt.sentAt, attempt.replica.lastReplyAt)
 	return silence > scale(silentAfter, d.parameters.timeScale) && silence > attempt.stragglerAge(silentFactor)
 }
 
-// hangs reports whether an attempt can be given up for lost: its replica is ejected for its class, or has answered
-// several later ones. Connections may fall silent, and replicas lose single attempts.
+// hangs reports whether an attempt is presumed lost: its replica is ejected for its class, or has answered several
+// later attempts. Connections may stall without an error, and replicas may lose single attempts.
 func (d *outlierDetector) hangs(now time.Duration, attempt *attempt) bool {
 	if attempt.replica.forClass(attempt.subquery.query.class).ejected {
 		return true
 	}
-	patience := scale(attempt.expected+latencyJitter, silentFactor*attempt.replica.slowdown)
-	return attempt.overtaken >= overtakenLimit && now-attempt.sentAt > patience
+	minAge := scale(attempt.expected+latencyJitter, silentFactor*attempt.replica.slowdown)
+	return attempt.overtaken >= overtakenLimit && now-attempt.sentAt > minAge
 }
 
-// unloadLost takes attempts that hang and were overtaken off their replica's load, where they would hold a place
-// under its limit until their deadlines.
+// unloadLost removes attempts that hang and were overtaken from their replica's load. Otherwise they would count
+// towards its concurrency limit until their deadlines.
 func (d *outlierDetector) unloadLost(now time.Duration, replica *replicaState) {
 	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
 
-// replaceable reports whether each shard that a replica holds has another holder in use. The last one may be silent
+// replaceable reports whether each shard that a replica holds has another holder in use. The last holder may be silent
 // only because it carries the load of the others.
 func (d *outlierDetector) replaceable(replica *replicaState, class *class) bool {
 	for cell := range d.replicas.layout.heldBy(replica.cell) {
@@ -185,8 +191,8 @@
 	return r.state == Ready && !r.forClass(class).ejected
 }
 
-// mayProbe reports whether an attempt of a subquery may go as a probe. A query with less than half of its time left
-// would end before the probe's answer came.
+// mayProbe reports whether an attempt of a subquery may be sent as a probe. A query with less than half of its time
+// left could end before the probe is answered.
 func (d *outlierDetector) mayProbe(now time.Duration, subquery *subquery, retries *retryBudget) bool {
 	query := subquery.query
 	tooOld := now-query.arrivedAt > (query.deadlineAt-query.arrivedAt)/2
@@ -201,10 +207,10 @@
 	return mayHedge || !subquery.inFlight()
 }
 
-// claimProbe gives the ejected holder that a subquery is to probe now, and sets its next probe; nil: none is due.
-// Where hedges are allowed, the first attempt of a subquery that is queued for a usable replica goes there, and a
-// second one beside it probes. Only when the probe is overdue by maxProbeInterval does the first attempt itself
-// probe.
+// claimProbe returns the ejected holder that a subquery is to probe now and schedules that replica's next probe; it
+// returns nil if no probe is due. Where hedges are allowed, the first attempt of a subquery that is queued for a usable
+// replica is sent there, and a second attempt beside it is the probe. The first attempt itself is the probe only if
+// the probe is overdue by maxProbeInterval.
 func (d *outlierDetector) claimProbe(now time.Duration, subquery *subquery) *replicaState {
 	class := subquery.query.class
 	queuedElsewhere := subquery.replica != nil
@@ -222,9 +228,8 @@
 	return nil
 }
 
-// scheduleNextProbe sets a replica's next probe. The interval grows with each subquery that is queued for another
-// replica when it probes; by one that is not, it begins anew. One whose first attempt was just sent is queued for
-// none.
+// scheduleNextProbe schedules a replica's next probe. The interval doubles if the probing subquery is queued for
+// another replica, and is reset if it is not. A subquery whose first attempt was just sent is not queued for any.
 func (d *outlierDetector) scheduleNextProbe(now time.Duration, replica *replicaState, queuedElsewhere bool) {
 	replica.nextProbeAt = now + replica.probeInterval
 	replica.probeInterval = min(d.maxInterval(), 2*replica.probeInterval)
@@ -233,7 +238,7 @@
 	}
 }
 
-// probeOverdue reports whether a replica that is ejected for a class has long been due for a probe.
+// probeOverdue reports whether the probe of a replica that is ejected for a class is overdue by maxProbeInterval.
 func (d *outlierDetector) probeOverdue(now time.Duration, replica *replicaState, class *class) bool {
 	return replica.forClass(class).ejected && now >= replica.nextProbeAt+d.maxInterval()
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// One of two holders answers nothing any more. It is ejected for its silence; when it answers again it is reinstated,
-// and begins with one attempt at a time.
+// One of two holders stops answering and is ejected for silence. When it answers again it is reinstated with a
+// concurrency limit of one.
 func TestSilentReplicaIsEjectedAndReinstatedWithALimitOfOne(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
@@ -26,22 +26,22 @@
 		}
 		m.iterate()
 		if n == 20 && !m.ejected(105) {
-			t.Fatalf("not ejected; its %d attempts never end", len(hung))
+			t.Fatalf("not ejected, though %d of its attempts hang", len(hung))
 		}
 	}
 	replica := m.replica(105)
 	m.answerAllAfter(ms)
 	if replica.classes[0].ejected || replica.limit != 1 {
-		t.Errorf("ejected %v, limit %v after it has answered", replica.classes[0].ejected, replica.limit)
+		t.Errorf("ejected %v, limit %v after it answered", replica.classes[0].ejected, replica.limit)
 	}
 	logs := strings.Join(m.logs, "\n")
-	if !strings.Contains(logs, "has gone silent") || !strings.Contains(logs, "answers again") {
+	if !strings.Contains(logs, "no replies to attempts in flight") || !strings.Contains(logs, "answered an attempt") {
 		t.Errorf("logs: %s", logs)
 	}
 }
 
-// A replica answers one class and hangs on another. It is ejected for the one that hangs alone, so that no more
-// attempts pile up there, and reinstated by its answer.
+// A replica answers one class and hangs on another. It is ejected only for the class that hangs, so that no more
+// attempts pile up there, and an answer reinstates it.
 func TestReplicaThatHangsOnOneClassIsEjectedForItAlone(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
@@ -68,12 +68,12 @@
 	}
 	m.answerAllAfter(ms)
 	if replica.classes[0].ejected {
-		t.Error("still ejected after it has answered")
+		t.Error("still ejected after it answered")
 	}
 }
 
-// Both holders are silent. One is ejected; the other stays, as it may be silent only because it carries the load of
-// both.
+// Both holders of a shard are silent. One is ejected; the other is not, as it may be silent only because it carries the
+// load of both.
 func TestLastHolderIsNotEjectedForSilence(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
@@ -87,7 +87,8 @@
 	}
 }
 
-// A connection is reset once: that may be the network. A replica that cannot be reached is ejected at once.
+// One connection reset may be caused by the network and does not eject a replica. An unreachable replica is ejected at
+// once.
 func TestOneResetDoesNotEjectButUnreachableDoes(t *testing.T) {
 	m := newModel(t, 0)
 	m.newQuery(0, 1, 3*time.Second)
@@ -97,7 +98,7 @@
 	m.endAttempt(flight.subquery, flight.number, ConnectionReset)
 	m.iterate()
 	if replica.classes[0].ejected {
-		t.Error("ejected after one dropped connection")
+		t.Error("ejected after one connection reset")
 	}
 	m.newQuery(0, 4, 3*time.Second)
 	m.iterate()
@@ -106,12 +107,12 @@
 	m.endAttempt(flight.subquery, flight.number, Unreachable)
 	m.iterate()
 	if !replica.classes[0].ejected {
-		t.Error("not ejected though it cannot be reached")
+		t.Error("not ejected though it is unreachable")
 	}
 }
 
-// All holders are ejected and a probe is due while two queries wait. It goes with the younger one, which will still
-// be there when the answer comes; the older has too little time left.
+// All holders are ejected, and a probe becomes due while two queries wait. The younger query sends it, as the older one
+// has too little time left to be open when the probe is answered.
 func TestProbeGoesWithAYoungQuery(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
@@ -129,9 +130,9 @@
 	}
 }
 
-// All but one holder are ejected, and that one alone cannot make the objective, so that queries are rejected. If all
-// were, no probe could go and the ejected ones would stay ejected though they are sound.
-func TestRejectionLetsProbesGo(t *testing.T) {
+// All holders but one are ejected, and that one is too slow for the objective, so queries are rejected. If all of them
+// were, no probe would be sent and the others would stay ejected though they are healthy.
+func TestRejectionDoesNotStopProbes(t *testing.T) {
 	m := newModel(t, 0)
 	for _, id := range m.holdersOf(0)[1:] {
 		m.scheduler.outliers.eject(m.now, m.replica(id), nil, "test")
@@ -153,12 +154,12 @@
 		m.answerAllAfter(100 * ms)
 	}
 	if probes == 0 {
-		t.Error("no probe went in 10 s")
+		t.Error("no probe sent within 10 s")
 	}
 }
 
-// A probe goes to an ejected holder that is due for one; a subquery that can go elsewhere is a probe itself only once
-// one is long overdue. Probes become rarer, unless no holder is in use.
+// A probe is sent to an ejected holder when it is due. The first attempt of a subquery that can go elsewhere is a probe
+// only if the probe is overdue by maxProbeInterval. The interval doubles unless no holder is in use.
 func TestClaimProbe(t *testing.T) {
 	const now = time.Minute
 	for _, test := range []struct {
@@ -168,7 +169,7 @@
 		elsewhere   bool
 		attempts    int
 		want        bool
-		interval    time.Duration // to the probe after it
+		interval    time.Duration // from the next probe to the one after it
 	}{
 		{"in use", false, 0, true, 1, false, 0},
 		{"not due", true, now + 1, true, 1, false, 0},
@@ -200,12 +201,13 @@
 			t.Errorf("%s: probe %v", test.name, got != nil)
 		}
 		if test.want && (ejected.nextProbeAt != now+firstProbeInterval || ejected.probeInterval != test.interval) {
-			t.Errorf("%s: next probe in %v, then after %v", test.name, ejected.nextProbeAt-now, ejected.probeInterval)
+			t.Errorf("%s: next probe in %v, interval %v", test.name, ejected.nextProbeAt-now, ejected.probeInterval)
 		}
 	}
 }
 
-// Three attempts in a row without an answer eject a replica for their class; those that end at one time count once.
+// Three attempts in a row without an answer eject a replica for their class. Attempts that end at the same time count
+// as one.
 func TestConsecutiveErrorsEject(t *testing.T) {
 	var logs []string
 	replica := &replicaState{id: 7, classes: make([]replicaClassState, 2)}
@@ -217,14 +219,14 @@
 	failing := &class{index: 1}
 	for _, at := range []time.Duration{1, 1, 1, 2, 2, 3} {
 		if replica.ejectedForAny() {
-			t.Fatalf("ejected before the attempts that end at %v", at)
+			t.Fatalf("ejected before the attempt that ends at %v", at)
 		}
 		detector.failed(at, replica, failing)
 	}
 	if replica.classes[0].ejected || !replica.classes[1].ejected {
 		t.Errorf("ejected by class: %v", replica.classes)
 	}
-	if want := []string{"replica 7 ejected: brings errors only"}; !slices.Equal(logs, want) {
+	if want := []string{"replica 7 ejected: consecutive errors"}; !slices.Equal(logs, want) {
 		t.Errorf("logs %q", logs)
 	}
 }
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	quotaBurst    = 2.0 // seconds of its quota that a tenant may send at once
-	minQuotaBurst = 2.0 // queries; the least of it
+	quotaBurst    = 2.0 // seconds' worth of its quota that a tenant may send at once
+	minQuotaBurst = 2.0 // queries; lower bound of a tenant's burst
 )
 
-// tenantQuotas counts what each tenant may still send within its quota. A query beyond it is not rejected for that
-// alone: admission gives it less of the time to its objective.
+// tenantQuotas is a token bucket for each tenant. A query over its tenant's quota is not rejected for that alone:
+// admission control allows it a smaller share of the time to its objective.
 type tenantQuotas struct {
-	rates  []float64 // queries a second, by tenant
-	tokens []float64 // queries that are left now, by tenant
+	rates  []float64 // queries per second, by tenant
+	tokens []float64 // queries that may be sent now, by tenant
 }
 
 func newTenantQuotas(rates []float64) tenantQuotas {
@@ -24,8 +24,8 @@
 
 func burst(rate float64) float64 { return max(minQuotaBurst, rate*quotaBurst) }
 
-// take counts a query of a tenant and reports whether the tenant is over its quota. Unless the quota is enforced none
-// is.
+// take counts a tenant's query and reports whether the tenant is over its quota. No tenant is over a quota that is not
+// enforced.
 func (q *tenantQuotas) take(tenant TenantIndex, enforced bool) (over bool) {
 	if int(tenant) >= len(q.rates) {
 		return false
@@ -37,16 +37,16 @@
 	return false
 }
 
-// peerAdmitted counts a query of a tenant that another co-ordinator has admitted.
+// peerAdmitted counts a tenant's query that another co-ordinator admitted.
 func (q *tenantQuotas) peerAdmitted(tenant TenantIndex) {
 	if int(tenant) < len(q.rates) {
 		q.tokens[tenant] = max(0, q.tokens[tenant]-1)
 	}
 }
 
-// refill adds what the quotas allow for a time that has passed.
-func (q *tenantQuotas) refill(passed time.Duration) {
+// refill adds the tokens for the elapsed time.
+func (q *tenantQuotas) refill(elapsed time.Duration) {
 	for tenant, rate := range q.rates {
-		q.tokens[tenant] = min(burst(rate), q.tokens[tenant]+rate*passed.Seconds())
+		q.tokens[tenant] = min(burst(rate), q.tokens[tenant]+rate*elapsed.Seconds())
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,15 +1,19 @@
 package scheduler
 
-// Retries: whether a subquery may be sent again, and within which budgets. A further attempt is any after the
-// first: a retry, which follows the end of all before it, or a hedge (hedge.go), which goes beside one in flight.
-// That of an idempotent subquery may go at any time, of a keyed one within its key's window, of a non-idempotent
-// one only if no earlier attempt can have run: one that ended as Overloaded, Unreachable or NeverSent cannot have
-// (results.go); one in flight, or with any other outcome, may have. Which outcome the end of a connection proves is
-// in connpool/evidence.go. Package invariant checks non-idempotent ones once more; a key's window is checked here
-// alone. All are limited by the attempts allowed for a subquery, by the retry budget of the deployment (a share of
-// the subqueries that came within a span of time) and by the tokens that each replica earns with its replies. A
-// retry without a token goes once nothing is in flight at its replica, as nothing else would earn one. A further
-// attempt waits for a while after an error at its replica, and the last one until the replica has answered.
+// Retries: whether a subquery may be sent again, and within which budgets. A further attempt is any after the first:
+// a retry, which follows the end of all earlier attempts, or a hedge (hedge.go), which is sent while one is in flight.
+//
+// An idempotent subquery may have a further attempt at any time, a keyed one within its key's window, and a
+// non-idempotent one only if no earlier attempt can have run. An attempt that ended as Overloaded, Unreachable or
+// NeverSent cannot have run (results.go); one in flight, or with any other outcome, may have. connpool/evidence.go
+// determines the outcome that the end of a connection proves. Package invariant checks non-idempotent subqueries once
+// more; the window of a key is checked only here.
+//
+// Further attempts are limited by the number of attempts allowed for a subquery, by the deployment's retry budget (a
+// share of the subqueries that arrived within a span of time) and by the tokens that each replica earns with its
+// replies. A retry without a token is sent once nothing is in flight at its replica, as nothing else would earn a
+// token. After an error at its replica a further attempt backs off, and the last attempt waits until the replica has
+// answered.
 
 import (
 	"time"
@@ -20,23 +24,23 @@
 const (
 	initialRetryTokens  = 4.0  // further attempts that a replica may be sent before it has answered any
 	retryTokensPerReply = 0.25 // further attempts that a reply earns
-	maxRetryTokens      = 10.0 // further attempts; bounds a rush of them when many attempts fail at once
+	maxRetryTokens      = 10.0 // further attempts; bounds a burst of them when many attempts fail at once
 
-	errorBackoff = 200 * time.Millisecond // from an attempt that failed at a replica to a further attempt there
+	errorBackoff = 200 * time.Millisecond // from a failed attempt at a replica to a further attempt there
 )
 
-// retryBudget counts arrivals and further attempts, and tells what may be sent again.
+// retryBudget counts arrivals and further attempts, and decides which subqueries may be sent again.
 type retryBudget struct {
 	parameters      *parameters
-	arrivals        []time.Duration // queries and subqueries that came within the budget's span, in order
-	furtherAttempts []time.Duration // those that were sent within it, in order
+	arrivals        []time.Duration // of queries and subqueries within the budget's span, in order
+	furtherAttempts []time.Duration // sent within the budget's span, in order
 }
 
 // countArrival counts a query or subquery towards the budget.
 func (b *retryBudget) countArrival(now time.Duration) { b.arrivals = append(b.arrivals, now) }
 
-// countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further
-// one. The first of a later phase takes no token of its replica.
+// countAttempt counts an attempt towards the budget if it is a further one, and takes a token of its replica unless it
+// is the first attempt of a phase. It must be called before the attempt is added to its subquery.
 func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
 	if subquery.nextIsFurther() {
 		b.furtherAttempts = append(b.furtherAttempts, now)
@@ -46,12 +50,12 @@
 	}
 }
 
-// earn adds the tokens of a reply to its replica.
+// earn adds the retry tokens that a reply earns to its replica.
 func (b *retryBudget) earn(replica *replicaState) {
 	replica.retryTokens = min(maxRetryTokens, replica.retryTokens+retryTokensPerReply)
 }
 
-// expire forgets what is older than the budget's span.
+// expire drops arrivals and attempts that are older than the budget's span.
 func (b *retryBudget) expire(now time.Duration) {
 	span := b.parameters.retryBudgetSpan
 	b.arrivals = dropBefore(b.arrivals, now-span+1)
@@ -64,8 +68,8 @@
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
-// allowsFurther reports whether another attempt of the subquery cannot do harm: by its class's effect, and by the
-// number of attempts that are allowed.
+// allowsFurther reports whether the subquery may have another attempt, by its class's effect and by the number of
+// attempts allowed.
 func (b *retryBudget) allowsFurther(now time.Duration, subquery *subquery) bool {
 	if len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts {
 		return false
@@ -76,14 +80,14 @@
 		class.effect == invariant.Keyed && now < first.sentAt+class.keyWindow)
 }
 
-// atMostOneLeft reports whether no more than one attempt of the subquery is left.
+// atMostOneLeft reports whether the subquery has at most one of its allowed attempts left.
 func (b *retryBudget) atMostOneLeft(subquery *subquery) bool {
 	return len(subquery.attempts)+subquery.attemptsUsed >= b.parameters.maxAttempts-1
 }
 
-// backsOff reports whether a further attempt at a replica waits, as the last one there failed a short while ago. The
-// last attempt of a subquery waits until the replica has answered: else all attempts are gone at once where all
-// holders fail.
+// backsOff reports whether a further attempt at a replica has to wait because the last one there failed recently. The
+// last attempt of a subquery waits until the replica has answered: otherwise all attempts would be used up at once
+// when all holders fail.
 func (b *retryBudget) backsOff(now time.Duration, replica *replicaState, subquery *subquery, last bool) bool {
 	if replica.forClass(subquery.query.class).consecutiveErrors == 0 {
 		return false
@@ -91,12 +95,12 @@
 	return last || now-replica.lastErrorAt < scale(errorBackoff, b.parameters.timeScale)
 }
 
-// hasToken reports whether a replica has earned a further attempt.
+// hasToken reports whether a replica has a token for a further attempt.
 func (b *retryBudget) hasToken(replica *replicaState) bool { return replica.retryTokens >= 1 }
 
-// attemptTimeout is the time after which an attempt is to end by itself so that a retry can follow, where no hedge
-// may go beside it; 0: when the client gives up. unseenLoad multiplies expected times, for what silent peers may have
-// sent.
+// attemptTimeout returns the time after which an attempt times out, so that a retry can follow where hedges are not
+// allowed; 0 if it has no timeout but the client's deadline. unseenLoad is the factor on expected times for work that
+// silent peers may have sent.
 func (b *retryBudget) attemptTimeout(attempt *attempt, unseenLoad float64) time.Duration {
 	subquery := attempt.subquery
 	nonIdempotent := subquery.query.class.effect == invariant.NonIdempotent
@@ -107,9 +111,9 @@
 	return scale(expected, stragglerFactor*unseenLoad)
 }
 
-// dropBefore drops the times before one from a list in order.
-func dropBefore(times []time.Duration, at time.Duration) []time.Duration {
-	for len(times) > 0 && times[0] < at {
+// dropBefore removes the times before start from a sorted list.
+func dropBefore(times []time.Duration, start time.Duration) []time.Duration {
+	for len(times) > 0 && times[0] < start {
 		times = times[1:]
 	}
 	return times
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -1,33 +1,34 @@
 package scheduler
 
-// Shadow evaluation counts what would be decided under another configuration, before that is rolled out. It decides
-// nothing: at some decisions of this Scheduler the same policies are asked again, on the same state and under the
-// other configuration, and only the difference is counted. What would follow from a different decision is not
-// played out.
+// Shadow evaluation counts where another configuration would decide differently, before it is rolled out. It changes
+// no decision: at some decisions of this Scheduler the same policies are evaluated again, on the same state but with
+// the other configuration, and only the differences are counted. The consequences of a different decision are not
+// simulated.
 
 import (
 	"errors"
 	"time"
 )
 
-// ErrShadowMismatch says that a configuration cannot be compared with the one that decides.
+// ErrShadowMismatch is returned for a configuration that cannot be compared with the active one.
 var ErrShadowMismatch = errors.New(
-	"the shadow configuration has other classes, cells or cells of a shard than the one that decides")
+	"the shadow configuration has a different number of classes, cells or cells per shard than the active one")
 
-// ShadowCounts counts queries and attempts and, by kind, where the other configuration would have decided otherwise.
+// ShadowCounts holds the numbers of queries and attempts evaluated, and of decisions that would have been different
+// under the other configuration.
 type ShadowCounts struct {
-	Queries               int // placed
-	WouldReject           int // of them, those admitted that would have been rejected
-	WouldAdmit            int // the other way round
-	Subqueries            int // of those queries
-	WouldPlaceElsewhere   int // of them, those whose fastest holder would have been another
-	Attempts              int // started
-	WouldTimeOutOtherwise int // of them, those that would have had another time-out, or none where they have one
+	Queries               int // queries placed
+	WouldReject           int // queries within their bound on expected time that would have exceeded it
+	WouldAdmit            int // queries over their bound on expected time that would have met it
+	Subqueries            int // subqueries of the queries placed
+	WouldPlaceElsewhere   int // subqueries whose fastest holder would have been a different one
+	Attempts              int // attempts started
+	WouldTimeOutOtherwise int // attempts that would have had a different timeout, or none, or one where they had none
 	WouldNotHedge         int // hedges that would not have been started
-	WouldHedge            int // attempts without a hedge at a time when one would have been started
+	WouldHedge            int // attempts without a hedge that would have been hedged
 }
 
-// shadow is the other configuration and what was counted.
+// shadow holds the other configuration and the counts.
 type shadow struct {
 	parameters parameters
 	slowStart  slowStartSettings
@@ -35,8 +36,8 @@
 	counts     ShadowCounts
 }
 
-// EnableShadow counts from now on what would be decided under another configuration. It fails if that is not valid,
-// or with ErrShadowMismatch.
+// EnableShadow starts counting the decisions that would be different under another configuration. It returns an error
+// if the configuration is invalid, or ErrShadowMismatch.
 func (scheduler *Scheduler) EnableShadow(config Config) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// ShadowCounts tells the counts so far; enabled is false if there is no other configuration.
+// ShadowCounts returns the counts so far; enabled is false if EnableShadow has not succeeded.
 func (scheduler *Scheduler) ShadowCounts() (counts ShadowCounts, enabled bool) {
 	if scheduler.shadow == nil {
 		return ShadowCounts{}, false
@@ -60,20 +61,20 @@
 	return scheduler.shadow.counts, true
 }
 
-// scheduler is a copy of the Scheduler that decides, under the other configuration. It shares queries and replicas
-// with it, so nothing may be changed through it.
-func (s *shadow) scheduler(decides *Scheduler) *Scheduler {
-	other := *decides
+// scheduler returns a copy of the active Scheduler with the other configuration. The copy shares the queries and
+// replicas of the active one, so nothing may be changed through it.
+func (s *shadow) scheduler(active *Scheduler) *Scheduler {
+	other := *active
 	other.parameters = s.parameters
 	other.slowStart.settings = s.slowStart
 	if other.parameters.gossipEnabled {
-		other.gossip.lastReceivedAt = decides.now // as if peers told what they send
+		other.gossip.lastReceivedAt = active.now // assumes that the peers report what they send
 	}
 	other.connectPolicies()
 	return &other
 }
 
-// shadowAttempt compares the time-out of an attempt that was just started.
+// shadowAttempt compares the timeout of an attempt that was just started.
 func (scheduler *Scheduler) shadowAttempt(started *attempt, timeout time.Duration) {
 	if scheduler.shadow == nil {
 		return
@@ -85,8 +86,8 @@
 	}
 }
 
-// shadowHedge compares where a hedge beside an attempt goes now; nil: it gets none. An attempt counts once for a
-// hedge that it did not get.
+// shadowHedge compares the decision on a hedge of an attempt; target is nil if none is started. An attempt is counted
+// at most once in WouldHedge.
 func (scheduler *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
 	if scheduler.shadow == nil {
 		return
@@ -126,8 +127,8 @@
 	}
 }
 
-// query is a copy of a query under the other configuration: its class has the other spans, and what was learned of
-// it.
+// query returns a copy of a query under the other configuration. The copy's class has the other objective, deadline and
+// number of fetch subqueries, and keeps its learned estimates.
 func (s *shadow) query(q *query) *query {
 	configured := &s.classes[q.class.index]
 	class := *q.class
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,18 +1,19 @@
 package scheduler
 
-// Slow start limits what a replica is sent that started a short while ago. Such a replica can do only a share of
-// its full work, and falls over when all co-ordinators together send it more than a multiple of that. Inputs are
-// the replica's start, the work sent to it, what warm replicas answer and what comes for the cells; the result is
-// whether a subquery may go there now.
+// Slow start limits the work sent to a replica that started recently. Such a replica has only part of its full
+// capacity, and crashes if all co-ordinators together send it more than a multiple of that. Inputs are the replica's
+// start time, the work sent to it, the answers of warm replicas and the subqueries that arrive for each cell; the
+// result is whether a subquery may be sent to the replica now.
 //
-// Each co-ordinator uses its part of the budget of all: a subquery uses up budgetTime of it. There are two regimes.
+// Each co-ordinator has an equal share of the replica's budget, and a subquery uses up its share for budgetTime. There
+// are two modes.
 //
-// Spaced in time, where budgetTime is at most the burst: a subquery goes once what was sent before has used up the
-// part to within the burst from now. The burst is how far ahead of its part a co-ordinator may send: OverloadFor x
-// (1/slowStartSafety - 1).
+// Spacing, if budgetTime is at most the burst: a subquery is sent if, with it, the share is used up for no longer than
+// the burst from now. The burst, OverloadFor x (1/slowStartSafety - 1), is how far ahead of its share a co-ordinator
+// may send.
 //
-// By chance, where budgetTime is more than that, as among many co-ordinators: each subquery goes with the probability
-// affordable over arrivalsFor, so that all together send what the replica bears.
+// Random admission, if budgetTime is more than the burst, as with many co-ordinators: each subquery is sent with
+// probability affordable / arrivalsFor, so that all co-ordinators together send no more than the replica can take.
 
 import (
 	"maps"
@@ -22,41 +23,40 @@
 )
 
 const (
-	// slowStartParallelism is the largest number of subqueries side by side that a starting replica is counted on
-	// for.
+	// slowStartParallelism is the largest parallelism that a starting replica is assumed to have.
 	slowStartParallelism = 2.0
 
-	// slowStartSafety is the share of this co-ordinator's part of the budget that it uses.
+	// slowStartSafety is the fraction of its share of the budget that this co-ordinator uses.
 	slowStartSafety = 0.8
 
-	// slowStartProbabilityDivisor divides what this co-ordinator's part affords where that is less than a subquery at a
-	// time, as chance may let several go at once.
+	// slowStartProbabilityDivisor divides the share of the budget in random admission, as several subqueries may be
+	// admitted at once by chance.
 	slowStartProbabilityDivisor = 2.0
 
-	// slowStartProportionalShare is the share of the overload multiple, of what a warm replica answers, that a starting one
-	// is sent beside that.
+	// slowStartProportionalShare is the fraction of the overload multiple up to which a starting replica is sent work
+	// in proportion to what a warm replica answers, in addition to this co-ordinator's share of the budget.
 	slowStartProportionalShare = 0.5
 
-	// slowStartDecaySeconds is the time in seconds in which answers and arrivals are forgotten to a third.
+	// slowStartDecaySeconds is the time constant, in seconds, with which counts of answers and arrivals decay.
 	slowStartDecaySeconds = 10.0
 )
 
-// slowStart is what a co-ordinator knows of the load on warm and starting replicas. When a replica's part is used up
-// stands in its replicaState.
+// slowStart holds what a co-ordinator knows of the load on warm and starting replicas. The time until which its share
+// of a replica's budget is used up is in the replica's replicaState.
 type slowStart struct {
 	settings slowStartSettings
 
-	warmAnswers  float64   // answers of warm replicas, as remembered
-	warmReplicas float64   // how many are ready and warm, as of the last tick
-	unobserved   float64   // share of the memory that lies before this co-ordinator's start: 1 at first
-	arrivals     []float64 // by cell: subqueries that came for it, as remembered
+	warmAnswers  float64   // answers of warm replicas, decaying
+	warmReplicas float64   // replicas that are ready and warm, as of the last tick
+	unobserved   float64   // weight in the decaying counts of the time before this co-ordinator's start, initially 1
+	arrivals     []float64 // subqueries that arrived for each cell, decaying
 
-	// usedUntil is replicaState.slowStartUsedUntil of replicas that are not listed yet, as an earlier Scheduler of
-	// the process left it.
+	// usedUntil is replicaState.slowStartUsedUntil, from an earlier Scheduler of the process, for replicas that are
+	// not listed yet.
 	usedUntil map[ReplicaID]time.Duration
 }
 
-// slowStartSettings do not change while the Scheduler lives.
+// slowStartSettings do not change during the lifetime of a Scheduler.
 type slowStartSettings struct {
 	SlowStartConfig
 	coordinators float64
@@ -75,7 +75,7 @@
 	}
 }
 
-// warmingUp tells whether a replica's start was so short a while ago that it may be overloaded because of it.
+// warmingUp reports whether a replica started so recently that it may still be overloaded because of that.
 func (s *slowStart) warmingUp(replica *replicaState, now time.Duration) bool {
 	if s.settings.OverloadMultiple <= 0 || replica.startedAt == StartUnknown {
 		return false
@@ -83,41 +83,41 @@
 	return now-replica.startedAt < s.settings.WarmAfter+s.settings.OverloadFor
 }
 
-// capacity is the share of its full capacity that a replica has, from StartCapacity to 1.
+// capacity returns the share of its full capacity that a replica has, from StartCapacity to 1.
 func (s *slowStart) capacity(replica *replicaState, now time.Duration) float64 {
 	age := max(0, (now-replica.startedAt).Seconds()/s.settings.WarmAfter.Seconds())
 	return min(1, s.settings.StartCapacity+(1-s.settings.StartCapacity)*age)
 }
 
-// admits tells whether a subquery may go to a replica now.
+// admits reports whether a subquery may be sent to a replica now.
 //
-// The guard is against two failures: a fresh replica that is overloaded falls over and starts again, so its cell
-// never recovers; and a fresh replica that is sent nothing leaves its load to the others until it is warm.
+// It prevents two failures: a starting replica that is overloaded crashes and restarts, so its cell never recovers;
+// and a starting replica that is sent nothing leaves its load to the others until it is warm.
 func (s *slowStart) admits(
 	replica *replicaState, subquery *subquery, parallelism float64, now time.Duration, random *random,
 ) bool {
 	if !s.warmingUp(replica, now) {
 		return true
 	}
-	takes := s.budgetTime(replica, subquery.work, parallelism, now)
+	needed := s.budgetTime(replica, subquery.work, parallelism, now)
 	burst := scale(s.settings.OverloadFor, 1/slowStartSafety-1)
-	if takes <= burst {
-		return now >= replica.slowStartUsedUntil+takes-burst
+	if needed <= burst {
+		return now >= replica.slowStartUsedUntil+needed-burst
 	}
-	chance := random.of(uint64(subquery.id), uint64(replica.id))
-	return chance*s.arrivalsFor(replica) < s.affordable(replica, takes, now)
+	draw := random.of(uint64(subquery.id), uint64(replica.id))
+	return draw*s.arrivalsFor(replica) < s.affordable(replica, needed, now)
 }
 
-// affordable is the number of subqueries that a replica may be sent within the memory's time, each of which takes so
-// long a time of this co-ordinator's part.
-func (s *slowStart) affordable(replica *replicaState, takes, now time.Duration) float64 {
+// affordable returns the number of subqueries that a replica may be sent within slowStartDecaySeconds, if each needs
+// the given budgetTime.
+func (s *slowStart) affordable(replica *replicaState, needed, now time.Duration) float64 {
 	warmShare := slowStartProportionalShare * s.settings.OverloadMultiple * s.capacity(replica, now)
-	inProportion := warmShare * s.warmAnswers / max(1, s.warmReplicas)
-	ownPart := (1 - s.unobserved) * slowStartDecaySeconds / takes.Seconds() / slowStartProbabilityDivisor
-	return inProportion + ownPart
+	proportional := warmShare * s.warmAnswers / max(1, s.warmReplicas)
+	ownShare := (1 - s.unobserved) * slowStartDecaySeconds / needed.Seconds() / slowStartProbabilityDivisor
+	return proportional + ownShare
 }
 
-// arrivalsFor is the number of subqueries that came within the memory's time for the shards that a replica holds.
+// arrivalsFor returns the decaying number of subqueries that arrived for the shards that a replica holds.
 func (s *slowStart) arrivalsFor(replica *replicaState) float64 {
 	arrivals := 0.0
 	for cell := range s.settings.layout.heldBy(replica.cell) {
@@ -126,61 +126,62 @@
 	return arrivals
 }
 
-// budgetTime is the time for which so much work uses up this co-ordinator's part of a starting replica's budget. Once
-// warm, the replica is taken to do what others do.
+// budgetTime returns the time for which the given work uses up this co-ordinator's share of a starting replica's
+// budget. It assumes that the replica, once warm, will have the same capacity as the others.
 func (s *slowStart) budgetTime(
 	replica *replicaState, work time.Duration, parallelism float64, now time.Duration,
 ) time.Duration {
 	budget := slowStartSafety * s.settings.OverloadMultiple * s.capacity(replica, now)
-	part := budget * min(parallelism, slowStartParallelism) / s.settings.coordinators
-	return scale(work, 1/part)
+	share := budget * min(parallelism, slowStartParallelism) / s.settings.coordinators
+	return scale(work, 1/share)
 }
 
-// subqueryArrived notes a subquery for a shard.
+// subqueryArrived counts a subquery for a shard.
 func (s *slowStart) subqueryArrived(shard ShardNumber) { s.arrivals[s.settings.layout.cellOf(shard)]++ }
 
-// attemptStarted notes that a subquery's work goes to a replica.
+// attemptStarted counts work that is sent to a replica against its budget.
 func (s *slowStart) attemptStarted(replica *replicaState, work time.Duration, parallelism float64, now time.Duration) {
 	if s.warmingUp(replica, now) {
-		takes := s.budgetTime(replica, work, parallelism, now)
-		replica.slowStartUsedUntil = max(replica.slowStartUsedUntil, now) + takes
+		needed := s.budgetTime(replica, work, parallelism, now)
+		replica.slowStartUsedUntil = max(replica.slowStartUsedUntil, now) + needed
 	}
 }
 
-// answered notes an answer. The answers of a warm replica show what one can do; what it is sent does not show it, as
-// that may be too much.
+// answered counts an answer of a warm replica. Answers show what a warm replica can do; attempts do not, as it may be
+// sent too many.
 func (s *slowStart) answered(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmAnswers++
 	}
 }
 
-// decay forgets what is old after so many seconds. It begins the count of warm replicas anew, which readyReplica
-// goes on with.
-func (s *slowStart) decay(passed float64) {
-	left := math.Exp(-passed / slowStartDecaySeconds)
-	s.warmAnswers *= left
+// decay lets the counts decay for the given number of seconds. It resets the number of warm replicas, which
+// countReadyReplica then counts again.
+func (s *slowStart) decay(seconds float64) {
+	factor := math.Exp(-seconds / slowStartDecaySeconds)
+	s.warmAnswers *= factor
 	s.warmReplicas = 0
-	s.unobserved *= left
+	s.unobserved *= factor
 	for cell := range s.arrivals {
-		s.arrivals[cell] *= left
+		s.arrivals[cell] *= factor
 	}
 }
 
-// countReadyReplica counts a replica that is ready, after fade.
+// countReadyReplica counts a ready replica if it is warm. It is called for each after decay.
 func (s *slowStart) countReadyReplica(replica *replicaState, now time.Duration) {
 	if !s.warmingUp(replica, now) {
 		s.warmReplicas++
 	}
 }
 
-// restoreUsage sets what an earlier Scheduler of the process has sent to a replica that is restoreUsage for the first time.
+// restoreUsage restores the budget usage that an earlier Scheduler of the process left for a replica that is listed
+// for the first time.
 func (s *slowStart) restoreUsage(replica *replicaState) {
 	replica.slowStartUsedUntil = s.usedUntil[replica.id]
 	delete(s.usedUntil, replica.id)
 }
 
-// snapshot is a copy of what is known, for a later Scheduler of the same process.
+// snapshot returns a copy of the state for a later Scheduler of the same process.
 func (s *slowStart) snapshot(replicas map[ReplicaID]*replicaState) slowStart {
 	copied := *s
 	copied.arrivals = slices.Clone(s.arrivals)
@@ -194,7 +195,7 @@
 	return copied
 }
 
-// resume takes over an earlier Scheduler's snapshot; the settings stay.
+// resume takes over the snapshot of an earlier Scheduler, except its settings.
 func (s *slowStart) resume(earlier slowStart) {
 	s.warmAnswers = earlier.warmAnswers
 	s.warmReplicas = earlier.warmReplicas
@@ -203,8 +204,8 @@
 	copy(s.arrivals, earlier.arrivals)
 }
 
-// slowStartAdmits tells whether a subquery may go to a replica now as far as slow start is concerned; nil: whether
-// any may at some time.
+// slowStartAdmits reports whether slow start allows a subquery to be sent to a replica now; a nil subquery stands for
+// any subquery at any time, and is always allowed.
 func (scheduler *Scheduler) slowStartAdmits(replica *replicaState, subquery *subquery) bool {
 	if subquery == nil {
 		return true
