--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Clients disconnect before their answers come. That says nothing of how long queries take, so the lateness factor
-// must not rise and nobody be rejected for it.
+// Clients that disconnect before their answers say nothing about how long queries take, so the lateness factor must not
+// rise and no query may be rejected because of them.
 func TestClientsThatDisconnectCauseNoRejection(t *testing.T) {
 	m := newModel(t, 0)
 	for range 40 {
@@ -19,13 +19,14 @@
 		m.iterate()
 	}
 	if m.rejected > 0 || m.scheduler.classes[0].admission.latenessFactor > 1 {
-		t.Errorf("%d rejected, expected to take %v times as long",
+		t.Errorf("%d rejected, lateness factor %v",
 			m.rejected, m.scheduler.classes[0].admission.latenessFactor)
 	}
 }
 
-// One of many co-ordinators sees a query of a class every few seconds. If each moved the lateness factor by one small
-// step, a jam would be over before it was noticed; so a query after a long quiet time moves it further.
+// One of many co-ordinators may see a query of a class only every few seconds. If each changed the lateness factor by
+// one small step, congestion would be over before the factor reflected it, so the step grows with the time since the
+// last query.
 func TestLatenessOfARareClassCountsMore(t *testing.T) {
 	m := newModel(t, 0)
 	m.pass(5 * time.Second)
@@ -33,13 +34,13 @@
 	m.iterate()
 	m.pass(1100 * ms)
 	if m.scheduler.classes[0].admission.latenessFactor < 1.5 || query.ended {
-		t.Errorf("%.2f times the expected after a late one, ended %v",
+		t.Errorf("lateness factor %.2f after a late query, ended %v",
 			m.scheduler.classes[0].admission.latenessFactor, query.ended)
 	}
 }
 
-// Replicas answer slowly for a while. Queries are rejected while they do, and not any more once the jam is over.
-func TestRejectionBeginsAndEndsWithTheJam(t *testing.T) {
+// Queries are rejected while replicas answer slowly, and no longer once the congestion is over.
+func TestRejectionBeginsAndEndsWithCongestion(t *testing.T) {
 	m := newModel(t, 0)
 	load := func(n int, took time.Duration) int {
 		before := m.rejected
@@ -56,26 +57,26 @@
 		}
 		return m.rejected - before
 	}
-	calm, jam := load(40, 60*ms), load(100, 1500*ms)
+	before, during := load(40, 60*ms), load(100, 1500*ms)
 	m.answerAllAfter(100 * ms)
 	m.pass(20 * time.Second)
 	load(40, 60*ms)
-	if after := load(40, 60*ms); calm > 0 || jam < 30 || after > 0 {
-		t.Errorf("rejected: %d in calm, %d in the jam, %d after it", calm, jam, after)
+	if after := load(40, 60*ms); before > 0 || during < 30 || after > 0 {
+		t.Errorf("rejected: %d before the congestion, %d during it, %d after it", before, during, after)
 	}
 }
 
-// Each of many co-ordinators admits a query now and then against its estimate. If each did so as often as one alone,
-// all together would keep a jam up for good. So the more there are the rarer their trials, and far rarer those with
-// large queries; but small ones not so rare that a wrong estimate stands for long.
-func TestManyCoordinatorsTryAsRarelyTogetherAsFew(t *testing.T) {
+// Each co-ordinator occasionally admits a query against its estimate, as a trial. If each of many did so as often as
+// one alone, all together would sustain the congestion. So trials become rarer with the number of co-ordinators, and
+// much rarer for large queries; but small queries are tried often enough that a wrong estimate is corrected soon.
+func TestTrialsBecomeRarerWithMoreCoordinators(t *testing.T) {
 	admitted := func(coordinators, subqueries int) (n int) {
 		m := newModel(t, 0)
 		m.restartAsOneOf(coordinators, 0)
 		m.keepOnly(102, 105)
 		for m.now < 12*time.Second {
 			for _, id := range []ReplicaID{102, 105} {
-				m.replica(id).outstandingWork = 20 * time.Second // the estimate speaks against all
+				m.replica(id).outstandingWork = 20 * time.Second // so that the estimate rejects all queries
 			}
 			query := m.newQuery(0, subqueries, time.Second)
 			m.iterate()
@@ -88,11 +89,12 @@
 	}
 	few, many, large := admitted(3, 1), admitted(48, 1), admitted(48, 60)
 	if few < 3 || many > few/2 || many < 1 || large > 1 {
-		t.Errorf("of one subquery %d admitted by one of 3 co-ordinators, %d by one of 48; of sixty %d", few, many, large)
+		t.Errorf("admitted with one subquery: %d by one of 3 co-ordinators, %d by one of 48; with sixty: %d",
+			few, many, large)
 	}
 }
 
-// At the same load per replica a query of one subquery may be in time where the slowest of sixty is not.
+// At the same load per replica, a query of one subquery can be in time while the slowest of sixty subqueries is late.
 func TestLargeQueriesAreRejectedBeforeSmallOnes(t *testing.T) {
 	m := newModel(t, 0)
 	m.restartAsOneOf(9, 0)
@@ -106,8 +108,8 @@
 	}
 }
 
-// Work is taken for far longer than it is, so that all queries look late. Nothing would ever correct that but queries
-// that are admitted against the estimate.
+// The expected work is far too long, so all queries seem to be late. Only queries that are admitted against the
+// estimate can correct it.
 func TestEstimateOfLongWorkIsCorrectedByTrials(t *testing.T) {
 	m := newModel(t, 0)
 	m.scheduler.classes[0].subqueryWork, m.scheduler.classes[0].workPerHint = 5*time.Second, 60
@@ -125,8 +127,8 @@
 	}
 }
 
-// Nothing answers. Trials against the estimate must stay few, as each of them fails.
-func TestTrialsAreFewWhileTheJamIsReal(t *testing.T) {
+// While no replica answers there must be few trials, as each of them fails.
+func TestTrialsAreFewWhileCongestionIsReal(t *testing.T) {
 	m := newModel(t, 0)
 	m.scheduler.classes[0].subqueryWork, m.scheduler.classes[0].workPerHint = 5*time.Second, 60
 	admitted := 0
@@ -136,14 +138,14 @@
 		if !query.ended {
 			admitted++
 		}
-		m.pass(50 * ms) // nothing answers
+		m.pass(50 * ms) // without any answer
 	}
 	if admitted < 2 || admitted > 12 {
-		t.Errorf("%d of 200 admitted within 10 s of a jam", admitted)
+		t.Errorf("%d of 200 admitted within 10 s of congestion", admitted)
 	}
 }
 
-// The lateness factor holds its level where targetLateShare of the queries are late, and stays within its bounds.
+// The lateness factor stays constant when targetLateShare of the queries are late, and stays within its bounds.
 func TestLatenessFactor(t *testing.T) {
 	after := func(queries, late int) float64 {
 		class := &classAdmission{latenessFactor: 2}
@@ -152,18 +154,18 @@
 		}
 		return class.latenessFactor
 	}
-	if level := after(100, 5); math.Abs(level-2) > 1e-9 {
-		t.Errorf("%v where one of twenty is late", level)
+	if factor := after(100, 5); math.Abs(factor-2) > 1e-9 {
+		t.Errorf("factor %v with one of twenty queries late", factor)
 	}
-	if more := after(100, 10); more <= 2 {
-		t.Errorf("%v where one of ten is late", more)
+	if factor := after(100, 10); factor <= 2 {
+		t.Errorf("factor %v with one of ten queries late", factor)
 	}
-	if least, most := after(1000, 0), after(1000, 1000); least != 1 || most != maxLatenessFactor {
-		t.Errorf("from %v to %v", least, most)
+	if lowest, highest := after(1000, 0), after(1000, 1000); lowest != 1 || highest != maxLatenessFactor {
+		t.Errorf("factors from %v to %v", lowest, highest)
 	}
 	class := &classAdmission{latenessFactor: 2}
 	class.decayLatenessFactor(latenessDecaySeconds)
 	if math.Abs(class.latenessFactor-1-1/math.E) > 1e-9 {
-		t.Errorf("%v after it has faded", class.latenessFactor)
+		t.Errorf("factor %v after its decay", class.latenessFactor)
 	}
 }
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// A connection is reset under a query: it may crash each replica that works on it. Until enough answers speak for it,
-// its subqueries go on only where they have been: if that replica crashed, it cannot be reached, and the query ends.
-func TestQueryUnderWhichAReplicaSeemsToCrashGoesOnThereAlone(t *testing.T) {
+// After a connection reset a query is suspected of crashing the replicas that run it. Until enough answers clear it,
+// its subqueries are retried only at replicas that they were sent to before. If such a replica did crash, it is
+// unreachable and the query ends.
+func TestSuspectedQueryIsRetriedOnlyWhereItWasSent(t *testing.T) {
 	for answers := range 3 {
-		for _, then := range []Outcome{Succeeded, Unreachable, ConnectionReset} {
+		for _, outcome := range []Outcome{Succeeded, Unreachable, ConnectionReset} {
 			m := newModel(t, 0)
 			query := m.newQuery(0, 4, 3*time.Second)
 			m.iterate()
@@ -17,25 +18,25 @@
 			for _, subquery := range query.subqueries[1 : 1+answers] {
 				m.endAttempt(subquery, 0, Succeeded)
 			}
-			dead := query.subqueries[0]
-			m.endAttempt(dead, 0, ConnectionReset)
+			failed := query.subqueries[0]
+			m.endAttempt(failed, 0, ConnectionReset)
 			m.iterate()
 			m.pass(250 * ms)
-			if len(dead.attempts) != 2 || answers < 2 && dead.attempts[1].to != dead.attempts[0].to {
-				t.Fatalf("%d answers: attempts %v", answers, dead.attempts)
+			if len(failed.attempts) != 2 || answers < 2 && failed.attempts[1].to != failed.attempts[0].to {
+				t.Fatalf("%d answers: attempts %v", answers, failed.attempts)
 			}
-			m.endAttempt(dead, 1, then)
+			m.endAttempt(failed, 1, outcome)
 			m.iterate()
-			if goesOn := then == Succeeded || answers == 2 && then == Unreachable; query.ended == goesOn {
-				t.Errorf("%d answers, then %v: ended %v", answers, then, query.ended)
+			if continues := outcome == Succeeded || answers == 2 && outcome == Unreachable; query.ended == continues {
+				t.Errorf("%d answers, then %v: ended %v", answers, outcome, query.ended)
 			}
 		}
 	}
 }
 
-// Among many co-ordinators, one that sends all subqueries of a deadly query at once loses half of the fleet. One goes
-// ahead; the others follow its answer, and none does after a crash.
-func TestLargeQueriesStartWithFewSubqueriesAmongMany(t *testing.T) {
+// Sending all subqueries of a query of death at once would crash half of the fleet. With many co-ordinators one
+// subquery is sent first; the others follow its answer, and none is sent after a crash.
+func TestLargeQueriesStartWithACanary(t *testing.T) {
 	m := newModel(t, 0)
 	m.restartAsOneOf(40, 0)
 	m.newQuery(0, 20, 3*time.Second)
@@ -47,7 +48,7 @@
 	m.endAttempt(m.inFlight()[0].subquery, 0, Succeeded)
 	m.iterate()
 	if len(m.sent) != 20 {
-		t.Fatalf("%d subqueries sent once one is in", len(m.sent))
+		t.Fatalf("%d subqueries sent after the first answer", len(m.sent))
 	}
 	m.answerAllAfter(60 * ms)
 	query := m.newQuery(0, 20, 3*time.Second)
@@ -57,7 +58,7 @@
 	m.iterate()
 	m.pass(250 * ms)
 	if len(m.sent) != 22 || len(query.subqueries[0].attempts) != 2 {
-		t.Fatalf("%d subqueries of a deadly query sent", len(m.sent)-20)
+		t.Fatalf("%d subqueries of a query of death sent", len(m.sent)-20)
 	}
 	m.endAttempt(query.subqueries[0], 1, Unreachable)
 	m.iterate()
@@ -66,13 +67,13 @@
 		attempts += len(subquery.attempts)
 	}
 	if !query.ended || attempts != 2 {
-		t.Errorf("ended %v after %d attempts of a deadly query", query.ended, attempts)
+		t.Errorf("ended %v after %d attempts of a query of death", query.ended, attempts)
 	}
 }
 
-// While replicas are busy no answer comes for long. Subqueries that wait for the canaries then follow in two steps,
-// and so lose no more than a small share of the objective.
-func TestCanariesHoldALargeQueryUpForTwoSteps(t *testing.T) {
+// While replicas are busy, answers take long. The subqueries that wait for the canaries are then sent in two steps, so
+// the delay is only a small share of the objective.
+func TestCanariesDelayALargeQueryByTwoSteps(t *testing.T) {
 	m := newModel(t, 0)
 	m.restartAsOneOf(40, 0)
 	m.newQuery(0, 20, 3*time.Second)
@@ -90,7 +91,8 @@
 	}
 }
 
-// A large query waits while as many attempts are sent as its steps allow, until it has an answer; more after a crash.
+// A large query waits while it has sent as many attempts as its steps allow, until it has an answer, or more than one
+// after a crash.
 func TestWaitsForCanaries(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -117,8 +119,8 @@
 	}
 }
 
-// Resets at one replica at one time are one crash, and a reset right after the start none. An answer to a later
-// attempt shows that the replica lives.
+// Resets at the same replica at the same time count as one crash, and a reset right after the start of an attempt as
+// none. An answer to a later attempt shows that the replica is running.
 func TestSuspectedCrashes(t *testing.T) {
 	crashed, other := &replicaState{}, &replicaState{}
 	query := &query{}
@@ -134,11 +136,11 @@
 	query.recordAnswer(&attempt{replica: other, sentAt: 2 * time.Second})
 	query.recordAnswer(&attempt{replica: crashed, sentAt: time.Second})
 	if query.crashes.count != 1 {
-		t.Error("answers of others, or to earlier attempts, clear the suspicion")
+		t.Error("suspicion cleared by another replica's answer, or by the answer to an earlier attempt")
 	}
 	query.recordAnswer(&attempt{replica: crashed, sentAt: 2 * time.Second})
 	if query.suspectedQueryOfDeath() {
-		t.Error("still suspected though the replica answers")
+		t.Error("still suspected though the replica answered")
 	}
 	query.recordConnectionReset(3*time.Second, crashed, time.Second)
 	query.recordConnectionReset(4*time.Second, other, time.Second)
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A replica takes ten times as long for a while. Its concurrency limit falls, and grows again afterwards: the jam
-// must not become the usual latency while it lasts.
-func TestLimitFallsInAJamAndGrowsAgain(t *testing.T) {
+// The concurrency limit of a replica falls while the replica takes ten times as long, and grows again afterwards. The
+// high latency must not become the usual latency meanwhile.
+func TestLimitFallsDuringCongestionAndRecovers(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
 	replica := m.replica(102)
@@ -21,16 +21,16 @@
 	serve(20, 80*ms)
 	before := replica.limit
 	serve(12, 700*ms)
-	jam := replica.limit
+	during := replica.limit
 	serve(30, 80*ms)
-	if before <= initialLimit || jam > initialLimit/2 || replica.limit <= jam {
-		t.Errorf("limit %v before, %v in the jam, %v after", before, jam, replica.limit)
+	if before <= initialLimit || during > initialLimit/2 || replica.limit <= during {
+		t.Errorf("limit %v before the congestion, %v during it, %v after", before, during, replica.limit)
 	}
 }
 
-// A replica rejects an attempt, as it is full of what other co-ordinators sent. Sent again at once, the subquery
-// would use up its attempts one after the other.
-func TestReplicaThatRejectedAnAttemptIsLeftAloneForAWhile(t *testing.T) {
+// A replica rejects an attempt because other co-ordinators fill it. If the subquery were retried at once, it would use
+// up all of its attempts.
+func TestSubqueryBacksOffFromReplicaThatRejectedIt(t *testing.T) {
 	m := newModel(t, 0)
 	m.restartAsOneOf(40, 0)
 	m.keepOnly(102)
@@ -40,15 +40,15 @@
 	m.iterate()
 	m.pass(150 * ms)
 	if n := len(query.subqueries[0].attempts); query.ended || n != 1 {
-		t.Fatalf("ended %v, %d attempts within 150 ms of a full queue", query.ended, n)
+		t.Fatalf("ended %v, %d attempts within 150 ms of the rejection", query.ended, n)
 	}
 	if m.pass(700 * ms); len(query.subqueries[0].attempts) != 2 {
-		t.Errorf("%d attempts after a while", len(query.subqueries[0].attempts))
+		t.Errorf("%d attempts after the backoff", len(query.subqueries[0].attempts))
 	}
 }
 
-// A replica rejects attempts at six in flight. Its limit must not climb past that again at once.
-func TestLimitRemembersWhereItWasRejected(t *testing.T) {
+// A replica rejects attempts with six in flight. Its limit must not exceed that again soon.
+func TestLimitStaysNearTheLoadThatWasRejected(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
 	replica := m.replica(102)
@@ -73,12 +73,12 @@
 	m.iterate()
 	serve(20)
 	if now := replica.limit; before < 20 || now > 12 {
-		t.Errorf("limit %v before, %v twenty replies after it rejected attempts at 6", before, now)
+		t.Errorf("limit %v before, %v twenty replies after attempts were rejected at 6", before, now)
 	}
 }
 
-// A replica with a limit of one loses an attempt. That must not hold the only place until its deadline.
-func TestLostAttemptsHoldNoPlaces(t *testing.T) {
+// A replica with a limit of one loses an attempt, which must not use up the limit until its deadline.
+func TestLostAttemptsDoNotUseUpTheLimit(t *testing.T) {
 	m := newModel(t, 0)
 	id := m.holdersOf(0)[0]
 	m.keepOnly(id)
@@ -100,11 +100,12 @@
 		m.iterate()
 	}
 	if len(lost.attempts) != 1 || answered < 60 {
-		t.Errorf("%d attempts of the lost subquery; %d of 120 later ones went in 12 s", len(lost.attempts), answered)
+		t.Errorf("%d attempts of the lost subquery; %d of 120 later ones answered in 12 s", len(lost.attempts), answered)
 	}
 }
 
-// A replica is full while it backs off, and at its limit unless it has been silent and sent nothing for a while.
+// A replica is full during the backoff, and at its limit unless it has neither replied nor been sent anything for
+// silentAfter.
 func TestFull(t *testing.T) {
 	limiter := concurrencyLimiter{parameters: &parameters{timeScale: 1}}
 	const now = 10 * time.Second
@@ -126,11 +127,11 @@
 	}
 }
 
-// sentAt is one attempt in flight.
+// sentAt returns a list of one attempt in flight.
 func sentAt(at time.Duration) []*attempt { return []*attempt{{sentAt: at}} }
 
-// A reply raises the limit by one up to its ceiling, doubles it after a reinstatement, and halves it when latency
-// rises; that no more than once in an interval.
+// A reply raises the limit by one up to its ceiling, doubles it after a reinstatement, and halves it if latency has
+// risen, at most once in an interval.
 func TestLimitAfterReplies(t *testing.T) {
 	limiter := concurrencyLimiter{parameters: &parameters{timeScale: 1}}
 	const now, interval = 10 * time.Second, time.Second
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// However long discovery was away, and however the polls of it ended, it is polled again soon enough after its
-// return that a change is known 6 s after it could be told (STANDING.md): a poll may hang for 2 s, and the list has
-// to arrive.
+// After an outage of any length discovery is polled again soon enough that a change is known within 6 s of its return
+// (STANDING.md). That includes a poll that hangs for 2 s, and the time until the list arrives.
 func TestEndpointsArePolledInTimeAfterALongOutage(t *testing.T) {
 	const (
-		hangs   = 2 * time.Second
-		known   = 6 * time.Second
-		arrives = 500 * time.Millisecond
+		pollHangTime  = 2 * time.Second
+		maxDelay      = 6 * time.Second
+		listDelayTime = 500 * time.Millisecond
 	)
 	for seed := range 40 {
 		m := newModel(t, 16)
@@ -20,7 +19,7 @@
 		m.start(uint64(seed))
 		m.iterate()
 		longest := time.Duration(0)
-		for range 12 { // an outage of some minutes
+		for range 12 { // an outage of several minutes
 			before := len(m.polls)
 			m.scheduler.EndpointPollFailed(m.now)
 			m.iterate()
@@ -29,11 +28,11 @@
 				m.pass(10 * ms)
 			}
 			longest = max(longest, m.now-failed)
-			m.pass(hangs)
+			m.pass(pollHangTime)
 		}
-		if longest+hangs+arrives > known {
+		if longest+pollHangTime+listDelayTime > maxDelay {
 			t.Fatalf("seed %d: polled %v after a failure; with a poll that hangs for %v, a change is known too late",
-				seed, longest, hangs)
+				seed, longest, pollHangTime)
 		}
 	}
 }
@@ -60,8 +59,8 @@
 
 func TestPollBackoff(t *testing.T) {
 	for _, test := range []struct {
-		interval time.Duration // between polls, as settings allow; 0: any
-		chance   float64
+		interval time.Duration // Config.PollInterval
+		jitter   float64
 		want     []time.Duration // from each failure in a row to the next poll
 	}{
 		{0, 0.5, []time.Duration{500 * ms, 1000 * ms, 2000 * ms, 2000 * ms}},
@@ -71,19 +70,19 @@
 		poller := newEndpointPoller(&Config{Discovery: DiscoverySubscribe, PollInterval: test.interval})
 		now := time.Minute
 		for n, want := range test.want {
-			poller.pollFailed(now, test.chance)
+			poller.pollFailed(now, test.jitter)
 			if got := poller.nextPollAt - now; !poller.pollPending() || got != want {
-				t.Errorf("interval %v, chance %v: %v after failure %d, want %v", test.interval, test.chance, got, n, want)
+				t.Errorf("interval %v, jitter %v: %v after failure %d, want %v", test.interval, test.jitter, got, n, want)
 			}
 			if poller.claimPoll(poller.nextPollAt-1) || !poller.claimPoll(poller.nextPollAt) {
-				t.Errorf("interval %v, chance %v: not polled when due after failure %d", test.interval, test.chance, n)
+				t.Errorf("interval %v, jitter %v: not polled when due after failure %d", test.interval, test.jitter, n)
 			}
 		}
 		if poller.listReceived(); poller.pollPending() || poller.backoff != firstPollBackoff {
-			t.Errorf("a list does not end the wait: %+v", poller)
+			t.Errorf("a received list does not reset the poller: %+v", poller)
 		}
 	}
 	if poller := newEndpointPoller(&Config{Discovery: DiscoveryAutomatic}); poller.pollPending() {
-		t.Error("polls a list whose changes come by themselves")
+		t.Error("polls for a list whose changes are delivered without polls")
 	}
 }
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Later attempts at the same replica are answered, this one is not: it is lost. It is hedged at once, though its
-// query has much time left.
+// An attempt is presumed lost once its replica has answered several later ones. It is hedged at once, even if its query
+// has much time left.
 func TestOvertakenAttemptIsHedged(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
@@ -30,8 +30,8 @@
 	}
 }
 
-// All subqueries of a heavy query take long: hedges of them would double the work for nothing. When three of four are
-// answered, the last one is a straggler and gets one.
+// All subqueries of a heavy query take long, so hedging them would double the work to no use. Once three of four are
+// answered, the last one is a straggler and is hedged.
 func TestHeavyQueriesAreNotHedgedButStragglersAre(t *testing.T) {
 	m := newModel(t, 0)
 	for range 8 {
@@ -61,8 +61,8 @@
 	}
 }
 
-// An attempt is lost and no hedge tokens are left. If it is the only one missing it is hedged all the same, as all
-// the other work would be lost with it.
+// An attempt is lost while no hedge tokens are left. It is hedged nevertheless if its subquery is the only one missing,
+// as otherwise the work of all the others would be wasted.
 func TestOnlyMissingSubqueryIsHedgedWithoutTokens(t *testing.T) {
 	for missing, want := range map[int]int{1: 2, 2: 1} {
 		m := newModel(t, 0)
@@ -81,8 +81,8 @@
 	}
 }
 
-// A hedge lengthens the queue that it is sent to. While replicas report that they are busy none goes, however many
-// tokens are saved up.
+// A hedge lengthens the queue of its replica. While replicas report that they are busy none is sent, however many
+// tokens there are.
 func TestNoHedgesWhileReplicasReportThatTheyAreBusy(t *testing.T) {
 	for _, busy := range []float64{0.3, 0.95} {
 		m := newModel(t, 0)
@@ -90,12 +90,12 @@
 			m.scheduler.LoadReported(m.now, 0, busy)
 		}
 		if hedges := m.hedgesOfThree(); (hedges > 0) != (busy < 0.5) {
-			t.Errorf("%d hedges of stragglers while replicas are busy to %v", hedges, busy)
+			t.Errorf("%d hedges of stragglers at a utilization of %v", hedges, busy)
 		}
 	}
 }
 
-// hedgesOfThree leaves the last three of a query's ten subqueries in flight for most of a second, and counts their
+// hedgesOfThree leaves the last three of a query's ten subqueries in flight for 0.8 s and returns the number of their
 // hedges.
 func (m *model) hedgesOfThree() (hedges int) {
 	query := m.newQuery(0, 10, 3*time.Second)
@@ -114,9 +114,9 @@
 	return hedges
 }
 
-// Replicas were busy and report nothing any more, as all hang or their reports are switched off. They must not
-// count as busy for good.
-func TestLoadIsForgottenOnceNobodyReports(t *testing.T) {
+// Replicas that were busy stop reporting their load, as all of them hang or their reports are switched off. They must
+// not count as busy forever.
+func TestLoadReportsExpire(t *testing.T) {
 	m := newModel(t, 0)
 	for range 100 {
 		m.scheduler.LoadReported(m.now, 0, 0.95)
@@ -127,8 +127,9 @@
 	}
 }
 
-// A replica's room for hedges is by its own report while that is fresh, else by the mean of all.
-func TestHedgeRoom(t *testing.T) {
+// A replica's headroom for hedges follows from its own load report while that is recent, otherwise from the mean of
+// all.
+func TestHedgeHeadroom(t *testing.T) {
 	const now = time.Minute
 	for _, test := range []struct {
 		name       string
@@ -149,20 +150,20 @@
 		hedges := hedgePolicy{parameters: &parameters{}, meanUtilization: test.mean}
 		replica := &replicaState{utilization: test.own, utilizationAt: test.reportedAt}
 		if got := hedges.headroom(now, replica); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("%s: room %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: headroom %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// An attempt is a straggler after several times its expected time: never while most others are unanswered, sooner in
-// larger queries, and soonest if it is among the last.
+// An attempt is a straggler after several times its expected time: never while most of the others are unanswered,
+// earlier in larger queries, and earliest if it is among the last.
 func TestStragglerAge(t *testing.T) {
 	const expected = 100 * ms
 	for _, test := range []struct {
 		name       string
 		subqueries int
 		answered   float64
-		lateness   float64 // mean of the answered ones'
+		lateness   float64 // mean of the answered subqueries
 		want       time.Duration
 	}{
 		{"most unanswered", 12, 8, 1, math.MaxInt64},
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,9 +7,9 @@
 	"terntray/invariant"
 )
 
-// While connections are slow to open each holder may be unreachable once. The subquery's last attempt waits for a
-// probe to be due, but not for good.
-func TestSubqueryWhoseHoldersCouldNotBeReachedIsRetried(t *testing.T) {
+// While connections are slow to open, each holder may be unreachable once. The subquery's last attempt then waits until
+// a probe is due, but not forever.
+func TestSubqueryIsRetriedAfterAllHoldersWereUnreachable(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
 	query := m.newQuery(0, 1, 3*time.Second)
@@ -24,12 +24,12 @@
 		t.Errorf("ended %v, %d attempts within 0.3 s", query.ended, len(query.subqueries[0].attempts))
 	}
 	if m.pass(1500 * ms); query.ended || len(query.subqueries[0].attempts) != 3 {
-		t.Errorf("ended %v, %d attempts after both holders could not be reached",
+		t.Errorf("ended %v, %d attempts after both holders were unreachable",
 			query.ended, len(query.subqueries[0].attempts))
 	}
 }
 
-// A holder has no retry tokens and nothing in flight. It gets one retry, as nothing else would ever earn it any.
+// A holder with no retry tokens and nothing in flight is sent one retry, as nothing else would earn it a token.
 func TestIdleHolderWithoutTokensGetsOneRetry(t *testing.T) {
 	m := newModel(t, 0)
 	m.keepOnly(102)
@@ -44,9 +44,9 @@
 	}
 }
 
-// Where hedges are not allowed attempts have a timeout. It leaves an attempt the time for its own work, however quick
-// its replica was with others.
-func TestTimeoutLeavesAnAttemptItsOwnWork(t *testing.T) {
+// Where hedges are not allowed, attempts have a timeout. It must not be shorter than the attempt's own work, however
+// fast its replica was before.
+func TestTimeoutIsNotShorterThanTheWork(t *testing.T) {
 	m := newModel(t, 0)
 	m.scheduler.parameters.hedgeAllowed = false
 	for _, replica := range m.scheduler.replicas.all {
@@ -56,11 +56,11 @@
 	m.iterate()
 	attempts, work := query.subqueries[0].attempts, m.scheduler.classes[0].subqueryWork
 	if len(attempts) != 1 || attempts[0].timeout < work {
-		t.Errorf("%d attempts, the first has %v for work of %v", len(attempts), attempts[0].timeout, work)
+		t.Errorf("%d attempts, the first with a timeout of %v for work of %v", len(attempts), attempts[0].timeout, work)
 	}
 }
 
-// Whether a subquery may be sent again depends on its class's effect and on how its attempts ended.
+// Whether a subquery may have a further attempt depends on its class's effect and on the ends of its attempts.
 func TestAllowsFurther(t *testing.T) {
 	const window = time.Second
 	neverRan := &attempt{ended: true}
@@ -92,7 +92,7 @@
 	}
 }
 
-// The retry budget is a number of retries and a share of the arrivals, within its span.
+// The retry budget allows, within its span, a fixed number of retries and a share of the arrivals.
 func TestRetryBudget(t *testing.T) {
 	for _, test := range []struct {
 		arrivals, retries int
@@ -117,11 +117,12 @@
 			budget.countAttempt(0, &subquery{isRetry: true}, replica)
 		}
 		if got := budget.hasRoom(); got != test.want {
-			t.Errorf("%d arrivals, %d retries in %v: room %v", test.arrivals, test.retries, test.span, got)
+			t.Errorf("%d arrivals, %d retries in %v: allowed %v", test.arrivals, test.retries, test.span, got)
 		}
 		budget.expire(test.span + 1)
 		if test.span > 0 && (len(budget.arrivals)+len(budget.furtherAttempts) > 0 || !budget.hasRoom()) {
-			t.Errorf("%d arrivals and %d retries count after the span", len(budget.arrivals), len(budget.furtherAttempts))
+			t.Errorf("%d arrivals and %d retries still count after the span",
+				len(budget.arrivals), len(budget.furtherAttempts))
 		}
 	}
 }
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// What another configuration would decide is counted, and nothing else changes.
-func TestShadowDecidesNothing(t *testing.T) {
+// Shadow evaluation counts the decisions that would be different and changes none.
+func TestShadowChangesNoDecision(t *testing.T) {
 	run := func(enabled bool) (sent []RequestID, counts ShadowCounts) {
 		m := newModel(t, 0)
 		m.restartAsOneOf(3, 0)
@@ -41,7 +41,7 @@
 	sentAlone, none := run(false)
 	sent, counts := run(true)
 	if len(sentAlone) == 0 || !slices.Equal(sentAlone, sent) {
-		t.Errorf("%d attempts, %d beside a shadow", len(sentAlone), len(sent))
+		t.Errorf("%d attempts without a shadow, %d with one, or in a different order", len(sentAlone), len(sent))
 	}
 	if none != (ShadowCounts{}) {
 		t.Errorf("counted without a shadow: %+v", none)
@@ -52,30 +52,30 @@
 	}
 }
 
-func TestShadowIsRefusedWhereNothingCanBeCompared(t *testing.T) {
+func TestShadowWithAnIncomparableConfigurationIsRejected(t *testing.T) {
 	m := newModel(t, 0)
 	var invalid *SettingError
 	if err := m.scheduler.EnableShadow(Config{Coordinators: 3}); !errors.As(err, &invalid) {
-		t.Errorf("settings that lack most: %v", err)
+		t.Errorf("an incomplete configuration: %v", err)
 	}
-	for _, other := range []func(*Config){
+	for _, change := range []func(*Config){
 		func(config *Config) { config.Classes = config.Classes[1:] },
 		func(config *Config) { config.Cells++ },
 		func(config *Config) { config.CellsPerShard++ },
 	} {
 		config := configOf(t, m.settings)
-		other(&config)
+		change(&config)
 		if err := m.scheduler.EnableShadow(config); !errors.Is(err, ErrShadowMismatch) {
 			t.Errorf("%+v: %v", config, err)
 		}
 	}
 	if _, enabled := m.scheduler.ShadowCounts(); enabled {
-		t.Error("a refused shadow counts")
+		t.Error("shadow evaluation is enabled after an error")
 	}
 }
 
-// Each kind of decision that hedges reach is counted where it differs, and not where it does not.
-func TestShadowCountsTimeOutsAndHedges(t *testing.T) {
+// Each kind of decision that depends on HedgeAllowed is counted if it differs, and only then.
+func TestShadowCountsTimeoutsAndHedges(t *testing.T) {
 	run := func(allowed bool, shadow string) (counts ShadowCounts, attempts int) {
 		bits := 0
 		if !allowed {
@@ -96,18 +96,18 @@
 	for _, test := range []struct {
 		allowed                               bool
 		shadow                                string
-		attempts, timeOuts, notHedged, hedged int
+		attempts, timeouts, notHedged, hedged int
 	}{
 		{true, "true", 3, 0, 0, 0},
-		{true, "false", 3, 1, 2, 0}, // the last attempt has no time-out under either
+		{true, "false", 3, 1, 2, 0}, // the last attempt has no timeout under either
 		{false, "false", 1, 0, 0, 0},
 		{false, "true", 1, 1, 0, 1},
 	} {
 		counts, attempts := run(test.allowed, test.shadow)
 		want := ShadowCounts{Queries: counts.Queries, Subqueries: counts.Subqueries, Attempts: test.attempts,
-			WouldTimeOutOtherwise: test.timeOuts, WouldNotHedge: test.notHedged, WouldHedge: test.hedged}
+			WouldTimeOutOtherwise: test.timeouts, WouldNotHedge: test.notHedged, WouldHedge: test.hedged}
 		if attempts != test.attempts || counts != want {
-			t.Errorf("hedges allowed %t, by the shadow %s: %d attempts, %+v", test.allowed, test.shadow, attempts, counts)
+			t.Errorf("hedges allowed %t, in the shadow %s: %d attempts, %+v", test.allowed, test.shadow, attempts, counts)
 		}
 	}
 }
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some get theirs
-// by turns, and all together stay within the budget.
+// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some of them still
+// send a subquery at any time, and all together stay within the budget.
 func TestManyCoordinatorsShareAStartingReplica(t *testing.T) {
-	const alike = 40
+	const coordinators = 40
 	var sent []time.Duration
 	from, until := 2*time.Second, 8*time.Second
-	for self := range alike {
+	for self := range coordinators {
 		m := newModel(t, 0)
-		m.restartAsOneOf(alike, self)
+		m.restartAsOneOf(coordinators, self)
 		m.keepOnly(102)
 		m.replicas[102].startedAt = m.now
 		m.list(false, false, 102)
@@ -42,27 +42,27 @@
 		}
 		share := 0.2 + 0.8*(at-modelOverloadTime-time.Second).Seconds()/modelWarmUpTime.Seconds()
 		if budget := 3 * 2 * share * modelOverloadTime.Seconds(); float64(n)*modelWork.Seconds() > budget || n == 0 {
-			t.Fatalf("%d subqueries in the window before %v, budget %.2f s of work", n, at, budget)
+			t.Fatalf("%d subqueries in the window before %v, with a budget of %.2f s of work", n, at, budget)
 		}
 	}
 }
 
-// What the fleet sends its warm replicas shows what a starting one will be asked for. It must not stand idle while
-// the others work, or they carry its load until it is warm.
-func TestStartingReplicaWorksByItsCapacityAmongMany(t *testing.T) {
-	const alike = 40
-	starting, warm, asked := 0, 0, 0
-	for self := range alike {
+// A starting replica must not be idle while the warm ones work, or they would carry its load until it is warm. It is
+// sent work in proportion to what the warm replicas do.
+func TestStartingReplicaGetsItsShareFromManyCoordinators(t *testing.T) {
+	const coordinators = 40
+	starting, warm, queries := 0, 0, 0
+	for self := range coordinators {
 		m := newModel(t, 0)
-		m.restartAsOneOf(alike, self)
-		m.keepOnly(102, 104, 105) // 104 alone holds shard 0
+		m.restartAsOneOf(coordinators, self)
+		m.keepOnly(102, 104, 105) // 104 is the only holder of shard 0
 		for m.now < 7*time.Second {
 			if m.now >= 3*time.Second && m.replicas[104].startedAt == StartUnknown {
 				m.replicas[104].startedAt = m.now
 				m.list(false, false, 104)
 			}
-			m.nextShard = asked % 3
-			asked++
+			m.nextShard = queries % 3
+			queries++
 			m.newQuery(0, 1, 3*time.Second)
 			m.iterate()
 			m.pass(400 * ms)
@@ -82,8 +82,8 @@
 			}
 		}
 	}
-	t.Logf("a starting replica got %d subqueries, each warm one %d", starting, warm/2)
+	t.Logf("subqueries: starting replica %d, each warm one %d", starting, warm/2)
 	if share := float64(2*starting) / float64(warm); share < 0.4 || share > 1 {
-		t.Errorf("a starting replica got %d subqueries, each warm one %d", starting, warm/2)
+		t.Errorf("subqueries: starting replica %d, each warm one %d", starting, warm/2)
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// slowStartCrowd is a number of co-ordinators that share a starting replica and a warm one.
-type slowStartCrowd struct {
-	members  []*Scheduler
-	starting *replicaState
-	warm     *replicaState
-	freeAt   time.Duration // when the warm one has done what it was sent
-	answers  []warmAnswer  // of the warm one, in order
-	chance   *rand.Rand
-	sent     []time.Duration // to the starting one, by all together
-	nextID   RequestID
-	fadedAt  []time.Duration // by member: when its counts were last faded
+// slowStartFleet is a group of co-ordinators that share a starting replica and a warm one.
+type slowStartFleet struct {
+	members   []*Scheduler
+	starting  *replicaState
+	warm      *replicaState
+	freeAt    time.Duration // when the warm replica has finished its work
+	answers   []warmAnswer  // of the warm replica, in order
+	rng       *rand.Rand
+	sent      []time.Duration // to the starting replica, by all co-ordinators
+	nextID    RequestID
+	decayedAt []time.Duration // by member: when its counts last decayed
 }
 
-// warmAnswer is an answer of the warm replica on its way.
+// warmAnswer is an answer of the warm replica that a co-ordinator is to receive.
 type warmAnswer struct {
 	to *Scheduler
 	at time.Duration
 }
 
 const (
-	crowdWork        = 50 * time.Millisecond // of a subquery
-	crowdParallelism = 2.0
-	crowdStart       = time.Minute // when the starting replica starts
+	fleetWork        = 50 * time.Millisecond // of a subquery
+	fleetParallelism = 2.0
+	replicaStart     = time.Minute // when the starting replica starts
 )
 
-func newSlowStartCrowd(t *testing.T, members int, seed uint64) *slowStartCrowd {
+func newSlowStartFleet(t *testing.T, members int, seed uint64) *slowStartFleet {
 	t.Helper()
-	crowd := &slowStartCrowd{chance: rand.New(rand.NewPCG(seed, 5)), fadedAt: make([]time.Duration, members)}
+	fleet := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 5)), decayedAt: make([]time.Duration, members)}
 	for n := range members {
 		m := newModel(t, 0)
 		m.settings["balancers"], m.settings["selfIndex"] = fmt.Sprint(members), fmt.Sprint(n)
@@ -45,42 +45,43 @@
 		}
 		member.EndpointListBegins(0, true, false)
 		member.EndpointListed(0, Endpoint{ID: 1, State: Ready, Started: StartUnknown, Size: 1})
-		member.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: crowdStart, Size: 1})
-		member.estimates.parallelism = crowdParallelism
+		member.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: replicaStart, Size: 1})
+		member.estimates.parallelism = fleetParallelism
 		member.slowStart.warmReplicas = 1
-		crowd.warm, crowd.starting = member.replicas.byID[1], member.replicas.byID[2]
-		crowd.members = append(crowd.members, member)
+		fleet.warm, fleet.starting = member.replicas.byID[1], member.replicas.byID[2]
+		fleet.members = append(fleet.members, member)
 	}
-	return crowd
+	return fleet
 }
 
-// arrives has one subquery arrive somewhere, and go where it may.
-func (crowd *slowStartCrowd) arrives(now time.Duration) {
-	n := crowd.chance.IntN(len(crowd.members))
-	member := crowd.members[n]
+// subqueryArrives simulates the arrival of a subquery at a random co-ordinator. The subquery is sent to the starting
+// replica if slow start allows it, otherwise to the warm one.
+func (fleet *slowStartFleet) subqueryArrives(now time.Duration) {
+	n := fleet.rng.IntN(len(fleet.members))
+	member := fleet.members[n]
 	member.clock(now)
-	member.slowStart.decay((now - crowd.fadedAt[n]).Seconds())
+	member.slowStart.decay((now - fleet.decayedAt[n]).Seconds())
 	member.slowStart.warmReplicas = 1
-	crowd.fadedAt[n] = now
+	fleet.decayedAt[n] = now
 	member.slowStart.subqueryArrived(0)
-	crowd.nextID++
-	arrived := &subquery{id: crowd.nextID, work: crowdWork}
-	for len(crowd.answers) > 0 && crowd.answers[0].at <= now {
-		crowd.answers[0].to.slowStart.answered(crowd.warm, now)
-		crowd.answers = crowd.answers[1:]
+	fleet.nextID++
+	arrived := &subquery{id: fleet.nextID, work: fleetWork}
+	for len(fleet.answers) > 0 && fleet.answers[0].at <= now {
+		fleet.answers[0].to.slowStart.answered(fleet.warm, now)
+		fleet.answers = fleet.answers[1:]
 	}
-	if now < crowdStart || !member.slowStartAdmits(crowd.starting, arrived) {
-		crowd.freeAt = max(crowd.freeAt, now) + scale(crowdWork, 1/crowdParallelism)
-		crowd.answers = append(crowd.answers, warmAnswer{member, crowd.freeAt})
-		member.slowStart.attemptStarted(crowd.warm, arrived.work, member.estimates.parallelism, now)
+	if now < replicaStart || !member.slowStartAdmits(fleet.starting, arrived) {
+		fleet.freeAt = max(fleet.freeAt, now) + scale(fleetWork, 1/fleetParallelism)
+		fleet.answers = append(fleet.answers, warmAnswer{member, fleet.freeAt})
+		member.slowStart.attemptStarted(fleet.warm, arrived.work, member.estimates.parallelism, now)
 		return
 	}
-	member.slowStart.attemptStarted(crowd.starting, arrived.work, member.estimates.parallelism, now)
-	crowd.sent = append(crowd.sent, now)
+	member.slowStart.attemptStarted(fleet.starting, arrived.work, member.estimates.parallelism, now)
+	fleet.sent = append(fleet.sent, now)
 }
 
-// slowStartBound is how many calls a starting replica bears in the window where the settings allow so many
-// (STANDING.md).
+// slowStartBound returns the number of subqueries that a starting replica can take within a window for which the
+// settings allow the given number (STANDING.md).
 func slowStartBound(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -88,33 +89,34 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstWindow is the most that the starting replica is sent in any window of its warm-up, in shares of what it bears.
-// The co-ordinators have run for a time before it starts; load is in times what the warm replica can do.
+// worstWindow returns the largest number of subqueries that the starting replica is sent in any window of its warm-up,
+// as a multiple of slowStartBound. The co-ordinators have run for the time ran before it starts; load is a multiple of
+// what the warm replica can do.
 func worstWindow(t *testing.T, members int, load float64, ran time.Duration, seed uint64) (worst float64) {
-	crowd := newSlowStartCrowd(t, members, seed)
-	for n := range crowd.fadedAt {
-		crowd.fadedAt[n] = crowdStart - ran
+	fleet := newSlowStartFleet(t, members, seed)
+	for n := range fleet.decayedAt {
+		fleet.decayedAt[n] = replicaStart - ran
 	}
-	perSecond := load * crowdParallelism / crowdWork.Seconds()
+	perSecond := load * fleetParallelism / fleetWork.Seconds()
 	first := 0
-	for now := crowdStart - ran; now < crowdStart+modelWarmUpTime; {
-		if crowd.arrives(now); now >= crowdStart {
-			for first < len(crowd.sent) && crowd.sent[first] <= now-modelOverloadTime {
+	for now := replicaStart - ran; now < replicaStart+modelWarmUpTime; {
+		if fleet.subqueryArrives(now); now >= replicaStart {
+			for first < len(fleet.sent) && fleet.sent[first] <= now-modelOverloadTime {
 				first++
 			}
-			capacity := 0.2 + 0.8*(now-crowdStart).Seconds()/modelWarmUpTime.Seconds()
-			allowed := 3 * capacity * crowdParallelism * modelOverloadTime.Seconds() / crowdWork.Seconds()
-			worst = max(worst, float64(len(crowd.sent)-first)/slowStartBound(allowed))
+			capacity := 0.2 + 0.8*(now-replicaStart).Seconds()/modelWarmUpTime.Seconds()
+			allowed := 3 * capacity * fleetParallelism * modelOverloadTime.Seconds() / fleetWork.Seconds()
+			worst = max(worst, float64(len(fleet.sent)-first)/slowStartBound(allowed))
 		}
-		now += time.Duration(crowd.chance.ExpFloat64() / perSecond * float64(time.Second))
+		now += time.Duration(fleet.rng.ExpFloat64() / perSecond * float64(time.Second))
 	}
 	return worst
 }
 
-// A starting replica that is overloaded falls over and starts again. However many co-ordinators share it, however
-// much more than the warm ones can do is asked of the cell, and also where all co-ordinators have just been
-// restarted, they stay within what it bears, all together.
-func TestStartingReplicaBearsWhatAllSendTogether(t *testing.T) {
+// A starting replica that is overloaded crashes and restarts. All co-ordinators together must stay within what it can
+// take, whatever their number, however much the load exceeds what the warm replica can do, and also if all of them were
+// just restarted.
+func TestStartingReplicaIsNotOverloadedByAllTogether(t *testing.T) {
 	longSinceStart := 3 * time.Duration(slowStartDecaySeconds) * time.Second
 	for _, ran := range []time.Duration{longSinceStart, 0} {
 		for _, members := range []int{1, 2, 5, 12, 30, 100} {
@@ -125,7 +127,7 @@
 				}
 				t.Logf("%d co-ordinators that have run for %v, load %v: %.2f of the bound", members, ran, load, worst)
 				if worst > 1 {
-					t.Errorf("%d co-ordinators that have run for %v, load %v: %.2f times what it bears",
+					t.Errorf("%d co-ordinators that have run for %v, load %v: %.2f times the bound",
 						members, ran, load, worst)
 				}
 			}
@@ -133,11 +135,11 @@
 	}
 }
 
-// A Scheduler that is made anew after a panic must not give a starting replica the whole budget again.
-func TestSlowStartGoesOnWithTheLedger(t *testing.T) {
-	before := newSlowStartCrowd(t, 1, 1)
-	for now := crowdStart; now < crowdStart+time.Second; now += 10 * time.Millisecond {
-		before.arrives(now)
+// A Scheduler that is created after a panic must not grant a starting replica the whole budget again.
+func TestSlowStartResumesFromTheLedger(t *testing.T) {
+	before := newSlowStartFleet(t, 1, 1)
+	for now := replicaStart; now < replicaStart+time.Second; now += 10 * time.Millisecond {
+		before.subqueryArrives(now)
 	}
 	usedUntil := before.starting.slowStartUsedUntil
 	after := newModel(t, 0)
@@ -147,12 +149,12 @@
 	}
 	scheduler.Resume(before.members[0].Ledger())
 	scheduler.EndpointListBegins(0, true, true)
-	scheduler.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: crowdStart, Size: 1})
+	scheduler.EndpointListed(0, Endpoint{ID: 2, State: Ready, Started: replicaStart, Size: 1})
 	if got := scheduler.replicas.byID[2].slowStartUsedUntil; usedUntil == 0 || got != usedUntil {
-		t.Errorf("used until %v, before the panic %v", got, usedUntil)
+		t.Errorf("budget used until %v, before the panic %v", got, usedUntil)
 	}
 	if scheduler.slowStart.arrivals[0] != before.members[0].slowStart.arrivals[0] {
-		t.Errorf("%v subqueries remembered, before the panic %v",
+		t.Errorf("arrivals %v, before the panic %v",
 			scheduler.slowStart.arrivals, before.members[0].slowStart.arrivals)
 	}
 }
@@ -180,6 +182,6 @@
 	}
 	replica.startedAt = StartUnknown
 	if limiter.warmingUp(replica, time.Minute) {
-		t.Error("a replica of which no start is known counts as starting")
+		t.Error("a replica without a known start time counts as warming up")
 	}
 }
