--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -80,7 +80,7 @@
 
 // full reports whether the replica may not be sent an attempt now. A replica at its limit may still be sent one
 // whenever it has neither replied nor been sent anything for silentAfter: otherwise lost attempts would use up its
-// limit for good.
+// limit permanently.
 func (l *concurrencyLimiter) full(now time.Duration, replica *replicaState) bool {
 	if now < replica.fullUntil {
 		return true
