--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -225,10 +225,10 @@
 // recordOutcome adjusts the admission state to whether a query met its objective. Only the first call for a query
 // has an effect.
 func (a *admissionController) recordOutcome(now time.Duration, query *query, inTime bool) {
-	if query.judged {
+	if query.objectiveRecorded {
 		return
 	}
-	query.judged = true
+	query.objectiveRecorded = true
 	if query.admittedAsTrial {
 		a.recordTrialOutcome(now, query, inTime)
 	}
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -1,9 +1,9 @@
 package scheduler
 
 // Concurrency limits: how many attempts may be in flight at a replica at a time. A limit grows by one with each reply
-// in about the usual time, and is halved when the replica rejects an attempt or its latency rises. It stays below a
-// ceiling, which is lowered to the load at which the replica rejected an attempt. Inputs are replies, rejections and
-// the replica's recent and usual latency; limits are counts of attempts.
+// in about the baseline latency, and is halved when the replica rejects an attempt or its latency rises. It stays
+// below a ceiling, which is lowered to the load at which the replica rejected an attempt. Inputs are replies,
+// rejections and the replica's recent and baseline latency; limits are counts of attempts.
 
 import "time"
 
@@ -12,7 +12,7 @@
 	maxLimit      = 32.0 // attempts; a higher limit would need too many halvings to come down
 	ceilingGrowth = 0.1  // attempts by which a reply raises the ceiling
 
-	// latencyRiseFactor is the multiple of the usual latency at which a limit is halved: above the noise, and below
+	// latencyRiseFactor is the multiple of the baseline latency at which a limit is halved: above the noise, and below
 	// the latency of a replica that stalls.
 	latencyRiseFactor = 2.5
 
@@ -30,7 +30,7 @@
 // limit at most once in halvingInterval.
 func (l *concurrencyLimiter) replied(now time.Duration, replica *replicaState, halvingInterval time.Duration) {
 	switch {
-	case replica.recentLatency > latencyRiseFactor*max(1, replica.usualLatency):
+	case replica.recentLatency > latencyRiseFactor*max(1, replica.baselineLatency):
 		l.halve(now, replica, halvingInterval)
 	case replica.recovering:
 		replica.limit *= 2
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -88,7 +88,7 @@
 // GossipReceived handles a message from another co-ordinator. A malformed message changes nothing and returns an error
 // that wraps a *GossipError.
 func (scheduler *Scheduler) GossipReceived(now time.Duration, from PeerIndex, message []byte) error {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	decoded, err := decodeGossip(message, scheduler.parameters.layout.cells)
 	if err != nil {
 		return fmt.Errorf("co-ordinator %d: %w", from, err)
@@ -131,7 +131,7 @@
 	if message.event != attemptsLate && surprise >= 0 {
 		return
 	}
-	bounded := max(-maxSurprise, min(maxSurprise, surprise))
+	bounded := max(-maxLogRatio, min(maxLogRatio, surprise))
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -80,7 +80,7 @@
 	}
 	replica.forClass(class).ejected = false
 	replica.probeInterval = d.initialInterval()
-	replica.recentLatency = min(replica.recentLatency, replica.usualLatency)
+	replica.recentLatency = min(replica.recentLatency, replica.baselineLatency)
 	d.log(fmt.Sprintf("replica %d reinstated: answered an attempt", replica.id))
 }
 
@@ -163,7 +163,7 @@
 // unloadLost removes attempts that hang and were overtaken from their replica's load. Otherwise they would count
 // towards its concurrency limit until their deadlines.
 func (d *outlierDetector) unloadLost(now time.Duration, replica *replicaState) {
-	replica.unload(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
+	replica.removeOutstanding(func(attempt *attempt) bool { return attempt.overtaken > 0 && d.hangs(now, attempt) })
 }
 
 // replaceable reports whether each shard that a replica holds has another holder in use. The last holder may be silent
@@ -199,7 +199,7 @@
 	if tooOld || query.suspectedQueryOfDeath() {
 		return false
 	}
-	if subquery.nextIsFurther() && !retries.hasRoom() {
+	if subquery.nextIsRetryOrHedge() && !retries.hasRoom() {
 		return false
 	}
 	idempotent := query.class.effect == invariant.Idempotent
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -42,7 +42,7 @@
 // countAttempt counts an attempt towards the budget if it is a further one, and takes a token of its replica unless it
 // is the first attempt of a phase. It must be called before the attempt is added to its subquery.
 func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
-	if subquery.nextIsFurther() {
+	if subquery.nextIsRetryOrHedge() {
 		b.furtherAttempts = append(b.furtherAttempts, now)
 	}
 	if len(subquery.attempts) > 0 {
@@ -64,7 +64,7 @@
 
 // hasRoom reports whether the budget allows a further attempt now.
 func (b *retryBudget) hasRoom() bool {
-	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
+	allowed := b.parameters.retryBudgetMin + b.parameters.retryBudgetShare*float64(len(b.arrivals))
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -104,7 +104,7 @@
 	if needed <= burst {
 		return now >= replica.slowStartUsedUntil+needed-burst
 	}
-	draw := random.of(uint64(subquery.id), uint64(replica.id))
+	draw := random.forKeys(uint64(subquery.id), uint64(replica.id))
 	return draw*s.arrivalsFor(replica) < s.affordable(replica, needed, now)
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -59,7 +59,7 @@
 func (fleet *slowStartFleet) subqueryArrives(now time.Duration) {
 	n := fleet.rng.IntN(len(fleet.members))
 	member := fleet.members[n]
-	member.clock(now)
+	member.advanceClock(now)
 	member.slowStart.decay((now - fleet.decayedAt[n]).Seconds())
 	member.slowStart.warmReplicas = 1
 	fleet.decayedAt[n] = now
