--- a/connpool/cancel.go
+++ b/connpool/cancel.go
@@ -3,34 +3,36 @@
 import "time"
 
 const (
-	cancelBurst       = 60.0 // tokens in a full bucket; common protections allow some hundred resets in one go
-	cancelsPerSecond  = 30.0 // tokens regained with time
-	cancelRegainReply = 0.5  // tokens regained by a reply: a client that gets replies is no attacker
-	cancelTimerSlack  = time.Millisecond
+	cancelBurst           = 60.0 // bucket size; typical rapid-reset protections tolerate some hundred resets at once
+	cancelTokensPerSecond = 30.0 // refill rate over time
+	cancelTokensPerReply  = 0.5  // a client that receives replies does not look like an attacker
+	cancelTimerSlack      = time.Millisecond
 )
 
-// cancelQueue is the cancellations of one connection that are still to be sent. Where a cancellation resets a stream,
-// they are limited by a token bucket: a replica, or something in front of it, may take a rush of resets for a rapid
-// reset attack (CVE-2023-44487) and close the connection.
+// cancelQueue holds the cancellations of one connection that have not been sent yet. Where a cancellation resets a
+// stream, a token bucket limits the rate: a replica, or a proxy in front of it, may take a burst of resets for a
+// rapid reset attack (CVE-2023-44487) and close the connection.
 type cancelQueue struct {
-	pending  []*Attempt    // abandoned, in order; each holds its place on the connection until the replica is told
-	tokens   float64       // cancellations that may be sent at once, as of tokensAt
-	tokensAt time.Duration // since the process' start
+	pending  []*Attempt    // abandoned attempts, in order; each holds its slot until its cancellation is sent
+	tokens   float64       // cancellations that may be sent immediately, as of tokensAt
+	tokensAt time.Duration // time since process start
 }
 
-func (cancels *cancelQueue) regain(now time.Duration) {
-	regained := cancelsPerSecond * (now - cancels.tokensAt).Seconds()
-	cancels.tokens = min(cancelBurst, cancels.tokens+regained)
+// refill adds the tokens that have accrued since tokensAt.
+func (cancels *cancelQueue) refill(now time.Duration) {
+	refilled := cancelTokensPerSecond * (now - cancels.tokensAt).Seconds()
+	cancels.tokens = min(cancelBurst, cancels.tokens+refilled)
 	cancels.tokensAt = now
 }
 
-// nextDue is when there will be a token for the next cancellation.
-func (cancels *cancelQueue) nextDue(now time.Duration) time.Duration {
+// nextAllowedAt returns when a token is available for the next cancellation.
+func (cancels *cancelQueue) nextAllowedAt(now time.Duration) time.Duration {
 	missing := max(0, 1-cancels.tokens)
-	return now + time.Duration(missing/cancelsPerSecond*float64(time.Second)) + cancelTimerSlack
+	return now + time.Duration(missing/cancelTokensPerSecond*float64(time.Second)) + cancelTimerSlack
 }
 
-// Withdraw takes back an attempt of which nothing has been written, and tells whether it could. Nothing follows then.
+// Withdraw takes back an attempt of which nothing has been written, and reports whether it succeeded. If it did, the
+// pool reports nothing further about the attempt.
 func (pool *Pool) Withdraw(now time.Duration, attempt *Attempt) bool {
 	pool.now = now
 	if attempt.finished {
@@ -43,12 +45,14 @@
 	return true
 }
 
-// Abandon tells that nobody waits for an attempt any more. The replica is told if the attempt has been begun.
+// Abandon notifies the pool that the result of an attempt is no longer needed. The replica is notified if writing of
+// the attempt has begun.
 //
-// If nothing came on its connection since it was sent, for longer than opening a connection may take, the
-// connection is suspect: the next attempt opens another, and this one ends with its attempts. Connections to a
-// machine that vanished stay open and silent; a new one shows at once whether the machine is back, and what it
-// cannot carry never ran. A slow replica costs one more connection by that.
+// If the connection has received nothing since the attempt was sent, for at least the connect timeout, it becomes
+// suspect: new attempts use another connection, and this one is closed once its attempts are over. A connection to a
+// machine that vanished stays open and silent, whereas opening a new one shows immediately whether the machine is
+// back, and attempts that could not be sent on it certainly never ran. The cost is one additional connection to a
+// replica that is merely slow.
 func (pool *Pool) Abandon(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	attempt.finished = true
@@ -62,7 +66,7 @@
 	}
 	pool.cancel(conn, attempt)
 	lastHeard := conn.lastReplyAt
-	if conn.traits.Pings { // anything that came shows that the connection is not silent
+	if conn.traits.Pings { // any input, even a ping answer, shows that the connection is alive
 		lastHeard = max(lastHeard, conn.lastByteAt)
 	}
 	if lastHeard < attempt.SentAt && now-attempt.SentAt >= pool.limits.ConnectTimeout {
@@ -70,7 +74,7 @@
 	}
 }
 
-// cancel has the replica told that an attempt is abandoned, at once or as soon as there is a token for it.
+// cancel notifies the replica that an attempt was abandoned, immediately or as soon as a token is available.
 func (pool *Pool) cancel(conn *connection, attempt *Attempt) {
 	if !conn.traits.LimitsStreams {
 		pool.host.Abandon(conn.id, attempt)
@@ -80,9 +84,9 @@
 	pool.sendPendingCancels(conn)
 }
 
-// sendPendingCancels sends cancellations in order, as far as there are tokens.
+// sendPendingCancels sends pending cancellations in order while tokens are available.
 func (pool *Pool) sendPendingCancels(conn *connection) {
-	conn.cancels.regain(pool.now)
+	conn.cancels.refill(pool.now)
 	for len(conn.cancels.pending) > 0 && conn.cancels.tokens >= 1 {
 		conn.cancels.tokens--
 		cancelled := conn.cancels.pending[0]
--- a/connpool/conn.go
+++ b/connpool/conn.go
@@ -7,99 +7,100 @@
 	"terntray/internal/replicaproto"
 )
 
-// maxRecentIDs is how many subquery ids a connection remembers after their attempts.
+// maxRecentIDs is the number of subquery ids that a connection remembers after their attempts were released.
 const maxRecentIDs = 128
 
-// connectionState is where a connection is in its life. The states follow one another; connecting may go straight to
-// closing.
+// connectionState is the stage of a connection's lifecycle. The states follow one another; connecting may change
+// directly to closing.
 type connectionState int
 
 const (
-	connecting  connectionState = iota // Host.Open was called; attempts are queued on it already
-	established                        // it has come up, and attempts are written
-	closing                            // Host.Close was called, or it has ended
+	connecting  connectionState = iota // Host.Open was called; attempts may be queued on the connection already
+	established                        // the connection is up, and attempts are written
+	closing                            // Host.Close was called, or the connection has ended
 )
 
-// connection is one connection to a replica. It is made by Pool.open, and ends in Pool.ConnEnded.
+// connection is one connection to a replica. Pool.open creates it, and Pool.ConnEnded removes it.
 type connection struct {
 	id       ConnID
 	replica  *replicaState
-	addr     string // of the replica when the connection was opened
+	addr     string // the replica's address when the connection was opened
 	protocol replicaproto.Protocol
-	traits   replicaproto.Traits // of the protocol
+	traits   replicaproto.Traits // of protocol
 
 	state          connectionState
-	wasEstablished bool          // it has been established at some time
-	establishedAt  time.Duration // when
+	wasEstablished bool          // whether the connection has ever been established
+	establishedAt  time.Duration // valid if wasEstablished
 
-	// Each of these keeps new attempts away; the connection is closed once the last attempt on it is over.
-	suspect   bool // nothing came for an abandoned attempt, later attempts were answered elsewhere, or a write failed
-	goingAway bool // the replica said that it takes nothing new here
-	failed    bool // closed, as what came on it cannot be used or a ping had no answer
+	// Each of these flags excludes the connection from new attempts; it is closed once its last attempt is over.
+	suspect   bool // no input followed an abandoned attempt, later attempts were answered elsewhere, or a write failed
+	goingAway bool // the replica accepts nothing new on this connection
+	failed    bool // closed because of malformed input or a ping timeout
 
-	outstanding []*Attempt // without a reply, in order of sending
-	maxAttempts int        // that the replica takes at a time, here
-	exclusive   bool       // it carries a non-idempotent attempt, and nothing else goes here (not if multiplexed)
-	recent      []recentID // of attempts that were released, the latest last
+	outstanding []*Attempt // attempts without a reply, in order of sending
+	maxAttempts int        // concurrent attempts that the replica accepts on this connection
+	exclusive   bool       // reserved for one non-idempotent attempt (only if the protocol is not multiplexed)
+	recent      []recentID // recently released attempts, oldest first
 
-	idleSince  time.Duration // while it is established and carries nothing
-	idleBefore time.Duration // how long it was idle before the first of the outstanding attempts
+	idleSince  time.Duration // valid while the connection is established and has no attempts
+	idleBefore time.Duration // idle time before the first of the outstanding attempts was sent
 
 	liveness
 	cancels  cancelQueue
-	wakeupAt time.Duration // when Wakeup will be called; never: it will not
+	wakeupAt time.Duration // when Wakeup will be called; never: no call is scheduled
 }
 
-// recentID is a subquery whose attempt has left its connection.
+// recentID identifies a subquery whose attempt was released from its connection.
 type recentID struct {
 	subquery  string
-	busyUntil time.Duration // until then the replica may still work on it
+	busyUntil time.Duration // until when the replica may still be working on it
 }
 
-// atReplicasAddress tells whether the connection leads to where the replica is now, in the protocol it speaks now.
-func (conn *connection) atReplicasAddress() bool {
+// matchesReplica reports whether the connection uses the replica's current address and protocol.
+func (conn *connection) matchesReplica() bool {
 	return conn.addr == conn.replica.addr && conn.protocol == conn.replica.protocol
 }
 
-// takesNew tells whether new attempts may be put here at all.
-func (conn *connection) takesNew() bool {
-	return conn.state != closing && !conn.suspect && !conn.goingAway && conn.atReplicasAddress()
+// acceptsNew reports whether new attempts may be assigned to the connection, regardless of its free slots.
+func (conn *connection) acceptsNew() bool {
+	return conn.state != closing && !conn.suspect && !conn.goingAway && conn.matchesReplica()
 }
 
-// knows tells whether an attempt at a subquery is outstanding here, or was of late.
-func (conn *connection) knows(subquery string) bool {
-	return conn.outstandingFor(subquery) != nil || conn.recentlySent(subquery) != nil
+// hasSeen reports whether an attempt at a subquery is outstanding on the connection, or was until recently.
+func (conn *connection) hasSeen(subquery string) bool {
+	return conn.outstandingFor(subquery) != nil || conn.recentFor(subquery) != nil
 }
 
-// find finds an outstanding attempt by what a reply names: its id or, where that is 0, its subquery.
+// find returns the outstanding attempt that a reply refers to, by attempt id or, if id is 0, by subquery; nil if
+// there is none.
 func (conn *connection) find(id AttemptID, subquery string) *Attempt {
 	if id == 0 {
 		return conn.outstandingFor(subquery)
 	}
-	at := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.ID == id })
-	if at < 0 {
+	i := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.ID == id })
+	if i < 0 {
 		return nil
 	}
-	return conn.outstanding[at]
+	return conn.outstanding[i]
 }
 
 func (conn *connection) outstandingFor(subquery string) *Attempt {
-	at := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.Call.SubqueryID == subquery })
-	if at < 0 {
+	i := slices.IndexFunc(conn.outstanding, func(attempt *Attempt) bool { return attempt.Call.SubqueryID == subquery })
+	if i < 0 {
 		return nil
 	}
-	return conn.outstanding[at]
+	return conn.outstanding[i]
 }
 
-func (conn *connection) recentlySent(subquery string) *recentID {
-	at := slices.IndexFunc(conn.recent, func(recent recentID) bool { return recent.subquery == subquery })
-	if at < 0 {
+func (conn *connection) recentFor(subquery string) *recentID {
+	i := slices.IndexFunc(conn.recent, func(recent recentID) bool { return recent.subquery == subquery })
+	if i < 0 {
 		return nil
 	}
-	return &conn.recent[at]
+	return &conn.recent[i]
 }
 
-// remember keeps the id of a subquery whose attempt leaves the connection.
+// remember records the subquery id of an attempt that is released from the connection.
 func (conn *connection) remember(subquery string, busyUntil time.Duration) {
 	if len(conn.recent) == maxRecentIDs {
 		conn.recent = slices.Delete(conn.recent, 0, 1)
@@ -107,9 +108,9 @@
 	conn.recent = append(conn.recent, recentID{subquery, busyUntil})
 }
 
-// abandonedRunning is how many abandoned attempts the replica may still work on. They count as places taken: where
-// calls are worked on in order, a new attempt would wait unread behind them. A replica that hangs costs additional
-// connections by that.
+// abandonedRunning returns the number of abandoned attempts that the replica may still be working on. They count as
+// occupied slots: where a replica processes calls in order, a new attempt would wait unread behind them. The cost is
+// additional connections to a replica that hangs.
 func (conn *connection) abandonedRunning(now time.Duration) int {
 	running := 0
 	for _, recent := range conn.recent {
--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -8,40 +8,41 @@
 	"terntray/scheduler"
 )
 
-// What may be sent again, and on what evidence. An attempt can have run only if its last byte was handed to the
-// operating system (replicaproto.Written); of a call that is not whole a replica runs nothing. So, when a connection
-// ends:
+// This file decides which attempts may be sent again when a connection fails, and on what evidence. An attempt can have
+// run only if its last byte was handed to the operating system (replicaproto.Written): a replica never runs an
+// incomplete call. So, when a connection ends:
 //
-//	written whole   connection came up   then
-//	no              yes                  another connection carries the attempt, once (maySwitch); else as below
-//	no              no                   it never ran: Unreachable, or NeverSent if this machine lacked something
-//	yes             -                    it may have run: MalformedReply if only the connection is at fault (what came
-//	                                     cannot be used, or another connection to the replica is up), else
-//	                                     ConnectionReset, which counts as the replica's death
+//	fully written   connection was up   result
+//	no              yes                 retransmitted on another connection, at most once (mayMove); else as below
+//	no              no                  it never ran: Unreachable, or NeverSent if this machine was short of resources
+//	yes             -                   it may have run: MalformedReply if only the connection is at fault (malformed
+//	                                    input, or another connection to the replica is up), else ConnectionReset,
+//	                                    which counts as the replica's death
 //
-// No other connection carries an attempt for a replica that drains or was removed. While a connection lasts, the
-// replica's word as its protocol defines it (AttemptSettled) is evidence too: Overloaded if it says that the attempt
-// never ran, Failed otherwise. Whether a subquery is attempted again after such an outcome is decided by
+// Attempts are not retransmitted to a replica that is draining or was removed. While a connection is up, what the
+// replica states as its protocol defines it (AttemptSettled) is evidence too: Overloaded if it states that the attempt
+// never ran, Failed otherwise. Whether a subquery is attempted again after such an outcome is decided in
 // scheduler/retry.go, and checked by package invariant.
 
 const (
-	// resetGrace is the time in which all connections to a process that died have broken, after the first of them.
+	// resetGrace is the time within which all connections to a process that died break, after the first of them.
 	resetGrace = 10 * time.Millisecond
-	// distrustIdleFor is how long non-idempotent attempts avoid idle connections after one broke at its next use.
-	distrustIdleFor = 10 * time.Second
-	// minIdleTimeout is the least learned idle timeout, in times of Limits.ConnectTimeout.
-	minIdleTimeout = 4
+	// avoidIdleFor is how long non-idempotent attempts avoid idle connections after one broke on its next use.
+	avoidIdleFor = 10 * time.Second
+	// minIdleTimeoutFactor times Limits.ConnectTimeout is the lower bound of the learned idle timeout.
+	minIdleTimeoutFactor = 4
 )
 
-// pendingReset is a connection that ended with attempts that may have run, while another to its replica was up.
+// pendingReset is a connection that ended with attempts that may have run, while another connection to its replica
+// was up.
 type pendingReset struct {
-	replica *replicaState
-	maybe   []*Attempt    // that may have run
-	at      time.Duration // when it ended
+	replica    *replicaState
+	mayHaveRun []*Attempt
+	at         time.Duration // when the connection ended
 }
 
-// ConnEnded tells that a connection has ended: at which time, and why. Its attempts end, or go on another connection,
-// as the head of this file says.
+// ConnEnded notifies the pool that a connection ended, with the cause and the time of its end. Its attempts end or
+// are retransmitted, as described at the head of this file.
 func (pool *Pool) ConnEnded(now time.Duration, id ConnID, cause error, at time.Duration) {
 	pool.now = now
 	ended := pool.conns[id]
@@ -58,7 +59,7 @@
 		neverRan = scheduler.NeverSent
 	}
 	ended.state = closing
-	maybeRan, unwritten := pool.sortByEvidence(ended, neverRan, at)
+	maybeRan, unwritten := pool.classifyByEvidence(ended, neverRan, at)
 	pool.retransmit(ended, unwritten, neverRan, at)
 	switch {
 	case ended.failed:
@@ -72,9 +73,9 @@
 	pool.forgetRemoved(ended.replica)
 }
 
-// sortByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not go on
-// another connection, and returns those that may have run and those that another connection can carry.
-func (pool *Pool) sortByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (
+// classifyByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not be
+// retransmitted, and returns those that may have run and those to retransmit.
+func (pool *Pool) classifyByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (
 	maybeRan, unwritten []*Attempt) {
 	outstanding := ended.outstanding
 	ended.outstanding, ended.cancels.pending = nil, nil
@@ -84,7 +85,7 @@
 		case pool.host.Stage(ended.id, attempt) == written:
 			maybeRan = append(maybeRan, attempt)
 		case ended.wasEstablished && mayRetransmit(attempt, ended.replica):
-			attempt.hasSwitched = true
+			attempt.hasMoved = true
 			attempt.conn = nil
 			resetCall(attempt.Call)
 			unwritten = append(unwritten, attempt)
@@ -95,19 +96,19 @@
 	return maybeRan, unwritten
 }
 
-// mayRetransmit tells whether an attempt that was not written whole may go on another connection.
+// mayRetransmit reports whether an attempt that was not fully written may be sent on another connection.
 func mayRetransmit(attempt *Attempt, replica *replicaState) bool {
-	return attempt.maySwitch() && replica.takesNew()
+	return attempt.mayMove() && replica.acceptsNew()
 }
 
-// retransmit has attempts go on other connections than the one they were on, or wait for a place. Those that can do
-// neither end with an outcome that says that they never ran. If the last connection to a replica ended, whatever
-// waits ends so as well, as nothing is there to carry it.
+// retransmit assigns attempts to other connections than the one they were on, or lets them wait for a slot. Attempts
+// for which neither is possible end with the outcome neverRan. If the replica's last connection has ended, all
+// waiting attempts end as well, as no connection is left to carry them.
 func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
 		for _, attempt := range attempts {
-			if !pool.place(attempt, replica) {
+			if !pool.assignOrEnqueue(attempt, replica) {
 				pool.finish(attempt, neverRan, at)
 			}
 		}
@@ -115,7 +116,7 @@
 	}
 	pool.requeue(replica, attempts)
 	if from.wasEstablished {
-		pool.fill(replica)
+		pool.assignWaiting(replica)
 	}
 	if len(replica.conns) == 0 {
 		waiting := replica.waiting
@@ -124,19 +125,21 @@
 	}
 }
 
-// requeueCause is why attempts are taken off a connection before they are begun.
+// requeueCause is why attempts are taken off a connection before their writing has begun.
 type requeueCause int
 
 const (
-	placeLost requeueCause = iota // the connection has fewer places, or its replica moved: any number of times
-	connLost                      // the replica takes nothing new on the connection: once for each attempt
+	slotLost requeueCause = iota // the connection has fewer slots, or its replica has moved: allowed repeatedly
+	connLost                     // the replica accepts nothing new on the connection: allowed once for each attempt
 )
 
-// requeueUnbegun has what was not begun on a connection, beyond a number of attempts, wait for a place again.
-func (pool *Pool) requeueUnbegun(conn *connection, beyond int, cause requeueCause) {
+// requeueUnstarted moves attempts whose writing has not begun from a connection back to the replica's queue, latest
+// first, until no more than keep attempts are left on the connection. If the connection was lost, an attempt that had
+// moved before is rejected instead.
+func (pool *Pool) requeueUnstarted(conn *connection, keep int, cause requeueCause) {
 	var requeued []*Attempt
 	for _, attempt := range slices.Backward(slices.Clone(conn.outstanding)) {
-		if len(conn.outstanding) <= beyond {
+		if len(conn.outstanding) <= keep {
 			break
 		}
 		if attempt.finished || !pool.host.Withdraw(conn.id, attempt) {
@@ -145,20 +148,21 @@
 		conn.outstanding = without(conn.outstanding, attempt)
 		attempt.conn = nil
 		if cause == connLost {
-			if !attempt.maySwitch() {
+			if !attempt.mayMove() {
 				pool.finish(attempt, scheduler.Overloaded, pool.now)
 				continue
 			}
-			attempt.hasSwitched = true
+			attempt.hasMoved = true
 		}
 		requeued = append(requeued, attempt)
 	}
 	pool.requeue(conn.replica, requeued)
 }
 
-// WriteFailed tells that a write on a connection failed: the operating system did not take it in time, or reported
-// an error. Nothing new goes there, and what was not begun goes on another connection at once: it would wait behind
-// bytes that nobody takes. If nothing can have run there, the connection is closed, which proves that nothing did.
+// WriteFailed notifies the pool that a write on a connection failed: it timed out, or the operating system reported
+// an error. The connection gets no new attempts. Attempts whose writing has not begun are retransmitted immediately,
+// as they would wait behind bytes that the replica does not read. If no attempt on the connection can have run, it is
+// closed: the end of the connection proves that none did.
 func (pool *Pool) WriteFailed(now time.Duration, id ConnID) {
 	pool.now = now
 	failed := pool.conns[id]
@@ -166,38 +170,39 @@
 		return
 	}
 	failed.suspect = true
-	if len(failed.outstanding) > 0 && !failed.goingAway { // as where it ends by itself
+	if len(failed.outstanding) > 0 && !failed.goingAway { // as in ConnEnded
 		pool.learnIdleTimeout(failed)
 	}
-	var unbegun []*Attempt
+	var unstarted []*Attempt
 	for _, attempt := range slices.Clone(failed.outstanding) {
 		canMove := !attempt.finished && mayRetransmit(attempt, failed.replica)
 		if canMove && pool.host.Withdraw(id, attempt) {
 			failed.outstanding = without(failed.outstanding, attempt)
-			attempt.hasSwitched = true
+			attempt.hasMoved = true
 			attempt.conn = nil
-			unbegun = append(unbegun, attempt)
+			unstarted = append(unstarted, attempt)
 		}
 	}
 	if !slices.ContainsFunc(failed.outstanding, pool.FullyWritten) {
 		pool.close(failed)
 	}
-	pool.retransmit(failed, unbegun, scheduler.Unreachable, now)
+	pool.retransmit(failed, unstarted, scheduler.Unreachable, now)
 }
 
-// WriteRefused tells that an attempt was refused as it was about to be written: it never ran and is wanted nowhere
-// else.
+// WriteRefused notifies the pool that an attempt was refused just before it would have been written: it never ran,
+// and is not sent on any other connection.
 func (pool *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	pool.finish(attempt, scheduler.NeverSent, now)
 	pool.release(attempt, unreplied)
 }
 
-// NoRetransmit tells that no other connection may carry an attempt if its own ends before it is written. Otherwise an
-// attempt that cannot be withdrawn any more could go out after its query's answer, or for a client that has left.
-func (pool *Pool) NoRetransmit(attempt *Attempt) { attempt.unwanted = true }
+// NoRetransmit forbids sending an attempt on another connection if its own ends before the attempt is written.
+// Without this, an attempt that can no longer be withdrawn could be sent after its query was answered, or for a
+// client that has disconnected.
+func (pool *Pool) NoRetransmit(attempt *Attempt) { attempt.noRetransmit = true }
 
-// remove takes a connection that has ended out of the pool.
+// remove removes a connection that has ended from the pool.
 func (pool *Pool) remove(ended *connection) {
 	isEnded := func(conn *connection) bool { return conn == ended }
 	delete(pool.conns, ended.id)
@@ -205,20 +210,20 @@
 	ended.replica.conns = slices.DeleteFunc(ended.replica.conns, isEnded)
 }
 
-// recordEnd notes the end of a connection, unless it was expected and nothing is lost by it.
+// recordEnd records the end of a connection, unless it was expected and no attempt was lost.
 func (pool *Pool) recordEnd(ended *connection, cause error) {
 	unexpected := len(ended.outstanding) > 0 || ended.state != closing
 	switch {
 	case !ended.wasEstablished:
 		pool.record(ended, ConnectFailed, cause)
-	case ended.failed: // recorded when it failed
+	case ended.failed: // fail has recorded it
 	case unexpected && !ended.goingAway:
 		pool.record(ended, Dropped, cause)
 	}
 }
 
-// replicaIsAlive tells whether a connection to a replica is still up. If so, the end of another one is no evidence
-// that the replica died. A process that dies breaks its connections one after the other; so the question is asked
+// replicaIsAlive reports whether a connection to a replica is still up. If so, the end of another connection is no
+// evidence that the replica died. The connections of a dying process break one after the other, so this is checked
 // again after resetGrace.
 func (pool *Pool) replicaIsAlive(replica *replicaState) bool {
 	return slices.ContainsFunc(replica.conns, func(conn *connection) bool {
@@ -233,18 +238,19 @@
 	if pool.replicaIsAlive(reset.replica) {
 		outcome = scheduler.MalformedReply
 	}
-	pool.finishAll(reset.maybe, outcome, reset.at)
+	pool.finishAll(reset.mayHaveRun, outcome, reset.at)
 }
 
-// learnIdleTimeout shortens the idle timeout if a connection broke at its first use after being idle: the far side,
-// or something between, drops idle connections sooner than the settings say, and attempts that may not run twice
-// would be lost by it. A replica that crashed looks the same, so the timeout never falls below minIdleTimeout.
+// learnIdleTimeout shortens the idle timeout if a connection broke on its first use after being idle: the replica, or
+// something on the network path, then drops idle connections sooner than the configured timeout, and non-idempotent
+// attempts would be lost. As a replica crash looks the same, the timeout never falls below minIdleTimeoutFactor
+// connect timeouts.
 func (pool *Pool) learnIdleTimeout(broken *connection) {
 	first := broken.outstanding[0]
 	brokeAtOnce := broken.lastReplyAt < first.SentAt && pool.now-first.SentAt < pool.limits.ConnectTimeout
 	if brokeAtOnce && broken.idleBefore > 0 {
-		shorter := max(broken.idleBefore/2, minIdleTimeout*pool.limits.ConnectTimeout)
+		shorter := max(broken.idleBefore/2, minIdleTimeoutFactor*pool.limits.ConnectTimeout)
 		pool.idleTimeout = min(pool.idleTimeout, shorter)
-		pool.distrustIdleUntil = pool.now + distrustIdleFor
+		pool.avoidIdleUntil = pool.now + avoidIdleFor
 	}
 }
--- a/connpool/fakehost_test.go
+++ b/connpool/fakehost_test.go
@@ -10,10 +10,10 @@
 	"terntray/scheduler"
 )
 
-// testReplica is the replica that all attempts of these tests are for.
+// testReplica is the replica that the tests send all attempts to.
 const testReplica scheduler.ReplicaID = 1
 
-// fakeHost is a Host whose connections do what a test says, and which keeps a ledger of what the pool asks for.
+// fakeHost is a Host whose connections behave as a test says. It records the calls of the pool.
 type fakeHost struct {
 	t    *testing.T
 	pool *Pool
@@ -24,10 +24,10 @@
 	closed     map[ConnID]bool // by the pool
 	peerClosed map[ConnID]bool // by the replica
 	written    map[ConnID][]*Attempt
-	abandoned  []AttemptID // of which the replica was told
+	abandoned  []AttemptID // cancellations sent to the replica
 	outcomes   map[AttemptID][]scheduler.Outcome
 	pings      map[ConnID]int
-	wakeups    map[ConnID][]time.Duration // that are still due
+	wakeups    map[ConnID][]time.Duration // wakeups that are not due yet
 	events     []EventKind
 
 	lastID       AttemptID
@@ -52,10 +52,10 @@
 	return host
 }
 
-// newFakeHostFor is a fakeHost whose replica is listed with a protocol.
+// newFakeHostFor returns a fakeHost whose replica is listed with a protocol.
 func newFakeHostFor(t *testing.T, protocol replicaproto.Protocol, limits Limits) *fakeHost {
 	host := newFakeHost(t, limits)
-	host.list("a:1", protocol, false)
+	host.listReplica("a:1", protocol, false)
 	return host
 }
 
@@ -101,8 +101,8 @@
 
 func (host *fakeHost) Record(event Event) { host.events = append(host.events, event.Kind) }
 
-// list has the endpoint list name the replica.
-func (host *fakeHost) list(addr string, protocol replicaproto.Protocol, draining bool) {
+// listReplica notifies the pool that the endpoint list contains the replica.
+func (host *fakeHost) listReplica(addr string, protocol replicaproto.Protocol, draining bool) {
 	host.pool.ReplicaListed(host.now, testReplica, addr, protocol, draining)
 }
 
@@ -112,7 +112,7 @@
 	return &Attempt{ID: host.lastID, SentAt: host.now, Call: call}
 }
 
-// send sends an attempt and returns it with the connection that carries it, 0 for none.
+// send sends an attempt and returns it with the connection that carries it, 0 if there is none.
 func (host *fakeHost) send(subquery string, nonIdempotent bool) (*Attempt, ConnID) {
 	attempt := host.newAttempt(subquery)
 	attempt.NonIdempotent = nonIdempotent
@@ -122,10 +122,10 @@
 	return attempt, connOf(attempt)
 }
 
-// up has a connection come up.
-func (host *fakeHost) up(conn ConnID) { host.pool.ConnUp(host.now, conn) }
+// connUp establishes a connection.
+func (host *fakeHost) connUp(conn ConnID) { host.pool.ConnUp(host.now, conn) }
 
-// reply has a reply come. It names the attempt where the protocol has it so, and else the attempt's subquery.
+// reply delivers a reply that names the attempt or, depending on the protocol, the attempt's subquery.
 func (host *fakeHost) reply(conn ConnID, attempt *Attempt) (ended *Attempt, late bool) {
 	if replicaproto.TraitsOf(host.protocols[conn]).RepliesNameAttempts {
 		return host.pool.ReplyReceived(host.now, conn, attempt.ID, "", host.now)
@@ -133,12 +133,12 @@
 	return host.pool.ReplyReceived(host.now, conn, 0, attempt.Call.SubqueryID, host.now)
 }
 
-// breaks has a connection end unasked.
-func (host *fakeHost) breaks(conn ConnID, cause error) {
+// endConn notifies the pool that a connection ended.
+func (host *fakeHost) endConn(conn ConnID, cause error) {
 	host.pool.ConnEnded(host.now, conn, cause, host.now)
 }
 
-// connOf is the connection that carries an attempt, 0 for none.
+// connOf returns the connection that carries an attempt, 0 if there is none.
 func connOf(attempt *Attempt) ConnID {
 	if attempt.conn == nil {
 		return 0
@@ -146,14 +146,14 @@
 	return attempt.conn.id
 }
 
-// writtenWhole has attempts be written whole.
-func writtenWhole(attempts ...*Attempt) {
+// markFullyWritten sets the stage of attempts to Written.
+func markFullyWritten(attempts ...*Attempt) {
 	for _, attempt := range attempts {
 		attempt.Call.Stage = replicaproto.Written
 	}
 }
 
-// advance lets a time pass, with the wakeups that fall into it.
+// advance moves the clock forward and calls the wakeups that become due.
 func (host *fakeHost) advance(span time.Duration) {
 	end := host.now + span
 	for {
@@ -162,14 +162,14 @@
 			host.now = end
 			return
 		}
-		at := slices.Index(host.wakeups[conn], due)
-		host.wakeups[conn] = slices.Delete(slices.Clone(host.wakeups[conn]), at, at+1)
+		i := slices.Index(host.wakeups[conn], due)
+		host.wakeups[conn] = slices.Delete(slices.Clone(host.wakeups[conn]), i, i+1)
 		host.now = max(host.now, due)
 		host.pool.Wakeup(host.now, conn)
 	}
 }
 
-// nextWakeup is the earliest wakeup that is due until end, and its connection; 0 for none.
+// nextWakeup returns the earliest wakeup that is due by end, and its connection; 0 if there is none.
 func (host *fakeHost) nextWakeup(end time.Duration) (next ConnID, due time.Duration) {
 	due = end
 	for _, conn := range host.opened {
@@ -182,10 +182,10 @@
 	return next, due
 }
 
-// expect checks with which outcomes an attempt has been reported as ended so far.
-func (host *fakeHost) expect(attempt *Attempt, want ...scheduler.Outcome) {
+// expectOutcomes checks the outcomes that have been reported for an attempt so far.
+func (host *fakeHost) expectOutcomes(attempt *Attempt, want ...scheduler.Outcome) {
 	host.t.Helper()
 	if got := host.outcomes[attempt.ID]; fmt.Sprint(got) != fmt.Sprint(want) {
-		host.t.Errorf("attempt at %s ended %v, want %v", attempt.Call.SubqueryID, got, want)
+		host.t.Errorf("attempt at %s: outcomes %v, want %v", attempt.Call.SubqueryID, got, want)
 	}
 }
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	// maxOvertaken is how many replies on other connections, to later attempts, make a silent connection suspect.
+	// maxOvertaken is the number of replies to later attempts on other connections that make a silent connection
+	// suspect.
 	maxOvertaken = 8
-	// pingAfter is the share of Limits.ConnectTimeout after which a connection with outstanding attempts on which
-	// nothing comes is pinged. The answer has the rest of that time.
-	pingAfter = 0.5
-	// lateWakeup is how late a wakeup must be to show that this process stood still.
-	lateWakeup = 30 * time.Millisecond
+	// pingDelayFraction is the fraction of Limits.ConnectTimeout after which a silent connection with outstanding
+	// attempts is pinged. The replica has the rest of that time to answer.
+	pingDelayFraction = 0.5
+	// stallThreshold is the delay of a wakeup from which this process is taken to have been stalled.
+	stallThreshold = 30 * time.Millisecond
 )
 
-// liveness is what shows whether a connection, and what is behind it, is alive.
+// liveness is the evidence of whether a connection and the machine behind it are alive.
 type liveness struct {
 	lastReplyAt time.Duration
-	overtaken   int           // replies on other connections to later attempts than the first here, since that reply
-	lastByteAt  time.Duration // anything came
-	pingPending bool          // a ping was sent and nothing has come since
+	overtaken   int           // replies on other connections since lastReplyAt, to attempts later than the first here
+	lastByteAt  time.Duration // when any input was last received
+	pingPending bool          // a ping was sent, and no input was received since
 	pingSentAt  time.Duration
 }
 
-// noteBytes notes that something came.
+// noteBytes notes that input was received.
 func (seen *liveness) noteBytes(at time.Duration) {
 	seen.lastByteAt = max(seen.lastByteAt, at)
 	seen.pingPending = false
 }
 
-var errPingTimeout = errors.New("a ping had no answer in time")
+var errPingTimeout = errors.New("no answer to a ping in time")
 
-// noteReply notes that a reply to an attempt came. Other connections to the same replica that have been silent
-// since before that attempt was sent become suspect after maxOvertaken such replies: the replica lives, and yet
-// nothing comes there. Where the protocol has pings, those tell. Attempts of very different cost can look the same,
-// and cost a new connection then.
+// noteReply notes a reply to an attempt. Other connections to the same replica that have been silent since before
+// that attempt was sent become suspect after maxOvertaken such replies: the replica is alive, but nothing arrives on
+// them. This is not needed where the protocol has pings. Attempts whose costs differ widely can have the same effect;
+// the price is a new connection.
 func (pool *Pool) noteReply(conn *connection, replied *Attempt, at time.Duration) {
 	conn.lastReplyAt, conn.overtaken = at, 0
-	conn.cancels.tokens += cancelRegainReply
+	conn.cancels.tokens += cancelTokensPerReply
 	for _, other := range conn.replica.conns {
 		if other == conn || !other.silentSince(replied.SentAt) {
 			continue
@@ -50,8 +51,9 @@
 	}
 }
 
-// silentSince tells whether an attempt that was sent before a time is outstanding here, and no reply has come
-// since. Of connections with pings it is not asked.
+// silentSince reports whether an attempt that was sent before sentAt is outstanding on the connection, and no reply
+// has been received since sentAt. It is always false for protocols with pings, which detect dead connections
+// themselves.
 func (conn *connection) silentSince(sentAt time.Duration) bool {
 	if conn.traits.Pings || len(conn.outstanding) == 0 {
 		return false
@@ -59,7 +61,8 @@
 	return conn.outstanding[0].SentAt < sentAt && conn.lastReplyAt < sentAt
 }
 
-// scheduleWakeup has Wakeup called when something will be due on a connection, unless it is called earlier anyway.
+// scheduleWakeup schedules a call of Wakeup for the next time that something is due on a connection, unless an
+// earlier one is scheduled already.
 func (pool *Pool) scheduleWakeup(conn *connection) {
 	if conn.state == closing {
 		return
@@ -71,7 +74,7 @@
 	}
 }
 
-// nextDue is the earliest time at which Wakeup has something to do for a connection.
+// nextDue returns the earliest time at which Wakeup has something to do for a connection.
 func (pool *Pool) nextDue(conn *connection) time.Duration {
 	due := never
 	isUp := conn.state == established
@@ -82,7 +85,7 @@
 		due = min(due, pool.pingDue(conn))
 	}
 	if len(conn.cancels.pending) > 0 {
-		due = min(due, conn.cancels.nextDue(pool.now))
+		due = min(due, conn.cancels.nextAllowedAt(pool.now))
 	}
 	if isUp && len(conn.replica.waiting) > 0 && conn.maxAttempts == 0 {
 		due = min(due, conn.replica.waitingSince+pool.limits.ConnectTimeout)
@@ -90,7 +93,7 @@
 	return due
 }
 
-// Wakeup tells that a time has passed that Host.ScheduleWakeup was given for a connection.
+// Wakeup notifies the pool that a time has passed that it gave to Host.ScheduleWakeup for a connection.
 func (pool *Pool) Wakeup(now time.Duration, id ConnID) {
 	pool.now = now
 	if reset := pool.pendingResets[id]; reset != nil {
@@ -101,27 +104,28 @@
 	if conn == nil || conn.state == closing || now < conn.wakeupAt {
 		return
 	}
-	stoodStill := now-conn.wakeupAt > lateWakeup
+	wasStalled := now-conn.wakeupAt > stallThreshold
 	conn.wakeupAt = never
 	if pool.idleTooLong(conn) {
 		pool.close(conn)
 		return
 	}
 	if conn.traits.Pings && conn.state == established && len(conn.outstanding) > 0 {
-		pool.checkAlive(conn, stoodStill)
+		pool.checkAlive(conn, wasStalled)
 	}
 	if len(conn.cancels.pending) > 0 && conn.state != closing {
 		pool.sendPendingCancels(conn)
 	}
-	pool.rejectIfReplicaTakesNothing(conn.replica)
+	pool.rejectIfReplicaAcceptsNothing(conn.replica)
 	pool.scheduleWakeup(conn)
 }
 
-// checkAlive pings a silent connection, and closes it if a ping had no answer in time: its machine has vanished, or
-// reads nothing. Where this process itself stood still the answer may lie unread, so the wait starts again.
-func (pool *Pool) checkAlive(conn *connection, stoodStill bool) {
+// checkAlive pings a silent connection, and closes it if a ping was not answered in time: the machine has vanished,
+// or the replica does not read. If this process itself was stalled, the answer may not have been read yet, so the
+// wait starts again.
+func (pool *Pool) checkAlive(conn *connection, wasStalled bool) {
 	switch {
-	case stoodStill:
+	case wasStalled:
 		conn.noteBytes(pool.now)
 	case pool.now < pool.pingDue(conn):
 	case conn.pingPending:
@@ -133,23 +137,24 @@
 	}
 }
 
-// pingDue is when a connection with outstanding attempts is to be pinged or, after a ping, when it counts as dead.
+// pingDue returns when a connection with outstanding attempts is to be pinged or, while a ping is pending, when the
+// connection counts as dead.
 func (pool *Pool) pingDue(conn *connection) time.Duration {
 	timeout := float64(pool.limits.ConnectTimeout)
 	if conn.pingPending {
-		return conn.pingSentAt + time.Duration((1-pingAfter)*timeout)
+		return conn.pingSentAt + time.Duration((1-pingDelayFraction)*timeout)
 	}
-	return max(conn.lastByteAt, conn.outstanding[0].SentAt) + time.Duration(pingAfter*timeout)
+	return max(conn.lastByteAt, conn.outstanding[0].SentAt) + time.Duration(pingDelayFraction*timeout)
 }
 
-// rejectIfReplicaTakesNothing ends what waits for a replica that takes no attempts at all for as long as opening a
-// connection may take: it never left.
-func (pool *Pool) rejectIfReplicaTakesNothing(replica *replicaState) {
+// rejectIfReplicaAcceptsNothing rejects the attempts that wait for a replica if it has accepted no attempts at all
+// for the connect timeout. They never left this process.
+func (pool *Pool) rejectIfReplicaAcceptsNothing(replica *replicaState) {
 	if len(replica.waiting) == 0 || pool.now < replica.waitingSince+pool.limits.ConnectTimeout {
 		return
 	}
 	replica.waitingSince = pool.now
-	if replica.takesNothing() {
+	if replica.acceptsNothing() {
 		pool.rejectWaiting(replica)
 	}
 }
--- a/connpool/health_test.go
+++ b/connpool/health_test.go
@@ -10,13 +10,13 @@
 	"terntray/scheduler"
 )
 
-// A connection falls silent while later attempts are answered on another one to the same replica. After some of those
-// replies nothing new goes on the silent one.
-func TestSilentConnectionThatLaterAttemptsOvertakeIsSuspect(t *testing.T) {
+// A connection is silent while later attempts are answered on another connection to the same replica. After
+// maxOvertaken such replies the silent connection gets no new attempts.
+func TestSilentConnectionOvertakenByLaterAttemptsIsSuspect(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 1, MaxConns: 2})
 	first, silent := host.send("q.0", false)
-	host.up(silent)
-	writtenWhole(first)
+	host.connUp(silent)
+	markFullyWritten(first)
 	for n := range maxOvertaken {
 		if first.conn.suspect {
 			t.Fatalf("suspect after %d replies", n)
@@ -24,23 +24,23 @@
 		host.now += time.Second
 		later, conn := host.send(fmt.Sprint("q.", n+1), false)
 		if !later.conn.wasEstablished {
-			host.up(conn)
+			host.connUp(conn)
 		}
-		writtenWhole(later)
+		markFullyWritten(later)
 		host.reply(conn, later)
 	}
 	if !first.conn.suspect {
-		t.Error("it is not suspect")
+		t.Error("the silent connection is not suspect")
 	}
 }
 
-// A replica works slowly, but its machine answers pings: its connection stays. Then the machine vanishes: within a
-// connect timeout the connection is closed, and what was on it may have run.
-func TestPingTellsAVanishedMachineFromASlowReplica(t *testing.T) {
+// A replica is slow, but its machine answers pings: the connection is kept. Then the machine vanishes: the connection
+// is closed within a connect timeout, and the attempt on it may have run.
+func TestPingDistinguishesVanishedMachineFromSlowReplica(t *testing.T) {
 	host, conn := newSharedConn(t, 100)
 	host.now += time.Second
 	attempt, _ := host.send("q.1", false)
-	writtenWhole(attempt)
+	markFullyWritten(attempt)
 	for range 5 {
 		host.advance(130 * time.Millisecond)
 		host.pool.BytesReceived(host.now, conn, host.now)
@@ -52,6 +52,6 @@
 	if !host.closed[conn] {
 		t.Fatal("a silent connection is kept")
 	}
-	host.breaks(conn, net.ErrClosed)
-	host.expect(attempt, scheduler.MalformedReply)
+	host.endConn(conn, net.ErrClosed)
+	host.expectOutcomes(attempt, scheduler.MalformedReply)
 }
--- a/connpool/host.go
+++ b/connpool/host.go
@@ -8,94 +8,98 @@
 	"terntray/scheduler"
 )
 
-// ConnID and AttemptID name a connection and an attempt. None is used again, and later attempts have larger ids.
+// ConnID and AttemptID identify a connection and an attempt. Ids are never reused, and later attempts have larger
+// ids.
 type (
 	ConnID    uint64
 	AttemptID uint64
 )
 
-// Attempt is one attempt at a subquery as it is to be sent. The exported fields are set before Send and stay.
+// Attempt is one attempt at a subquery to be sent. The exported fields are set before Send and do not change.
 type Attempt struct {
 	ID            AttemptID
-	Call          *replicaproto.Call // for the host to write; the pool reads its subquery id and its deadline
-	NonIdempotent bool               // it may not run twice
-	SentAt        time.Duration      // since the process' start
+	Call          *replicaproto.Call // written by the host; the pool reads only its subquery id and deadline
+	NonIdempotent bool               // the subquery must not run twice
+	SentAt        time.Duration      // time since process start
 
-	conn        *connection   // that carries it; nil while it waits for a place
-	replica     *replicaState // that it is for
-	hasSwitched bool          // it was taken off a connection that was lost, to go on another; that happens once
-	unwanted    bool          // its query is over: no other connection may carry it
-	finished    bool          // its end is reported, or its sender no longer waits for it
+	conn         *connection   // the connection that carries it; nil while it waits for a slot
+	replica      *replicaState // the replica that it is sent to
+	hasMoved     bool          // it was taken off a lost connection to be sent on another, which may happen once
+	noRetransmit bool          // its query is over, so it must not be sent on another connection
+	finished     bool          // its end was reported, or its sender no longer waits for it
 }
 
-// maySwitch tells whether another connection may carry the attempt where its own is lost before it was written whole.
-func (attempt *Attempt) maySwitch() bool { return !attempt.hasSwitched && !attempt.unwanted }
+// mayMove reports whether the attempt may be sent on another connection if its own is lost before it was fully
+// written.
+func (attempt *Attempt) mayMove() bool { return !attempt.hasMoved && !attempt.noRetransmit }
 
 // written is the only stage in which an attempt may have run.
 const written = replicaproto.Written
 
-// EventKind says what happened to a connection, as it stands in the log.
+// EventKind is the kind of a connection event, as written to the log.
 type EventKind string
 
 // The kinds of events.
 const (
-	ConnectFailed EventKind = "connect_failed"       // it could not be opened
-	Dropped       EventKind = "connection_dropped"   // it ended with attempts on it, or without being asked to
-	Malformed     EventKind = "malformed_input"      // what came on it cannot be used
-	PingTimeout   EventKind = "ping_timeout"         // a ping had no answer in time
-	GoingAway     EventKind = "going_away"           // the replica takes nothing new on it
-	StreamLimit   EventKind = "stream_limit_reached" // attempts wait, as the replica takes no more at a time
+	ConnectFailed EventKind = "connect_failed"       // the connection could not be opened
+	Dropped       EventKind = "connection_dropped"   // it ended unexpectedly, or with attempts outstanding
+	Malformed     EventKind = "malformed_input"      // its input cannot be parsed or used
+	PingTimeout   EventKind = "ping_timeout"         // a ping was not answered in time
+	GoingAway     EventKind = "going_away"           // the replica accepts nothing new on it
+	StreamLimit   EventKind = "stream_limit_reached" // attempts wait because the replica accepts no more at a time
 )
 
-// Event is something that happened to a connection, for the log and the counters.
+// Event is an event of a connection, for the log and the counters.
 type Event struct {
 	Conn        ConnID
 	Replica     scheduler.ReplicaID
 	Kind        EventKind
-	Outstanding int   // attempts on the connection that had no reply
+	Outstanding int   // attempts on the connection without a reply
 	Cause       error // nil if there is none
 }
 
-// ErrShortage is wrapped by the cause of a connection's end where this machine lacked something for it (descriptors,
-// ports, memory). Such an end says nothing of the replica.
-var ErrShortage = errors.New("this machine lacks something for a connection")
+// ErrShortage is wrapped by the cause of a connection's end if this machine was short of a resource (descriptors,
+// ports, memory). Such an end is no evidence about the replica.
+var ErrShortage = errors.New("this machine lacks a resource for the connection")
 
-// Host carries out what a Pool decides, at once and without calling the pool back, except where it says what follows.
+// Host carries out the decisions of a Pool. Its methods act immediately and do not call the pool back, except for the
+// notifications that are named below.
 type Host interface {
 	// Open opens a connection. ConnUp or ConnEnded follows.
 	Open(conn ConnID, to scheduler.ReplicaID, addr string, protocol replicaproto.Protocol)
-	// Close closes one. ConnEnded follows.
+	// Close closes a connection. ConnEnded follows.
 	Close(conn ConnID)
 	// Write queues an attempt to be written.
 	Write(conn ConnID, attempt *Attempt)
-	// Withdraw takes an attempt out of that queue and tells whether it could: not if it may have been begun.
+	// Withdraw removes an attempt from that queue and reports whether it succeeded; it fails if writing may have
+	// begun.
 	Withdraw(conn ConnID, attempt *Attempt) bool
-	// Abandon has the replica told that nobody waits for an attempt.
+	// Abandon notifies the replica that the result of an attempt is no longer needed.
 	Abandon(conn ConnID, attempt *Attempt)
-	// Stage is how far the writing of an attempt has come.
+	// Stage returns how far the writing of an attempt has progressed.
 	Stage(conn ConnID, attempt *Attempt) replicaproto.Stage
-	// PeerOpen tells whether the replica has not closed a connection, as far as the operating system knows.
+	// PeerOpen reports whether, as far as the operating system knows, the replica has not closed a connection.
 	PeerOpen(conn ConnID) bool
-	// Ping asks the replica for a sign of life. BytesReceived follows if it gives one.
+	// Ping sends a ping to the replica. BytesReceived follows if the replica answers.
 	Ping(conn ConnID)
-	// ScheduleWakeup has Wakeup called after a time.
+	// ScheduleWakeup arranges a call of Wakeup after a delay.
 	ScheduleWakeup(conn ConnID, after time.Duration)
-	// AttemptEnded reports how an attempt ended and how long it took from its sending.
+	// AttemptEnded reports an attempt's outcome and the time since it was sent.
 	AttemptEnded(attempt AttemptID, outcome scheduler.Outcome, took time.Duration)
-	// ReplicaForgotten tells that a removed replica has no connection any more.
+	// ReplicaForgotten reports that a removed replica has no connections left.
 	ReplicaForgotten(replica scheduler.ReplicaID)
 	// Record logs and counts an event.
 	Record(event Event)
 }
 
-// Limits bound all connections.
+// Limits are limits for all connections.
 type Limits struct {
-	ConnectTimeout     time.Duration // for opening a connection, and for a sign of life on one
-	IdleTimeout        time.Duration // after which an idle connection is closed; 0: never
-	MaxAttemptsPerConn int           // attempts on a connection at a time, at least 1
+	ConnectTimeout     time.Duration // for opening a connection, and for a sign of life on an open one
+	IdleTimeout        time.Duration // idle connections are closed after this time; 0: never
+	MaxAttemptsPerConn int           // concurrent attempts per connection, at least 1
 	MaxConns           int           // connections to all replicas together, at least 2
-	MaxStreamsPerConn  int           // the same as MaxAttemptsPerConn for multiplexed protocols; 0: MaxAttemptsPerConn
-	MaxSharedConns     int           // connections to a replica, where its protocol is multiplexed; 0: one
+	MaxStreamsPerConn  int           // MaxAttemptsPerConn for multiplexed protocols; 0: the same as MaxAttemptsPerConn
+	MaxSharedConns     int           // connections per replica for multiplexed protocols; 0: one
 }
 
 func (limits Limits) withDefaults() Limits {
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -6,8 +6,8 @@
 	"terntray/internal/replicaproto"
 )
 
-// The life of a connection: open, ConnUp, becomeIdle each time that nothing is left on it, close, and at last
-// ConnEnded (evidence.go). What the replica states meanwhile, StreamLimitChanged and GoingAway, is here as well.
+// The lifecycle of a connection: open, ConnUp, updateIdle whenever an attempt is released, close, and finally ConnEnded
+// (evidence.go). StreamLimitChanged and GoingAway, by which a replica changes its use meanwhile, are here as well.
 
 // open opens a connection to a replica.
 func (pool *Pool) open(to *replicaState) *connection {
@@ -29,7 +29,7 @@
 	return opened
 }
 
-// ConnUp tells that a connection has come up: attempts on it are written from now on.
+// ConnUp notifies the pool that a connection has been established. From now on the attempts on it are written.
 func (pool *Pool) ConnUp(now time.Duration, id ConnID) {
 	pool.now = now
 	conn := pool.conns[id]
@@ -43,25 +43,27 @@
 	conn.establishedAt = now
 	conn.idleSince = now
 	conn.lastByteAt = now
-	pool.becomeIdle(conn)
+	pool.updateIdle(conn)
 	pool.scheduleWakeup(conn)
 }
 
-// becomeIdle closes a connection that carries nothing any more if it is not to be used again, and else has it wait.
-func (pool *Pool) becomeIdle(conn *connection) {
+// updateIdle is called when a connection may have become idle. If no attempt is outstanding, it closes the connection
+// if that must not be used again, and otherwise schedules its idle timeout.
+func (pool *Pool) updateIdle(conn *connection) {
 	if len(conn.outstanding) > 0 || conn.state == closing {
 		return
 	}
-	closeAfterUse := conn.exclusive && pool.now < pool.distrustIdleUntil
+	closeAfterUse := conn.exclusive && pool.now < pool.avoidIdleUntil
 	conn.idleSince, conn.exclusive = pool.now, false
-	if closeAfterUse || conn.replica.removed || !conn.takesNew() {
+	if closeAfterUse || conn.replica.removed || !conn.acceptsNew() {
 		pool.close(conn)
 		return
 	}
 	pool.scheduleWakeup(conn)
 }
 
-// idleTooLong tells whether a connection has been idle for so long that the far side may have dropped it.
+// idleTooLong reports whether a connection has been idle for so long that the replica, or something on the network
+// path, may have dropped it.
 func (pool *Pool) idleTooLong(conn *connection) bool {
 	return conn.state == established && len(conn.outstanding) == 0 && pool.now-conn.idleSince >= pool.idleTimeout
 }
@@ -74,8 +76,8 @@
 	}
 }
 
-// closeLongestIdle closes the connection that has been idle for longest, to make room for another; it tells whether
-// there was one.
+// closeLongestIdle closes the connection that has been idle for longest, to make room for a new one, and reports
+// whether there was one.
 func (pool *Pool) closeLongestIdle() bool {
 	var longest *connection
 	for _, conn := range pool.byAge {
@@ -91,8 +93,9 @@
 	return true
 }
 
-// StreamLimitChanged tells how many attempts the replica takes at a time on a connection. Those that are begun go on;
-// of the others, those beyond the limit wait for a place again. Otherwise the replica would refuse them.
+// StreamLimitChanged notifies the pool of how many concurrent attempts the replica accepts on a connection. Attempts
+// whose writing has begun stay there; others beyond the limit wait for a slot again, as the replica would refuse
+// them.
 func (pool *Pool) StreamLimitChanged(now time.Duration, id ConnID, limit int) {
 	pool.now = now
 	conn := pool.conns[id]
@@ -102,14 +105,14 @@
 	isLower := limit < conn.maxAttempts
 	conn.maxAttempts = min(limit, pool.limits.MaxStreamsPerConn)
 	if isLower {
-		pool.requeueUnbegun(conn, conn.maxAttempts, placeLost)
+		pool.requeueUnstarted(conn, conn.maxAttempts, slotLost)
 	}
-	pool.fill(conn.replica)
+	pool.assignWaiting(conn.replica)
 	pool.scheduleWakeup(conn)
 }
 
-// GoingAway tells that the replica takes nothing new on a connection. What was not begun goes on another, once; this
-// one is closed when its last attempt is over.
+// GoingAway notifies the pool that the replica accepts nothing new on a connection. Attempts whose writing has not
+// begun move to another connection, at most once each. The connection is closed when its last attempt is over.
 func (pool *Pool) GoingAway(now time.Duration, id ConnID, detail string) {
 	pool.now = now
 	conn := pool.conns[id]
@@ -118,29 +121,29 @@
 	}
 	conn.goingAway = true
 	pool.record(conn, GoingAway, goAwayError(detail))
-	pool.requeueUnbegun(conn, 0, connLost)
-	if !conn.replica.takesNew() {
+	pool.requeueUnstarted(conn, 0, connLost)
+	if !conn.replica.acceptsNew() {
 		pool.rejectWaiting(conn.replica)
 	}
-	pool.fill(conn.replica)
+	pool.assignWaiting(conn.replica)
 	if len(conn.outstanding) == 0 {
 		pool.close(conn)
 	}
 }
 
-// goAwayError is what a replica said when it went away.
+// goAwayError is the detail that a replica gave when it announced that it closes a connection.
 type goAwayError string
 
 func (err goAwayError) Error() string { return string(err) }
 
-// record notes an event of a connection.
+// record reports an event of a connection to the host.
 func (pool *Pool) record(conn *connection, kind EventKind, cause error) {
 	pool.host.Record(Event{
 		Conn: conn.id, Replica: conn.replica.id, Kind: kind, Outstanding: len(conn.outstanding), Cause: cause,
 	})
 }
 
-// resetCall makes a call ready to be written from its start on another connection.
+// resetCall prepares a call to be written again from its first byte, on another connection.
 func resetCall(call *replicaproto.Call) {
 	call.Stage = replicaproto.Waiting
 	call.Stream = 0
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -10,7 +10,7 @@
 	"terntray/scheduler"
 )
 
-// model plays what may happen, in any order, against a pool. It judges by what connections and attempts saw alone.
+// model applies random events in random order to a pool, and checks its behaviour as connections and attempts see it.
 type model struct {
 	*fakeHost
 	random   *rand.Rand
@@ -20,29 +20,29 @@
 	draining bool
 	removed  bool
 
-	attempts    []*Attempt         // all, by id
-	accepted    map[AttemptID]bool // by Send
-	givenUp     map[AttemptID]bool // abandoned by their sender
-	saidUnrun   map[AttemptID]bool // the replica said that they never ran
-	writes      map[AttemptID]int  // how often each was put on a connection
-	streamLimit map[ConnID]int     // as the replica stated it; absent: it has not
-	established map[ConnID]bool    // connections that came up
-	ended       map[ConnID]bool    // connections that were given back
-	subqueries  []string           // that attempts are made at
+	attempts          []*Attempt         // all, by id
+	accepted          map[AttemptID]bool // by Send
+	abandonedBySender map[AttemptID]bool // their sender no longer waits for them
+	reportedUnrun     map[AttemptID]bool // the replica stated that they never ran
+	writes            map[AttemptID]int  // how often each was assigned to a connection
+	streamLimit       map[ConnID]int     // as stated by the replica; absent if it has stated none
+	established       map[ConnID]bool    // connections that were established
+	ended             map[ConnID]bool    // connections whose end was reported
+	subqueries        []string           // that attempts are made for
 }
 
 func newModel(t *testing.T, seed uint64) *model {
 	random := rand.New(rand.NewPCG(seed, 7))
 	m := &model{
-		random:      random,
-		accepted:    map[AttemptID]bool{},
-		givenUp:     map[AttemptID]bool{},
-		saidUnrun:   map[AttemptID]bool{},
-		writes:      map[AttemptID]int{},
-		streamLimit: map[ConnID]int{},
-		established: map[ConnID]bool{},
-		ended:       map[ConnID]bool{},
-		subqueries:  []string{"q.1", "q.2", "q.3", "q.4", "q.5", "q.6"},
+		random:            random,
+		accepted:          map[AttemptID]bool{},
+		abandonedBySender: map[AttemptID]bool{},
+		reportedUnrun:     map[AttemptID]bool{},
+		writes:            map[AttemptID]int{},
+		streamLimit:       map[ConnID]int{},
+		established:       map[ConnID]bool{},
+		ended:             map[ConnID]bool{},
+		subqueries:        []string{"q.1", "q.2", "q.3", "q.4", "q.5", "q.6"},
 	}
 	m.protocol = protocols[random.IntN(len(protocols))]
 	m.limits = Limits{
@@ -55,42 +55,42 @@
 	}
 	m.fakeHost = newFakeHost(t, m.limits)
 	m.pool.host = m
-	m.list("a:1", m.protocol, false)
+	m.listReplica("a:1", m.protocol, false)
 	return m
 }
 
-// Write judges what is put on a connection.
+// Write checks an attempt that the pool assigns to a connection.
 func (m *model) Write(conn ConnID, attempt *Attempt) {
 	m.fakeHost.Write(conn, attempt)
 	m.writes[attempt.ID]++
 	multiplexed := m.protocol == replicaproto.HTTP2
 	switch {
 	case m.draining || m.removed:
-		m.t.Errorf("attempt %d is put on a connection to a replica that takes nothing new", attempt.ID)
+		m.t.Errorf("attempt %d is assigned to a connection of a replica that accepts nothing new", attempt.ID)
 	case m.ended[conn] || m.closed[conn]:
-		m.t.Errorf("attempt %d is put on a connection that has ended", attempt.ID)
+		m.t.Errorf("attempt %d is assigned to a connection that has ended", attempt.ID)
 	case m.writes[attempt.ID] > 2 && !multiplexed:
-		m.t.Errorf("attempt %d is put on a connection for the third time", attempt.ID)
-	case multiplexed && m.earlierWaits(attempt):
-		m.t.Errorf("attempt %d goes before one that waits for longer", attempt.ID)
+		m.t.Errorf("attempt %d is assigned to a connection for the third time", attempt.ID)
+	case multiplexed && m.hasEarlierWaiting(attempt):
+		m.t.Errorf("attempt %d is assigned before an earlier one that is still waiting", attempt.ID)
 	}
 	outstanding := m.pool.conns[conn].outstanding
 	limit, stated := m.streamLimit[conn]
-	if stated && multiplexed && m.carriesAny(conn) && len(outstanding) > limit {
-		m.t.Errorf("%d attempts on a connection that takes %d", len(outstanding), limit)
+	if stated && multiplexed && m.carriesAttempts(conn) && len(outstanding) > limit {
+		m.t.Errorf("%d attempts on a connection with stream limit %d", len(outstanding), limit)
 	}
 	if multiplexed {
 		return
 	}
 	for _, other := range outstanding {
 		if other != attempt && other.Call.SubqueryID == attempt.Call.SubqueryID {
-			m.t.Errorf("two attempts at %s on one connection", attempt.Call.SubqueryID)
+			m.t.Errorf("two attempts at %s share a connection", attempt.Call.SubqueryID)
 		}
 	}
 }
 
-// earlierWaits tells whether an attempt that was sent before one still waits for a connection.
-func (m *model) earlierWaits(attempt *Attempt) bool {
+// hasEarlierWaiting reports whether an attempt that was sent before the given one still waits for a connection.
+func (m *model) hasEarlierWaiting(attempt *Attempt) bool {
 	for _, other := range m.attempts {
 		isWaiting := m.isAwaited(other) && other.conn == nil
 		if other.ID < attempt.ID && isWaiting {
@@ -100,13 +100,13 @@
 	return false
 }
 
-// isAwaited tells whether an attempt's end is still to be reported.
+// isAwaited reports whether an attempt's end is still to be reported.
 func (m *model) isAwaited(attempt *Attempt) bool {
-	return m.accepted[attempt.ID] && !m.givenUp[attempt.ID] && len(m.outcomes[attempt.ID]) == 0
+	return m.accepted[attempt.ID] && !m.abandonedBySender[attempt.ID] && len(m.outcomes[attempt.ID]) == 0
 }
 
-// carriesAny tells whether any attempt is on a connection.
-func (m *model) carriesAny(conn ConnID) bool {
+// carriesAttempts reports whether any attempt is on a connection.
+func (m *model) carriesAttempts(conn ConnID) bool {
 	for _, attempt := range m.attempts {
 		if connOf(attempt) == conn {
 			return true
@@ -115,42 +115,42 @@
 	return false
 }
 
-// Abandon judges what the replica is told.
+// Abandon checks a cancellation that is sent to the replica.
 func (m *model) Abandon(_ ConnID, attempt *Attempt) {
 	if attempt.Call.Stage == replicaproto.Waiting {
-		m.t.Errorf("the replica is told of attempt %d, of which it never heard", attempt.ID)
+		m.t.Errorf("a cancellation is sent for attempt %d, which was never sent", attempt.ID)
 	}
 }
 
-// Open judges how many connections there are. Those that are closed to make room are given back a moment later.
+// Open checks the number of connections. Connections that are closed to make room end a moment later.
 func (m *model) Open(conn ConnID, to scheduler.ReplicaID, addr string, protocol replicaproto.Protocol) {
 	m.fakeHost.Open(conn, to, addr, protocol)
 	open := 0
-	for _, other := range m.notEnded() {
+	for _, other := range m.liveConns() {
 		if !m.closed[other] {
 			open++
 		}
 	}
 	if open > m.limits.MaxConns {
-		m.t.Errorf("%d connections of %d", open, m.limits.MaxConns)
+		m.t.Errorf("%d connections, limit %d", open, m.limits.MaxConns)
 	}
 }
 
-// AttemptEnded judges what is reported of an attempt.
+// AttemptEnded checks the reported end of an attempt.
 func (m *model) AttemptEnded(id AttemptID, outcome scheduler.Outcome, took time.Duration) {
 	m.fakeHost.AttemptEnded(id, outcome, took)
 	attempt := m.attempts[id-1]
 	neverRan := outcome == scheduler.Overloaded || outcome == scheduler.Unreachable
 	switch {
-	case len(m.outcomes[id]) > 1 || m.givenUp[id]:
-		m.t.Errorf("attempt %d ended %v, given up %t", id, m.outcomes[id], m.givenUp[id])
-	case neverRan && attempt.Call.Stage == replicaproto.Written && !m.saidUnrun[id]:
-		m.t.Errorf("attempt %d was written whole and is reported as never run", id)
+	case len(m.outcomes[id]) > 1 || m.abandonedBySender[id]:
+		m.t.Errorf("attempt %d: outcomes %v, abandoned %t", id, m.outcomes[id], m.abandonedBySender[id])
+	case neverRan && attempt.Call.Stage == replicaproto.Written && !m.reportedUnrun[id]:
+		m.t.Errorf("attempt %d was fully written and is reported as never run", id)
 	}
 }
 
-// notEnded lists the connections that have not been given back, in order of opening.
-func (m *model) notEnded() []ConnID {
+// liveConns returns the connections whose end was not reported, in order of opening.
+func (m *model) liveConns() []ConnID {
 	var conns []ConnID
 	for _, conn := range m.opened {
 		if !m.ended[conn] {
@@ -160,7 +160,7 @@
 	return conns
 }
 
-// unfinishedOn lists the attempts on a connection whose end is not known.
+// unfinishedOn returns the attempts on a connection whose end is not known.
 func (m *model) unfinishedOn(conn ConnID) []*Attempt {
 	var attempts []*Attempt
 	for _, attempt := range m.attempts {
@@ -171,11 +171,11 @@
 	return attempts
 }
 
-// step has one thing happen, to one connection where there is one. The numbers divide a hundred steps among the kinds
-// of events; a step whose kind does not apply is one of the next kind that does.
+// step applies one event, to one connection if there is any. The numbers divide a hundred steps among the kinds of
+// events; a step whose kind does not apply becomes one of the next kind that does.
 func (m *model) step() {
 	conn := ConnID(0)
-	if conns := m.notEnded(); len(conns) > 0 {
+	if conns := m.liveConns(); len(conns) > 0 {
 		conn = conns[m.random.IntN(len(conns))]
 	}
 	unfinished := m.unfinishedOn(conn)
@@ -187,22 +187,22 @@
 	case n < 35:
 		m.sendOne()
 	case n < 45 && isUp && len(unfinished) > 0:
-		m.writeOneFurther(unfinished)
+		m.advanceWrite(unfinished)
 	case n < 60 && isUp && len(unfinished) > 0:
 		m.replyToOne(conn, unfinished)
 	case n < 66 && len(m.attempts) > 0:
-		m.giveUpOne()
+		m.abandonOne()
 	case n < 74 && isOpen && !isUp:
 		m.established[conn] = true
-		m.up(conn)
+		m.connUp(conn)
 	case n < 78 && conn > 0:
 		m.ended[conn] = true
-		m.breaks(conn, errors.New("as if"))
+		m.endConn(conn, errors.New("simulated"))
 	case n < 82 && isOpen && isUp && multiplexed:
 		m.streamLimit[conn] = m.random.IntN(5)
 		m.pool.StreamLimitChanged(m.now, conn, m.streamLimit[conn])
 	case n < 84 && isOpen && isUp && multiplexed:
-		m.pool.GoingAway(m.now, conn, "as if")
+		m.pool.GoingAway(m.now, conn, "simulated")
 	case n < 87 && isUp && multiplexed && len(unfinished) > 0:
 		m.settleOne(conn, unfinished)
 	case n >= 87 && n < 89:
@@ -217,7 +217,7 @@
 	m.endSomeClosed()
 }
 
-func (m *model) oneOf(attempts []*Attempt) *Attempt { return attempts[m.random.IntN(len(attempts))] }
+func (m *model) pick(attempts []*Attempt) *Attempt { return attempts[m.random.IntN(len(attempts))] }
 
 func (m *model) sendOne() {
 	attempt := m.newAttempt(m.subqueries[m.random.IntN(len(m.subqueries))])
@@ -229,14 +229,14 @@
 	}
 }
 
-func (m *model) writeOneFurther(unfinished []*Attempt) {
-	attempt := m.oneOf(unfinished)
+func (m *model) advanceWrite(unfinished []*Attempt) {
+	attempt := m.pick(unfinished)
 	stage := replicaproto.Begun + replicaproto.Stage(m.random.IntN(2))
 	attempt.Call.Stage = max(attempt.Call.Stage, stage)
 }
 
 func (m *model) replyToOne(conn ConnID, unfinished []*Attempt) {
-	attempt := m.oneOf(unfinished)
+	attempt := m.pick(unfinished)
 	attempt.Call.Stage = replicaproto.Written
 	id := attempt.ID
 	if m.protocol == replicaproto.Frames {
@@ -247,29 +247,29 @@
 	}
 }
 
-// settleOne has the replica end an attempt without an answer.
+// settleOne lets the replica end an attempt without an answer.
 func (m *model) settleOne(conn ConnID, unfinished []*Attempt) {
-	attempt := m.oneOf(unfinished)
+	attempt := m.pick(unfinished)
 	if attempt.Call.Stage != replicaproto.Waiting {
-		m.saidUnrun[attempt.ID] = m.random.IntN(2) == 0
-		m.pool.AttemptSettled(m.now, conn, attempt.ID, m.saidUnrun[attempt.ID], m.now)
+		m.reportedUnrun[attempt.ID] = m.random.IntN(2) == 0
+		m.pool.AttemptSettled(m.now, conn, attempt.ID, m.reportedUnrun[attempt.ID], m.now)
 	}
 }
 
-// giveUpOne has the sender of an attempt stop waiting.
-func (m *model) giveUpOne() {
-	attempt := m.oneOf(m.attempts)
+// abandonOne lets the sender of an attempt stop waiting for it.
+func (m *model) abandonOne() {
+	attempt := m.pick(m.attempts)
 	if !m.isAwaited(attempt) {
 		return
 	}
-	m.givenUp[attempt.ID] = true
+	m.abandonedBySender[attempt.ID] = true
 	m.pool.Abandon(m.now, attempt)
 	if m.random.IntN(2) == 0 {
 		m.pool.Forget(m.now, attempt)
 	}
 }
 
-// listOrRemove has the endpoint list name the replica, draining or not, or name it no more.
+// listOrRemove adds the replica to the endpoint list, draining or not, or removes it.
 func (m *model) listOrRemove(list bool) {
 	if !list {
 		m.removed = true
@@ -278,33 +278,33 @@
 	}
 	m.draining = m.random.IntN(2) == 0
 	m.removed = false
-	m.list("a:1", m.protocol, m.draining)
+	m.listReplica("a:1", m.protocol, m.draining)
 }
 
-// endSomeClosed gives back some of the connections that the pool has closed, as drivers do in their own time.
+// endSomeClosed ends some of the connections that the pool has closed, as drivers do asynchronously.
 func (m *model) endSomeClosed() {
-	for _, conn := range m.notEnded() {
+	for _, conn := range m.liveConns() {
 		if m.closed[conn] && m.random.IntN(2) == 0 {
 			m.ended[conn] = true
-			m.breaks(conn, errors.New("closed"))
+			m.endConn(conn, errors.New("closed"))
 		}
 	}
 }
 
-// finishAll has all connections end, and checks that each attempt has ended once and nothing is left.
-func (m *model) finishAll() {
-	for len(m.notEnded()) > 0 {
-		for _, conn := range m.notEnded() {
+// endAll ends all connections, and checks that each attempt has ended once and nothing is left.
+func (m *model) endAll() {
+	for len(m.liveConns()) > 0 {
+		for _, conn := range m.liveConns() {
 			m.ended[conn] = true
-			m.breaks(conn, errors.New("the end"))
+			m.endConn(conn, errors.New("end of history"))
 		}
 		m.advance(time.Second)
 	}
 	m.advance(time.Second)
 	for _, attempt := range m.attempts {
-		isOwed := m.accepted[attempt.ID] && !m.givenUp[attempt.ID]
+		isOwed := m.accepted[attempt.ID] && !m.abandonedBySender[attempt.ID]
 		if isOwed && len(m.outcomes[attempt.ID]) != 1 {
-			m.t.Errorf("attempt %d of %d, stage %d, ended %v",
+			m.t.Errorf("attempt %d of %d, stage %d: outcomes %v",
 				attempt.ID, len(m.attempts), attempt.Call.Stage, m.outcomes[attempt.ID])
 		}
 	}
@@ -313,8 +313,8 @@
 	}
 }
 
-// playHistory plays one history; the seed names it.
-func playHistory(t *testing.T, seed uint64) {
+// runHistory runs the random history of a seed.
+func runHistory(t *testing.T, seed uint64) {
 	m := newModel(t, seed)
 	for range 300 {
 		m.step()
@@ -322,21 +322,21 @@
 			t.Fatalf("seed %d, after %d attempts: go test ./connpool -run TestAnyHistory", seed, len(m.attempts))
 		}
 	}
-	m.finishAll()
+	m.endAll()
 	if t.Failed() {
 		t.Fatalf("seed %d at the end", seed)
 	}
 }
 
-// Whatever happens in whatever order, what the package promises holds.
+// The invariants of the package hold for any history of events.
 func TestAnyHistory(t *testing.T) {
 	for seed := range uint64(2000) {
-		playHistory(t, seed)
+		runHistory(t, seed)
 	}
 }
 
-// FuzzHistories looks for histories in which it does not.
+// FuzzHistories searches for histories that break an invariant.
 func FuzzHistories(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(playHistory)
+	f.Fuzz(runHistory)
 }
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -1,21 +1,23 @@
-// Package connpool decides about the connections to replicas: which one carries an attempt, when one is opened,
-// avoided or closed, how many attempts share it, and what its end proves of each of them (evidence.go).
+// Package connpool manages the connections to replicas: which connection carries an attempt, when one is opened,
+// avoided or closed, how many attempts share it, and what the end of a connection proves about its attempts
+// (evidence.go).
 //
-// A Pool is notified of what happens, by one method for each event, and acts through a Host. It does no I/O, has no
-// clock and no goroutine; times are spans since the process' start, and "now" is the time of the event loop's
-// iteration. It knows neither frames nor streams: of a protocol it sees the replicaproto.Traits alone.
+// A Pool is notified of events by one method for each kind of event, and acts through a Host. It does no I/O and has
+// neither a clock nor goroutines. Times are durations since process start, and the parameter now is the time of the
+// event loop's current iteration. It is independent of the protocols: it sees only their replicaproto.Traits.
 //
-// What holds:
-//   - Each attempt that Send accepted ends once: by Host.AttemptEnded or as the result of ReplyReceived. After Withdraw
-//     or Abandon its sender knows how it ended, and neither follows.
-//   - An attempt is reported as never run only on evidence: it was not written whole, the replica said so as its
+// Invariants:
+//   - Each attempt that Send accepted ends exactly once: by Host.AttemptEnded, or as the result of ReplyReceived. After
+//     Withdraw or Abandon neither follows, as the sender itself has ended the attempt.
+//   - An attempt is reported as never run only on evidence: it was not fully written, the replica said so as its
 //     protocol defines, or there was no connection.
-//   - An attempt that was on a connection which ended, or which takes nothing new, goes on another at most once, and
-//     only if it was not written whole.
-//   - Attempts that wait for a place on a connection get one in order of sending.
-//   - No more connections exist than Limits allow, and a replica that drains or was removed gets nothing new.
+//   - An attempt whose connection ended, or accepts nothing new, moves to another connection at most once, and only if
+//     it was not fully written.
+//   - Attempts that wait for a slot on a connection get one in order of sending.
+//   - There are never more connections than Limits allow, and a replica that is draining or was removed gets no new
+//     attempts.
 //
-// Which replica gets an attempt, and whether a subquery is attempted again, is up to package scheduler.
+// Which replica gets an attempt, and whether a subquery is attempted again, is decided by package scheduler.
 package connpool
 
 import (
@@ -26,30 +28,30 @@
 )
 
 const (
-	never          = time.Duration(1 << 62) // a time that does not come
-	maxIdleTimeout = 24 * time.Hour         // idle connections are not closed where the limit is longer than this
+	never          = time.Duration(1 << 62) // later than any time that is reached
+	maxIdleTimeout = 24 * time.Hour         // with a longer idle timeout, idle connections are not closed
 )
 
-// Pool is the connections of one process. It belongs to one goroutine.
+// Pool manages the connections of one process. It is not safe for concurrent use.
 type Pool struct {
 	host     Host
 	limits   Limits
 	replicas map[scheduler.ReplicaID]*replicaState
 	conns    map[ConnID]*connection // all that have not ended
 	byAge    []*connection          // the same, in order of opening
-	now      time.Duration          // of the latest event
+	now      time.Duration          // time of the latest event
 	lastID   ConnID
 
-	// idleTimeout is how long a connection may be idle. It starts as Limits.IdleTimeout and gets shorter as
-	// connections break at their first use after being idle (learnIdleTimeout).
+	// idleTimeout is how long a connection may be idle. It starts as Limits.IdleTimeout and is shortened when
+	// connections break on their first use after being idle (learnIdleTimeout).
 	idleTimeout time.Duration
-	// distrustIdleUntil is the time until which non-idempotent attempts avoid connections that have been idle.
-	distrustIdleUntil time.Duration
-	// pendingResets are connections that ended a moment ago, until it shows whether their replica lives.
+	// avoidIdleUntil is the time until which non-idempotent attempts avoid connections that have been idle.
+	avoidIdleUntil time.Duration
+	// pendingResets are connections that ended a moment ago, until it is known whether their replica is still alive.
 	pendingResets map[ConnID]*pendingReset
 }
 
-// New makes a pool without connections.
+// New returns a pool without connections.
 func New(host Host, limits Limits) *Pool {
 	return &Pool{
 		host:          host,
@@ -61,19 +63,20 @@
 	}
 }
 
-// ConnCount is how many connections have not ended, those that are being opened included.
+// ConnCount returns the number of connections that have not ended, including those that are being opened.
 func (pool *Pool) ConnCount() int { return len(pool.conns) }
 
-// Send accepts an attempt for a replica. It returns false where no connection carries the attempt and none can be
-// opened: then the attempt never ran, and nothing follows.
+// Send accepts an attempt for a replica. It returns false if no connection can carry the attempt and none can be
+// opened: then the attempt never ran, and the pool reports nothing about it.
 func (pool *Pool) Send(now time.Duration, attempt *Attempt, to scheduler.ReplicaID) bool {
 	pool.now = now
 	replica := pool.replicas[to]
-	return replica != nil && replica.addr != "" && replica.takesNew() && pool.place(attempt, replica)
+	return replica != nil && replica.addr != "" && replica.acceptsNew() && pool.assignOrEnqueue(attempt, replica)
 }
 
-// place puts an attempt on a connection, or has it wait for a place where the replica states how many it takes.
-func (pool *Pool) place(attempt *Attempt, replica *replicaState) bool {
+// assignOrEnqueue assigns an attempt to a connection or, where the replica limits concurrent attempts, lets it wait
+// for a slot. It returns false if neither is possible.
+func (pool *Pool) assignOrEnqueue(attempt *Attempt, replica *replicaState) bool {
 	attempt.replica = replica
 	limitsStreams := replica.traits().LimitsStreams
 	if limitsStreams && len(replica.waiting) > 0 {
@@ -81,18 +84,18 @@
 		return true
 	}
 	if conn := pool.choose(replica, attempt); conn != nil {
-		pool.put(attempt, conn)
+		pool.assign(attempt, conn)
 		return true
 	}
-	if limitsStreams && replica.hasConnOfItsProtocol() {
+	if limitsStreams && replica.hasConnWithCurrentProtocol() {
 		pool.enqueue(attempt, replica)
 		return true
 	}
 	return false
 }
 
-// put has an attempt written on a connection.
-func (pool *Pool) put(attempt *Attempt, conn *connection) {
+// assign queues an attempt to be written on a connection.
+func (pool *Pool) assign(attempt *Attempt, conn *connection) {
 	if len(conn.outstanding) == 0 && conn.state == established {
 		conn.idleBefore = pool.now - conn.idleSince
 	}
@@ -105,7 +108,7 @@
 	pool.scheduleWakeup(conn)
 }
 
-// finish reports an attempt's end, unless it has ended or its sender no longer waits; at is when it ended.
+// finish reports the end of an attempt at the time at, unless it has ended or its sender no longer waits for it.
 func (pool *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, at time.Duration) {
 	if !attempt.finished {
 		attempt.finished = true
@@ -120,8 +123,8 @@
 	}
 }
 
-// Forget tells that nothing is awaited any more of an attempt that is over, as its query has ended. One whose
-// cancellation is still to be sent holds its place until then.
+// Forget releases an attempt that is over, once its query has ended and nothing more is expected of it. An attempt
+// whose cancellation is pending keeps its slot until that is sent.
 func (pool *Pool) Forget(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	if attempt.conn == nil || !slices.Contains(attempt.conn.cancels.pending, attempt) {
@@ -129,17 +132,17 @@
 	}
 }
 
-// replyState is whether a replica has ended an attempt that is released.
+// replyState is whether the replica has ended an attempt that is released.
 type replyState int
 
 const (
-	unreplied replyState = iota // the replica may still work on it
-	replied
+	unreplied replyState = iota // the replica may still be working on it
+	replied                     // the replica has ended it
 )
 
-// release takes an attempt of which nothing more is awaited off its connection, or out of its replica's queue, and
-// gives its place to the next. Its subquery's id stays known there for a while: a reply that still comes for it is no
-// protocol error, and no other attempt with that id goes on this connection.
+// release removes an attempt of which nothing more is expected from its connection, or from its replica's queue, and
+// lets the next attempt have its slot. The connection remembers the subquery's id for a while: a late reply to it is
+// not a protocol error, and no other attempt at that subquery is assigned to this connection.
 func (pool *Pool) release(attempt *Attempt, state replyState) {
 	conn := attempt.conn
 	if conn == nil {
@@ -157,16 +160,16 @@
 	}
 	conn.remember(attempt.Call.SubqueryID, busyUntil)
 	conn.outstanding = without(conn.outstanding, attempt)
-	pool.becomeIdle(conn)
-	pool.fill(conn.replica)
+	pool.updateIdle(conn)
+	pool.assignWaiting(conn.replica)
 }
 
-// FullyWritten tells whether an attempt was written whole, as far as that is known.
+// FullyWritten reports whether an attempt is known to have been fully written.
 func (pool *Pool) FullyWritten(attempt *Attempt) bool {
 	return attempt.conn != nil && pool.host.Stage(attempt.conn.id, attempt) == written
 }
 
-// without returns the attempts but one, in their order; the slice it is given is changed.
+// without returns attempts without gone, in order. It modifies the slice.
 func without(attempts []*Attempt, gone *Attempt) []*Attempt {
 	return slices.DeleteFunc(attempts, func(attempt *Attempt) bool { return attempt == gone })
 }
--- a/connpool/replica.go
+++ b/connpool/replica.go
@@ -9,36 +9,37 @@
 	"terntray/scheduler"
 )
 
-// replicaState is what the pool knows of one replica.
+// replicaState is the pool's state of one replica.
 type replicaState struct {
 	id       scheduler.ReplicaID
 	addr     string
-	protocol replicaproto.Protocol // that it speaks there
+	protocol replicaproto.Protocol // spoken at addr
 	removed  bool                  // from the endpoint list
 	draining bool
-	conns    []*connection // that have not ended, in order of opening
+	conns    []*connection // connections that have not ended, in order of opening
 
-	// waiting are attempts without a connection, in order of sending: all connections carry as many as the replica
-	// takes at a time. Only protocols with Traits.LimitsStreams state that number.
+	// waiting are the attempts without a connection, in order of sending: all connections carry as many as the
+	// replica accepts at a time. Only protocols with Traits.LimitsStreams state that number.
 	waiting []*Attempt
-	// waitingSince is when waiting began to fill, or when it was last looked at since.
+	// waitingSince is when waiting became non-empty, or when rejectIfReplicaAcceptsNothing last checked it.
 	waitingSince time.Duration
 }
 
-// takesNew tells whether new attempts may go to the replica.
-func (replica *replicaState) takesNew() bool { return !replica.removed && !replica.draining }
+// acceptsNew reports whether new attempts may be sent to the replica.
+func (replica *replicaState) acceptsNew() bool { return !replica.removed && !replica.draining }
 
 func (replica *replicaState) traits() replicaproto.Traits {
 	return replicaproto.TraitsOf(replica.protocol)
 }
 
-func (replica *replicaState) hasConnOfItsProtocol() bool {
+func (replica *replicaState) hasConnWithCurrentProtocol() bool {
 	return slices.ContainsFunc(replica.conns, func(conn *connection) bool { return conn.protocol == replica.protocol })
 }
 
-// ReplicaListed tells a replica's address and protocol, and whether it drains: then nothing new goes to it, and what
-// has not been begun is taken back. At another address there may be another machine, and another protocol is another
-// process: what was not begun for the old one goes to the new.
+// ReplicaListed notifies the pool of a replica's address and protocol, and of whether it is draining. A draining
+// replica gets nothing new, and attempts whose writing has not begun are rejected. A new address may be another
+// machine, and a new protocol another process: attempts whose writing has not begun on a connection to another
+// address are sent to the new one.
 func (pool *Pool) ReplicaListed(now time.Duration, id scheduler.ReplicaID, addr string, protocol replicaproto.Protocol,
 	draining bool) {
 	pool.now = now
@@ -50,23 +51,23 @@
 	listed.removed, listed.draining = false, draining
 	listed.addr, listed.protocol = addr, protocol
 	if draining {
-		pool.takeBackUnbegun(listed)
+		pool.withdrawUnstarted(listed)
 	}
 	for _, conn := range slices.Clone(listed.conns) {
 		if conn.addr != addr {
-			pool.requeueUnbegun(conn, 0, placeLost)
+			pool.requeueUnstarted(conn, 0, slotLost)
 		}
-		if !conn.atReplicasAddress() && len(conn.outstanding) == 0 {
+		if !conn.matchesReplica() && len(conn.outstanding) == 0 {
 			pool.close(conn)
 		}
 	}
 	if !draining {
-		pool.fill(listed)
+		pool.assignWaiting(listed)
 	}
 }
 
-// ReplicaRemoved tells that a replica is gone from the endpoint list. Its idle connections are closed; the others end
-// with their attempts.
+// ReplicaRemoved notifies the pool that a replica was removed from the endpoint list. Its idle connections are
+// closed; the others are closed when their attempts are over.
 func (pool *Pool) ReplicaRemoved(now time.Duration, id scheduler.ReplicaID) {
 	pool.now = now
 	removed := pool.replicas[id]
@@ -75,7 +76,7 @@
 		return
 	}
 	removed.removed = true
-	pool.takeBackUnbegun(removed)
+	pool.withdrawUnstarted(removed)
 	for _, conn := range slices.Clone(removed.conns) {
 		if len(conn.outstanding) == 0 {
 			pool.close(conn)
@@ -84,9 +85,9 @@
 	pool.forgetRemoved(removed)
 }
 
-// ReplicaRestarted tells when a replica's process started; connections that are older are closed. A machine that
-// vanished and came back does not close its old connections: they stay silent until something is written, and then
-// break. An attempt sent on one would be lost. The margin of ConnectTimeout allows for inexact start times.
+// ReplicaRestarted notifies the pool of when a replica's process started; older connections are closed. A machine
+// that vanished and came back does not close its old connections: they stay silent until something is written, and
+// then break, losing the attempt. The margin of ConnectTimeout allows for inexact start times.
 func (pool *Pool) ReplicaRestarted(now time.Duration, id scheduler.ReplicaID, startedAt time.Duration) {
 	pool.now = now
 	restarted := pool.replicas[id]
@@ -100,7 +101,7 @@
 	}
 }
 
-// forgetRemoved lets go of a removed replica once it has no connection left.
+// forgetRemoved deletes a removed replica once it has no connections left.
 func (pool *Pool) forgetRemoved(replica *replicaState) {
 	if replica.removed && len(replica.conns) == 0 && pool.replicas[replica.id] == replica {
 		delete(pool.replicas, replica.id)
@@ -108,8 +109,9 @@
 	}
 }
 
-// takeBackUnbegun ends what has not been begun for a replica that takes nothing new: it never ran.
-func (pool *Pool) takeBackUnbegun(replica *replicaState) {
+// withdrawUnstarted rejects the attempts at a replica that accepts nothing new whose writing has not begun: they
+// never ran.
+func (pool *Pool) withdrawUnstarted(replica *replicaState) {
 	pool.rejectWaiting(replica)
 	for _, conn := range replica.conns {
 		for _, attempt := range slices.Clone(conn.outstanding) {
@@ -121,14 +123,14 @@
 	}
 }
 
-// rejectWaiting ends what waits for a place: it never left.
+// rejectWaiting rejects the attempts that wait for a slot: they were never sent.
 func (pool *Pool) rejectWaiting(replica *replicaState) {
 	waiting := replica.waiting
 	replica.waiting = nil
 	pool.finishAll(waiting, scheduler.Overloaded, pool.now)
 }
 
-// enqueue has a new attempt wait for a place.
+// enqueue lets a new attempt wait for a slot.
 func (pool *Pool) enqueue(attempt *Attempt, replica *replicaState) {
 	if len(replica.waiting) == 0 {
 		replica.waitingSince = pool.now
@@ -142,7 +144,7 @@
 	}
 }
 
-// requeue has attempts that were on a connection wait for a place again, each at its place in the order of sending.
+// requeue returns attempts that were on a connection to the queue, sorted by order of sending.
 func (pool *Pool) requeue(replica *replicaState, attempts []*Attempt) {
 	if len(replica.waiting) == 0 {
 		replica.waitingSince = pool.now
@@ -151,8 +153,8 @@
 	slices.SortFunc(replica.waiting, func(a, b *Attempt) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// fill puts waiting attempts on connections, as far as there are places, in order of sending.
-func (pool *Pool) fill(replica *replicaState) {
+// assignWaiting assigns waiting attempts to connections in order of sending, while there are free slots.
+func (pool *Pool) assignWaiting(replica *replicaState) {
 	for len(replica.waiting) > 0 {
 		first := replica.waiting[0]
 		conn := pool.choose(replica, first)
@@ -160,13 +162,13 @@
 			return
 		}
 		replica.waiting = replica.waiting[1:]
-		pool.put(first, conn)
+		pool.assign(first, conn)
 	}
 }
 
-// takesNothing tells whether every connection to a replica has come up and none takes any attempt: then those that
-// wait do so in vain.
-func (replica *replicaState) takesNothing() bool {
+// acceptsNothing reports whether all of the replica's connections have been established and none of them accepts an
+// attempt, so that waiting attempts wait in vain.
+func (replica *replicaState) acceptsNothing() bool {
 	return !slices.ContainsFunc(replica.conns, func(conn *connection) bool {
 		takesSome := conn.maxAttempts > 0 && conn.state != closing && !conn.goingAway
 		return !conn.wasEstablished || takesSome
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -7,7 +7,7 @@
 	"terntray/scheduler"
 )
 
-// BytesReceived tells that anything came on a connection, the answer to a ping included.
+// BytesReceived notifies the pool that a connection received any input, including the answer to a ping.
 func (pool *Pool) BytesReceived(now time.Duration, id ConnID, at time.Duration) {
 	pool.now = now
 	if conn := pool.conns[id]; conn != nil {
@@ -16,9 +16,9 @@
 	}
 }
 
-// ReplyReceived tells that a reply was read at a time. It names its attempt or, with 0, its subquery alone. The
-// result is the attempt that it ends; nil where none waits for it. Then the reply is late (its attempt was
-// abandoned), or else a protocol error that ends the connection.
+// ReplyReceived notifies the pool of a reply and of when it was read. The reply names its attempt or, if attempt is
+// 0, only its subquery. The result is the attempt that it ends, or nil if no attempt is waiting for it. In that case
+// the reply is either late, as its attempt was abandoned, or a protocol error that ends the connection.
 func (pool *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string, at time.Duration) (
 	ended *Attempt, late bool) {
 	pool.now = now
@@ -34,8 +34,8 @@
 		pool.noteReply(conn, answered, at)
 		return answered, false
 	}
-	before := conn.recentlySent(subquery)
-	if answered == nil && before == nil {
+	recent := conn.recentFor(subquery)
+	if answered == nil && recent == nil {
 		pool.fail(conn, Malformed, unexpectedReply(subquery))
 		return nil, false
 	}
@@ -44,18 +44,18 @@
 		conn.cancels.pending = without(conn.cancels.pending, answered)
 		pool.release(answered, replied)
 	} else {
-		before.busyUntil = 0
+		recent.busyUntil = 0
 	}
 	return nil, true
 }
 
-// unexpectedReply is the error of a reply to what is not outstanding.
+// unexpectedReply returns the error for a reply to a subquery that is not outstanding.
 func unexpectedReply(subquery string) error {
-	return fmt.Errorf("a reply to %.60q, which is not outstanding on this connection", subquery)
+	return fmt.Errorf("reply to %.60q, which is not outstanding on this connection", subquery)
 }
 
-// AttemptSettled tells that the replica ended an attempt without an answer, at a time, and whether it said that the
-// attempt never ran.
+// AttemptSettled notifies the pool that the replica ended an attempt without an answer, when it did, and whether it
+// stated that the attempt never ran.
 func (pool *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
 	pool.now = now
 	conn := pool.conns[id]
@@ -76,7 +76,7 @@
 	pool.release(settled, replied)
 }
 
-// MalformedReceived tells that what came on a connection cannot be used. Nothing that follows can be trusted, so the
+// MalformedReceived notifies the pool of malformed input on a connection. Nothing that follows can be trusted, so the
 // connection is closed.
 func (pool *Pool) MalformedReceived(now time.Duration, id ConnID, cause error) {
 	pool.now = now
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -1,38 +1,38 @@
 package connpool
 
-// Which connection carries an attempt:
+// How the connection for an attempt is selected:
 //
-//   - A connection that is up is preferred to one that is being opened, and among those the one with most attempts, up
-//     to attemptsBeforeNewConn of them; then a new one is opened while the replica has fewer than its share. Attempts
-//     on one connection share its fate, so that few should be there where descriptors allow more connections.
-//   - Where the protocol is not multiplexed a non-idempotent attempt goes alone, on the connection that has been idle
-//     for longest: a malformed reply to another attempt, or a replica that closes after a reply, would leave it unknown
-//     whether the attempt ran. While idle connections have lately proved to be broken, it goes on a new one. Each
-//     replica may have a connection or two more by that.
-//   - Where the protocol is multiplexed, one connection carries all that its replica takes, and another is opened only
-//     beyond that, up to Limits.MaxSharedConns.
+//   - Established connections are preferred to those being opened, and among them the one with the most attempts, up to
+//     attemptsBeforeNewConn; beyond that a new connection is opened while the replica has fewer than its share. All
+//     attempts on a connection are affected when it fails, so few should share one where the limits allow more.
+//   - Where the protocol is not multiplexed a non-idempotent attempt has a connection to itself, the one that has been
+//     idle for longest: a malformed reply to another attempt, or a replica that closes the connection after a reply,
+//     would leave it unknown whether the attempt ran. While idle connections have recently proved to be broken, a new
+//     connection is opened for it. A replica may have a connection or two more because of this.
+//   - Where the protocol is multiplexed, one connection carries as many attempts as its replica accepts, and another is
+//     opened only beyond that, up to Limits.MaxSharedConns.
 
 // attemptsBeforeNewConn is how many attempts a connection carries before another one is opened.
 const attemptsBeforeNewConn = 4
 
-// candidates are the connections of a replica that may carry an attempt.
+// candidates are a replica's connections that may carry an attempt.
 type candidates struct {
-	preferred *connection // the best; nil: a new connection is better, if there may be one
-	fallback  *connection // the best of those that should rather not carry it
-	takeNew   int         // how many take new attempts in general, full ones included
+	preferred *connection // the best connection; nil: opening a new one is better, if that is possible
+	fallback  *connection // the best of those that are better avoided
+	accepting int         // number of connections that accept new attempts, including full ones
 }
 
-// choose picks a connection for an attempt, opening one if that is better; nil if there is none.
+// choose returns the connection for an attempt, opening one if that is better; nil if there is none.
 func (pool *Pool) choose(replica *replicaState, attempt *Attempt) *connection {
 	found := pool.findCandidates(replica, attempt)
 	switch {
 	case found.preferred != nil:
 		return found.preferred
-	case replica.traits().Multiplexed && found.takeNew >= pool.limits.MaxSharedConns:
+	case replica.traits().Multiplexed && found.accepting >= pool.limits.MaxSharedConns:
 		if found.fallback == nil {
 			return nil
 		}
-		pool.close(found.fallback) // it is idle and not trusted; a new one takes its place
+		pool.close(found.fallback) // it is idle and not trusted; a new connection replaces it
 		return pool.open(replica)
 	case pool.makeRoomForNew(replica, attempt, found.fallback == nil):
 		return pool.open(replica)
@@ -43,36 +43,36 @@
 func (pool *Pool) findCandidates(replica *replicaState, attempt *Attempt) candidates {
 	var found candidates
 	for _, conn := range replica.conns {
-		if conn.takesNew() {
-			found.takeNew++
+		if conn.acceptsNew() {
+			found.accepting++
 		}
-		if !pool.hasPlace(conn, attempt) {
+		if !pool.hasSlot(conn, attempt) {
 			continue
 		}
 		if pool.shouldAvoid(conn, attempt) {
 			if found.fallback == nil || lessLoaded(conn, found.fallback) {
 				found.fallback = conn
 			}
-		} else if found.preferred == nil || fillsBetter(conn, found.preferred, attempt) {
+		} else if found.preferred == nil || isBetterFit(conn, found.preferred, attempt) {
 			found.preferred = conn
 		}
 	}
 	return found
 }
 
-// hasPlace tells whether an attempt can be put on a connection now. Where replies name subqueries, two attempts at
-// one subquery must not share a connection, or a reply to one could end the other.
-func (pool *Pool) hasPlace(conn *connection, attempt *Attempt) bool {
-	if !conn.takesNew() || pool.idleTooLong(conn) {
+// hasSlot reports whether an attempt can be assigned to a connection now. Where replies name subqueries, two attempts
+// at one subquery must not share a connection, or a reply to one could end the other.
+func (pool *Pool) hasSlot(conn *connection, attempt *Attempt) bool {
+	if !conn.acceptsNew() || pool.idleTooLong(conn) {
 		return false
 	}
 	if len(conn.outstanding)+conn.abandonedRunning(pool.now) >= conn.maxAttempts {
 		return false
 	}
-	return conn.traits.RepliesNameAttempts || !conn.knows(attempt.Call.SubqueryID)
+	return conn.traits.RepliesNameAttempts || !conn.hasSeen(attempt.Call.SubqueryID)
 }
 
-// shouldAvoid tells whether an attempt should rather go on another connection than one that has a place for it.
+// shouldAvoid reports whether an attempt should rather be sent on another connection, although this one has a slot.
 func (pool *Pool) shouldAvoid(conn *connection, attempt *Attempt) bool {
 	needsFresh := pool.needsFreshConn(attempt)
 	isUp := conn.state == established
@@ -89,13 +89,14 @@
 	return needsFresh && isUp
 }
 
-// needsFreshConn tells whether an attempt should go on a new connection: it may not run twice, and connections have
-// lately broken at their first use after being idle.
+// needsFreshConn reports whether an attempt should be sent on a new connection: it is non-idempotent, and connections
+// have recently broken on their first use after being idle.
 func (pool *Pool) needsFreshConn(attempt *Attempt) bool {
-	return attempt.NonIdempotent && pool.now < pool.distrustIdleUntil
+	return attempt.NonIdempotent && pool.now < pool.avoidIdleUntil
 }
 
-// lessLoaded tells whether a is better than b as a fallback: it is up, or carries less.
+// lessLoaded reports whether a is a better fallback than b: it is established and b is not, or it carries fewer
+// attempts.
 func lessLoaded(a, b *connection) bool {
 	aUp, bUp := a.state == established, b.state == established
 	if aUp != bUp {
@@ -104,9 +105,10 @@
 	return len(a.outstanding) < len(b.outstanding)
 }
 
-// fillsBetter tells whether a is better than b: it is up, or carries more; for a non-idempotent attempt, which both
-// would carry alone, also if it has been idle for longer.
-func fillsBetter(a, b *connection, attempt *Attempt) bool {
+// isBetterFit reports whether a is preferable to b: it is established and b is not, or it carries more attempts. For
+// a non-idempotent attempt, which either would carry alone, the connection that has been idle for longer is
+// preferable.
+func isBetterFit(a, b *connection, attempt *Attempt) bool {
 	aUp, bUp := a.state == established, b.state == established
 	if aUp != bUp {
 		return aUp
@@ -114,8 +116,8 @@
 	return len(a.outstanding) > len(b.outstanding) || attempt.NonIdempotent && a.idleSince < b.idleSince
 }
 
-// makeRoomForNew tells whether a connection may be opened for an attempt. Where the pool is full it closes an idle
-// connection elsewhere for it. Without a fallback it may exceed the replica's share of the connections.
+// makeRoomForNew reports whether a connection may be opened for an attempt. If the pool is full, it closes an idle
+// connection of any replica to make room. Without a fallback the replica's share of connections may be exceeded.
 func (pool *Pool) makeRoomForNew(replica *replicaState, attempt *Attempt, noFallback bool) bool {
 	needsFresh := pool.needsFreshConn(attempt)
 	if len(pool.conns) < pool.limits.MaxConns {
@@ -124,7 +126,7 @@
 	return (needsFresh || noFallback) && pool.closeLongestIdle()
 }
 
-// sharePerReplica is how many connections a replica may have while others could need them.
+// sharePerReplica returns how many connections a replica may have while others could need them.
 func (pool *Pool) sharePerReplica() int {
 	return max(2, pool.limits.MaxConns/max(1, len(pool.replicas)))
 }
--- a/connpool/selection_test.go
+++ b/connpool/selection_test.go
@@ -7,13 +7,13 @@
 	"terntray/internal/replicaproto"
 )
 
-// A subquery is attempted again at a replica where its first attempt was abandoned. Replies name the subquery
-// alone, so on one connection the late reply to the first attempt would end the second.
-func TestAttemptsAtOneSubqueryShareNoConnection(t *testing.T) {
+// A subquery is attempted again at a replica where its first attempt was abandoned. Replies name only the subquery,
+// so on a shared connection a late reply to the first attempt would end the second.
+func TestAttemptsForOneSubqueryUseSeparateConnections(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 8, MaxConns: 9})
 	first, firstConn := host.send("q.1", false)
-	host.up(firstConn)
-	writtenWhole(first)
+	host.connUp(firstConn)
+	markFullyWritten(first)
 	host.pool.Abandon(host.now, first)
 	second, secondConn := host.send("q.1", false)
 	if firstConn == secondConn {
@@ -23,15 +23,15 @@
 		t.Error("a late reply to the first attempt ended the second")
 	}
 	if ended, _ := host.reply(secondConn, second); ended != second {
-		t.Error("the second attempt's own reply does not end it")
+		t.Error("the reply to the second attempt does not end it")
 	}
 	host.pool.ReplyReceived(host.now, secondConn, 0, "q.9", host.now)
 	if !host.closed[secondConn] {
-		t.Error("a reply to what is not outstanding is taken")
+		t.Error("a reply to a subquery that is not outstanding is accepted")
 	}
 }
 
-// Few attempts share a connection as long as there may be more connections.
+// Few attempts share a connection while more connections may be opened.
 func TestAttemptsAreSpreadOverConnections(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 100, MaxConns: 3})
 	attemptsOn := map[ConnID]int{}
