--- a/internal/netconn/dial.go
+++ b/internal/netconn/dial.go
@@ -11,42 +11,40 @@
 )
 
 const (
-	// A call that failed as this machine lacked something is repeated after a wait that doubles from the first to
-	// the longest.
-	firstShortageWait   = 5 * time.Millisecond
-	longestShortageWait = 80 * time.Millisecond
+	// A call that failed for a shortage is retried after a wait that doubles from the minimum to the maximum.
+	minShortageWait = 5 * time.Millisecond
+	maxShortageWait = 80 * time.Millisecond
 )
 
-// ErrShortage is wrapped by the error of a connect that failed as this machine lacked something for it (descriptors,
-// ports, memory). It says nothing of the peer.
-var ErrShortage = errors.New("this machine lacks something for a connection")
+// ErrShortage is wrapped by the error of a connect that failed because this machine was short of a resource
+// (descriptors, ports, memory). Such an error is no evidence about the peer.
+var ErrShortage = errors.New("this machine lacks a resource for the connection")
 
-// shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) say that this machine lacks
-// something for the moment: descriptors, memory, buffers, ports. They say nothing of the peer, and nothing was
-// sent.
+// shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) report a temporary shortage of a
+// local resource: descriptors, memory, buffers, ports. They are no evidence about the peer, and nothing was sent.
 var shortages = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
 }
 
-// routeErrors say that there is no route to the peer. For a moment that may be this machine's fault, as while an
-// address or a route is changed; if it lasts, it may be the network's.
+// routeErrors say that there is no route to the peer. If they are temporary, the cause may be local, such as a change
+// of an address or a route; if they persist, it may be the network.
 var routeErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// isAnyOf tells whether a system call failed with one of some errors.
-func isAnyOf(err error, some []syscall.Errno) bool {
+// isAnyOf reports whether a system call failed with one of the given errors.
+func isAnyOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(some, errno)
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// IsShortage tells whether a system call failed for want of something on this machine.
+// IsShortage reports whether a system call failed because this machine was short of a resource.
 func IsShortage(err error) bool { return isAnyOf(err, shortages) }
 
-// retryShortage repeats a call that fails as this machine lacks something, or a route, until a time or the
-// context's end. A shortage of a moment would otherwise count against the peer. One that lasts ends as a
-// ErrShortage, and the waits between keep it from using up the processor.
+// retryShortage retries a call that fails for a local shortage, or for want of a route, until a time or the end of
+// the context. Otherwise a momentary shortage would count against the peer. A lasting shortage is returned as an
+// ErrShortage; the waits between the retries keep it from using up the processor.
 func retryShortage(ctx context.Context, until time.Time, call func() error) error {
-	for wait := firstShortageWait; ; wait = min(longestShortageWait, 2*wait) {
+	for wait := minShortageWait; ; wait = min(maxShortageWait, 2*wait) {
 		err := call()
 		isShortage := IsShortage(err)
 		if !isShortage && !isAnyOf(err, routeErrors) {
@@ -66,7 +64,7 @@
 	}
 }
 
-// Dial connects to an address until a time.
+// Dial connects to an address, with until as the deadline.
 func Dial(ctx context.Context, addr string, until time.Time) (conn net.Conn, err error) {
 	dialer := net.Dialer{Deadline: until}
 	err = retryShortage(ctx, until, func() error {
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,6 +1,6 @@
-// Package netconn has what drivers of TCP connections share: dialing through a shortage of this machine, closing
-// when a context ends, and looking at a connection's state without reading it. It knows no protocol and decides
-// nothing.
+// Package netconn contains helpers shared by the drivers of TCP connections: dialing with retries during a shortage
+// of local resources, closing when a context ends, and inspecting a connection's state without reading from it. It is
+// independent of protocols and makes no decisions.
 package netconn
 
 import (
@@ -8,7 +8,7 @@
 	"net"
 )
 
-// CloseOnDone closes a connection when a context ends. The function that it returns cancels that.
+// CloseOnDone closes a connection when a context ends. The function that it returns cancels this.
 func CloseOnDone(ctx context.Context, conn net.Conn) func() bool {
 	return context.AfterFunc(ctx, func() { conn.Close() })
 }
--- a/internal/netconn/peek_test.go
+++ b/internal/netconn/peek_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// A look at a connection fails. Only errors that end the connection say that the peer has gone; a shortage of this
-// machine says nothing of it.
-func TestPeekTakesAShortageForNoEnd(t *testing.T) {
-	near, _ := pair(t)
-	usual := peekFunc
-	defer func() { peekFunc = usual }()
+// Peeking at a connection fails. Only errors that end the connection mean that the peer has closed it; a local
+// shortage does not.
+func TestPeekDoesNotTreatShortageAsEnd(t *testing.T) {
+	near, _ := tcpPair(t)
+	original := peekFunc
+	defer func() { peekFunc = original }()
 	for errno, want := range map[syscall.Errno]State{
 		syscall.ENOBUFS: Quiet, syscall.ENOMEM: Quiet, syscall.EINTR: Quiet, syscall.EAGAIN: Quiet,
 		syscall.ECONNRESET: Ended, syscall.ETIMEDOUT: Ended, syscall.EHOSTUNREACH: Ended,
@@ -25,27 +25,27 @@
 	}
 }
 
-// A peer sends bytes and closes. Its close is noticed although nobody has read the bytes.
-func TestHangUpIsSeenBehindUnreadBytes(t *testing.T) {
-	near, far := pair(t)
+// A peer sends data and closes. The close is detected although nobody has read the data.
+func TestHangUpIsDetectedBehindUnreadBytes(t *testing.T) {
+	near, far := tcpPair(t)
 	if HasHungUp(near) {
-		t.Error("a connection that stands has hung up")
+		t.Error("an open connection is reported as hung up")
 	}
 	io.WriteString(far, "unread")
 	waitFor(t, near, Readable)
 	if HasHungUp(near) {
-		t.Error("one with unread bytes has hung up")
+		t.Error("an open connection with unread data is reported as hung up")
 	}
 	far.Close()
 	for end := time.Now().Add(20 * time.Second); !HasHungUp(near); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("one that was closed behind unread bytes stands")
+			t.Fatal("a connection that was closed after unread data is not reported as hung up")
 		}
 	}
 }
 
-// pair gives the two ends of a connection on loopback.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns the two ends of a connection on loopback.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,11 +67,11 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// waitFor waits until a look at a connection shows a state.
+// waitFor waits until Peek returns a state.
 func waitFor(t *testing.T, conn net.Conn, want State) {
 	for end := time.Now().Add(20 * time.Second); Peek(conn) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing comes")
+			t.Fatal("the connection does not reach the expected state")
 		}
 	}
 }
