--- a/connpool/replica.go
+++ b/connpool/replica.go
@@ -170,7 +170,7 @@
 // attempt, so that waiting attempts wait in vain.
 func (replica *replicaState) acceptsNothing() bool {
 	return !slices.ContainsFunc(replica.conns, func(conn *connection) bool {
-		takesSome := conn.maxAttempts > 0 && conn.state != closing && !conn.goingAway
-		return !conn.wasEstablished || takesSome
+		acceptsSome := conn.maxAttempts > 0 && conn.state != closing && !conn.goingAway
+		return !conn.wasEstablished || acceptsSome
 	})
 }
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -13,28 +13,29 @@
 	"terntray/internal/replicaproto"
 )
 
-// closeNotifyTimeout is for writing the last message on a connection, where its protocol has one (GOAWAY).
+// closeNotifyTimeout limits the writing of the last message on a connection, where the protocol has one (GOAWAY).
 const closeNotifyTimeout = 50 * time.Millisecond
 
-// conn is one connection to a replica. Its goroutines are run, which dials, reads and gives it back, and the writer.
+// conn is one connection to a replica. It has two goroutines: run, which dials, reads and reports the connection's
+// end, and the writer.
 type conn struct {
 	driver   *Driver
 	id       connpool.ConnID
 	addr     string
 	protocol replicaproto.Protocol
 	traits   replicaproto.Traits
-	tls      *tls.Config // nil: cleartext
+	tls      *tls.Config // nil for cleartext
 
-	mu          sync.Mutex // guards the session, the stages of its calls, and what follows
+	mu          sync.Mutex // guards the session, the stages of its calls, and the fields below
 	outputReady *sync.Cond // signalled when the session may have output, or closing is set
 	session     replicaproto.Session
-	socket      net.Conn // nil until it is connected; below TLS
+	socket      net.Conn // nil until connected; the TCP connection below TLS
 	closing     bool
 	writerEnded bool
 }
 
 func newConn(driver *Driver, id connpool.ConnID, to *Endpoint, addr string, protocol replicaproto.Protocol) *conn {
-	made := &conn{
+	created := &conn{
 		driver:   driver,
 		id:       id,
 		addr:     addr,
@@ -44,14 +45,14 @@
 	}
 	clientTLS := driver.tls[to.tlsName]
 	if clientTLS != nil && protocol == replicaproto.HTTP2 {
-		made.tls = clientTLS.Config
+		created.tls = clientTLS.Config
 	}
-	made.outputReady = sync.NewCond(&made.mu)
-	return made
+	created.outputReady = sync.NewCond(&created.mu)
+	return created
 }
 
-// close ends the connection; run gives it back. Where the protocol has a last message the writer still writes it, with
-// little time for that and for whatever is being written. Any goroutine may call it.
+// close closes the connection; run reports its end. Where the protocol has a last message, the writer still writes
+// it, with a short deadline for that and for any write in progress. It is safe for concurrent use.
 func (conn *conn) close() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -67,25 +68,25 @@
 	}
 }
 
-// peerOpen tells whether the replica has not closed the connection, as far as the operating system knows.
+// peerOpen reports whether, as far as the operating system knows, the replica has not closed the connection.
 func (conn *conn) peerOpen() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.socket != nil && !netconn.HasEnded(conn.socket)
 }
 
-// run drives the connection from dialing to its end, and gives it back.
+// run drives the connection from dialing to its end, which it posts to the event loop.
 func (conn *conn) run() {
 	cause := conn.serve()
 	endedAt := conn.now()
 	conn.driver.loop.Post(func() { conn.driver.ConnEnded(conn.id, cause, endedAt) })
 }
 
-// serve connects and runs the reader and the writer until both have ended. It returns why.
+// serve connects, runs the reader and the writer until both have ended, and returns the cause of the end.
 func (conn *conn) serve() error {
 	driver := conn.driver
-	connectBy := time.Now().Add(driver.config.Limits.ConnectTimeout)
-	socket, err := netconn.Dial(driver.context, conn.addr, connectBy)
+	connectDeadline := time.Now().Add(driver.config.Limits.ConnectTimeout)
+	socket, err := netconn.Dial(driver.context, conn.addr, connectDeadline)
 	if errors.Is(err, netconn.ErrShortage) {
 		return &shortageError{err}
 	}
@@ -99,19 +100,19 @@
 	}
 	stream := socket // above TLS
 	if conn.tls != nil {
-		stream, err = handshake(driver.context, socket, conn.tls, conn.addr, connectBy)
+		stream, err = handshake(driver.context, socket, conn.tls, conn.addr, connectDeadline)
 		if err != nil {
 			return err
 		}
 	}
-	readyBy := time.Time{}
+	readyDeadline := time.Time{}
 	if conn.traits.AnnouncesReady {
-		readyBy = connectBy
+		readyDeadline = connectDeadline
 	} else {
 		driver.loop.Post(func() { driver.ConnUp(conn.id) })
 	}
 	writerDone := conn.startWriter(stream, socket)
-	reader := &reader{conn: conn, stream: stream, readyBy: readyBy}
+	reader := &reader{conn: conn, stream: stream, readyDeadline: readyDeadline}
 	var cause error
 	if panicked := eventloop.Recover(func() { cause = reader.run() }); panicked != "" {
 		cause = panicError(panicked)
@@ -121,7 +122,8 @@
 	return cause
 }
 
-// shortageError is a connect that failed for want of something on this machine, as package connpool recognises it.
+// shortageError is a connect that failed for a shortage of local resources. It wraps the error that package connpool
+// recognises.
 type shortageError struct{ cause error }
 
 func (err *shortageError) Error() string { return err.cause.Error() }
@@ -133,7 +135,7 @@
 
 func (err panicError) Error() string { return string(err) }
 
-// setSocket notes that the connection is connected, and tells whether it is still wanted.
+// setSocket sets the socket of a connection that was dialed, and reports whether the connection is still needed.
 func (conn *conn) setSocket(socket net.Conn) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -141,5 +143,5 @@
 	return !conn.closing
 }
 
-// now is the time since the process' start.
+// now returns the time since process start.
 func (conn *conn) now() time.Duration { return conn.driver.loop.Since(time.Now()) }
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -1,9 +1,11 @@
 // Package replicaconn drives the connections to replicas. Each connection has a goroutine that reads and one that
-// writes. What a connection is for and when it opens or closes is decided by package connpool, whose Host stands in
-// host.go; what the bytes mean is known to a replicaproto.Session. Nothing is decided here.
+// writes. Package connpool decides when a connection is opened and closed and what it is used for, and a
+// replicaproto.Session parses its input and formats its output. This package only carries out their decisions;
+// host.go implements connpool.Host.
 //
-// Where to look: driver.go is what the coordinator calls, host.go what the pool asks for, endpoint.go the replicas as
-// listed, conn.go the life of one connection, reader.go and writer.go its two goroutines, tls.go the certificates.
+// Files: driver.go has the methods that the coordinator calls, host.go those that the pool calls, endpoint.go the
+// listed replicas, conn.go the lifecycle of a connection, reader.go and writer.go its two goroutines, and tls.go the
+// certificates.
 package replicaconn
 
 import (
@@ -23,66 +25,66 @@
 	"terntray/scheduler"
 )
 
-// Handler is notified of what comes of attempts and connections, and is asked whether a call may still be written.
+// Handler is notified of the results of attempts and of connection events, and is asked for refused calls.
 type Handler interface {
-	// AttemptEnded reports the end of an attempt without a reply: its outcome, and the time since it was sent. It is
-	// called on the loop, as the methods that follow.
+	// AttemptEnded reports the end of an attempt without a reply: its outcome, and the time since it was sent. This
+	// method and those up to CertificatesExpiring are called on the event loop.
 	AttemptEnded(attempt connpool.AttemptID, outcome scheduler.Outcome, took time.Duration)
 	// ReplyReceived reports the reply that ends an attempt, and when it was read.
 	ReplyReceived(attempt connpool.AttemptID, reply *replicaproto.Event, at time.Duration)
-	// LateReply counts a reply to an attempt that nobody waited for any more.
+	// LateReply counts a reply to an attempt that was abandoned.
 	LateReply()
-	// ConnUp counts a connection that has come up.
+	// ConnUp counts an established connection.
 	ConnUp()
-	// ConnEvent counts and logs what happened to a connection.
+	// ConnEvent counts and logs an event of a connection.
 	ConnEvent(event ConnEvent)
-	// CertificatesExpiring tells how many certificates expire soon.
+	// CertificatesExpiring reports the number of certificates that expire soon.
 	CertificatesExpiring(count int)
 
-	// HasRefusedCalls tells whether there are calls that their Permit has refused and of which the loop is yet to be
-	// notified. Writers call it while they hold their connection's mutex.
+	// HasRefusedCalls reports whether there are calls that their Permit has refused and that were not yet reported to
+	// the loop. Writers call it while they hold their connection's mutex.
 	HasRefusedCalls() bool
-	// NotifyRefusedCalls has the loop notified of these calls. Writers call it while they hold no mutex.
+	// NotifyRefusedCalls reports these calls to the loop. Writers call it while they hold no mutex.
 	NotifyRefusedCalls()
 }
 
-// ConnEvent is an event of a connection, with what the driver knows of it.
+// ConnEvent is an event of a connection, with details from the driver.
 type ConnEvent struct {
 	connpool.Event
 	ReplicaUID string
 	Addr       string
-	TLSFailed  bool // TLS could not be set up
+	TLSFailed  bool // the TLS handshake failed
 }
 
-// Config sets a Driver up.
+// Config is the configuration of a Driver.
 type Config struct {
-	Replicas         *config.Config  // which protocol and TLS each replica needs
+	Replicas         *config.Config  // the protocol and TLS settings of each replica
 	Limits           connpool.Limits // for all connections
-	MaxCallsPerFrame int             // calls of one query that share a frame, where the protocol has frames; at least 1
+	MaxCallsPerFrame int             // calls of one query per frame, where the protocol has frames; at least 1
 }
 
-// Driver drives the connections to all replicas. Its fields belong to the event loop, except where they say otherwise,
-// and so do its methods.
+// Driver drives the connections to all replicas. Unless stated otherwise, its fields and methods must only be used on
+// the event loop.
 type Driver struct {
 	loop    *eventloop.Loop
 	handler Handler
 	log     *log.Logger
-	config  Config // not changed; read by all
+	config  Config // immutable; read by any goroutine
 	pool    *connpool.Pool
 
 	endpoints   map[scheduler.ReplicaID]*Endpoint
 	conns       map[connpool.ConnID]*conn
 	lastAttempt connpool.AttemptID
-	unflushed   []*conn                      // with output that their writers have not been woken up for
-	valueSizes  *wire.ValueSizes             // of replies' values; has its own lock
-	tls         map[string]*config.ClientTLS // by the name in the configuration; replaced as a whole
+	unflushed   []*conn                      // with output, but their writers have not been woken up yet
+	valueSizes  *wire.ValueSizes             // sizes of values in replies; has its own lock
+	tls         map[string]*config.ClientTLS // by their name in the configuration; replaced as a whole
 
-	context context.Context // ends with Stop; read by all
+	context context.Context // cancelled by Stop; read by any goroutine
 	stop    context.CancelFunc
 	running sync.WaitGroup // goroutines of connections
 }
 
-// New makes a driver without connections. It reads the files that TLS needs.
+// New returns a driver without connections. It loads the TLS files.
 func New(config Config, loop *eventloop.Loop, handler Handler, logger *log.Logger) (*Driver, error) {
 	clientTLS, err := config.Replicas.LoadTLS()
 	if err != nil {
@@ -104,28 +106,29 @@
 	return driver, nil
 }
 
-// Stop closes all connections. Any goroutine may call it, more than once.
+// Stop closes all connections. It is safe for concurrent use and may be called more than once.
 func (driver *Driver) Stop() { driver.stop() }
 
-// Wait waits until all goroutines of connections have ended. It is called after Stop and from any goroutine.
+// Wait waits until all goroutines of connections have ended. It must be called after Stop, from any goroutine.
 func (driver *Driver) Wait() { driver.running.Wait() }
 
-// ConnCount is how many connections have not ended.
+// ConnCount returns the number of connections that have not ended.
 func (driver *Driver) ConnCount() int { return len(driver.conns) }
 
-// NextAttemptID gives an id to an attempt that is about to be sent.
+// NextAttemptID returns the id for an attempt that is about to be sent.
 func (driver *Driver) NextAttemptID() connpool.AttemptID {
 	driver.lastAttempt++
 	return driver.lastAttempt
 }
 
-// Send sends an attempt. It returns false where no connection carries it and none can be opened: it never ran.
+// Send sends an attempt. It returns false if no connection can carry it and none can be opened: the attempt never
+// ran.
 func (driver *Driver) Send(attempt *connpool.Attempt, to scheduler.ReplicaID) bool {
 	return driver.pool.Send(driver.loop.Now(), attempt, to)
 }
 
-// Flush wakes up the writers of connections that have got output in this iteration of the loop. All that an iteration
-// sends is queued by then, so that calls of one query can share a frame.
+// Flush wakes up the writers of connections that have new output from this iteration of the loop. As everything that
+// the iteration sends is queued by then, calls of one query can share a frame.
 func (driver *Driver) Flush() {
 	for _, conn := range driver.unflushed {
 		conn.outputReady.Signal()
@@ -133,35 +136,35 @@
 	driver.unflushed = driver.unflushed[:0]
 }
 
-// Withdraw takes back an attempt of which nothing has been written, and tells whether it could.
+// Withdraw takes back an attempt of which nothing has been written, and reports whether it succeeded.
 func (driver *Driver) Withdraw(attempt *connpool.Attempt) bool {
 	return driver.pool.Withdraw(driver.loop.Now(), attempt)
 }
 
-// Abandon tells that nobody waits for an attempt any more.
+// Abandon notifies the pool that the result of an attempt is no longer needed.
 func (driver *Driver) Abandon(attempt *connpool.Attempt) {
 	driver.pool.Abandon(driver.loop.Now(), attempt)
 }
 
-// Forget tells that nothing is awaited any more of an attempt that is over.
+// Forget releases an attempt that is over and of which nothing more is expected.
 func (driver *Driver) Forget(attempt *connpool.Attempt) {
 	driver.pool.Forget(driver.loop.Now(), attempt)
 }
 
-// NoRetransmit tells that no other connection may carry an attempt if its own ends before it is written.
+// NoRetransmit forbids sending an attempt on another connection if its own ends before the attempt is written.
 func (driver *Driver) NoRetransmit(attempt *connpool.Attempt) { driver.pool.NoRetransmit(attempt) }
 
-// WriteRefused tells that an attempt's Permit refused it as it was about to be written.
+// WriteRefused notifies the pool that an attempt's Permit refused it just before it would have been written.
 func (driver *Driver) WriteRefused(attempt *connpool.Attempt) {
 	driver.pool.WriteRefused(driver.loop.Now(), attempt)
 }
 
-// FullyWritten tells whether an attempt was written whole, as far as that is known.
+// FullyWritten reports whether an attempt is known to have been fully written.
 func (driver *Driver) FullyWritten(attempt *connpool.Attempt) bool {
 	return driver.pool.FullyWritten(attempt)
 }
 
-// newSession makes the state machine of a new connection.
+// newSession returns the protocol state machine for a new connection.
 func (driver *Driver) newSession(protocol replicaproto.Protocol, to *Endpoint) replicaproto.Session {
 	if protocol != replicaproto.HTTP2 {
 		return frames.New(driver.config.MaxCallsPerFrame, driver.valueSizes)
@@ -172,19 +175,20 @@
 	return http2.New("http", to.addr)
 }
 
-// ConnUp notes that calls may be written on a connection. Its goroutines post this and the two that follow.
+// ConnUp notifies the pool that calls may be written on a connection. The connection's goroutines post it to the
+// loop, like ConnEnded and Received.
 func (driver *Driver) ConnUp(id connpool.ConnID) {
 	driver.handler.ConnUp()
 	driver.pool.ConnUp(driver.loop.Now(), id)
 }
 
-// ConnEnded takes a connection back whose goroutines have ended: why, and when.
+// ConnEnded removes a connection whose goroutines have ended, with the cause and the time of its end.
 func (driver *Driver) ConnEnded(id connpool.ConnID, cause error, at time.Duration) {
 	driver.pool.ConnEnded(driver.loop.Now(), id, cause, at)
 	delete(driver.conns, id)
 }
 
-// Received takes what was read on a connection.
+// Received handles the input of one read from a connection.
 func (driver *Driver) Received(id connpool.ConnID, input Input) {
 	now := driver.loop.Now()
 	conn := driver.conns[id]
@@ -192,19 +196,19 @@
 		driver.pool.BytesReceived(now, id, input.At)
 	}
 	for n := range input.Events {
-		driver.receivedEvent(id, &input.Events[n], input.At)
+		driver.handleEvent(id, &input.Events[n], input.At)
 	}
 	if input.Malformed != nil {
 		driver.pool.MalformedReceived(now, id, input.Malformed)
 	}
 }
 
-func (driver *Driver) receivedEvent(id connpool.ConnID, event *replicaproto.Event, at time.Duration) {
+func (driver *Driver) handleEvent(id connpool.ConnID, event *replicaproto.Event, at time.Duration) {
 	now := driver.loop.Now()
 	attempt := connpool.AttemptID(event.Attempt)
 	switch event.Kind {
 	case replicaproto.Reply:
-		driver.replied(id, event, at)
+		driver.handleReply(id, event, at)
 	case replicaproto.NeverRan, replicaproto.MayHaveRun:
 		neverRan := event.Kind == replicaproto.NeverRan
 		driver.pool.AttemptSettled(now, id, attempt, neverRan, at)
@@ -217,7 +221,7 @@
 	}
 }
 
-func (driver *Driver) replied(id connpool.ConnID, reply *replicaproto.Event, at time.Duration) {
+func (driver *Driver) handleReply(id connpool.ConnID, reply *replicaproto.Event, at time.Duration) {
 	attempt := connpool.AttemptID(reply.Attempt)
 	ended, late := driver.pool.ReplyReceived(driver.loop.Now(), id, attempt, reply.SubqueryID, at)
 	if late {
@@ -228,9 +232,9 @@
 	}
 }
 
-// protocolError says that what listens at a replica's address does not speak the protocol that is configured.
+// protocolError means that a replica's address does not speak the configured protocol.
 type protocolError struct{ protocol replicaproto.Protocol }
 
 func (err *protocolError) Error() string {
-	return fmt.Sprintf("nothing there speaks %s", err.protocol)
+	return fmt.Sprintf("the server at this address does not speak %s", err.protocol)
 }
--- a/replicaconn/driver_test.go
+++ b/replicaconn/driver_test.go
@@ -14,7 +14,7 @@
 	"terntray/scheduler"
 )
 
-// ignoringHandler is a Handler that is interested in nothing and has refused no call.
+// ignoringHandler is a Handler that ignores all events and has refused no call.
 type ignoringHandler struct{}
 
 func (ignoringHandler) AttemptEnded(connpool.AttemptID, scheduler.Outcome, time.Duration)    {}
@@ -26,7 +26,7 @@
 func (ignoringHandler) HasRefusedCalls() bool                                                { return false }
 func (ignoringHandler) NotifyRefusedCalls()                                                  {}
 
-// newTestDriver makes a driver whose loop does not run.
+// newTestDriver returns a driver whose loop does not run.
 func newTestDriver(t *testing.T, limits connpool.Limits) *Driver {
 	t.Helper()
 	replicas, err := config.Read("") // no file: the defaults
@@ -42,7 +42,7 @@
 	return driver
 }
 
-// tcpPair is the two ends of a TCP connection.
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/replicaconn/endpoint.go
+++ b/replicaconn/endpoint.go
@@ -9,32 +9,33 @@
 	"terntray/scheduler"
 )
 
-// Endpoint is a replica as the endpoint list names it.
+// Endpoint is a replica as described by the endpoint list.
 type Endpoint struct {
 	id      scheduler.ReplicaID
 	uid     string
 	addr    string
-	tlsName string       // the configuration's name for the TLS that it needs; empty: cleartext
-	state   atomic.Int32 // an invariant.EndpointState; read by all
+	tlsName string       // the name of the TLS settings in the configuration; empty for cleartext
+	state   atomic.Int32 // an invariant.EndpointState; read by any goroutine
 }
 
-// ID is the replica's id in package scheduler.
+// ID returns the replica's id in package scheduler.
 func (endpoint *Endpoint) ID() scheduler.ReplicaID { return endpoint.id }
 
-// Addr is its host and port.
+// Addr returns the replica's host and port.
 func (endpoint *Endpoint) Addr() string { return endpoint.addr }
 
-// State is what the endpoint list says of it. Any goroutine may ask.
+// State returns the replica's state according to the endpoint list. It is safe for concurrent use.
 func (endpoint *Endpoint) State() invariant.EndpointState {
 	return invariant.EndpointState(endpoint.state.Load())
 }
 
-// SetState notes what the endpoint list says. From then on no attempt begins that the state forbids, whatever the pool
-// has put on a connection already.
+// SetState sets the replica's state according to the endpoint list. From then on no attempt begins that the state
+// forbids, even if the pool has already assigned it to a connection.
 func (endpoint *Endpoint) SetState(state invariant.EndpointState) { endpoint.state.Store(int32(state)) }
 
-// EndpointOf gives the endpoint of a replica's uid, which is made if it is new. Its id is drawn from the uid alone, so
-// that all co-ordinators use the same; should two uids draw one id, the later takes the next.
+// EndpointOf returns the endpoint of a replica's uid, and creates it if it is new. Its id is derived from the uid
+// alone, so that all co-ordinators use the same id. If the ids of two uids collide, the later uid gets the next free
+// id.
 func (driver *Driver) EndpointOf(uid string) *Endpoint {
 	hash := fnv.New32a()
 	hash.Write([]byte(uid))
@@ -48,7 +49,7 @@
 	return driver.endpoints[id]
 }
 
-// EndpointByID gives the endpoint of a replica's id; one that is not known counts as removed.
+// EndpointByID returns the endpoint of a replica's id. An unknown replica counts as removed.
 func (driver *Driver) EndpointByID(id scheduler.ReplicaID) *Endpoint {
 	if known := driver.endpoints[id]; known != nil {
 		return known
@@ -58,10 +59,10 @@
 	return unknown
 }
 
-// EndpointCount is how many replicas are listed, or were and still have connections.
+// EndpointCount returns the number of replicas that are listed, or that were removed but still have connections.
 func (driver *Driver) EndpointCount() int { return len(driver.endpoints) }
 
-// UID names a replica in the log.
+// UID returns the uid of a replica, for the log.
 func (driver *Driver) UID(id scheduler.ReplicaID) string {
 	if known := driver.endpoints[id]; known != nil {
 		return known.uid
@@ -69,7 +70,7 @@
 	return "-"
 }
 
-// UpdateEndpoint tells where a replica is, its model, from which its protocol follows, and whether it drains.
+// UpdateEndpoint sets a replica's address, its model, which determines its protocol, and whether it is draining.
 func (driver *Driver) UpdateEndpoint(endpoint *Endpoint, addr, model string, draining bool) {
 	protocol, tlsName := driver.config.Replicas.ProtocolOf(model, addr)
 	endpoint.addr = addr
@@ -77,12 +78,12 @@
 	driver.pool.ReplicaListed(driver.loop.Now(), endpoint.id, addr, protocol, draining)
 }
 
-// Remove tells that a replica is gone from the endpoint list.
+// Remove notifies the pool that a replica was removed from the endpoint list.
 func (driver *Driver) Remove(endpoint *Endpoint) {
 	driver.pool.ReplicaRemoved(driver.loop.Now(), endpoint.id)
 }
 
-// RemoveUnlisted removes all replicas but those with the uids given.
+// RemoveUnlisted removes all replicas whose uid is not in listed.
 func (driver *Driver) RemoveUnlisted(listed map[string]bool) {
 	for _, endpoint := range driver.endpoints {
 		if !listed[endpoint.uid] {
@@ -92,8 +93,8 @@
 	}
 }
 
-// Restarted tells when a replica's process started. If that is not exact, connections that are little younger may be
-// the process' before, and are closed as well.
+// Restarted notifies the pool of when a replica's process started. If that time is not exact, connections that were
+// established shortly after it may belong to the previous process, and are closed as well.
 func (driver *Driver) Restarted(endpoint *Endpoint, startedAt time.Duration, exact bool) {
 	closeBefore := startedAt
 	if !exact {
--- a/replicaconn/endpoint_test.go
+++ b/replicaconn/endpoint_test.go
@@ -6,19 +6,19 @@
 	"terntray/connpool"
 )
 
-// All co-ordinators use the same id for a replica, whichever replicas they learned of before. Where two uids draw one
-// id, the later takes the next that is free.
+// All co-ordinators use the same id for a replica, regardless of the order in which they learned of replicas. If the
+// ids of two uids collide, the later uid gets the next free id.
 func TestReplicaIDsDependOnTheUIDAlone(t *testing.T) {
 	driver, other := newTestDriver(t, connpool.Limits{}), newTestDriver(t, connpool.Limits{})
 	driver.EndpointOf("s-x")
 	first, again := driver.EndpointOf("s-a"), driver.EndpointOf("s-a")
 	id := other.EndpointOf("s-a").id
 	if first.id != id || first != again {
-		t.Error("ids differ")
+		t.Error("the ids of one uid differ")
 	}
 	other.endpoints[id].uid = "s-first"
 	other.endpoints[id+1] = &Endpoint{id: id + 1, uid: "s-other"}
 	if got := other.EndpointOf("s-a"); got.id != id+2 || got.uid != "s-a" {
-		t.Errorf("with two ids taken: %+v", got)
+		t.Errorf("with two ids already in use: %+v", got)
 	}
 }
--- a/replicaconn/host.go
+++ b/replicaconn/host.go
@@ -9,7 +9,7 @@
 	"terntray/scheduler"
 )
 
-// poolHost carries out what the pool decides. Its methods are called on the event loop.
+// poolHost carries out the decisions of the pool. Its methods are called on the event loop.
 type poolHost struct{ driver *Driver }
 
 var _ connpool.Host = poolHost{}
@@ -26,23 +26,23 @@
 
 // Write queues an attempt's call.
 func (host poolHost) Write(id connpool.ConnID, attempt *connpool.Attempt) {
-	host.onSession(id, func(session replicaproto.Session) { session.Queue(attempt.Call) })
-	host.flushLater(id)
+	host.withSession(id, func(session replicaproto.Session) { session.Queue(attempt.Call) })
+	host.scheduleFlush(id)
 }
 
-// Withdraw takes a call out of the queue, unless it is begun.
-func (host poolHost) Withdraw(id connpool.ConnID, attempt *connpool.Attempt) (taken bool) {
-	host.onSession(id, func(session replicaproto.Session) { taken = session.Withdraw(attempt.Call) })
-	return taken
+// Withdraw removes a call from the queue, unless its writing has begun.
+func (host poolHost) Withdraw(id connpool.ConnID, attempt *connpool.Attempt) (withdrawn bool) {
+	host.withSession(id, func(session replicaproto.Session) { withdrawn = session.Withdraw(attempt.Call) })
+	return withdrawn
 }
 
-// Abandon has the replica told that nobody waits for a call.
+// Abandon notifies the replica that the result of a call is no longer needed.
 func (host poolHost) Abandon(id connpool.ConnID, attempt *connpool.Attempt) {
-	host.onSession(id, func(session replicaproto.Session) { session.Abandon(attempt.Call) })
-	host.flushLater(id)
+	host.withSession(id, func(session replicaproto.Session) { session.Abandon(attempt.Call) })
+	host.scheduleFlush(id)
 }
 
-// Stage is how far a call has come. Once its connection has been given back, it stays as it is.
+// Stage returns how far the writing of a call has progressed. It no longer changes once the connection has ended.
 func (host poolHost) Stage(id connpool.ConnID, attempt *connpool.Attempt) replicaproto.Stage {
 	conn := host.driver.conns[id]
 	if conn == nil {
@@ -53,16 +53,16 @@
 	return attempt.Call.Stage
 }
 
-// PeerOpen tells whether the replica has not closed a connection.
+// PeerOpen reports whether the replica has not closed a connection.
 func (host poolHost) PeerOpen(id connpool.ConnID) bool { return host.driver.conns[id].peerOpen() }
 
-// Ping asks the replica for a sign of life.
+// Ping sends a ping to the replica.
 func (host poolHost) Ping(id connpool.ConnID) {
-	host.onSession(id, func(session replicaproto.Session) { session.Ping() })
-	host.flushLater(id)
+	host.withSession(id, func(session replicaproto.Session) { session.Ping() })
+	host.scheduleFlush(id)
 }
 
-// ScheduleWakeup has the pool notified when a time has passed.
+// ScheduleWakeup calls the pool's Wakeup after a delay.
 func (host poolHost) ScheduleWakeup(id connpool.ConnID, after time.Duration) {
 	driver := host.driver
 	driver.loop.After(after, "", func() { driver.pool.Wakeup(driver.loop.Now(), id) })
@@ -73,10 +73,10 @@
 	host.driver.handler.AttemptEnded(attempt, outcome, took)
 }
 
-// ReplicaForgotten lets go of a removed replica.
+// ReplicaForgotten deletes the endpoint of a removed replica.
 func (host poolHost) ReplicaForgotten(id scheduler.ReplicaID) { delete(host.driver.endpoints, id) }
 
-// Record reports what happened to a connection.
+// Record reports an event of a connection.
 func (host poolHost) Record(event connpool.Event) {
 	host.driver.handler.ConnEvent(ConnEvent{
 		Event:      event,
@@ -86,8 +86,8 @@
 	})
 }
 
-// onSession has something done to a connection's session, unless the connection has been given back.
-func (host poolHost) onSession(id connpool.ConnID, do func(replicaproto.Session)) {
+// withSession calls a function with a connection's session, unless the connection has ended.
+func (host poolHost) withSession(id connpool.ConnID, do func(replicaproto.Session)) {
 	conn := host.driver.conns[id]
 	if conn == nil {
 		return
@@ -97,7 +97,7 @@
 	do(conn.session)
 }
 
-// flushLater has a connection's writer woken up at the end of this iteration of the loop.
-func (host poolHost) flushLater(id connpool.ConnID) {
+// scheduleFlush schedules a wakeup of the connection's writer for the end of this iteration of the event loop.
+func (host poolHost) scheduleFlush(id connpool.ConnID) {
 	host.driver.unflushed = append(host.driver.unflushed, host.driver.conns[id])
 }
--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	// minFragmentTimeout is the least time that a replica has to send the next bytes of a message that it has begun.
-	// Where the connect timeout is longer, the replica has that: it leaves time for the network to repeat a lost
-	// packet, be it of a connect or of a message.
+	// minFragmentTimeout is the minimum time that a replica has to send the next bytes of a message that it has
+	// begun. If the connect timeout is longer, the replica has that instead: it allows for the retransmission of a
+	// lost packet, in a message as in a connect.
 	minFragmentTimeout = 100 * time.Millisecond
-	// messageTimeoutFactor is how many fragment timeouts a message may take as a whole, from its first byte on.
+	// messageTimeoutFactor times the fragment timeout is the limit for a whole message, from its first byte.
 	messageTimeoutFactor = 4
-	// recheckWait is for one more read after a read deadline has passed: if this process stood still over the deadline,
-	// what the replica sent in time is still unread.
+	// recheckWait is the deadline for one more read after the read deadline has passed: if this process was stalled
+	// past the deadline, input that arrived in time may not have been read yet.
 	recheckWait = 5 * time.Millisecond
 )
 
 var (
-	errMessageTooSlow = errors.New("a message that does not end")
-	errMessageStalled = errors.New("a message that does not go on")
+	errMessageTooSlow = errors.New("message was not complete in time")
+	errMessageStalled = errors.New("message stalled before it was complete")
 )
 
-// Input is what one read of a connection brought.
+// Input is the result of one read from a connection.
 type Input struct {
 	Events    []replicaproto.Event
-	Malformed error         // what is wrong with the rest; nil: nothing
-	At        time.Duration // when it was read, since the process' start
+	Malformed error         // error in the remaining input; nil if there is none
+	At        time.Duration // time of the read, since process start
 
 	bytes      int
-	midMessage bool  // a message has begun to come and is not whole
+	midMessage bool  // the last message read is incomplete
 	err        error // of the read
 }
 
-// reader reads one connection until it ends.
+// reader reads from one connection until it ends.
 //
-// A replica that stops in the midst of a message, or goes on and on with one, would keep all replies behind it waiting,
-// and so would noise that looks like the start of a long message. So a message that has begun to come has to go on
-// within the fragment timeout, and to end within some of them.
+// A replica that stops in the middle of a message, or never ends one, would block all replies behind it, as would
+// garbage that looks like the start of a long message. So the next bytes of a message must arrive within the fragment
+// timeout, and the message must be complete within messageTimeoutFactor times that.
 type reader struct {
 	conn   *conn
 	stream net.Conn
-	// readyBy is until when the replica has to say that calls may go; zero: it has, or the protocol has no word for it.
-	readyBy time.Time
+	// readyDeadline is the time by which the replica must state that calls may be written; zero if it has, or if the
+	// protocol has no such message.
+	readyDeadline time.Time
 
-	messageBy       time.Time // until when the message that has begun to come has to be whole
-	midMessage      bool      // such a message has begun
+	messageDeadline time.Time // by which the current incomplete message must be complete
+	midMessage      bool      // the last message read is incomplete
 	hasReadDeadline bool
-	rechecked       bool // since the read deadline passed
+	rechecked       bool // one more read was made since the read deadline passed
 }
 
-// run reads until the connection ends, and returns why it did.
+// run reads until the connection ends, and returns the cause.
 func (reader *reader) run() error {
-	reader.stream.SetReadDeadline(reader.readyBy)
+	reader.stream.SetReadDeadline(reader.readyDeadline)
 	reader.hasReadDeadline = reader.awaitsReady()
 	for {
 		input := reader.read()
-		reader.checkMessageEnds(&input)
+		reader.checkMessageDeadline(&input)
 		if reader.timedOut(input) {
 			if !reader.rechecked {
 				reader.rechecked = true
@@ -85,9 +86,9 @@
 	}
 }
 
-func (reader *reader) awaitsReady() bool { return !reader.readyBy.IsZero() }
+func (reader *reader) awaitsReady() bool { return !reader.readyDeadline.IsZero() }
 
-// read reads once and gives the session what came.
+// read reads once and passes the input to the session.
 func (reader *reader) read() Input {
 	conn := reader.conn
 	bytes, err := reader.stream.Read(conn.session.ReadBuffer())
@@ -110,16 +111,16 @@
 	return input
 }
 
-// checkMessageEnds notes since when a message has been coming, and takes one that does not end as malformed. If more is
-// there to be read already, the delay may be this process' own.
-func (reader *reader) checkMessageEnds(input *Input) {
-	goesOn := input.midMessage && reader.midMessage && len(input.Events) == 0
+// checkMessageDeadline tracks how long a message has been incomplete, and treats one that exceeds its limit as
+// malformed. If more input is available already, the delay may have been this process' own.
+func (reader *reader) checkMessageDeadline(input *Input) {
+	isContinued := input.midMessage && reader.midMessage && len(input.Events) == 0
 	reader.midMessage = input.midMessage
-	if !goesOn {
-		reader.messageBy = time.Now().Add(messageTimeoutFactor * reader.fragmentTimeout())
+	if !isContinued {
+		reader.messageDeadline = time.Now().Add(messageTimeoutFactor * reader.fragmentTimeout())
 		return
 	}
-	isLate := input.bytes > 0 && input.Malformed == nil && time.Now().After(reader.messageBy)
+	isLate := input.bytes > 0 && input.Malformed == nil && time.Now().After(reader.messageDeadline)
 	if isLate && netconn.Peek(reader.stream) != netconn.Readable {
 		input.Malformed = errMessageTooSlow
 	}
@@ -129,22 +130,23 @@
 	return max(minFragmentTimeout, reader.conn.driver.config.Limits.ConnectTimeout)
 }
 
-// timedOut tells whether the read deadline passed, while the rest of a message or the replica's readiness was due.
+// timedOut reports whether the read deadline passed while the rest of a message or the replica's readiness was due.
 func (reader *reader) timedOut(input Input) bool {
 	passed := errors.Is(input.err, os.ErrDeadlineExceeded) && input.Malformed == nil
 	return passed && (input.midMessage || reader.awaitsReady())
 }
 
-// noteReady notes that the replica has said that calls may go.
+// noteReady clears the readiness deadline once the replica has stated that calls may be written.
 func (reader *reader) noteReady(events []replicaproto.Event) {
 	for n := range events {
 		if events[n].Kind == replicaproto.Ready {
-			reader.readyBy = time.Time{}
+			reader.readyDeadline = time.Time{}
 		}
 	}
 }
 
-// post gives the loop what it has to know. Where the protocol has pings, any bytes are a sign of life.
+// post passes input to the event loop, if it is relevant there. Where the protocol has pings, any bytes are a sign of
+// life.
 func (reader *reader) post(input Input) {
 	conn := reader.conn
 	isSignOfLife := conn.traits.Pings && input.bytes > 0
@@ -153,11 +155,11 @@
 	}
 }
 
-// setReadDeadline sets until when the next read has to bring something.
+// setReadDeadline sets the deadline of the next read.
 func (reader *reader) setReadDeadline() {
 	switch {
 	case reader.awaitsReady():
-		reader.stream.SetReadDeadline(reader.readyBy)
+		reader.stream.SetReadDeadline(reader.readyDeadline)
 	case reader.midMessage:
 		reader.stream.SetReadDeadline(time.Now().Add(reader.fragmentTimeout()))
 	case reader.hasReadDeadline:
--- a/replicaconn/tls.go
+++ b/replicaconn/tls.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	expirySoon          = 14 * 24 * time.Hour // before a certificate's end this is reported
+	expiryWarning       = 14 * 24 * time.Hour // certificates are reported this long before they expire
 	expiryCheckInterval = time.Hour
 	alpnHTTP2           = "h2" // RFC 9113, 3.1
 )
 
-// tlsError says that a connection came up, but its TLS did not.
+// tlsError means that a connection was established, but its TLS handshake failed.
 type tlsError struct{ cause error }
 
 func (err *tlsError) Error() string { return "TLS: " + err.cause.Error() }
 func (err *tlsError) Unwrap() error { return err.cause }
 
-// alpnError says that the replica negotiated another protocol than HTTP/2, or none.
+// alpnError means that the replica negotiated a protocol other than HTTP/2, or none.
 type alpnError struct{ negotiated string }
 
 func (err *alpnError) Error() string {
 	return fmt.Sprintf("the replica negotiated %q by ALPN, not %s", err.negotiated, alpnHTTP2)
 }
 
-// handshake sets up TLS on a connection until a time. The replica must negotiate h2 (RFC 9113, 3.2): nothing of a call
-// is written before that is known.
+// handshake performs the TLS handshake on a connection, with until as the deadline. The replica must negotiate h2
+// (RFC 9113, 3.2): nothing of a call is written before that.
 func handshake(ctx context.Context, socket net.Conn, settings *tls.Config, addr string, until time.Time) (
 	net.Conn, error) {
 	settings = settings.Clone()
@@ -49,15 +49,15 @@
 	if err := stream.HandshakeContext(ctx); err != nil {
 		return nil, &tlsError{err}
 	}
-	if got := stream.ConnectionState().NegotiatedProtocol; got != alpnHTTP2 {
-		return nil, &tlsError{&alpnError{got}}
+	if negotiated := stream.ConnectionState().NegotiatedProtocol; negotiated != alpnHTTP2 {
+		return nil, &tlsError{&alpnError{negotiated}}
 	}
 	return stream, nil
 }
 
-// ReloadTLS reads the files that TLS needs again. New connections use what it finds, and established ones go on. A
-// file that cannot be used, as it may be half written, leaves the old certificates in force. It reads files and may be
-// called from any goroutine but the loop's.
+// ReloadTLS reloads the TLS files. New connections use the result, and established ones are not affected. If a file
+// cannot be used, for example because it is only half written, the previous certificates remain in use. As it reads
+// files, it must not be called on the event loop; any other goroutine may call it.
 func (driver *Driver) ReloadTLS() {
 	if len(driver.config.Replicas.TLS) == 0 {
 		return
@@ -66,7 +66,7 @@
 	driver.loop.Post(func() {
 		if err != nil {
 			driver.log.Printf("event=tls_reload_failed cause=%q detail=%q",
-				err, "what could not be read stays as it was")
+				err, "entries that could not be loaded keep their previous certificates")
 		}
 		all := maps.Clone(driver.tls)
 		maps.Copy(all, loaded)
@@ -76,8 +76,8 @@
 	})
 }
 
-// WatchCertificates reports certificates that expire soon, now and from time to time. It is called before the loop
-// runs.
+// WatchCertificates reports certificates that expire soon, now and at regular intervals. It must be called before the
+// loop runs.
 func (driver *Driver) WatchCertificates() {
 	if len(driver.tls) > 0 {
 		driver.loop.Post(driver.checkCertificatesRegularly)
@@ -103,5 +103,5 @@
 }
 
 func expiresSoon(client *config.ClientTLS, now time.Time) bool {
-	return !client.NotAfter.IsZero() && client.NotAfter.Sub(now) < expirySoon
+	return !client.NotAfter.IsZero() && client.NotAfter.Sub(now) < expiryWarning
 }
--- a/replicaconn/writer.go
+++ b/replicaconn/writer.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// writeTimeout is how long the operating system may take for one write, the connect timeout if that is shorter.
-	// An attempt may begin 0.1 s after its client has left at the latest. Whether the client is there was known up to
-	// 40 ms before the write (server's seenRecently); 40 ms and these 60 ms stay within that.
+	// writeTimeout is the limit for one write to be accepted by the operating system; a shorter connect timeout
+	// replaces it. An attempt may begin at most 0.1 s after its client has disconnected. The client's presence was
+	// checked up to 40 ms before the write (seenRecently in package server); these 40 ms and 60 ms together stay
+	// within that limit.
 	writeTimeout = 60 * time.Millisecond
-	// writeSize is about how many bytes are written at a time. What waits behind them can still be withdrawn.
+	// writeSize is the approximate number of bytes per write. Calls behind them can still be withdrawn.
 	writeSize = 16 << 10
-	// lastReplyTimeout is how long replies are still read on a connection that cannot be written to any more.
+	// lastReplyTimeout is how long replies are still read on a connection that can no longer be written to.
 	lastReplyTimeout = time.Second
 )
 
-// startWriter starts the goroutine that writes; the channel is closed at its end.
+// startWriter starts the writer goroutine. The channel is closed when that ends.
 func (conn *conn) startWriter(stream, socket net.Conn) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -33,10 +34,10 @@
 
 // write writes the session's output until the connection ends.
 //
-// It ends when the operating system does not take a write in time. A replica that reads nothing would otherwise hold
-// calls in its buffers that go out long after their query was answered, or after the replica began to drain. How many
-// bytes were taken tells which calls may have run. Large calls on a slow network, where buffers are small, can end a
-// connection by that as well.
+// It also returns when a write times out. Otherwise, calls would wait in buffers for a replica that reads nothing, and
+// be sent long after their query was answered or after the replica began to drain. The number of bytes that were
+// accepted shows which calls may have run. Large calls on a slow network with small buffers can end a connection in
+// the same way.
 func (conn *conn) write(stream, socket net.Conn) {
 	var output []byte
 	for {
@@ -44,19 +45,19 @@
 		output, last = conn.nextOutput(output[:0])
 		conn.driver.handler.NotifyRefusedCalls()
 		if last {
-			conn.writeLast(stream, output)
+			conn.writeFinal(stream, output)
 			socket.Close()
 			return
 		}
-		if len(output) > 0 && !conn.writeSome(stream, socket, output) {
+		if len(output) > 0 && !conn.writeOutput(stream, socket, output) {
 			stream.SetReadDeadline(time.Now().Add(lastReplyTimeout))
 			return
 		}
 	}
 }
 
-// nextOutput waits until there is something to be written, or a refused call to be reported. It appends the output to a
-// buffer, and tells whether that is the last.
+// nextOutput waits until there is output to write or a refused call to report. It appends the output to buffer, and
+// reports whether that is the last.
 func (conn *conn) nextOutput(buffer []byte) (output []byte, last bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -73,27 +74,27 @@
 	return buffer, true
 }
 
-// writeLast writes the last message on a connection, where the protocol has one.
-func (conn *conn) writeLast(stream net.Conn, output []byte) {
+// writeFinal writes the last message on a connection, where the protocol has one.
+func (conn *conn) writeFinal(stream net.Conn, output []byte) {
 	if len(output) > 0 {
 		stream.SetWriteDeadline(time.Now().Add(closeNotifyTimeout))
 		stream.Write(output)
 	}
 }
 
-// writeSome writes and tells whether the connection can still be written to. What was taken is noted in the session: it
-// is the evidence of which calls cannot have run.
-func (conn *conn) writeSome(stream, socket net.Conn, output []byte) bool {
-	var taken int
+// writeOutput writes output and reports whether the connection can still be written to. It passes the number of bytes
+// that were accepted to the session, as evidence of which calls cannot have run.
+func (conn *conn) writeOutput(stream, socket net.Conn, output []byte) bool {
+	var accepted int
 	var err error
 	hasEnded := netconn.HasEnded(socket)
 	if !hasEnded {
 		timeout := min(conn.driver.config.Limits.ConnectTimeout, writeTimeout)
 		stream.SetWriteDeadline(time.Now().Add(timeout))
-		taken, err = stream.Write(output)
+		accepted, err = stream.Write(output)
 	}
 	conn.mu.Lock()
-	conn.session.Wrote(taken)
+	conn.session.Wrote(accepted)
 	conn.mu.Unlock()
 	if hasEnded {
 		return false
--- a/replicaconn/writer_test.go
+++ b/replicaconn/writer_test.go
@@ -9,9 +9,9 @@
 	"terntray/internal/wire"
 )
 
-// A replica reads nothing, so that a write is not taken. The writer gives up before a client of it can be gone for
-// 0.3 s, however long connections may take to come up, and what was not begun by then can be withdrawn.
-func TestWriteThatIsNotTakenEndsSoon(t *testing.T) {
+// A replica reads nothing, so that a write stalls. The writer gives up before a client can have been gone for 0.3 s,
+// even if the connect timeout is longer, and calls whose writing has not begun can be withdrawn.
+func TestStalledWriteTimesOut(t *testing.T) {
 	driver := newTestDriver(t, connpool.Limits{ConnectTimeout: 10 * time.Second})
 	near, far := tcpPair(t)
 	near.SetWriteBuffer(4 << 10)
@@ -26,13 +26,13 @@
 		calls = append(calls, call)
 		conn.session.Queue(call)
 	}
-	began := time.Now()
+	start := time.Now()
 	conn.write(near, near)
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it is written to for %v", took)
+	if took := time.Since(start); took > 5*time.Second {
+		t.Errorf("the writer gave up after %v", took)
 	}
 	last := calls[len(calls)-1]
 	if last.Stage != replicaproto.Waiting || !conn.session.Withdraw(last) {
-		t.Errorf("the last of what waits is at stage %v", last.Stage)
+		t.Errorf("the last waiting call is at stage %v, or cannot be withdrawn", last.Stage)
 	}
 }
