--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Events of clients: queries and subqueries that arrive, phases, and clients that give up.
+// Client events: arriving queries and subqueries, phase changes, and clients that disconnect.
 
 import (
 	"cmp"
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// QueryArrives handles a new query, or a client's retry of one. Its subqueries follow by SubqueryArrives.
+// QueryArrives handles a new query, or a client's retry of one. Its subqueries follow through SubqueryArrives.
 func (scheduler *Scheduler) QueryArrives(now time.Duration, arrival QueryArrival) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	class := &scheduler.classes[arrival.Class]
 	clientRetry := scheduler.clientRetries.isRetry(float64(arrival.TimeLeft) / float64(class.deadline))
-	quotaKnown := !scheduler.parameters.manyCoordinators() || scheduler.gossip.heard(now)
+	quotaKnown := !scheduler.parameters.manyCoordinators() || scheduler.gossip.peersHeard(now)
 	arrived := &query{
 		id:                 arrival.ID,
 		number:             arrival.Number,
@@ -34,12 +34,12 @@
 	scheduler.retries.countArrival(now)
 }
 
-// SubqueryArrives handles one subquery of the present phase of a query.
+// SubqueryArrives handles one subquery of a query's current phase.
 func (scheduler *Scheduler) SubqueryArrives(now time.Duration, arrival SubqueryArrival) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	query := scheduler.queriesByNumber[arrival.Query]
-	asksAgain := query != nil && query.callerEndsPhases && query.phase > 0
-	if !asksAgain { // what a later phase asks again is not counted again
+	isLaterPhase := query != nil && query.callerEndsPhases && query.phase > 0
+	if !isLaterPhase { // later phases of a two-phase query do not count as arrivals
 		scheduler.retries.countArrival(now)
 	}
 	if query == nil {
@@ -64,19 +64,19 @@
 	scheduler.slowStart.subqueryArrived(arrived.shard)
 }
 
-// UsePhases makes a query's phases need all of their subqueries and end by StartNextPhase alone; with reserves,
-// the first phase leaves each shard an attempt for the next.
-func (scheduler *Scheduler) UsePhases(id RequestID, reserves bool) {
+// UsePhases puts the caller in charge of a query's phases: each phase needs all of its subqueries, and only
+// StartNextPhase ends it. If reserveAttempt is true, the first phase leaves each shard one attempt for the next.
+func (scheduler *Scheduler) UsePhases(id RequestID, reserveAttempt bool) {
 	if query := scheduler.queriesByID[id]; query != nil {
 		query.callerEndsPhases = true
-		query.reservesAttempt = reserves
+		query.reservesAttempt = reserveAttempt
 	}
 }
 
-// StartNextPhase ends a query's present phase and tells how many subqueries the next has; with none the query has
+// StartNextPhase ends a query's current phase and gives the number of subqueries in the next; with 0 the query has
 // succeeded.
 func (scheduler *Scheduler) StartNextPhase(now time.Duration, id RequestID, subqueries int) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	query := scheduler.queriesByID[id]
 	if query == nil {
 		return
@@ -88,19 +88,19 @@
 	scheduler.startPhase(query, subqueries)
 }
 
-// ForgetQuery ends a query of which nothing more is wanted: its client has disconnected, or the caller has answered
-// it without the scheduler. It does not count as late: that says nothing of the replicas.
+// ForgetQuery ends a query whose answer is no longer needed: its client has disconnected, or the caller has answered it
+// without the scheduler. The query does not count as late, since this says nothing about the replicas.
 func (scheduler *Scheduler) ForgetQuery(now time.Duration, id RequestID) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	if query := scheduler.queriesByID[id]; query != nil {
-		query.judged = true
+		query.objectiveRecorded = true
 		scheduler.end(query, false)
 	}
 }
 
-// Wakeup handles a wakeup that the scheduler asked for.
+// Wakeup handles a wakeup requested through Host.ScheduleWakeup.
 func (scheduler *Scheduler) Wakeup(now time.Duration, name string) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	if now >= scheduler.wakeupAt {
 		scheduler.wakeupAt = math.MaxInt64
 	}
