--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -1,12 +1,12 @@
-// Package eventloop runs everything that happens in a process on one goroutine, one function after the other, so
-// that the state which these functions use needs no locks.
+// Package eventloop runs functions one after the other on a single goroutine, so that the state they share needs no
+// locks.
 //
-// A loop takes iterations. Each runs, in this order: what NextIteration was given in the iteration before, what
-// other goroutines have posted, the timers that are due, and at last the owner's own function. The loop decides
-// nothing: it knows when functions run, not what they do.
+// Each iteration of a loop runs, in this order: the functions scheduled with NextIteration during the previous
+// iteration, the functions posted by other goroutines, the timers that are due, and finally the owner's
+// end-of-iteration function.
 //
-// The loop also notices when its process stood still (a stopped machine, a starved core), because time-outs and the
-// times of arrival that are taken after a stall would otherwise be wrong; see Loop.EarliestArrival.
+// The loop also detects that its process was stalled (a stopped machine, a starved core). Without that, timeouts and
+// arrival times taken after a stall would be wrong; see Loop.EarliestArrival.
 package eventloop
 
 import (
@@ -16,45 +16,45 @@
 )
 
 const (
-	inboxCapacity = 256                   // posted functions that wait for an iteration; beyond it Post blocks
-	maxIdle       = 20 * time.Millisecond // between iterations, so that a stall is noticed soon after its end
+	inboxCapacity = 256                   // posted functions waiting for an iteration; Post blocks while it is full
+	maxIdle       = 20 * time.Millisecond // between iterations, so that a stall is detected soon after it ends
 )
 
-// Loop is an event loop. One goroutine, that of Run, calls everything that the loop is given, and only from there
-// may its methods be called, except those that say otherwise.
+// Loop is an event loop. The goroutine of Run calls all functions passed to the loop. The loop's methods may be
+// called from that goroutine only, unless their documentation says otherwise.
 type Loop struct {
 	start time.Time
-	now   time.Duration // time of the present iteration, since start
+	now   time.Duration // time of the current iteration, since start
 
 	inbox    chan func()
 	received []func()      // taken from inbox and not called yet: one, or more after a panic
 	next     []func()      // to be called at the start of the next iteration
-	current  []func()      // the rest of those that the present iteration began with
-	ended    chan struct{} // closed at the end of Run
+	current  []func()      // scheduled for the current iteration and not called yet
+	ended    chan struct{} // closed when Run returns
 
-	timers     timerHeap
-	lastTimer  uint64            // number of the timer that was set last
-	namedTimer map[string]*Timer // the one set last under each name
+	timers          timerHeap
+	lastTimerNumber uint64            // number of the most recently set timer
+	timersByName    map[string]*Timer // the most recently set timer of each name
 
-	stall     stall
-	lateBy    time.Duration // see LateBy
-	completed time.Duration // time of the last iteration that came to its end without a panic
+	stall         stall
+	lateBy        time.Duration // see LateBy
+	lastCompleted time.Duration // time of the last iteration that ended without a panic
 }
 
-// New makes a loop whose clock starts now.
+// New returns a loop whose clock starts now.
 func New() *Loop {
 	return &Loop{
-		start:      time.Now(),
-		inbox:      make(chan func(), inboxCapacity),
-		ended:      make(chan struct{}),
-		namedTimer: map[string]*Timer{},
+		start:        time.Now(),
+		inbox:        make(chan func(), inboxCapacity),
+		ended:        make(chan struct{}),
+		timersByName: map[string]*Timer{},
 	}
 }
 
-// Post has a function called in an iteration soon, in the order of posting. It may be called from any goroutine but
-// the loop's own, which would wait for itself, as Post blocks while the inbox is full. False says that the loop has
-// ended and that the function is never called. True says no more than that the function is in the inbox: if the loop
-// ends first, it is not called either.
+// Post queues a function to be called in one of the next iterations, in the order of posting. It may be called from
+// any goroutine except the loop's own: Post blocks while the inbox is full, so the loop would deadlock. Post returns
+// false if the loop has ended and the function will never be called. True means only that the function was queued:
+// it is not called if the loop ends first.
 func (loop *Loop) Post(do func()) bool {
 	select {
 	case loop.inbox <- do:
@@ -64,29 +64,29 @@
 	}
 }
 
-// Start is when the loop's clock began. It may be called from any goroutine.
+// Start returns the time at which the loop's clock started. It may be called from any goroutine.
 func (loop *Loop) Start() time.Time { return loop.start }
 
-// Since is the time between the start and a moment, by the monotonic clock. It may be called from any goroutine.
+// Since returns the time from the loop's start to at, by the monotonic clock. It may be called from any goroutine.
 func (loop *Loop) Since(at time.Time) time.Duration { return at.Sub(loop.start) }
 
-// Now is the time of the present iteration: the same for all that it calls.
+// Now returns the time of the current iteration. It does not change within an iteration.
 func (loop *Loop) Now() time.Duration { return loop.now }
 
-// NextIteration has a function called at the start of the next iteration, which follows at once.
+// NextIteration schedules a function for the start of the next iteration, which then follows without delay.
 func (loop *Loop) NextIteration(do func()) { loop.next = append(loop.next, do) }
 
-// TakeNextIteration takes back what NextIteration was given and was not called yet, in order. After a panic that
-// includes what the broken iteration had still to call.
+// TakeNextIteration removes and returns the functions scheduled with NextIteration that were not called yet, in
+// order. After a panic they include those that the interrupted iteration had not called yet.
 func (loop *Loop) TakeNextIteration() []func() {
 	left := append(loop.current, loop.next...)
 	loop.current, loop.next = nil, nil
 	return left
 }
 
-// Run takes iterations until finished reports that nothing is left to do. At the end of each it calls endIteration.
-// After a panic in an iteration it calls onPanic with the cause and goes on: posted functions that the iteration
-// had taken and not called are called in the next.
+// Run runs iterations until finished returns true. It calls endIteration at the end of each iteration. After a panic
+// in an iteration it calls onPanic with the cause and continues with the next iteration, which also calls the posted
+// functions that the interrupted one had taken from the inbox and not called.
 func (loop *Loop) Run(endIteration func(), onPanic func(cause string), finished func() bool) {
 	clock := time.NewTimer(0)
 	defer clock.Stop()
@@ -100,11 +100,11 @@
 	}
 }
 
-// wait waits until there is something to do in an iteration, and notes whether the process stood still meanwhile or
-// in the iteration before.
+// wait blocks until the next iteration has something to do. It detects stalls of the process during the wait and
+// during the previous iteration.
 func (loop *Loop) wait(clock *time.Timer) {
 	if loop.now > 0 {
-		loop.noteStallAndCatchUp(loop.now)
+		loop.detectStallAndCatchUp(loop.now)
 	}
 	lastIterationTook := loop.lateBy
 	waitFrom := loop.Since(time.Now())
@@ -115,11 +115,11 @@
 		loop.received = append(loop.received, do)
 	case <-clock.C:
 	}
-	loop.noteStallAndCatchUp(max(due, waitFrom))
+	loop.detectStallAndCatchUp(max(due, waitFrom))
 	loop.lateBy = max(loop.lateBy, lastIterationTook)
 }
 
-// nextDue is when the next iteration has to begin at the latest.
+// nextDue returns the latest time at which the next iteration has to start.
 func (loop *Loop) nextDue(now time.Duration) time.Duration {
 	if len(loop.next) > 0 {
 		return 0
@@ -131,10 +131,10 @@
 	return due
 }
 
-// RunIteration runs one iteration. event is called after what NextIteration was given and before what was posted;
-// Run passes an empty one, tests that drive a loop without Run pass what is to happen. It takes as many
-// functions from the inbox as wait there when it comes to that; later ones wait for the next iteration. A panic is
-// passed on to the caller.
+// RunIteration runs one iteration. It calls event after the functions scheduled with NextIteration and before the
+// posted ones; Run passes an empty function, and tests that drive a loop without Run pass the event under test. Of
+// the inbox it calls only the functions that are in it when the inbox is reached; later ones wait for the next
+// iteration. RunIteration does not recover from panics.
 func (loop *Loop) RunIteration(event, endIteration func()) {
 	loop.now = loop.Since(time.Now())
 	loop.current, loop.next = loop.next, nil
@@ -154,17 +154,18 @@
 	}
 	loop.runDueTimers()
 	endIteration()
-	loop.completed = loop.now
+	loop.lastCompleted = loop.now
 }
 
-// Receive waits for the next posted function and returns it without calling it. It is for tests that drive a loop
-// without Run.
+// Receive waits for the next posted function and returns it without calling it. It is meant for tests that drive a
+// loop without Run.
 func (loop *Loop) Receive() func() { return <-loop.inbox }
 
-// AdvanceClock sets the loop's clock forward, as if it had been started earlier. It is for tests.
+// AdvanceClock moves the loop's clock forward, as if the loop had started earlier. It is meant for tests.
 func (loop *Loop) AdvanceClock(by time.Duration) { loop.start = loop.start.Add(-by) }
 
-// Recover calls a function and returns the cause, with the stack, if it panicked; else an empty string.
+// Recover calls a function. If the function panics, Recover returns the panic value and the stack as text; otherwise
+// it returns an empty string.
 func Recover(call func()) (cause string) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	stallThreshold = 30 * time.Millisecond // lateness that shows a stall; a busy core delays less
-	catchUpPause   = 2 * time.Millisecond  // after a stall, for other goroutines to read and post what came meanwhile
+	stallThreshold = 30 * time.Millisecond // lateness above it is a stall; a busy core causes less
+	catchUpPause   = 2 * time.Millisecond  // after a stall, lets other goroutines read and post what has arrived
 )
 
-// stall is a span in which the process stood still, as times since the loop's start; zero: none so far.
+// stall is a period in which the process did not run, in times since the loop's start. The zero value means that
+// there was none so far.
 type stall struct {
 	from, until time.Duration
 }
 
-// noteStallAndCatchUp measures how late the loop is against the time at which it was due. After a stall it sleeps for
-// catchUpPause, so that readers can post what has arrived. Without that, timers would report attempts as timed out
-// whose replies have arrived and are only unread.
-func (loop *Loop) noteStallAndCatchUp(due time.Duration) {
+// detectStallAndCatchUp measures how much later than due the loop runs. After a stall it sleeps for catchUpPause, so
+// that other goroutines can read and post what has arrived. Without the pause, attempts would time out although
+// their replies have arrived and are merely unread.
+func (loop *Loop) detectStallAndCatchUp(due time.Duration) {
 	loop.lateBy = max(0, loop.Since(time.Now())-due)
 	if loop.lateBy <= stallThreshold {
 		return
@@ -24,20 +25,20 @@
 	loop.stall = stall{from: due, until: loop.Since(time.Now())}
 }
 
-// LateBy is the larger of two spans: how much later than due the present iteration began, and how long the last one
-// took. Either delays whatever waits for the loop.
+// LateBy returns the larger of two durations: how much later than due the current iteration started, and how long
+// the previous one took. Either delays everything that waits for the loop.
 func (loop *Loop) LateBy() time.Duration { return loop.lateBy }
 
-// StalledFor is for how long the process stood still before the present iteration, 0 if it did not.
+// StalledFor returns how long the process was stalled before the current iteration, or 0 if it was not.
 func (loop *Loop) StalledFor() time.Duration {
-	if loop.stall.until <= loop.completed {
+	if loop.stall.until <= loop.lastCompleted {
 		return 0
 	}
 	return loop.now - loop.stall.from
 }
 
-// EarliestArrival is the earliest time at which something may have arrived that was read at a time. What is read at
-// the end of a stall may have waited since its beginning.
+// EarliestArrival returns the earliest time at which data that was read at the given time may have arrived. Data read
+// at the end of a stall may have been waiting since the stall began.
 func (loop *Loop) EarliestArrival(read time.Duration) time.Duration {
 	stalled := loop.stall.until > 0
 	if stalled && read >= loop.stall.from && read <= loop.stall.until+catchUpPause {
--- a/eventloop/stall_test.go
+++ b/eventloop/stall_test.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// The process stands still while a request arrives, and reads it only afterwards. What is read at the end of the
-// stall may have arrived at its beginning and counts from then; what is read well before or after it counts from
-// its reading.
-func TestArrivalsReadAfterAStallCountFromItsBeginning(t *testing.T) {
+// A request that arrives during a stall of the process is read only after it. Data read at the end of a stall must be
+// dated to the start of the stall; data read well before or after it is dated to the time of reading.
+func TestArrivalReadAfterStallIsDatedToItsStart(t *testing.T) {
 	loop := New()
 	loop.AdvanceClock(10 * time.Second)
-	loop.noteStallAndCatchUp(9900 * time.Millisecond)
+	loop.detectStallAndCatchUp(9900 * time.Millisecond)
 	if read := loop.Since(time.Now()); loop.EarliestArrival(read) != 9900*time.Millisecond {
 		t.Errorf("read at %v, arrived at %v", read, loop.EarliestArrival(read))
 	}
@@ -21,21 +20,21 @@
 		}
 	}
 	punctual := New()
-	punctual.noteStallAndCatchUp(punctual.Since(time.Now()))
+	punctual.detectStallAndCatchUp(punctual.Since(time.Now()))
 	if punctual.stall.until != 0 {
-		t.Error("an iteration in time counts as a stall")
+		t.Error("an iteration that started on time was taken for a stall")
 	}
 }
 
-// The process is stopped in the midst of an iteration. That is a stall as well: what arrived meanwhile counts from
-// its beginning, and nothing is timed out before it is read.
-func TestStallWithinAnIterationIsNoticed(t *testing.T) {
+// The process is stopped in the middle of an iteration. That is a stall as well: data that arrived meanwhile must be
+// dated to its start, so that nothing times out before it is read.
+func TestStallWithinIterationIsDetected(t *testing.T) {
 	loop := New()
 	finished := false
 	var began, read time.Duration
 	go loop.Post(func() {
 		began = loop.Now()
-		time.Sleep(150 * time.Millisecond) // as if stopped
+		time.Sleep(150 * time.Millisecond) // simulates a stopped process
 		read = loop.Since(time.Now())
 	})
 	go func() {
@@ -44,6 +43,6 @@
 	}()
 	loop.Run(func() {}, func(string) {}, func() bool { return finished })
 	if arrived := loop.EarliestArrival(read); arrived > began+10*time.Millisecond {
-		t.Errorf("read at %v, arrived at %v, though it stood still from %v on", read, arrived, began)
+		t.Errorf("read at %v, dated to %v, although the stall began at %v", read, arrived, began)
 	}
 }
--- a/eventloop/timer.go
+++ b/eventloop/timer.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Timer is a function that is to be called at a time.
+// Timer is a function that a loop calls at a set time.
 type Timer struct {
 	due    time.Duration // since the loop's start
-	number uint64        // in the order of setting; of two that are due at once the earlier goes first
-	index  int           // in the heap; -1 once it was called or cancelled
+	number uint64        // in the order of creation; of timers due at the same time the lowest runs first
+	index  int           // in the heap; -1 once called or cancelled
 	do     func()
 }
 
-// After has a function called in the first iteration that begins after a delay. Where a timer of the same name is
-// already set for the same time, it sets none and returns nil; an empty name is never the same.
+// After sets a timer that calls a function in the first iteration that starts after the delay. If a timer with the
+// same non-empty name is already set for the same time, After sets none and returns nil.
 func (loop *Loop) After(delay time.Duration, name string, do func()) *Timer {
 	due := loop.now + max(0, delay)
-	last := loop.namedTimer[name]
+	last := loop.timersByName[name]
 	if name != "" && last != nil && last.index >= 0 && last.due == due {
 		return nil
 	}
-	loop.lastTimer++
-	timer := &Timer{due: due, number: loop.lastTimer, do: do}
+	loop.lastTimerNumber++
+	timer := &Timer{due: due, number: loop.lastTimerNumber, do: do}
 	heap.Push(&loop.timers, timer)
 	if name != "" {
-		loop.namedTimer[name] = timer
+		loop.timersByName[name] = timer
 	}
 	return timer
 }
 
-// Cancel takes a timer back and releases what its function holds. It does nothing to one that is nil, was called or
-// was cancelled before.
+// Cancel removes a timer, so that what its function refers to can be collected. It does nothing if the timer is nil
+// or was already called or cancelled.
 func (loop *Loop) Cancel(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(&loop.timers, timer.index)
 	}
 }
 
-// Timers is how many timers are set, and when the last of them is due. It is for tests.
+// Timers returns the number of set timers and the time at which the last of them is due. It is meant for tests.
 func (loop *Loop) Timers() (count int, last time.Duration) {
 	for _, timer := range loop.timers {
 		last = max(last, timer.due)
@@ -52,7 +52,7 @@
 	}
 }
 
-// timerHeap implements heap.Interface: by time due, then in the order of setting.
+// timerHeap implements heap.Interface, ordered by due time and then by order of creation.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/eventloop/timer_test.go
+++ b/eventloop/timer_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Timers are called by the time they are due; of those with one name and time only one is set, and one that was
-// cancelled is not called.
-func TestTimersGoInOrderAndSameOnesOnce(t *testing.T) {
+// Timers are called in the order in which they are due. Of timers with the same name and time only one is set, and a
+// cancelled timer is not called.
+func TestTimersRunInOrderAndDuplicatesOnce(t *testing.T) {
 	loop := New()
 	var got []string
 	add := func(delay time.Duration, name string) {
@@ -22,6 +22,6 @@
 	time.Sleep(4 * time.Millisecond)
 	loop.RunIteration(func() {}, func() {})
 	if fmt.Sprint(got) != "[1 2 3]" || len(loop.timers) != 1 {
-		t.Errorf("%v were called, %d wait", got, len(loop.timers))
+		t.Errorf("called %v, want [1 2 3]; %d timers are left, want 1", got, len(loop.timers))
 	}
 }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,19 +1,19 @@
-// Package invariant is the one place that checks whether an action which others can see may happen now: writing an
-// attempt to a replica, giving a final response, closing a client's connection. Whatever policies decide, no
-// attempt that its Check refuses goes out. A late response is given, and a connection closed, all the same; the
-// refusal has them counted.
+// Package invariant checks whether an externally visible action is allowed at this moment: writing an attempt to a
+// replica, giving a final response, or closing a client's connection. It is the only place for these checks. An
+// attempt that Check refuses is never sent, whatever the policies decided. A late response is given, and a refused
+// close carried out, nevertheless; the caller only counts the violation.
 //
 // Each Check is a pure function of a snapshot: the package does no I/O, reads no clock and keeps no state. Callers
-// ask when they decide, and again at the moment of writing: a connection that comes up late, a full buffer or a
-// stall of the process may lie between the two. A refusal at the moment of writing is a race, and the attempt ends
-// as never sent; one of something that was decided all the same is a violation. Either is counted by the caller.
-// The check at the moment of writing leaves Effect, Earlier and MaxAttempts out: what may be repeated is checked at
-// the decision alone.
+// check an attempt when it is decided and again when it is written, because a slow connect, a full buffer or a stall
+// of the process may lie between the two. A refusal at the time of writing is a race, and the attempt ends as never
+// sent. A refusal at the time of the decision is a violation, unless the scheduler could not know the reason yet. The
+// caller counts both. The check at the time of writing leaves out Effect, Earlier and MaxAttempts: whether a subquery
+// may be repeated is checked at the decision only.
 //
-// What may be sent again: of an idempotent or keyed subquery any number of attempts that MaxAttempts allows; a key's
-// window is the scheduler's to keep (scheduler/retry.go). Of a
-// non-idempotent one another attempt only if each earlier one provably never ran: its Evidence, which
-// coordinator/invariants.go makes from the attempt's outcome, is NeverRan. The rule is Attempt.checkRepeat.
+// Repeats: an idempotent or keyed subquery may have any number of attempts that MaxAttempts allows; the window of a
+// key is enforced by the scheduler (scheduler/retry.go). A non-idempotent subquery may have another attempt only if
+// each earlier one provably never ran, that is, if its Evidence is NeverRan. The Evidence of an attempt is derived
+// from its outcome in coordinator/invariants.go. Attempt.checkRepeat implements the rule.
 package invariant
 
 import (
@@ -22,7 +22,7 @@
 	"terntray/internal/replicaproto"
 )
 
-// EndpointState is what the endpoint list says of a replica.
+// EndpointState is the state of a replica according to the endpoint list.
 type EndpointState int
 
 // The states.
@@ -32,38 +32,38 @@
 	Removed
 )
 
-// Effect is what running a subquery twice would do.
+// Effect says what happens if a subquery runs twice.
 type Effect int
 
 // The effects.
 const (
 	Idempotent    Effect = iota
-	Keyed                // replicas recognise a repeat by its key
-	NonIdempotent        // it would take effect twice
+	Keyed                // replicas recognise a repeat by its idempotency key
+	NonIdempotent        // the subquery would take effect twice
 )
 
-// Evidence is what is known of an earlier attempt of the same subquery.
+// Evidence says whether an earlier attempt of the same subquery may have run.
 type Evidence int
 
 // The kinds of evidence.
 const (
-	NeverRan Evidence = iota // not written whole, or the replica said that it did not run
+	NeverRan Evidence = iota // not fully written, or the replica replied that it did not run
 	Running                  // no outcome yet
-	MayRun                   // written whole, and nothing says that it did not run
+	MayRun                   // fully written, and nothing proves that it did not run
 )
 
-// Attempt is what is known when an attempt is about to be decided or written.
+// Attempt is a snapshot of what is known when an attempt is about to be decided or written.
 type Attempt struct {
 	TimeLeft    time.Duration // until the client, or the attempt itself, stops waiting
 	ClientGone  bool
-	QueryClosed bool // it has had its final response
+	QueryClosed bool // the query has had its final response, or its phase is over
 	Endpoint    EndpointState
 	Effect      Effect
 	Earlier     []Evidence // of the earlier attempts of the same subquery
-	MaxAttempts int        // of a subquery, as the settings allow; 0: any number
+	MaxAttempts int        // attempts per subquery that the settings allow; 0: no limit
 }
 
-// Check tells whether the attempt may be written, and otherwise the first reason why not.
+// Check returns Allowed if the attempt may be written, and otherwise the first reason against it.
 func (attempt Attempt) Check() Reason {
 	switch {
 	case attempt.ClientGone:
@@ -82,7 +82,7 @@
 	return attempt.checkRepeat()
 }
 
-// checkRepeat tells whether the subquery's effect allows one more attempt after the earlier ones.
+// checkRepeat checks whether the subquery's effect allows one more attempt after the earlier ones.
 func (attempt Attempt) checkRepeat() Reason {
 	if attempt.Effect != NonIdempotent {
 		return Allowed
@@ -98,17 +98,18 @@
 	return Allowed
 }
 
-// responseGrace is how late a final response may be given: the protocol allows 50 ms on each limit.
+// responseGrace is how late a final response may be: the protocol allows 50 ms beyond each limit.
 const responseGrace = 50 * time.Millisecond
 
-// Answer is what is known when a final response is about to be given.
+// Answer is a snapshot of what is known when a final response is about to be given.
 type Answer struct {
-	Answered    bool          // the request has had one
-	Late        time.Duration // past the client's deadline; below 0 before it
-	LoopStalled time.Duration // how long this process has just stood still; nothing can be answered meanwhile
+	Answered    bool          // the request has already had a final response
+	Late        time.Duration // time since the client's deadline; negative before it
+	LoopStalled time.Duration // how long this process was stalled just now, unable to answer anything
 }
 
-// Check tells whether the response may be given. A late one is owed all the same; DeadlinePassed has it counted.
+// Check returns Allowed if the response is in time and the first one. A late response must be given nevertheless;
+// DeadlinePassed makes the caller count it.
 func (answer Answer) Check() Reason {
 	switch {
 	case answer.Answered:
@@ -119,13 +120,13 @@
 	return Allowed
 }
 
-// ClientClose is what is known when a client's connection is about to be closed from this side.
+// ClientClose is a snapshot of what is known when this process is about to close a client's connection.
 type ClientClose struct {
-	RequestOpen bool // a request was read whole and has had no final response
+	RequestOpen bool // a request was fully read and has had no final response
 	ClientGone  bool // the client closed first, or cannot be written to
 }
 
-// Check tells whether the connection may be closed.
+// Check returns Allowed if the connection may be closed.
 func (connection ClientClose) Check() Reason {
 	if connection.RequestOpen && !connection.ClientGone {
 		return NotAnswered
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -9,10 +9,10 @@
 	"terntray/internal/replicaproto"
 )
 
-// allowedAttempt is an attempt that nothing speaks against.
+// allowedAttempt returns an attempt that no condition refuses.
 func allowedAttempt() Attempt { return Attempt{TimeLeft: time.Second, MaxAttempts: 3} }
 
-// Each condition alone refuses an attempt, and is named as the reason.
+// Each condition refuses an attempt on its own, and is returned as the reason.
 func TestEachConditionRefusesAnAttempt(t *testing.T) {
 	for want, change := range map[Reason]func(*Attempt){
 		Allowed:          func(*Attempt) {},
@@ -39,8 +39,8 @@
 	}
 }
 
-// What may be sent again: anything whose earlier attempts never ran, and whatever can be repeated without harm.
-func TestRepeatsThatTheEffectAllows(t *testing.T) {
+// A subquery may be repeated if its earlier attempts never ran or if it is idempotent or keyed.
+func TestRepeatsAllowedByEffect(t *testing.T) {
 	for _, attempt := range []Attempt{
 		{Effect: NonIdempotent, Earlier: []Evidence{NeverRan, NeverRan}},
 		{Effect: Idempotent, Earlier: []Evidence{Running, MayRun}},
@@ -53,8 +53,8 @@
 	}
 }
 
-// What is refused stays refused when time passes and more speaks against it.
-func TestMoreAgainstAnAttemptNeverAllowsIt(t *testing.T) {
+// A refused attempt must not become allowed as time passes and further attempts are made.
+func TestRefusedAttemptStaysRefusedAsConditionsWorsen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
 			TimeLeft:    time.Duration(rapid.IntRange(-5, 50).Draw(t, "left")) * time.Millisecond / 10,
@@ -71,12 +71,13 @@
 		worse.TimeLeft -= time.Duration(rapid.IntRange(0, 3).Draw(t, "passed")) * time.Millisecond
 		worse.Earlier = append(append([]Evidence{}, attempt.Earlier...), MayRun)
 		if attempt.Check() != Allowed && worse.Check() == Allowed {
-			t.Fatalf("%+v is refused by %v, %+v is allowed", attempt, attempt.Check(), worse)
+			t.Fatalf("%+v is refused (%v), but %+v is allowed", attempt, attempt.Check(), worse)
 		}
 	})
 }
 
-// A response may be late by the grace and by a stall of the process; a connection stays open while it owes one.
+// A response may be late by the grace period plus a stall of the process. A connection must not be closed while a
+// response is owed, unless the client is gone.
 func TestAnswersAndCloses(t *testing.T) {
 	const stall = 100 * time.Millisecond
 	for _, check := range []struct{ got, want Reason }{
@@ -95,16 +96,16 @@
 	}
 }
 
-// Each reason has a name of its own in the log and the counters.
+// Each reason has a unique name in the log and the counters.
 func TestEachReasonHasAName(t *testing.T) {
 	seen := map[string]bool{}
 	for _, reason := range append(Reasons(), Allowed) {
 		if seen[reason.String()] || reason.String() == "" {
-			t.Errorf("reason %d is called %q", reason, reason)
+			t.Errorf("reason %d has the empty or duplicate name %q", reason, reason)
 		}
 		seen[reason.String()] = true
 	}
 	if Reason(99).String() != "unknown" {
-		t.Error("a reason that there is not has a name")
+		t.Error("an undefined reason has a name")
 	}
 }
--- a/invariant/reason.go
+++ b/invariant/reason.go
@@ -1,25 +1,25 @@
 package invariant
 
-// Reason says why an action must not happen.
+// Reason says why an action is not allowed.
 type Reason int
 
-// The reasons. Each names the rule of the protocol that the action would break.
+// The reasons. Each stands for the protocol rule that the action would break.
 const (
 	Allowed          Reason = iota
-	DeadlinePassed          // the client, or the attempt, waits no longer
+	DeadlinePassed          // the deadline of the client or of the attempt has passed
 	ClientGone              // the client has closed its connection or cancelled
 	QueryClosed             // the query has had its final response
-	EndpointDraining        // the endpoint list says that the replica drains
-	EndpointRemoved         // ... or that it is gone
+	EndpointDraining        // the endpoint list says that the replica is draining
+	EndpointRemoved         // the endpoint list says that the replica is removed
 	MayHaveRun              // an earlier attempt of a non-idempotent subquery may have run
 	AttemptRunning          // an earlier attempt of a non-idempotent subquery has no outcome yet
 	TooManyAttempts         // the settings allow no further attempt of this subquery
 	Answered                // the request has had its final response
-	NotAnswered             // the request was read whole and has had none
+	NotAnswered             // the request was fully read and has had no final response
 	reasonCount
 )
 
-// reasonNames are the reasons as they stand in the log and the counters.
+// reasonNames are the names of the reasons in the log and the counters.
 var reasonNames = [reasonCount]string{
 	Allowed:          "allowed",
 	DeadlinePassed:   "deadline_passed",
@@ -34,7 +34,7 @@
 	NotAnswered:      "not_answered",
 }
 
-// String is the reason as it stands in the log and the counters.
+// String returns the name of the reason in the log and the counters.
 func (reason Reason) String() string {
 	if reason < 0 || reason >= reasonCount {
 		return "unknown"
@@ -42,7 +42,7 @@
 	return reasonNames[reason]
 }
 
-// Reasons lists all reasons but Allowed.
+// Reasons returns all reasons except Allowed.
 func Reasons() []Reason {
 	all := make([]Reason, 0, reasonCount-1)
 	for reason := Allowed + 1; reason < reasonCount; reason++ {
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,17 +1,16 @@
-// Package overload decides which share of arrivals a co-ordinator admits when its own core, not its replicas, is
-// short.
+// Package overload decides which share of arriving queries a co-ordinator admits while the co-ordinator itself, not
+// its replicas, is short of CPU.
 //
-// The Controller is told how long each admitted query waited for the event loop (ObserveQueueDelay) and how
-// much of its CPU allowance the process uses (ObserveCPUUsage). Two rules set the share:
+// The Controller is told how long each admitted query waited for the event loop (ObserveQueueDelay) and how much of
+// its CPU allowance the process uses (ObserveCPUUsage). Two rules set the share:
 //
-//   - A standing queue, as CoDel defines it (RFC 8289, section 4: the least delay within a window), lowers it. It falls
-//     by multiplication, as in DAGOR (Zhou et al., SoCC 2018, section 4). It rises by addition or multiplication,
-//     whichever is more, and only while no queue stands. A queue that drains
-//     within a window, as after a stall or a burst, changes nothing.
-//   - Without a standing queue the share moves so that the core is used to targetCoreUse, and rises to 1 once less
-//     comes.
+//   - A standing queue lowers it. A queue is standing, as in CoDel (RFC 8289, section 4), if the minimum delay within
+//     a window is above a target. The decrease is multiplicative, as in DAGOR (Zhou et al., SoCC 2018, section 4). A
+//     queue that drains within a window, as after a stall or a burst, changes nothing.
+//   - Without a standing queue the share follows CPU usage: it is adjusted until usage is at targetCPUUsage, and rises
+//     to 1 once the load falls. An increase is additive or multiplicative, whichever is larger.
 //
-// The package does no I/O, has no clock and no goroutine.
+// The package does no I/O, reads no clock and starts no goroutine.
 package overload
 
 import (
@@ -19,107 +18,107 @@
 	"time"
 )
 
-// The queue, and how the share follows it.
+// How the share reacts to the queue.
 const (
-	window           = 50 * time.Millisecond // in which the least delay counts; several iterations of a busy event loop
-	targetDelay      = 20 * time.Millisecond // a least delay above it is a standing queue
-	windowsToReact   = 2                     // with standing queues in a row; a stall shows in one
-	gentlestDecrease = 0.95                  // factor on the share in a window with a delay near the target
-	steepestDecrease = 0.75                  // the same with a delay far above the target
-	delayExponent    = 0.25                  // between them the factor is targetDelay/delay to this power
+	window           = 50 * time.Millisecond // for the minimum delay; several iterations of a busy event loop
+	targetDelay      = 20 * time.Millisecond // a minimum delay above it means a standing queue
+	windowsToReact   = 2                     // consecutive windows with a standing queue; a stall affects only one
+	smallestDecrease = 0.95                  // factor on the share after a window with a delay near the target
+	largestDecrease  = 0.75                  // the same for a delay far above the target
+	delayExponent    = 0.25                  // between the two, the factor is targetDelay/delay to this power
 )
 
-// The core, and how the share follows it. The core stands for the process' whole CPU allowance; its use is
-// a share of that, 0 to 1.
+// How the share reacts to CPU usage, which is the used fraction of the process's whole CPU allowance, 0 to 1.
 const (
-	coreUseWeight     = 0.35  // weight of the latest measurement in the moving average: about three measurements count
-	targetCoreUse     = 0.92  // while some arrivals are shed; the rest is for queries that are open already
-	saturatedCoreUse  = 0.985 // from here on the core never rests, and what it lacks is not known
-	busyCoreUse       = 0.75  // from here on what comes is no longer read at once
-	saturatedDecrease = 0.92  // factor on the share at each measurement of a saturated core
-	coreUseExponent   = 0.4   // above the target the factor is targetCoreUse/use to this power
-	minIncrease       = 0.02  // of all arrivals, added at each measurement below the target
-	maxIncrease       = 1.05  // factor on the share at such a measurement
-	restingIncrease   = 1.25  // the same below busyCoreUse
-	minShare          = 0.02  // if nothing were admitted nothing would show that the queue is gone
+	cpuUsageWeight    = 0.35  // weight of the latest measurement in the moving average, which spans about three
+	targetCPUUsage    = 0.92  // while shedding; the rest is left to queries that are already open
+	saturatedCPUUsage = 0.985 // from here on the CPU is never idle, so the excess of load cannot be measured
+	busyCPUUsage      = 0.75  // from here on arriving data is no longer read at once
+	saturatedDecrease = 0.92  // factor on the share at each measurement of a saturated CPU
+	cpuUsageExponent  = 0.4   // above the target the factor is targetCPUUsage/usage to this power
+	minIncrease       = 0.02  // smallest increase of the share at each measurement below the target
+	maxIncrease       = 1.05  // largest factor on the share between busyCPUUsage and the target
+	idleIncrease      = 1.25  // factor on the share below busyCPUUsage
+	minShare          = 0.02  // if nothing were admitted, the end of the queue could not be observed
 )
 
-// How long what comes over sockets may wait before it is read.
+// How long data may wait in sockets before it is read.
 const (
-	busyReadDelay      = 10 * time.Millisecond  // the runtime polls the network so often when its core never rests
-	saturatedReadDelay = 200 * time.Millisecond // assumed where the core never rests, as the delay is not known then
+	busyReadDelay      = 10 * time.Millisecond  // interval at which the Go runtime polls the network while no core is idle
+	saturatedReadDelay = 200 * time.Millisecond // assumed while the CPU is saturated, as the delay is unknown then
 )
 
-// Controller holds one co-ordinator's share. The zero value admits everything. It belongs to one goroutine.
+// Controller holds the admitted share of one co-ordinator. The zero value admits everything. It must be used from one
+// goroutine only.
 type Controller struct {
 	shed float64 // share of arrivals that is not admitted
 
-	windowEnd       time.Duration // of the present window, since the process' start
-	leastDelay      time.Duration // in it
-	hasDelay        bool          // leastDelay is set
-	standingWindows int           // windows in a row that had a standing queue
+	windowEnd       time.Duration // end of the current window, since the start of the process
+	minDelay        time.Duration // minimum delay in the current window
+	hasDelay        bool          // minDelay is set
+	standingWindows int           // consecutive windows with a standing queue
 
-	coreUse float64 // moving average
+	cpuUsage float64 // moving average
 }
 
-// ObserveQueueDelay tells that a query came to its turn on the event loop, and how long it had waited for that.
+// ObserveQueueDelay records how long a query waited until the event loop handled it.
 func (controller *Controller) ObserveQueueDelay(now, delay time.Duration) {
 	controller.Tick(now)
-	if !controller.hasDelay || delay < controller.leastDelay {
-		controller.leastDelay = delay
+	if !controller.hasDelay || delay < controller.minDelay {
+		controller.minDelay = delay
 	}
 	controller.hasDelay = true
 }
 
-// Tick tells the time. At the end of a window it lowers the share if a queue is standing; a window in which nothing
-// came to its turn shows none.
+// Tick advances the controller's time. At the end of a window it lowers the share if a queue is standing. A window
+// without any observed delay counts as one without a standing queue.
 func (controller *Controller) Tick(now time.Duration) {
 	if now < controller.windowEnd {
 		return
 	}
-	isStanding := controller.hasDelay && controller.leastDelay > targetDelay
+	isStanding := controller.hasDelay && controller.minDelay > targetDelay
 	if isStanding {
 		controller.standingWindows++
 	} else {
 		controller.standingWindows = 0
 	}
 	if controller.standingWindows >= windowsToReact {
-		controller.setShare(controller.Share() * queueDecrease(controller.leastDelay))
+		controller.setShare(controller.Share() * queueDecreaseFactor(controller.minDelay))
 	}
 	controller.windowEnd = now + window
 	controller.hasDelay = false
 }
 
-// queueDecrease is the factor on the share after a window with a standing queue.
-func queueDecrease(delay time.Duration) float64 {
+// queueDecreaseFactor returns the factor on the share after a window with a standing queue.
+func queueDecreaseFactor(delay time.Duration) float64 {
 	factor := math.Pow(float64(targetDelay)/float64(delay), delayExponent)
-	return max(steepestDecrease, min(gentlestDecrease, factor))
+	return max(largestDecrease, min(smallestDecrease, factor))
 }
 
-// ObserveCPUUsage tells which share of the core was used since the last call, and moves the share of arrivals by that.
-// While a queue is standing only Tick moves it.
-func (controller *Controller) ObserveCPUUsage(now time.Duration, use float64) {
-	controller.coreUse += coreUseWeight * (use - controller.coreUse)
+// ObserveCPUUsage records which fraction of the CPU allowance was used since the last call, and adjusts the share of
+// admitted arrivals. While a queue is standing, only Tick adjusts it.
+func (controller *Controller) ObserveCPUUsage(now time.Duration, usage float64) {
+	controller.cpuUsage += cpuUsageWeight * (usage - controller.cpuUsage)
 	controller.Tick(now)
 	share := controller.Share()
-	isOpen := share == 1 && controller.coreUse < saturatedCoreUse
-	if isOpen || controller.standingWindows >= windowsToReact {
+	admitsAll := share == 1 && controller.cpuUsage < saturatedCPUUsage
+	if admitsAll || controller.standingWindows >= windowsToReact {
 		return
 	}
-	controller.setShare(shareForCoreUse(share, controller.coreUse))
+	controller.setShare(shareForCPUUsage(share, controller.cpuUsage))
 }
 
-// shareForCoreUse is the share of arrivals that follows another at a use of the core.
-func shareForCoreUse(share, use float64) float64 {
+// shareForCPUUsage returns the next share of admitted arrivals, given the current share and CPU usage.
+func shareForCPUUsage(share, usage float64) float64 {
 	switch {
-	case use >= saturatedCoreUse:
+	case usage >= saturatedCPUUsage:
 		return share * saturatedDecrease
-	case use > targetCoreUse:
-		return share * math.Pow(targetCoreUse/use, coreUseExponent)
-	case use < busyCoreUse:
-		return max(share+minIncrease, share*restingIncrease)
+	case usage > targetCPUUsage:
+		return share * math.Pow(targetCPUUsage/usage, cpuUsageExponent)
+	case usage < busyCPUUsage:
+		return max(share+minIncrease, share*idleIncrease)
 	}
-	increase := min(maxIncrease, targetCoreUse/use)
+	increase := min(maxIncrease, targetCPUUsage/usage)
 	return max(share+minIncrease, share*increase)
 }
 
@@ -127,22 +126,22 @@
 	controller.shed = 1 - max(minShare, min(1, share))
 }
 
-// Share is the share of arrivals to admit, above 0 and up to 1.
+// Share returns the share of arrivals to admit, above 0 and up to 1.
 func (controller *Controller) Share() float64 { return 1 - controller.shed }
 
-// ReadDelay is how long what comes over sockets may wait before it is read, as the core is used now.
+// ReadDelay estimates how long data may currently wait in sockets before it is read.
 func (controller *Controller) ReadDelay() time.Duration {
 	switch {
-	case controller.coreUse >= saturatedCoreUse, controller.standingWindows > 0:
+	case controller.cpuUsage >= saturatedCPUUsage, controller.standingWindows > 0:
 		return saturatedReadDelay
-	case controller.coreUse >= busyCoreUse:
+	case controller.cpuUsage >= busyCPUUsage:
 		return busyReadDelay
 	}
 	return 0
 }
 
-// Admits tells whether the n-th arrival, counted from 1, is admitted at a share. Of any number of arrivals in a row
-// as many are admitted as the share says, within one, evenly spread.
+// Admits reports whether the n-th arrival, counted from 1, is admitted at a share. The admitted arrivals are evenly
+// spread: of any number of consecutive arrivals the share is admitted, give or take one.
 func Admits(n uint64, share float64) bool {
 	return share >= 1 || math.Floor(float64(n)*share) != math.Floor(float64(n-1)*share)
 }
