--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -51,8 +51,8 @@
 // isShedding reports whether some arrivals are not admitted. It may be called from any goroutine.
 func (admission *admission) isShedding() bool { return admission.publishedShare() < 1 }
 
-// queueDelay tells how long a query had waited for the event loop after it was read.
-func (admission *admission) queueDelay(now, delay time.Duration) {
+// observeQueueDelay tells how long a query had waited for the event loop after it was read.
+func (admission *admission) observeQueueDelay(now, delay time.Duration) {
 	admission.controller.ObserveQueueDelay(now, delay)
 }
 
--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -9,8 +9,8 @@
 )
 
 // A query's deadline has passed before the query could be read. It is rejected at once, and nothing of it is sent.
-func TestQueryWhoseDeadlineHasPassedIsRejectedAtOnce(t *testing.T) {
-	c := newServing(t)
+func TestExpiredQueryIsRejectedOnArrival(t *testing.T) {
+	c := newWithUnreachableReplica(t)
 	c.loop.AdvanceClock(10 * time.Second)
 	from := c.newClient()
 	c.receive(from, newQuery("q", 100*time.Millisecond, 0), 200*time.Millisecond)
@@ -24,8 +24,8 @@
 
 // A client disconnects while its query waits for the loop, or in the iteration that accepts it; the notification of
 // that waits in a full inbox. Nothing of the query is sent.
-func TestNothingIsSentForAClientWhoseDisconnectStillWaits(t *testing.T) {
-	c := newServing(t)
+func TestNothingIsSentWhileADisconnectIsPending(t *testing.T) {
+	c := newWithUnreachableReplica(t)
 	early := c.newClient()
 	early.gone.Store(true)
 	c.receive(early, newQuery("q", time.Second, 0), 0)
@@ -45,9 +45,9 @@
 
 // A client disconnects, and its end lies unread in the kernel while its query waits for the loop. Nothing of the
 // query is sent.
-func TestQueryThatWaitedIsNotSentForAClientThatHasDisconnected(t *testing.T) {
+func TestQueuedQueryOfDisconnectedClientIsNotSent(t *testing.T) {
 	for _, waited := range []time.Duration{0, time.Second} {
-		c := newServing(t)
+		c := newWithUnreachableReplica(t)
 		near, far := connPair(t)
 		from := c.server.NewConn(near)
 		far.Close()
--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -56,7 +56,7 @@
 	c.counts.Attempts++
 	kind := "first"
 	switch {
-	case anyOut(earlier):
+	case anyInFlight(earlier):
 		kind = "hedge"
 		c.counts.Hedges++
 	case len(earlier) > 0:
@@ -117,7 +117,7 @@
 // attemptEnded notifies the scheduler that an attempt has ended, and lets go of what is not needed any more.
 func (c *Coordinator) attemptEnded(attempt *attemptState, outcome scheduler.Outcome, took time.Duration) {
 	c.markEnded(attempt, outcome)
-	delete(c.attemptsOut, attempt.ID)
+	delete(c.attemptsInFlight, attempt.ID)
 	c.counts.Outcomes[outcome]++
 	if c.Trace {
 		c.trace("attempt_ended=%s replica=%s outcome=%s took=%v", attempt.name(),
--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -13,13 +13,13 @@
 // A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes
 // on no other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or
 // for a client that has disconnected.
-func TestAttemptBegunWhenItsQueryEndedIsNotBegunAnew(t *testing.T) {
+func TestPartlyWrittenAttemptOfClosedQueryIsNotRetransmitted(t *testing.T) {
 	for _, disconnects := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		from := c.newClient()
 		c.receive(from, newQuery("q", time.Minute, 0), 0)
 		connEnded := c.loop.Receive() // as good as the end of one that was up and broke
-		c.connect(t, 1)
+		c.markConnsUp(t, 1)
 		query := c.queriesByRequestID["q"]
 		query.subqueries[0].attempts[0].call.Stage = replicaproto.Begun
 		if disconnects {
@@ -32,16 +32,16 @@
 			t.Errorf("its client disconnects %t: it goes on another connection", disconnects)
 		}
 		c.runPosted()
-		if len(c.attemptsOut)+len(c.subqueries) > 0 {
+		if len(c.attemptsInFlight)+len(c.subqueries) > 0 {
 			t.Errorf("its client disconnects %t: %d attempts, %d subqueries are left",
-				disconnects, len(c.attemptsOut), len(c.subqueries))
+				disconnects, len(c.attemptsInFlight), len(c.subqueries))
 		}
 	}
 }
 
 // A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other
 // goes on no other connection, be it begun or not.
-func TestOtherAttemptOfAnAnsweredSubqueryGoesNowhere(t *testing.T) {
+func TestOtherAttemptOfAnsweredSubqueryIsNotRetransmitted(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		c.receive(c.newClient(), newQuery("q", time.Minute, 0, 2), 0)
@@ -54,7 +54,7 @@
 			other.call.Stage = replicaproto.Begun
 		}
 		const firstConn, otherConn = 1, 2 // a replica gets two attempts of one subquery on two of them
-		c.connect(t, 2)
+		c.markConnsUp(t, 2)
 		reply := replicaproto.Event{
 			Kind:       replicaproto.Reply,
 			SubqueryID: first.call.SubqueryID,
@@ -76,8 +76,8 @@
 	}
 }
 
-// connect has all connections count as up, of which there have to be so many. Their ids count from 1.
-func (c *Coordinator) connect(t *testing.T, conns int) {
+// markConnsUp has all connections count as up, of which there have to be so many. Their ids count from 1.
+func (c *Coordinator) markConnsUp(t *testing.T, conns int) {
 	t.Helper()
 	if c.replicas.Conns() != conns {
 		t.Fatalf("%d connections, want %d", c.replicas.Conns(), conns)
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -60,7 +60,7 @@
 func (handler clientHandler) QueryArrived(arrival server.Arrival) {
 	c := handler.c
 	now := c.loop.Now()
-	c.admission.queueDelay(now, now-arrival.ParsedAt)
+	c.admission.observeQueueDelay(now, now-arrival.ParsedAt)
 	c.queryArrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
 }
 
--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -40,8 +40,8 @@
 }
 
 // A client's driver panics while a query is open. The query ends as if its client had left.
-func TestPanicOfAClientsDriverEndsItsQuery(t *testing.T) {
-	c := newServing(t)
+func TestPanicInClientConnectionClosesItsQuery(t *testing.T) {
+	c := newWithUnreachableReplica(t)
 	near, far := connPair(t)
 	conn := &panickingConn{near, make(chan struct{})}
 	connection := c.server.NewConn(conn)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -41,7 +41,7 @@
 	discovery     *discovery.Watcher
 	gossip        *gossip // nil: no messages between co-ordinators
 	refusedWrites refusedWrites
-	stopReading   context.CancelFunc // ends the reading of the platform file for a reload
+	cancelReload  context.CancelFunc // ends the reading of the platform file for a reload
 	drivers       sync.WaitGroup
 	lifetime      context.Context // ends with Serve
 	endLifetime   context.CancelFunc
@@ -70,7 +70,7 @@
 	queriesByClient    map[client]*queryState                 // and by client
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
 	arriving           client                                 // whose request is looked at and not open yet; else nil
-	attemptsOut        map[connpool.AttemptID]*attemptState   // sent, and not ended
+	attemptsInFlight   map[connpool.AttemptID]*attemptState   // sent, and not ended
 	openWork           int                                    // open queries and their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
@@ -82,7 +82,7 @@
 		queriesByRequestID: map[string]*queryState{},
 		queriesByClient:    map[client]*queryState{},
 		subqueries:         map[scheduler.RequestID]*subqueryState{},
-		attemptsOut:        map[connpool.AttemptID]*attemptState{},
+		attemptsInFlight:   map[connpool.AttemptID]*attemptState{},
 	}
 }
 
@@ -95,7 +95,7 @@
 		limitedLog:   limitedLog{log: logger},
 		openState:    newOpenState(),
 		incarnations: incarnation.New(),
-		stopReading:  func() {},
+		cancelReload: func() {},
 	}
 	c.counts.Refused = map[invariant.Reason]int{}
 	c.lifetime, c.endLifetime = context.WithCancel(context.Background())
--- a/coordinator/deployment_test.go
+++ b/coordinator/deployment_test.go
@@ -8,7 +8,7 @@
 )
 
 // The environment may replace what the configuration file says; what neither says is named by its variable.
-func TestEnvironmentReplacesWhatTheFileSays(t *testing.T) {
+func TestEnvironmentOverridesPlatformFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name":"n0","listen":"127.0.0.1:1","settings":` + settingsJSON + `}`
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -13,7 +13,7 @@
 // A process starts anew with the endpoint list of its last incarnation. It serves nobody by that list as long as
 // a newer one may be had at once: the replicas may have moved or be draining. Where discovery is down, the old
 // list is all there is.
-func TestReadyOnlyOnceTheListIsKnownAnew(t *testing.T) {
+func TestReadyOnlyAfterDiscoveryAnswersOrFails(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		a, err := fake.NewDiscoveryAgent()
 		if err != nil {
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -28,8 +28,8 @@
 	peers  []netip.AddrPort // by scheduler.PeerIndex
 	index  map[netip.AddrPort]scheduler.PeerIndex
 
-	unread    atomic.Int64 // messages that wait for the event loop
-	strangers atomic.Int64 // messages from elsewhere so far, which nobody reads
+	unread         atomic.Int64 // messages that wait for the event loop
+	unknownSenders atomic.Int64 // messages from elsewhere so far, which nobody reads
 }
 
 // openGossip opens the socket. Without peers there is none, and it returns nil.
@@ -77,7 +77,7 @@
 		}
 		from, known := gossip.index[unmapped(addr)]
 		if !known {
-			gossip.strangers.Add(1)
+			gossip.unknownSenders.Add(1)
 			continue
 		}
 		if gossip.unread.Load() >= maxUnreadGossip {
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -20,11 +20,11 @@
 	t.Fatalf("never: %s", what)
 }
 
-// newGossiping makes a coordinator with its gossip open; both end with the test.
-func newGossiping(t *testing.T, listen, peer string) *Coordinator {
+// newWithGossip makes a coordinator with its gossip open; both end with the test.
+func newWithGossip(t *testing.T, listen, peer string) *Coordinator {
 	t.Helper()
 	settings := map[string]string{"bounds.peers": "true", "balancers": "40"}
-	c, err := newInstalled(t, settings, peersFile(listen, peer), readyReplica("s-a", unreachable))
+	c, err := newWithInstallation(t, settings, peersFile(listen, peer), readyReplica("s-a", unreachable))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 // that cannot be read is counted.
 func TestCoordinatorsGossipOnLoopback(t *testing.T) {
 	addressA, addressB := fake.FreePort("udp4"), fake.FreePort("udp4")
-	a := newGossiping(t, addressA, addressB)
-	b := newGossiping(t, addressB, addressA)
+	a := newWithGossip(t, addressA, addressB)
+	b := newWithGossip(t, addressB, addressA)
 	a.receive(a.newClient(), newQuery("q", 5*time.Second, 0), 0)
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d attempts", a.counts.Attempts)
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -78,8 +78,8 @@
 	return c
 }
 
-// newServing makes one that knows a replica which nobody can reach.
-func newServing(t *testing.T) *Coordinator {
+// newWithUnreachableReplica makes one that knows a replica which nobody can reach.
+func newWithUnreachableReplica(t *testing.T) *Coordinator {
 	c := newCoordinatorWith(t, nil)
 	c.discovery.Repeat()
 	return c
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -15,9 +15,9 @@
 	"terntray/scheduler"
 )
 
-// newInstalled makes a coordinator with some settings replaced and with an installation file, whose text may be
+// newWithInstallation makes a coordinator with some settings replaced and with an installation file, whose text may be
 // empty.
-func newInstalled(t *testing.T, settings map[string]string, file string, known ...wire.Endpoint) (*Coordinator, error) {
+func newWithInstallation(t *testing.T, settings map[string]string, file string, known ...wire.Endpoint) (*Coordinator, error) {
 	t.Helper()
 	d := newDeployment(t, known...)
 	maps.Copy(d.settings, settings)
@@ -68,7 +68,7 @@
 }
 
 func TestWithoutPeersNoSocketIsOpened(t *testing.T) {
-	c, err := newInstalled(t, nil, "")
+	c, err := newWithInstallation(t, nil, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	c.Broadcast([]byte{1}) // goes nowhere
 }
 
-func TestInstallationThatDoesNotFitTheSettingsIsNamed(t *testing.T) {
+func TestInstallationConflictingWithSettingsIsRejected(t *testing.T) {
 	for file, want := range map[string]string{
 		peersFile("127.0.0.1:0", "127.0.0.1:9"):              "peers.others: setting bounds.peers allows no messages",
 		`{"sizes":[{"model":"slow-*","size":0.75}]}`:         `sizes: setting weightKind is "", wanted nominal or rough`,
@@ -86,13 +86,13 @@
 		`{"watch":{"settings":{"balancers":"many"}}}`:        "watch.settings: setting balancers: found \"many\", wanted a finite number",
 		`{"watch":{"settings":{"familyInfo.cells":"1000"}}}`: "watch.settings: the shadow configuration has other classes, cells or cells of a shard",
 	} {
-		if _, err := newInstalled(t, nil, file); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := newWithInstallation(t, nil, file); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", file, err, want)
 		}
 	}
 }
 
-func TestFirstSizeThatFitsAModelHolds(t *testing.T) {
+func TestFirstMatchingSizeApplies(t *testing.T) {
 	installation, err := config.Parse([]byte(`{"sizes":[{"model":"slow-*","size":1.5},{"model":"*","size":2}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 // Under shadow evaluation the process decides as without it: the same attempts go, and the counters tell what would
 // have differed. Among 900 co-ordinators that are silent attempts would have longer timeouts, as no hedges may go
 // here.
-func TestShadowEvaluationCountsAndDecidesAsBefore(t *testing.T) {
+func TestShadowEvaluationDoesNotChangeDecisions(t *testing.T) {
 	run := func(file string) (attempts int, line string) {
 		var replicas []wire.Endpoint
 		for n, model := range []string{"slow", "slow", "std", "std"} {
@@ -116,7 +116,7 @@
 			replica.Cell = &cell
 			replicas = append(replicas, replica)
 		}
-		c, err := newInstalled(t, nil, file, replicas...)
+		c, err := newWithInstallation(t, nil, file, replicas...)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -30,8 +30,8 @@
 	refused.all = append(refused.all, refusedWrite{attempt, reason})
 }
 
-// waits reports whether the loop has something to be notified of.
-func (refused *refusedWrites) waits() bool {
+// hasPending reports whether the loop has something to be notified of.
+func (refused *refusedWrites) hasPending() bool {
 	refused.mu.Lock()
 	defer refused.mu.Unlock()
 	return len(refused.all) > 0
--- a/coordinator/limitedlog_test.go
+++ b/coordinator/limitedlog_test.go
@@ -9,7 +9,7 @@
 
 // A replica closes connection after connection. The log says so a few times in a second, and then how often it did
 // not.
-func TestLimitedLogCountsWhatItLeavesOut(t *testing.T) {
+func TestLimitedLogCountsSuppressedLines(t *testing.T) {
 	var text strings.Builder
 	limited := limitedLog{log: log.New(&text, "", 0)}
 	for range maxLinesPerSecond + 7 {
--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -18,7 +18,7 @@
 	line.add("share", fmt.Sprintf("%.2f", c.admission.controller.Share()))
 	line.add("wall_clock_distrusted", c.incarnations.Distrusted())
 	if c.gossip != nil {
-		line.add("stranger_peer_messages", c.gossip.strangers.Load())
+		line.add("stranger_peer_messages", c.gossip.unknownSenders.Load())
 	}
 	c.addShadowCounts(line)
 	return c.counts.line(len(c.queries)) + " " + line.text.String()
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -66,10 +66,10 @@
 	return subquery.abandoned.Load() || subquery.query.closed.Load()
 }
 
-// hasAttemptOut reports whether any attempt has not ended.
-func (subquery *subqueryState) hasAttemptOut() bool { return anyOut(subquery.attempts) }
+// hasAttemptInFlight reports whether any attempt has not ended.
+func (subquery *subqueryState) hasAttemptInFlight() bool { return anyInFlight(subquery.attempts) }
 
-func anyOut(attempts []*attemptState) bool {
+func anyInFlight(attempts []*attemptState) bool {
 	return slices.ContainsFunc(attempts, func(attempt *attemptState) bool { return !attempt.ended })
 }
 
@@ -165,7 +165,7 @@
 
 // forgetIfSettled forgets a subquery of which neither an answer is wanted nor an attempt out.
 func (c *Coordinator) forgetIfSettled(subquery *subqueryState) {
-	if subquery.unwanted() && !subquery.hasAttemptOut() {
+	if subquery.unwanted() && !subquery.hasAttemptInFlight() {
 		delete(c.subqueries, subquery.id)
 	}
 }
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -9,7 +9,7 @@
 )
 
 // A client asks to wait for a day and disconnects. Nothing of its query is remembered for as long.
-func TestNothingOfAQueryStaysOnceItsAttemptsHaveEnded(t *testing.T) {
+func TestClosedQueryIsReleasedOnceItsAttemptsEnd(t *testing.T) {
 	c := newCoordinator(t, readyReplica("s-a", unreachable))
 	from := c.newClient()
 	c.receive(from, newQuery("q", 24*time.Hour, 0), 0)
@@ -33,7 +33,7 @@
 
 // Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything
 // behind.
-func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
+func TestStateDoesNotGrowWithPastQueriesAndReplicas(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
 	for n := range 3000 {
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // The loop panics while a query is open. Its client gets a 500, and the process serves on.
-func TestPanicFailsOpenQueriesAndNothingElse(t *testing.T) {
+func TestPanicFailsOnlyOpenQueries(t *testing.T) {
 	replica, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 	c := newCoordinator(t, readyReplica("s-a", replica.Addr().String()))
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
 	c.runIteration(c.loop.Receive()) // the connection is up
-	if len(c.attemptsOut) != 1 {
-		t.Fatalf("%d attempts are out", len(c.attemptsOut))
+	if len(c.attemptsInFlight) != 1 {
+		t.Fatalf("%d attempts are out", len(c.attemptsInFlight))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
@@ -85,15 +85,15 @@
 // checkNothingIsOpen checks that no query, subquery or attempt is known.
 func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
 	t.Helper()
-	if len(c.attemptsOut)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.attemptsOut), len(c.subqueries), len(c.queries))
+	if len(c.attemptsInFlight)+len(c.subqueries)+len(c.queries) > 0 {
+		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.attemptsInFlight), len(c.subqueries), len(c.queries))
 	}
 }
 
 // The loop panics at a request before anything of it is open. The request gets its answer all the same, and only
 // one; so does the next.
-func TestRequestAtWhichTheLoopPanicsIsAnswered(t *testing.T) {
-	c := newServing(t)
+func TestRequestThatPanicsTheLoopIsAnswered(t *testing.T) {
+	c := newWithUnreachableReplica(t)
 	from := c.newClient()
 	query := newQuery("q", time.Minute, 0)
 	query.TwoPhase = &wire.TwoPhaseQuery{} // which its class does not allow, so that nothing is ready for it
@@ -115,16 +115,16 @@
 
 // An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to
 // that. What the attempt holds is released all the same.
-func TestPanicLosesNoEndOfAnAttempt(t *testing.T) {
-	c := newServing(t)
+func TestAttemptEndsAreDeliveredAfterAPanic(t *testing.T) {
+	c := newWithUnreachableReplica(t)
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
-	for _, attempt := range c.attemptsOut {
+	for _, attempt := range c.attemptsInFlight {
 		c.loop.NextIteration(func() { panic("as if") })
 		c.abandonAttempt(attempt, scheduler.TimedOut)
 	}
 	cause := eventloop.Recover(c.runPosted)
-	if cause == "" || len(c.attemptsOut) != 1 {
-		t.Fatalf("it panics by %q with %d attempts", cause, len(c.attemptsOut))
+	if cause == "" || len(c.attemptsInFlight) != 1 {
+		t.Fatalf("it panics by %q with %d attempts", cause, len(c.attemptsInFlight))
 	}
 	c.recoverFromPanic("as if")
 	c.runPosted()
@@ -133,7 +133,7 @@
 
 // The loop panics again and again while attempts fail. The retries that the process has made count on: the budget
 // for them is the process', not the scheduler's that was lost.
-func TestRetryBudgetOutlivesAPanic(t *testing.T) {
+func TestRetryBudgetSurvivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.ratioSpan":  "10000000",
 		"guarantees.extraRatio": "0.0001",
@@ -178,7 +178,7 @@
 }
 
 // The loop panics again and again while a replica starts slowly. What was sent to it counts on against slow start.
-func TestSlowStartOutlivesAPanic(t *testing.T) {
+func TestSlowStartSurvivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.tipMultiple":   "2.0",
 		"guarantees.overloadFor":   "1500000",
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -12,7 +12,7 @@
 	maxRereads     = 40                     // then the old configuration stays until the next reload
 )
 
-var errNoDiscovery = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
+var errNoDiscoveryAddress = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
 
 // Reload is called at SIGHUP. It reads the platform file and the TLS files anew and takes up what can change while
 // the service runs: the address of discovery, and the certificates. It may be called from any goroutine and at any
@@ -20,9 +20,9 @@
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
 		c.drivers.Go(c.replicas.ReloadTLS)
-		c.stopReading()
+		c.cancelReload()
 		ctx, stop := context.WithCancel(c.lifetime)
-		c.stopReading = stop
+		c.cancelReload = stop
 		path := c.deployment.path
 		c.drivers.Go(func() { c.readUntilUsable(ctx, path) })
 	})
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	if deployment.Discovery == "" {
-		return nil, errNoDiscovery
+		return nil, errNoDiscoveryAddress
 	}
 	return deployment, nil
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -73,9 +73,9 @@
 		Permit:     func(now time.Duration) bool { return c.mayWrite(attempt, now) },
 	}
 	attempt.Call = &attempt.call
-	c.attemptsOut[attempt.ID] = attempt
+	c.attemptsInFlight[attempt.ID] = attempt
 	if !c.replicas.Send(&attempt.Attempt, attempt.replica) {
-		delete(c.attemptsOut, attempt.ID)
+		delete(c.attemptsInFlight, attempt.ID)
 		return false
 	}
 	return true
@@ -86,14 +86,14 @@
 
 // AttemptEnded notifies of an attempt that ended without a reply.
 func (handler replicaHandler) AttemptEnded(id connpool.AttemptID, outcome scheduler.Outcome, took time.Duration) {
-	if attempt := handler.c.attemptsOut[id]; attempt != nil {
+	if attempt := handler.c.attemptsInFlight[id]; attempt != nil {
 		handler.c.attemptEnded(attempt, outcome, took)
 	}
 }
 
 // ReplyReceived notifies of the reply that ends an attempt.
 func (handler replicaHandler) ReplyReceived(id connpool.AttemptID, reply *replicaproto.Event, readAt time.Duration) {
-	if attempt := handler.c.attemptsOut[id]; attempt != nil {
+	if attempt := handler.c.attemptsInFlight[id]; attempt != nil {
 		handler.c.replyReceived(attempt, reply, readAt)
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 // HasRefusedCalls tells whether mayWrite has refused calls of which the loop is yet to be notified.
-func (handler replicaHandler) HasRefusedCalls() bool { return handler.c.refusedWrites.waits() }
+func (handler replicaHandler) HasRefusedCalls() bool { return handler.c.refusedWrites.hasPending() }
 
 // NotifyRefusedCalls notifies the loop of them.
 func (handler replicaHandler) NotifyRefusedCalls() { handler.c.reportRefusedWrites() }
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -40,7 +40,7 @@
 	c.configureNames()
 	shardsErr := c.configureLimits()
 	replicasErr := c.configureReplicas()
-	twoPhaseErr := c.twoPhase.begin(deployment, &c.schedulerConfig)
+	twoPhaseErr := c.twoPhase.configure(deployment, &c.schedulerConfig)
 	if err := errors.Join(shardsErr, replicasErr, twoPhaseErr); err != nil {
 		return fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
@@ -197,8 +197,8 @@
 	return &scheduler.SettingError{Key: key, Found: strconv.Quote(found), Wanted: wanted}
 }
 
-// aboveZero are settings that, where they are stated, have to be above 0, with the largest that can be meant.
-var aboveZero = []struct {
+// positiveSettings are settings that, where they are stated, have to be above 0, with the largest that can be meant.
+var positiveSettings = []struct {
 	key     string
 	largest float64
 }{
@@ -215,7 +215,7 @@
 // validate names a setting with which nothing could be served although it can be read, as a
 // *scheduler.SettingError. A process with it would start and then reject every query, call no replica or panic.
 func (deployment *Deployment) validate() error {
-	for _, setting := range aboveZero {
+	for _, setting := range positiveSettings {
 		value := deployment.settings[setting.key]
 		if isAbsent(value) {
 			continue
--- a/coordinator/settings_test.go
+++ b/coordinator/settings_test.go
@@ -16,7 +16,7 @@
 	"lanes.1.deadline=3000000\tlanes.1.effect=side_effect\tlanes.1.name=claim\torgs.count=1\torgs.0.name=a_b\t" +
 	"orgs.0.share=0.47\treport.fields=\tzone=0\tzones=west,east"
 
-func TestSettingsAreFlattenedAsTheSimulatorWordsThem(t *testing.T) {
+func TestFlattenMatchesSimulatorFormat(t *testing.T) {
 	want := map[string]string{}
 	for pair := range strings.SplitSeq(settingsPairs, "\t") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -54,7 +54,7 @@
 
 // A deployment states a setting with which nothing could be served. It is named in one line, in place of a process
 // that starts and serves nothing or panics.
-func TestSettingsThatCannotServeAreNamedInOneLine(t *testing.T) {
+func TestUnusableSettingsAreRejectedInOneLine(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"connectTimeout":250000`, `"connectTimeout":0`, "bounds.connectTimeout"},
 		{`"connectTimeout":250000`, `"connectTimeout":"soon"`, "bounds.connectTimeout"},
@@ -80,7 +80,7 @@
 }
 
 // Other deployments have other settings; the process starts with them.
-func TestSettingsOfOtherDeploymentsStart(t *testing.T) {
+func TestSettingsOfOtherDeploymentsAreAccepted(t *testing.T) {
 	for _, c := range []struct{ old, new string }{
 		{`"deadline":3000000`, `"deadline":300000`},
 		{`"aim":1500000`, `"aim":100000`},
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -28,31 +28,31 @@
 
 // twoPhaseState is what an open two-phase query has beyond any other.
 type twoPhaseState struct {
-	run           *twophase.Query
-	request       *wire.TwoPhaseQuery
-	hints         map[twophase.Shard]time.Duration // of work, as its client gave them
-	canMatch      bool                             // the present subqueries ask for summaries, not for hits
-	stepScheduled bool                             // takeNextStep is called in the next iteration
-	wakeup        *eventloop.Timer                 // for takeNextStep
-	canMatchWork  replyTimes
-	fetchWork     replyTimes
+	run             *twophase.Query
+	request         *wire.TwoPhaseQuery
+	workHints       map[twophase.Shard]time.Duration // of work, as its client gave them
+	canMatch        bool                             // the present subqueries ask for summaries, not for hits
+	stepScheduled   bool                             // takeNextStep is called in the next iteration
+	wakeup          *eventloop.Timer                 // for takeNextStep
+	canMatchLatency replyLatency
+	fetchLatency    replyLatency
 }
 
-// replyTimes sums up how long replies took.
-type replyTimes struct {
+// replyLatency sums up how long replies took.
+type replyLatency struct {
 	count int
 	sum   time.Duration
 }
 
-func (times *replyTimes) add(took time.Duration) {
+func (times *replyLatency) add(took time.Duration) {
 	times.count++
 	times.sum += took
 }
 
-func (times *replyTimes) mean() time.Duration { return times.sum / time.Duration(times.count) }
+func (times *replyLatency) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-// begin reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
-func (queries *twoPhaseQueries) begin(deployment *Deployment, config *scheduler.Config) error {
+// configure reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
+func (queries *twoPhaseQueries) configure(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
 	if deployment.Installation == nil {
 		return nil
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	query.twoPhase = &twoPhaseState{run: run, request: request, hints: hints}
+	query.twoPhase = &twoPhaseState{run: run, request: request, workHints: hints}
 	return nil
 }
 
@@ -129,7 +129,7 @@
 			Query:    query.number,
 			Shard:    scheduler.ShardNumber(shard),
 			Weight:   1 / float64(len(step.Shards)),
-			WorkHint: state.run.WorkHint(state.canMatch, state.hints[shard]),
+			WorkHint: state.run.WorkHint(state.canMatch, state.workHints[shard]),
 		})
 	}
 }
@@ -229,7 +229,7 @@
 		c.counts.MalformedSummaries++
 		state.run.NoSummary(shard)
 	}
-	state.canMatchWork.add(took)
+	state.canMatchLatency.add(took)
 }
 
 // fetchReplyReceived takes a shard's hits.
@@ -243,7 +243,7 @@
 	if err := state.run.Answered(c.loop.Now(), shard, twophase.Replica(attempt.replica), hits); err != nil {
 		return err
 	}
-	state.fetchWork.add(took)
+	state.fetchLatency.add(took)
 	return nil
 }
 
@@ -251,9 +251,9 @@
 func (c *Coordinator) closeTwoPhase(query *queryState) {
 	state := query.twoPhase
 	c.loop.Cancel(state.wakeup)
-	if state.canMatchWork.count > 0 && state.fetchWork.count > 0 {
+	if state.canMatchLatency.count > 0 && state.fetchLatency.count > 0 {
 		class := c.twoPhase.classes[query.request.Class]
-		class.ObserveCost(state.canMatchWork.mean(), state.fetchWork.mean())
+		class.ObserveCost(state.canMatchLatency.mean(), state.fetchLatency.mean())
 	}
 	state.run.Close()
 	phases, fetched := state.run.Phases()
