--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -11,18 +11,18 @@
 	"terntray/server"
 )
 
-// finalResult is how a query ends with an answer.
+// finalResult says how a query was answered.
 type finalResult int
 
 const (
 	succeeded finalResult = iota
-	rejected              // its client may send it again
+	rejected              // the client may send the query again
 	failed
 )
 
-// answer gives a query its one answer and closes it. render makes the answer; last tells it whether the connection
-// ends with it. A query that has had an answer gets no second one, and one that is late gets it all the same; both
-// count as violations.
+// answer gives a query its one answer and closes the query. render builds the answer; its parameter last says whether
+// the connection ends with this answer. A query that was already answered gets no second answer; a late answer is
+// given nevertheless. Both count as violations.
 func (c *Coordinator) answer(id scheduler.RequestID, result finalResult, render renderAnswer) {
 	query := c.queries[id]
 	if query == nil {
@@ -38,7 +38,7 @@
 	query.client.Respond(func(last bool) []byte { return render(query, last) })
 }
 
-// renderAnswer makes the bytes of an answer.
+// renderAnswer builds the bytes of an answer.
 type renderAnswer func(query *queryState, last bool) []byte
 
 func (c *Coordinator) countAnswer(query *queryState, result finalResult) {
@@ -51,17 +51,17 @@
 	case failed:
 		c.counts.Failed++
 	}
-	halfOfItsTime := (query.deadline - query.arrived) / 2
-	if c.age(query) > halfOfItsTime && !c.anyWrittenWhole(query) {
+	halfTimeout := (query.deadline - query.arrived) / 2
+	if c.age(query) > halfTimeout && !c.anyWrittenWhole(query) {
 		c.counts.WaitedUnsent++
 	}
 }
 
-// age is for how long a query's client has waited.
+// age returns how long a query's client has been waiting.
 func (c *Coordinator) age(query *queryState) time.Duration { return c.loop.Now() - query.arrived }
 
-// Complete implements scheduler.Host: it answers with the subqueries' answers, which are all of them if complete.
-// For a query of two phases it means that a phase is over.
+// Complete implements scheduler.Host. It answers a query with the answers that its subqueries have had; complete says
+// that none is missing. For a two-phase query, Complete means that a phase is over.
 func (c *Coordinator) Complete(id scheduler.RequestID, complete bool) {
 	if query := c.queries[id]; query != nil && query.twoPhase != nil {
 		c.scheduleNextStep(query)
@@ -83,7 +83,8 @@
 	})
 }
 
-// Reject implements scheduler.Host: it answers that the client may send the query again, and when; 0: at any time.
+// Reject implements scheduler.Host. It answers that the client may send the query again after the given time; 0 means
+// at any time.
 func (c *Coordinator) Reject(id scheduler.RequestID, retryAfter time.Duration) {
 	c.answer(id, rejected, func(query *queryState, last bool) []byte {
 		c.trace("query_rejected=%s after=%v", query.request.ID, c.age(query))
@@ -91,7 +92,7 @@
 	})
 }
 
-// Fail implements scheduler.Host: it answers that the query failed.
+// Fail implements scheduler.Host. It answers that the query failed.
 func (c *Coordinator) Fail(id scheduler.RequestID) {
 	c.answer(id, failed, func(query *queryState, last bool) []byte {
 		c.trace("query_failed=%s after=%v", query.request.ID, c.age(query))
@@ -99,11 +100,11 @@
 	})
 }
 
-// failedText is the body of answers to queries that failed.
+// failedText is the body of the answer to a failed query.
 const failedText = "scrapped"
 
-// deadlinePassed fails a query that the scheduler has left open until its deadline, which is a fault of the
-// scheduler unless this process stood still. Without it the client would get no answer.
+// deadlinePassed fails a query that is still open at its deadline, so that its client gets an answer. Unless this
+// process was stalled, it is a fault of the scheduler that the query is still open.
 func (c *Coordinator) deadlinePassed(query *queryState) {
 	if query.closed.Load() {
 		return
@@ -114,7 +115,7 @@
 	c.scheduler.ForgetQuery(c.loop.Now(), query.id)
 }
 
-// clientDisconnected closes the query of a client that is gone, if it has one open.
+// clientDisconnected closes the open query, if any, of a client that has disconnected.
 func (c *Coordinator) clientDisconnected(from client) {
 	query := c.queriesByClient[from]
 	if query == nil {
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -10,16 +10,16 @@
 	"terntray/server"
 )
 
-// queryArrives takes a query that a client has sent and that was complete at a loop time. The query is answered at
-// once, or is open from then on; its client gets exactly one answer.
+// queryArrives handles a query that was fully received from a client at loop time receivedAt. It either answers the
+// query at once or opens it. The client gets exactly one answer.
 //
-// While it runs, c.arriving is the client, so that a panic leaves no request without an answer: see
-// recoverFromPanic.
+// Until the query is answered or open, c.arriving is the client, so that the request is answered even after a panic;
+// see recoverFromPanic.
 func (c *Coordinator) queryArrives(from client, request *wire.Query, receivedAt time.Duration) {
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.HasLeft(c.loop.Now()): // while the query waited for the loop
+	case from.HasLeft(c.loop.Now()): // the client left while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
@@ -39,12 +39,12 @@
 	c.arriving = nil
 }
 
-// isFull reports whether so much is open that nothing more is accepted.
+// isFull reports whether too much is open to accept another query.
 func (c *Coordinator) isFull() bool {
 	return c.openWork >= c.maxOpen || c.server.IsCrowded(len(c.queries))
 }
 
-// unknownShard finds a shard that a query asks for and that does not exist.
+// unknownShard returns the first shard in a query that does not exist, if there is one.
 func (c *Coordinator) unknownShard(request *wire.Query) (shard int, found bool) {
 	for _, subquery := range request.Subqueries {
 		if subquery.Shard >= c.shards {
@@ -54,21 +54,21 @@
 	return 0, false
 }
 
-// rejectArrival answers a query that is not accepted; its client may send it again.
+// rejectArrival rejects a query that is not accepted; its client may send it again.
 func (c *Coordinator) rejectArrival(from client, reason string) {
 	c.counts.Queries++
 	c.counts.Rejected++
 	from.Respond(server.Rejection(reason))
 }
 
-// rejectMalformed answers what is no query and ends its client's connection.
+// rejectMalformed answers an invalid request and closes its client's connection.
 func (c *Coordinator) rejectMalformed(from client, status int, reason string) {
 	c.counts.Malformed++
 	from.CloseAfterResponse()
 	from.Respond(server.Text(status, reason))
 }
 
-// acceptQuery opens a query and tells the scheduler of it.
+// acceptQuery opens a query and notifies the scheduler.
 func (c *Coordinator) acceptQuery(from client, request *wire.Query, receivedAt time.Duration) {
 	arrived := c.loop.EarliestArrival(receivedAt)
 	query := &queryState{
@@ -99,7 +99,7 @@
 	return c.lastNumber
 }
 
-// openQuery makes a query one of the open ones.
+// openQuery registers a query as open and sets its deadline timer.
 func (c *Coordinator) openQuery(query *queryState) {
 	c.queries[query.id] = query
 	c.queriesByRequestID[query.request.ID] = query
@@ -112,26 +112,26 @@
 		query.request.ID, query.request.Class, timeLeft, len(query.request.Subqueries))
 }
 
-// startSinglePhase tells the scheduler of a query and of all its subqueries.
+// startSinglePhase notifies the scheduler of a query and of all its subqueries.
 func (c *Coordinator) startSinglePhase(query *queryState) {
 	c.scheduler.QueryArrives(c.loop.Now(), c.arrivalOf(query, len(query.request.Subqueries)))
-	for _, asked := range query.request.Subqueries {
-		subquery := c.addSubquery(query, asked.Shard, wire.SubqueryID(query.request.ID, asked.Shard), nil)
+	for _, requested := range query.request.Subqueries {
+		subquery := c.addSubquery(query, requested.Shard, wire.SubqueryID(query.request.ID, requested.Shard), nil)
 		c.scheduler.SubqueryArrives(c.loop.Now(), scheduler.SubqueryArrival{
 			ID:       subquery.id,
 			Query:    query.number,
-			Shard:    scheduler.ShardNumber(asked.Shard),
-			Weight:   asked.Weight,
-			WorkHint: asked.Hint,
+			Shard:    scheduler.ShardNumber(requested.Shard),
+			Weight:   requested.Weight,
+			WorkHint: requested.Hint,
 		})
 	}
 }
 
-// arrivalOf is what the scheduler is told of a query that begins with some subqueries.
+// arrivalOf describes a query for the scheduler; subqueries is the number of subqueries that the query starts with.
 func (c *Coordinator) arrivalOf(query *queryState, subqueries int) scheduler.QueryArrival {
 	hint := time.Duration(0)
-	for _, asked := range query.request.Subqueries {
-		hint += asked.Hint
+	for _, requested := range query.request.Subqueries {
+		hint += requested.Hint
 	}
 	return scheduler.QueryArrival{
 		ID:         query.id,
@@ -144,13 +144,13 @@
 	}
 }
 
-// timeLeft is how long a query's client still waits.
+// timeLeft returns the time until a query's deadline, or 0 after it.
 func (c *Coordinator) timeLeft(query *queryState) time.Duration {
 	return max(0, query.deadline-c.loop.Now())
 }
 
-// tenantOf is the tenant that a query is charged to. One that the settings do not name has no quota of its own;
-// charging it to another's would have that one's queries rejected.
+// tenantOf returns the tenant that a query is charged to. All tenants that the settings do not name share one index
+// without a quota: charging them to a configured tenant would get that tenant's queries rejected.
 func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
 	if tenant, named := c.tenants[nameCharacters.Replace(request.Tenant)]; named {
 		return tenant
--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -9,8 +9,8 @@
 	"terntray/scheduler"
 )
 
-// StartAttempt implements scheduler.Host: it sends an attempt of a subquery to a replica. The scheduler is told in
-// the next iteration, not at once, where that cannot be: it is in the midst of deciding.
+// StartAttempt implements scheduler.Host. It sends an attempt of a subquery to a replica. If that is not possible, the
+// scheduler is notified in the next iteration, because it must not be called while it decides.
 func (c *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	subquery := c.subqueries[id]
 	if subquery == nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// newAttempt makes an attempt that times out with its query's deadline, or earlier with a timeout above 0.
+// newAttempt returns an attempt that times out at its query's deadline, or after timeout if that is above 0 and ends
+// earlier.
 func (c *Coordinator) newAttempt(subquery *subqueryState, to scheduler.ReplicaID, timeout time.Duration) *attemptState {
 	deadline := subquery.query.deadline
 	if timeout > 0 {
@@ -51,7 +52,7 @@
 	return attempt
 }
 
-// countStarted counts and traces an attempt by its kind.
+// countStarted counts and traces an attempt as a first attempt, retry or hedge.
 func (c *Coordinator) countStarted(attempt *attemptState, earlier []*attemptState) {
 	c.counts.Attempts++
 	kind := "first"
@@ -69,7 +70,7 @@
 	}
 }
 
-// CancelAttempt implements scheduler.Host: nobody waits for an attempt any more.
+// CancelAttempt implements scheduler.Host. It abandons an attempt whose reply is no longer needed.
 func (c *Coordinator) CancelAttempt(id scheduler.RequestID, number scheduler.AttemptNumber) {
 	subquery := c.subqueries[id]
 	if subquery != nil && int(number) < len(subquery.attempts) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// abandonAttempt stops waiting for an attempt that has not ended.
+// abandonAttempt ends an attempt, unless it has already ended, and stops waiting for its reply.
 func (c *Coordinator) abandonAttempt(attempt *attemptState, outcome scheduler.Outcome) {
 	if attempt.ended {
 		return
@@ -86,8 +87,8 @@
 	c.notifyEndedSoon(attempt, outcome)
 }
 
-// withdrawUnsent keeps attempts of a subquery that is no longer wanted from going out, as far as they have not
-// begun to. One that has begun ends by itself; should its connection break, it does not begin anew on another one.
+// withdrawUnsent cancels the attempts of an unwanted subquery of which nothing has been written. The others end by
+// themselves; if their connection breaks, they are not retransmitted on another one.
 func (c *Coordinator) withdrawUnsent(subquery *subqueryState) {
 	for _, attempt := range subquery.attempts {
 		if attempt.ended {
@@ -101,7 +102,7 @@
 	}
 }
 
-// notifyEndedSoon ends an attempt; the scheduler is notified at the start of the next iteration.
+// notifyEndedSoon ends an attempt and notifies the scheduler at the start of the next iteration.
 func (c *Coordinator) notifyEndedSoon(attempt *attemptState, outcome scheduler.Outcome) {
 	c.markEnded(attempt, outcome)
 	took := c.loop.Now() - attempt.SentAt
@@ -114,7 +115,7 @@
 	c.loop.Cancel(attempt.timeoutTimer)
 }
 
-// attemptEnded notifies the scheduler that an attempt has ended, and lets go of what is not needed any more.
+// attemptEnded notifies the scheduler that an attempt has ended, and releases what is no longer needed.
 func (c *Coordinator) attemptEnded(attempt *attemptState, outcome scheduler.Outcome, took time.Duration) {
 	c.markEnded(attempt, outcome)
 	delete(c.attemptsInFlight, attempt.ID)
@@ -135,7 +136,7 @@
 	c.forgetIfSettled(attempt.subquery)
 }
 
-// replyReceived takes a replica's reply to an attempt, which was read at a loop time.
+// replyReceived handles a replica's reply to an attempt. readAt is the loop time at which it was read.
 func (c *Coordinator) replyReceived(attempt *attemptState, reply *replicaproto.Event, readAt time.Duration) {
 	if reply.Busy >= 0 {
 		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.Busy)
@@ -143,12 +144,12 @@
 	took := readAt - attempt.SentAt
 	outcome := c.takeReply(attempt, reply, took)
 	c.attemptEnded(attempt, outcome, took)
-	if attempt.subquery.answered { // its other attempts, which the scheduler cancels only where the settings allow that
+	if attempt.subquery.answered { // the scheduler cancels the other attempts only if the settings allow cancelling
 		c.withdrawUnsent(attempt.subquery)
 	}
 }
 
-// takeReply takes the answer in a reply, if it has one, and tells how the attempt ended.
+// takeReply stores the answer in a reply, if there is one, and returns the outcome of the attempt.
 func (c *Coordinator) takeReply(
 	attempt *attemptState, reply *replicaproto.Event, took time.Duration,
 ) scheduler.Outcome {
@@ -159,7 +160,7 @@
 	default:
 		return scheduler.Failed
 	}
-	if !utf8.Valid(reply.Value) { // no answer to a client could carry it unchanged
+	if !utf8.Valid(reply.Value) { // the JSON of an answer could not carry it unchanged
 		return scheduler.Failed
 	}
 	subquery := attempt.subquery
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -19,17 +19,17 @@
 	"terntray/server"
 )
 
-// Coordinator is one co-ordinator. Its fields belong to the event loop, except those that say otherwise.
+// Coordinator is one co-ordinator. Its fields belong to the event loop, unless their comments say otherwise.
 type Coordinator struct {
 	loop       *eventloop.Loop
 	deployment *Deployment
 	log        *log.Logger
-	Trace      bool // a line for each query and attempt; set before Serve
+	Trace      bool // log a line for each query and attempt; set before Serve
 
 	settings
 	openState
 
-	scheduler  *scheduler.Scheduler // a new one after a panic
+	scheduler  *scheduler.Scheduler // replaced after a panic
 	admission  admission
 	twoPhase   twoPhaseQueries
 	counts     Counts
@@ -39,39 +39,39 @@
 	server        *server.Server
 	replicas      *replicaconn.Driver
 	discovery     *discovery.Watcher
-	gossip        *gossip // nil: no messages between co-ordinators
+	gossip        *gossip // nil: no gossip
 	refusedWrites refusedWrites
-	cancelReload  context.CancelFunc // ends the reading of the platform file for a reload
+	cancelReload  context.CancelFunc // stops reading the platform file for a reload
 	drivers       sync.WaitGroup
 	lifetime      context.Context // ends with Serve
 	endLifetime   context.CancelFunc
 
 	incarnations  *incarnation.Tracker
-	ready         atomic.Bool // what /up says; read by any goroutine
+	ready         atomic.Bool // reported by /up; read by any goroutine
 	clientsClosed bool        // no client is connected and none can connect any more
 }
 
-// settings are what configure reads from the deployment; they do not change.
+// settings are the values that configure reads from the deployment. They do not change afterwards.
 type settings struct {
 	schedulerConfig scheduler.Config
-	installation    *config.Config    // the installation file; without one, the defaults
-	shadow          *scheduler.Config // under which decisions are counted and not acted on; nil: none
+	installation    *config.Config    // the installation file, or the defaults if there is none
+	shadow          *scheduler.Config // for shadow evaluation, whose decisions are only counted; nil: none
 	classes         map[string]class  // by name
 	zones           map[string]scheduler.ZoneIndex
 	tenants         map[string]scheduler.TenantIndex
 	shards          int
-	maxOpen         int // of openWork
+	maxOpen         int // limit of openWork
 }
 
-// openState is what is open. It belongs to the event loop.
+// openState holds the open queries, subqueries and attempts. It belongs to the event loop.
 type openState struct {
 	queries            map[scheduler.RequestID]*queryState
-	queriesByRequestID map[string]*queryState                 // the same by the ids that clients gave them
-	queriesByClient    map[client]*queryState                 // and by client
-	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts out
-	arriving           client                                 // whose request is looked at and not open yet; else nil
-	attemptsInFlight   map[connpool.AttemptID]*attemptState   // sent, and not ended
-	openWork           int                                    // open queries and their unanswered subqueries
+	queriesByRequestID map[string]*queryState // by the Req-Id from the client
+	queriesByClient    map[client]*queryState
+	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts in flight
+	arriving           client                                 // whose request is being handled but not open yet, or nil
+	attemptsInFlight   map[connpool.AttemptID]*attemptState   // sent and not ended
+	openWork           int                                    // open queries plus their unanswered subqueries
 	lastID             scheduler.RequestID
 	lastNumber         scheduler.QueryNumber
 }
@@ -86,7 +86,8 @@
 	}
 }
 
-// New makes a co-ordinator from its configuration; an error names what is wrong with that. It opens nothing yet.
+// New returns a co-ordinator with the given configuration, or an error if the configuration is invalid. It opens no
+// sockets yet.
 func New(deployment *Deployment, logger *log.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		loop:         eventloop.New(),
@@ -108,7 +109,7 @@
 	return c, c.startScheduler()
 }
 
-// startScheduler starts a scheduler that knows nothing but its configuration.
+// startScheduler replaces the scheduler by a new one in its initial state.
 func (c *Coordinator) startScheduler() error {
 	started, err := scheduler.New(c, c.deployment.seed(), c.schedulerConfig)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// Serve serves until the context ends, then answers what is open and returns nil. An error says why it cannot
-// serve.
+// Serve serves clients until the context ends, then answers the open queries and returns nil. It returns an error if
+// it cannot start serving.
 func (c *Coordinator) Serve(ctx context.Context) error {
 	listener, err := server.Listen(c.deployment.Listen)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// endIteration has the scheduler decide on all that an iteration brought, and has the decisions carried out.
+// endIteration runs the scheduler on all events of an iteration and flushes the resulting writes to replicas.
 func (c *Coordinator) endIteration() {
 	c.scheduler.Decide(c.loop.Now())
 	c.replicas.Flush()
@@ -155,7 +156,7 @@
 	}
 }
 
-// stopDrivers ends all goroutines but those of clients, which have ended.
+// stopDrivers ends the drivers' goroutines. Those of client connections have ended before.
 func (c *Coordinator) stopDrivers() {
 	c.discovery.Stop()
 	c.endLifetime()
@@ -170,20 +171,20 @@
 	c.loop.After(delay, name, func() { c.scheduler.Wakeup(c.loop.Now(), name) })
 }
 
-// PollEndpoints implements scheduler.Host: it asks discovery for the endpoint list and its changes.
+// PollEndpoints implements scheduler.Host. It asks discovery for the endpoint list and its changes.
 func (c *Coordinator) PollEndpoints() { c.discovery.Poll() }
 
 // Log implements scheduler.Host.
 func (c *Coordinator) Log(text string) { c.log.Printf("event=scheduler message=%q", text) }
 
-// trace logs a line of -trace.
+// trace logs a line if -trace is set.
 func (c *Coordinator) trace(format string, args ...any) {
 	if c.Trace {
 		c.log.Printf("t=%.4f "+format, append([]any{c.loop.Now().Seconds()}, args...)...)
 	}
 }
 
-// logLimited logs what others can cause as often as they like.
+// logLimited writes a rate-limited log line, for events that clients, replicas or peers can cause at any rate.
 func (c *Coordinator) logLimited(format string, args ...any) {
 	c.limitedLog.printf(c.loop.Now(), format, args...)
 }
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -8,12 +8,12 @@
 	"terntray/scheduler"
 )
 
-// The invariants of package invariant are checked when an attempt is decided, again by its connection's writer as
-// the first byte is about to go, when a query is answered and when a client's connection is closed. Between the
-// first two a connection may come up late, a client disconnect or the process stand still.
+// The checks of package invariant run when an attempt is decided, again when its connection's writer is about to
+// write the first byte, when a query is answered, and when a client's connection is closed. Between the first two, a
+// connection may be slow to come up, the client may disconnect, or the process may stall.
 
-// refusedWrites are attempts that their connections' writers refused; the event loop has yet to be notified.
-// Writers may use it from any goroutine.
+// refusedWrites collects the attempts that connections' writers refused to write, until the event loop is notified.
+// It may be used from any goroutine.
 type refusedWrites struct {
 	mu  sync.Mutex
 	all []refusedWrite
@@ -30,7 +30,7 @@
 	refused.all = append(refused.all, refusedWrite{attempt, reason})
 }
 
-// hasPending reports whether the loop has something to be notified of.
+// hasPending reports whether there are refused writes of which the loop has not been notified.
 func (refused *refusedWrites) hasPending() bool {
 	refused.mu.Lock()
 	defer refused.mu.Unlock()
@@ -45,8 +45,8 @@
 	return all
 }
 
-// snapshot is what is known of an attempt at a loop time. It may be called from any goroutine; the earlier attempts
-// of the subquery belong to the event loop and are added there.
+// snapshot returns what is known of an attempt at a loop time, except for what only the event loop may read, such as
+// the subquery's earlier attempts; checkStart adds that. It may be called from any goroutine.
 func (attempt *attemptState) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    attempt.deadline - now,
@@ -56,7 +56,7 @@
 	}
 }
 
-// evidence is what is known of whether a replica ran an attempt.
+// evidence returns what is known of whether a replica ran an attempt.
 func (attempt *attemptState) evidence() invariant.Evidence {
 	if !attempt.ended {
 		return invariant.Running
@@ -69,14 +69,15 @@
 	}
 }
 
-// checkStart tells whether an attempt may be sent that the scheduler asks for. What the scheduler must know better
-// is a violation; of a deadline, a client that disconnects or a query that closes the loop may only hear later.
+// checkStart checks whether an attempt that the scheduler has decided on may be sent. A passed deadline, a
+// disconnected client or a closed query may have been unknown to the scheduler and is only counted; any other refusal
+// is a violation.
 func (c *Coordinator) checkStart(attempt *attemptState, earlier []*attemptState) invariant.Reason {
 	snapshot := attempt.snapshot(c.loop.Now())
 	snapshot.Effect = c.effectOf(attempt.subquery.query)
 	snapshot.MaxAttempts = c.schedulerConfig.MaxAttempts
-	for _, before := range earlier {
-		snapshot.Earlier = append(snapshot.Earlier, before.evidence())
+	for _, previous := range earlier {
+		snapshot.Earlier = append(snapshot.Earlier, previous.evidence())
 	}
 	reason := snapshot.Check()
 	switch reason {
@@ -89,7 +90,8 @@
 	return reason
 }
 
-// mayWrite tells a connection's writer whether an attempt may be written; the writer holds the connection's mutex.
+// mayWrite reports whether an attempt may be written now. It is called by its connection's writer, which holds the
+// connection's mutex.
 func (c *Coordinator) mayWrite(attempt *attemptState, now time.Duration) bool {
 	reason := attempt.snapshot(now).Check()
 	if reason != invariant.Allowed {
@@ -98,7 +100,8 @@
 	return reason == invariant.Allowed
 }
 
-// reportRefusedWrites notifies the loop of what mayWrite has refused. It is called by writers that hold no mutex.
+// reportRefusedWrites notifies the loop of the writes that mayWrite has refused. Writers must not hold the
+// connection's mutex when they call it.
 func (c *Coordinator) reportRefusedWrites() {
 	refused := c.refusedWrites.take()
 	if len(refused) == 0 {
@@ -119,18 +122,18 @@
 	}
 }
 
-// countRefused counts and logs an attempt that is not sent; when is the check that refused it.
+// countRefused counts and logs an attempt that is not sent; when names the check that refused it.
 func (c *Coordinator) countRefused(attempt *attemptState, reason invariant.Reason, when string) {
 	c.counts.Refused[reason]++
 	c.logLimited("event=attempt_refused query=%s attempt=%s replica=%s reason=%s when=%s",
 		attempt.subquery.query.request.ID, attempt.name(), c.replicas.UID(attempt.replica), reason, when)
 }
 
-// noReplica stands for the replica of a violation that concerns none.
+// noReplica is passed to reportViolation if no replica is concerned.
 const noReplica scheduler.ReplicaID = 0
 
-// reportViolation counts and logs an action that an invariant forbids and that was about to happen, or has
-// happened. Each is a fault of this program.
+// reportViolation counts and logs an action that breaks an invariant and that was about to happen or has happened.
+// Each violation is a fault of this program.
 func (c *Coordinator) reportViolation(reason invariant.Reason, action, id string, to scheduler.ReplicaID) {
 	c.counts.Violations++
 	c.log.Printf("event=violation action=%s id=%s replica=%s reason=%s", action, id, c.replicas.UID(to), reason)
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -17,18 +17,18 @@
 	"terntray/scheduler"
 )
 
-// queryState is a query that a client has sent and that has had no answer. It exists from acceptQuery to closeQuery
-// and belongs to the event loop. Times are loop times.
+// queryState is an open query. It exists from acceptQuery to closeQuery and belongs to the event loop. Times are loop
+// times.
 type queryState struct {
-	id            scheduler.RequestID   // towards the scheduler; may be used again once the query is closed
-	number        scheduler.QueryNumber // the same, never used again
-	client        client                // gets the one answer
+	id            scheduler.RequestID   // for the scheduler; may be reused once the query is closed
+	number        scheduler.QueryNumber // for the scheduler; never reused
+	client        client                // receives the answer
 	request       *wire.Query
-	arrived       time.Duration // when its last byte may have arrived at the earliest
+	arrived       time.Duration // earliest time at which its last byte may have arrived
 	deadline      time.Duration // when its client stops waiting
 	deadlineTimer *eventloop.Timer
-	subqueries    []*subqueryState // of the present phase, where it has two
-	twoPhase      *twoPhaseState   // nil: it has one phase
+	subqueries    []*subqueryState // of the current phase, if the query has two
+	twoPhase      *twoPhaseState   // nil: not a two-phase query
 	closed        atomic.Bool      // answered, or its client has disconnected; read by any goroutine
 }
 
@@ -38,30 +38,30 @@
 	id        scheduler.RequestID
 	query     *queryState
 	shard     int
-	wireID    string          // names it towards replicas
-	text      []byte          // what its calls carry; nil: the query's text
+	wireID    string          // its id on the wire to replicas
+	text      []byte          // text of its calls; nil: the query's text
 	attempts  []*attemptState // by scheduler.AttemptNumber
 	answered  bool
-	value     []byte      // the answer
+	value     []byte      // the answer, once answered
 	abandoned atomic.Bool // its phase is over; read by any goroutine
 }
 
-// attemptState is one attempt to have a replica answer a subquery. It is kept with its subquery and belongs to the
-// event loop; its call belongs to the connection that carries it.
+// attemptState is one attempt of a subquery at a replica. It is kept as long as its subquery and belongs to the event
+// loop, except for its call, which belongs to the connection that carries it.
 type attemptState struct {
-	connpool.Attempt // no Call where there was no connection for it
+	connpool.Attempt // Call is nil if the attempt was never passed to the driver
 	call             replicaproto.Call
 	subquery         *subqueryState
 	number           scheduler.AttemptNumber
 	replica          scheduler.ReplicaID
 	endpoint         *replicaconn.Endpoint
-	deadline         time.Duration     // loop time at which it times out
+	deadline         time.Duration     // loop time at which the attempt times out
 	timeoutTimer     *eventloop.Timer  // for deadline
-	ended            bool              // the scheduler knows its outcome, or will in the next iteration
-	outcome          scheduler.Outcome // once it has ended
+	ended            bool              // the scheduler knows the outcome or will be notified in the next iteration
+	outcome          scheduler.Outcome // once ended
 }
 
-// unwanted reports whether no answer to a subquery is wanted any more. It may be called from any goroutine.
+// unwanted reports whether an answer to the subquery is no longer needed. It may be called from any goroutine.
 func (subquery *subqueryState) unwanted() bool {
 	return subquery.abandoned.Load() || subquery.query.closed.Load()
 }
@@ -73,7 +73,7 @@
 	return slices.ContainsFunc(attempts, func(attempt *attemptState) bool { return !attempt.ended })
 }
 
-// callText is what a call of the subquery carries to a replica.
+// callText returns the text of the subquery's calls.
 func (subquery *subqueryState) callText() []byte {
 	if subquery.text != nil {
 		return subquery.text
@@ -81,12 +81,12 @@
 	return subquery.query.request.Text
 }
 
-// name names an attempt in the log: its subquery's id towards replicas, a dot, its number.
+// name returns the attempt's name in the log: the subquery's id on the wire, a dot, and the attempt's number.
 func (attempt *attemptState) name() string {
 	return fmt.Sprintf("%s.%d", attempt.subquery.wireID, attempt.number)
 }
 
-// newRequestID draws an id that no open query and no known subquery has.
+// newRequestID returns an id that no open query and no known subquery has.
 func (c *Coordinator) newRequestID() scheduler.RequestID {
 	for {
 		c.lastID++
@@ -96,18 +96,18 @@
 	}
 }
 
-// queriesInOrder are the open queries by id.
+// queriesInOrder returns the open queries in the order of their ids.
 func (c *Coordinator) queriesInOrder() []*queryState {
 	byID := func(a, b *queryState) int { return cmp.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Values(c.queries), byID)
 }
 
-// effectOf is what running a query's subqueries twice would do.
+// effectOf returns the effect of running a query's subqueries twice.
 func (c *Coordinator) effectOf(query *queryState) invariant.Effect {
 	return c.classes[query.request.Class].effect
 }
 
-// anyWrittenWhole reports whether any attempt of a query was written to its last byte.
+// anyWrittenWhole reports whether any attempt of a query was fully written.
 func (c *Coordinator) anyWrittenWhole(query *queryState) bool {
 	return slices.ContainsFunc(query.subqueries, func(subquery *subqueryState) bool {
 		return slices.ContainsFunc(subquery.attempts, func(attempt *attemptState) bool {
@@ -116,7 +116,7 @@
 	})
 }
 
-// closeQuery ends a query: from now on nothing of it is sent. The caller has answered it, or its client is gone.
+// closeQuery closes a query; from then on nothing is sent for it. The caller answers it, unless its client is gone.
 func (c *Coordinator) closeQuery(query *queryState) {
 	query.closed.Store(true)
 	delete(c.queriesByClient, query.client)
@@ -132,7 +132,7 @@
 	}
 }
 
-// addSubquery adds a subquery to a query, before the scheduler is told of it.
+// addSubquery adds a subquery to a query. The caller notifies the scheduler of it.
 func (c *Coordinator) addSubquery(query *queryState, shard int, wireID string, text []byte) *subqueryState {
 	subquery := &subqueryState{id: c.newRequestID(), query: query, shard: shard, wireID: wireID, text: text}
 	query.subqueries = append(query.subqueries, subquery)
@@ -141,15 +141,14 @@
 	return subquery
 }
 
-// markAnswered takes a subquery's answer.
+// markAnswered stores a subquery's answer.
 func (c *Coordinator) markAnswered(subquery *subqueryState, value []byte) {
 	subquery.answered = true
 	subquery.value = value
 	c.openWork--
 }
 
-// releaseSubquery lets go of a subquery whose query or phase is over, and of its attempts as far as they have
-// ended.
+// releaseSubquery releases a subquery whose query or phase is over, and its attempts that have ended.
 func (c *Coordinator) releaseSubquery(subquery *subqueryState) {
 	if !subquery.answered {
 		c.openWork--
@@ -163,7 +162,7 @@
 	c.forgetIfSettled(subquery)
 }
 
-// forgetIfSettled forgets a subquery of which neither an answer is wanted nor an attempt out.
+// forgetIfSettled removes a subquery whose answer is no longer needed and that has no attempt in flight.
 func (c *Coordinator) forgetIfSettled(subquery *subqueryState) {
 	if subquery.unwanted() && !subquery.hasAttemptInFlight() {
 		delete(c.subqueries, subquery.id)
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -7,16 +7,15 @@
 	"terntray/server"
 )
 
-// recoverFromPanic is called after a panic in an iteration, by whatever query, reply or endpoint list caused it.
-// The state of the scheduler can then not be trusted, and without more each further iteration might panic as well.
-// So the open queries are failed (500), and so is the request that was looked at; the attempts of open queries'
-// present subqueries are abandoned; and a new scheduler starts with the endpoint list as it is known. The connection
-// pool is kept as it is, with its connections and all other attempts. After a second panic, in here, nothing is done
-// beyond going on with the next iteration.
+// recoverFromPanic is called after a panic in an iteration, whatever query, reply or endpoint list caused it. The
+// state of the scheduler can no longer be trusted, and further iterations might panic as well. Therefore
+// recoverFromPanic fails the open queries and the request that was being handled (500), abandons the attempts of the
+// open queries' current subqueries, and starts a new scheduler with the known endpoint list. The connection pool is
+// kept, with its connections and all other attempts. If recoverFromPanic itself panics, the loop just continues with
+// the next iteration.
 //
-// The new scheduler has learned nothing. What limits count (attempts against the retry budget, work sent to
-// starting replicas) goes on, as what was sent before counts for the same limits. If no new scheduler can be made,
-// the old one goes on.
+// The new scheduler starts without estimates, but takes over the ledger, so that earlier attempts still count against
+// the retry budget and the slow start of replicas. If no new scheduler can be started, the old one stays.
 func (c *Coordinator) recoverFromPanic(cause string) {
 	c.counts.Panics++
 	c.log.Printf("event=loop_panic cause=%q", cause)
@@ -28,8 +27,8 @@
 		c.log.Printf("event=loop_panic cause=%q", err)
 	}
 	c.scheduler.Resume(ledger)
-	// The ends of attempts that the old scheduler was still to be notified of. The new one knows none of these
-	// attempts; the notifications release what the drivers hold for them.
+	// These notify of ended attempts that the old scheduler has not been notified of. The new one does not know these
+	// attempts, but the notifications also release what the drivers hold for them.
 	for _, notify := range notifications {
 		notify()
 	}
@@ -37,7 +36,7 @@
 	c.discovery.Repeat()
 }
 
-// answerArriving answers the request that was looked at when the panic came and was not open yet.
+// answerArriving answers the request that was being handled, but not open yet, when the loop panicked.
 func (c *Coordinator) answerArriving() {
 	if c.arriving == nil {
 		return
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -14,31 +14,32 @@
 	"terntray/twophase"
 )
 
-const unlimitedAttempts = 1 << 30 // of a subquery, where the settings name no limit
+const unlimitedAttempts = 1 << 30 // attempts per subquery if the settings have no limit
 
-// twoPhaseQueries is what two-phase queries have in common: can-match first, then fetch of the shards that can
-// matter. Package twophase decides what to ask for; the scheduler places and repeats the subqueries of both phases
-// like any others. It belongs to the event loop, but for allowed, which does not change.
+// twoPhaseQueries holds the state that two-phase queries share. The first phase is can-match, the second is fetch
+// from the shards that may contribute. Package twophase decides what to ask for; the scheduler places and retries the
+// subqueries of both phases like any others. The state belongs to the event loop, except for allowed, which does not
+// change.
 type twoPhaseQueries struct {
-	allowed        map[string]bool            // classes whose queries may ask for two phases
-	classes        map[string]*twophase.Class // what was learned of each
-	sharedVersions bool                       // shards share one line of versions
-	maxAttempts    int                        // for each shard, in both phases
+	allowed        map[string]bool            // classes whose queries may have two phases
+	classes        map[string]*twophase.Class // estimates for each of these classes
+	sharedVersions bool                       // all shards share one sequence of versions
+	maxAttempts    int                        // per shard, over both phases
 }
 
-// twoPhaseState is what an open two-phase query has beyond any other.
+// twoPhaseState is the additional state of an open two-phase query.
 type twoPhaseState struct {
 	run             *twophase.Query
 	request         *wire.TwoPhaseQuery
-	workHints       map[twophase.Shard]time.Duration // of work, as its client gave them
-	canMatch        bool                             // the present subqueries ask for summaries, not for hits
-	stepScheduled   bool                             // takeNextStep is called in the next iteration
+	workHints       map[twophase.Shard]time.Duration // work hints from the client
+	canMatch        bool                             // the current subqueries ask for summaries, not for hits
+	stepScheduled   bool                             // takeNextStep will be called in the next iteration
 	wakeup          *eventloop.Timer                 // for takeNextStep
 	canMatchLatency replyLatency
 	fetchLatency    replyLatency
 }
 
-// replyLatency sums up how long replies took.
+// replyLatency accumulates the latencies of replies.
 type replyLatency struct {
 	count int
 	sum   time.Duration
@@ -51,7 +52,7 @@
 
 func (times *replyLatency) mean() time.Duration { return times.sum / time.Duration(times.count) }
 
-// configure reads which classes may ask for two phases. The installation file names them; they have to be idempotent.
+// configure reads from the installation file which classes may have two phases. They have to be idempotent.
 func (queries *twoPhaseQueries) configure(deployment *Deployment, config *scheduler.Config) error {
 	*queries = twoPhaseQueries{allowed: map[string]bool{}, classes: map[string]*twophase.Class{}}
 	if deployment.Installation == nil {
@@ -73,15 +74,15 @@
 	return invalid
 }
 
-// twoPhaseClassError says that the installation file names a class whose queries cannot have two phases.
+// twoPhaseClassError reports that the installation file names a class whose queries cannot have two phases.
 type twoPhaseClassError struct{ class string }
 
 func (err *twoPhaseClassError) Error() string {
-	return fmt.Sprintf("installation: phases.tracks: found %q, wanted a replayable track", err.class)
+	return fmt.Sprintf("installation: phases.tracks: found %q, wanted a track whose effect is pure", err.class)
 }
 
-// beginTwoPhase makes a query one of two phases; the scheduler does not know it yet. An error says what is wrong
-// with the client's request.
+// beginTwoPhase sets up the state of a two-phase query before the scheduler is notified of it. It returns an error if
+// the client's request is invalid.
 func (c *Coordinator) beginTwoPhase(query *queryState) error {
 	request := query.request.TwoPhase
 	options := twophase.Options{Ranked: request.Limit != nil, SharedVersions: c.twoPhase.sharedVersions}
@@ -90,10 +91,10 @@
 	}
 	hints := map[twophase.Shard]time.Duration{}
 	var shards []twophase.Shard
-	for _, asked := range query.request.Subqueries {
-		shard := twophase.Shard(asked.Shard)
+	for _, requested := range query.request.Subqueries {
+		shard := twophase.Shard(requested.Shard)
 		shards = append(shards, shard)
-		hints[shard] = asked.Hint
+		hints[shard] = requested.Hint
 	}
 	class := c.twoPhase.classes[query.request.Class]
 	objective := min(query.arrived+c.classes[query.request.Class].objective, query.deadline)
@@ -105,19 +106,19 @@
 	return nil
 }
 
-// startFirstPhase tells the scheduler of a two-phase query and of the subqueries of its first phase.
+// startFirstPhase notifies the scheduler of a two-phase query and of the subqueries of its first phase.
 func (c *Coordinator) startFirstPhase(query *queryState) {
 	step := query.twoPhase.run.Next(c.loop.Now())
 	c.scheduler.QueryArrives(c.loop.Now(), c.arrivalOf(query, max(1, len(step.Shards))))
 	c.scheduler.UsePhases(query.id, step.Action == twophase.CanMatch)
 	if step.Action == twophase.CanMatch || step.Action == twophase.Fetch {
 		c.startPhase(query, step)
-	} else { // nothing has to be asked
+	} else { // no shard has to be asked
 		c.scheduleNextStep(query)
 	}
 }
 
-// startPhase tells the scheduler of the subqueries of a phase.
+// startPhase adds the subqueries of a phase and notifies the scheduler of them.
 func (c *Coordinator) startPhase(query *queryState, step twophase.Step) {
 	state := query.twoPhase
 	state.canMatch = step.Action == twophase.CanMatch
@@ -134,7 +135,7 @@
 	}
 }
 
-// phaseCall is what a call of the present phase carries to a replica of a shard.
+// phaseCall returns the id and text of the current phase's calls to replicas of a shard.
 func (c *Coordinator) phaseCall(query *queryState, shard twophase.Shard) (wireID string, text []byte) {
 	state := query.twoPhase
 	wireID = wire.SubqueryID(query.request.ID, int(shard))
@@ -144,11 +145,11 @@
 	return wireID, wire.FetchRequest(state.request, state.run.Version(shard), query.request.Text)
 }
 
-// canMatchID is the id on the wire of a subquery's can-match call. It differs from that of its fetch call, so that a
-// late reply to the one is not taken for a reply to the other.
+// canMatchID returns the id on the wire of a subquery's can-match call. It differs from that of the fetch call, so
+// that a late reply to one is not taken for a reply to the other.
 func canMatchID(subqueryID string) string { return subqueryID + "s" }
 
-// scheduleNextStep has a two-phase query's next step taken at the start of the next iteration.
+// scheduleNextStep schedules takeNextStep for the start of the next iteration.
 func (c *Coordinator) scheduleNextStep(query *queryState) {
 	state := query.twoPhase
 	if state.stepScheduled {
@@ -163,7 +164,7 @@
 	})
 }
 
-// takeNextStep does what package twophase wants done next.
+// takeNextStep carries out the next step that package twophase decides on.
 func (c *Coordinator) takeNextStep(query *queryState) {
 	state := query.twoPhase
 	c.loop.Cancel(state.wakeup)
@@ -189,7 +190,7 @@
 	}
 }
 
-// endPhase lets go of the subqueries of a phase that is over.
+// endPhase releases the subqueries of a phase that is over.
 func (c *Coordinator) endPhase(query *queryState) {
 	ended := query.subqueries
 	query.subqueries = nil
@@ -199,8 +200,8 @@
 	}
 }
 
-// phaseReplyReceived takes what a replica replied to a subquery of a two-phase query, and tells how the attempt
-// ended.
+// phaseReplyReceived handles a replica's reply to a subquery of a two-phase query, and returns the outcome of the
+// attempt.
 func (c *Coordinator) phaseReplyReceived(attempt *attemptState, value []byte, took time.Duration) scheduler.Outcome {
 	if attempt.subquery.unwanted() {
 		return scheduler.Succeeded
@@ -218,8 +219,8 @@
 	return scheduler.Succeeded
 }
 
-// canMatchReplyReceived takes a shard's summary. One that cannot be used proves nothing: the shard is asked in the
-// second phase.
+// canMatchReplyReceived handles a shard's summary. An unusable summary cannot rule the shard out, so the shard is
+// asked in the second phase.
 func (c *Coordinator) canMatchReplyReceived(attempt *attemptState, value []byte, took time.Duration) {
 	state := attempt.subquery.query.twoPhase
 	shard := twophase.Shard(attempt.subquery.shard)
@@ -232,7 +233,7 @@
 	state.canMatchLatency.add(took)
 }
 
-// fetchReplyReceived takes a shard's hits.
+// fetchReplyReceived handles a shard's hits.
 func (c *Coordinator) fetchReplyReceived(attempt *attemptState, value []byte, took time.Duration) error {
 	state := attempt.subquery.query.twoPhase
 	hits, err := wire.ReadAnswer(attempt.subquery.shard, value)
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// closeTwoPhase counts a two-phase query that is over and learns from it.
+// closeTwoPhase counts a closed two-phase query and updates the estimates for its class.
 func (c *Coordinator) closeTwoPhase(query *queryState) {
 	state := query.twoPhase
 	c.loop.Cancel(state.wakeup)
