--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -9,29 +9,29 @@
 	"terntray/overload"
 )
 
-const sheddingLogInterval = 5 * time.Second // between two lines that say that load is shed
+const sheddingLogInterval = 5 * time.Second // minimum time between two shedding_load lines
 
-// admission sheds load while this process itself is short of CPU, whatever its replicas can do. Package overload
-// decides which share of the arrivals is admitted; admission feeds it with measurements and publishes the share to
-// the clients' goroutines, which reject the others, by their heads alone where these are simple.
+// admission sheds load while this process itself is short of CPU, whatever capacity its replicas have. Package
+// overload decides which share of the arrivals is admitted. admission supplies it with measurements and publishes the
+// share to the goroutines of client connections, which reject the other arrivals, from a simple request's head alone.
 //
-// Shedding for want of replicas is not decided here but in package scheduler.
+// Load shedding for lack of replica capacity is decided in package scheduler.
 type admission struct {
 	log *log.Logger
 
 	// These belong to the event loop.
 	controller overload.Controller
 	cpu        cpuMeter
-	loggedAt   time.Duration // the last line that says that load is shed
+	loggedAt   time.Duration // time of the last shedding_load line
 
 	// These are read and written by any goroutine.
 	share    atomic.Uint64 // of arrivals to admit, as the bits of a float64
-	arrivals atomic.Uint64 // so far
-	shed     atomic.Uint64 // of them, not admitted
+	arrivals atomic.Uint64 // total
+	shed     atomic.Uint64 // total of arrivals that were not admitted
 }
 
-// start admits everything until measurements say otherwise. cores is the process' CPU allowance;
-// it is rounded up.
+// start initializes admission so that it admits everything until measured otherwise. cores is the CPU allowance of
+// the process; it is rounded up.
 func (admission *admission) start(cores float64, logger *log.Logger) {
 	admission.log = logger
 	admission.cpu.cores = max(1, math.Ceil(cores))
@@ -51,13 +51,13 @@
 // isShedding reports whether some arrivals are not admitted. It may be called from any goroutine.
 func (admission *admission) isShedding() bool { return admission.publishedShare() < 1 }
 
-// observeQueueDelay tells how long a query had waited for the event loop after it was read.
+// observeQueueDelay records how long a query waited for the event loop after it was parsed.
 func (admission *admission) observeQueueDelay(now, delay time.Duration) {
 	admission.controller.ObserveQueueDelay(now, delay)
 }
 
-// update follows the process' CPU use; it is called at the end of each iteration. It reports whether a measurement
-// was due, which may have changed readDelay.
+// update measures CPU usage if a measurement is due, and publishes the share. It is called at the end of each
+// iteration and reports whether it took a measurement, which may have changed readDelay.
 func (admission *admission) update(now time.Duration) (measured bool) {
 	measured = admission.cpu.measure(now)
 	if measured {
@@ -71,7 +71,7 @@
 	return measured
 }
 
-// readDelay is how long requests are estimated to wait unread.
+// readDelay returns an estimate of how long requests wait before they are read.
 func (admission *admission) readDelay() time.Duration { return admission.controller.ReadDelay() }
 
 func (admission *admission) logShedding(now time.Duration, share float64) {
@@ -80,7 +80,7 @@
 	}
 	admission.loggedAt = now
 	admission.log.Printf("event=shedding_load share=%.2f reason=%q", share,
-		"this process is short of CPU, not the replicas: it rejects arrivals unread")
+		"this process, not its replicas, is short of CPU; rejecting part of the arrivals unread")
 }
 
 func (admission *admission) publish(share float64) { admission.share.Store(math.Float64bits(share)) }
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -9,21 +9,22 @@
 	"terntray/server"
 )
 
-// client is the connection that a query came on (server.ClientConn); its server guarantees one open query at a
-// time. Tests replace it.
+// client is the connection on which a query arrived (server.ClientConn). The server guarantees that it has at most
+// one open query. Tests use a fake.
 type client interface {
 	HasLeft(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
 
-// clientHandler implements server.Handler: it hands what clients do to the coordinator.
+// clientHandler implements server.Handler. It passes client events to the coordinator.
 type clientHandler struct{ c *Coordinator }
 
-// maxTimeoutFactor bounds what a client may say that it waits, in deadlines of its class: more cannot be meant.
+// maxTimeoutFactor bounds the timeout that a client may state, as a multiple of its class's deadline. A larger one is
+// taken for a mistake.
 const maxTimeoutFactor = 10
 
-// serverConfig is what the server has to know of the deployment.
+// serverConfig returns the configuration of the server.
 func (c *Coordinator) serverConfig() server.Config {
 	limits := c.deployment.Limits
 	config := server.Config{Classes: c.serverClasses(), MemoryMB: limits.MemoryMB, Sockets: limits.Sockets}
@@ -47,16 +48,17 @@
 	return classes
 }
 
-// Ready is what /up says: whether the endpoint list is known. Queries are taken whether or not it is.
+// Ready reports whether the endpoint list is known, as shown by /up. Queries are accepted in either case.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
-// IsSheddingLoad tells whether this process is short of CPU, so that only a share of the arrivals is admitted.
+// IsSheddingLoad reports whether this process is short of CPU and admits only a share of the arrivals.
 func (handler clientHandler) IsSheddingLoad() bool { return handler.c.admission.isShedding() }
 
-// Admit counts one arrival and tells whether it is admitted.
+// Admit counts one arrival and reports whether it is admitted.
 func (handler clientHandler) Admit() bool { return handler.c.admission.admit() }
 
-// QueryArrived takes a query in. The time that it waited for the loop shows whether this process' core is short.
+// QueryArrived handles a query. The time that the query waited for the loop shows whether this process is short of
+// CPU.
 func (handler clientHandler) QueryArrived(arrival server.Arrival) {
 	c := handler.c
 	now := c.loop.Now()
@@ -64,15 +66,15 @@
 	c.queryArrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
 }
 
-// ClientLeft ends what the client has open.
+// ClientLeft closes the open query, if any, of a client that has left.
 func (handler clientHandler) ClientLeft(client *server.ClientConn) {
 	handler.c.clientDisconnected(client)
 }
 
-// RequestRefused counts a request that was none.
+// RequestRefused counts a malformed request.
 func (handler clientHandler) RequestRefused() { handler.c.counts.Malformed++ }
 
-// ConnClosed counts the end of a client's connection.
+// ConnClosed counts a closed client connection.
 func (handler clientHandler) ConnClosed(closed server.ConnClosed) {
 	c := handler.c
 	c.counts.ClientConnsClosed[closed.Reason]++
@@ -81,8 +83,8 @@
 	}
 }
 
-// CountersText is the line of the counters.
+// CountersText returns the text of the counters page.
 func (handler clientHandler) CountersText() string { return handler.c.countersLine() }
 
-// EstimatesText is what the scheduler has learned, for a person to read.
+// EstimatesText returns the scheduler's estimates in readable form.
 func (handler clientHandler) EstimatesText() string { return handler.c.estimatesPage() }
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -11,10 +11,10 @@
 	"terntray/server"
 )
 
-// Counts counts what was received, sent and answered since the start. It belongs to the event loop.
+// Counts holds the counters since the start of the process. It belongs to the event loop.
 //
-// Queries is the sum of Succeeded, Rejected, Failed, Disconnected and the queries that are open. The keys under
-// which operators read these counters are older than the names here; see Counts.line.
+// Queries is the sum of Succeeded, Rejected, Failed, Disconnected and the open queries. The published keys of these
+// counters are older than the field names and differ from them; see Counts.line.
 type Counts struct {
 	QueryCounts
 	AttemptCounts
@@ -27,50 +27,50 @@
 type QueryCounts struct {
 	Queries         int // received
 	Succeeded       int
-	Partial         int // of them, without some subqueries
+	Partial         int // of Succeeded: with some subqueries unanswered
 	Rejected        int
-	RejectedFull    int // of them, as too much was open
-	RejectedExpired int // of them, as their deadline had passed before they could be read
+	RejectedFull    int // of Rejected: too much was open
+	RejectedExpired int // of Rejected: the deadline passed before the query was handled
 	Failed          int
-	Disconnected    int // ended as their clients disconnected
-	WaitedUnsent    int // rejected or failed after half of their time, with no attempt written whole
-	Malformed       int // requests that are no queries; not among Queries
+	Disconnected    int // closed because the client disconnected
+	WaitedUnsent    int // rejected or failed after more than half of their timeout without a fully written attempt
+	Malformed       int // invalid requests, which are not counted in Queries
 }
 
 // AttemptCounts counts attempts.
 type AttemptCounts struct {
 	Attempts    int
-	Retries     int // of them, after another of the same subquery had ended
-	Hedges      int // of them, beside another of the same subquery
+	Retries     int // of Attempts: started after the earlier attempts of the subquery had ended
+	Hedges      int // of Attempts: started while another attempt of the subquery was in flight
 	Outcomes    [len(outcomeKeys)]int
-	Refused     map[invariant.Reason]int // not written, as an invariant forbade it then
-	Violations  int                      // actions decided against an invariant; above 0: a fault of this program
-	LateReplies int                      // replies to attempts that had ended
+	Refused     map[invariant.Reason]int // attempts not sent because an invariant forbade it
+	Violations  int                      // decided actions that break an invariant; each is a fault of this program
+	LateReplies int                      // replies to attempts that had already ended
 }
 
 // ReplicaConnCounts counts connections to replicas.
 type ReplicaConnCounts struct {
 	ConnsOpened          int
-	ConnsFailed          int // did not come up
-	TLSFailed            int // of them, for their certificates or handshake
-	ConnsDropped         int // broke with attempts out, or unasked
-	ConnsMalformed       int // closed for what came
-	PingTimeouts         int // closed as a ping was not answered
-	GoingAway            int // the replica took nothing new on them
-	StreamLimitReached   int // times that attempts waited for the replica's limit
-	CertificatesExpiring int // now
+	ConnsFailed          int // failed to connect
+	TLSFailed            int // of ConnsFailed: certificate or handshake failed
+	ConnsDropped         int // broke with attempts in flight, or closed unexpectedly
+	ConnsMalformed       int // closed because of malformed input
+	PingTimeouts         int // closed because a ping was not answered
+	GoingAway            int // the replica accepted no new attempts on them
+	StreamLimitReached   int // times that attempts waited for the replica's stream limit
+	CertificatesExpiring int // currently
 }
 
 // TwoPhaseCounts counts two-phase queries.
 type TwoPhaseCounts struct {
 	TwoPhaseQueries    int // ended
-	CanMatchPhases     int // of them, with a can-match phase
-	ShardsPruned       int // not asked, as their can-match reply proved that they cannot matter
-	MalformedSummaries int // can-match replies that cannot be used
-	TwoPhaseRejected   int // no complete answer could come in time
+	CanMatchPhases     int // of TwoPhaseQueries: with a can-match phase
+	ShardsPruned       int // not fetched because their can-match reply proved that they cannot contribute
+	MalformedSummaries int // unusable can-match replies
+	TwoPhaseRejected   int // rejected because no complete answer was possible in time
 }
 
-// ProcessCounts counts what concerns the process as a whole.
+// ProcessCounts counts events that concern the process as a whole.
 type ProcessCounts struct {
 	EndpointLists        int
 	EndpointListFailures int
@@ -81,7 +81,7 @@
 	ClientConnsClosed    server.CloseCounts
 }
 
-// addConnEvent counts what happened to a connection to a replica.
+// addConnEvent counts an event of a connection to a replica.
 func (counts *Counts) addConnEvent(event replicaconn.ConnEvent) {
 	switch event.Kind {
 	case connpool.ConnectFailed:
@@ -102,7 +102,7 @@
 	}
 }
 
-// outcomeKeys are the keys of Counts.Outcomes, by scheduler.Outcome. Trace lines use the same words.
+// outcomeKeys are the keys of Counts.Outcomes, indexed by scheduler.Outcome. Trace lines use the same names.
 var outcomeKeys = [...]string{
 	scheduler.Succeeded:       "ok",
 	scheduler.Failed:          "erred",
@@ -115,7 +115,7 @@
 	scheduler.MalformedReply:  "spoilt",
 }
 
-// counterLine collects counters in the form that operators read: key=value, separated by spaces.
+// counterLine formats counters as key=value pairs separated by spaces.
 type counterLine struct{ text strings.Builder }
 
 func (line *counterLine) add(key string, value any) {
@@ -125,7 +125,7 @@
 	fmt.Fprintf(&line.text, "%s=%v", key, value)
 }
 
-// line gives the counters under the keys that operators know, with how many queries are open.
+// line formats the counters under their published keys; open is the number of open queries.
 func (counts *Counts) line(open int) string {
 	line := &counterLine{}
 	counts.addQueries(line, open)
--- a/coordinator/cpu.go
+++ b/coordinator/cpu.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-const cpuMeterInterval = 50 * time.Millisecond // between measurements of this process' CPU use
+const cpuMeterInterval = 50 * time.Millisecond // between measurements of this process's CPU usage
 
-// cpuMeter measures how much of its CPU allowance this process uses. It belongs to the event loop.
+// cpuMeter measures which share of its CPU allowance this process uses. It belongs to the event loop.
 type cpuMeter struct {
-	cores      float64       // allowance, rounded up
-	usedShare  float64       // of the allowance, between the last two measurements
-	measuredAt time.Duration // loop time
-	cpuTime    time.Duration // used by this process until then, in user and system mode
+	cores      float64       // CPU allowance, rounded up
+	usedShare  float64       // share of the allowance used between the last two measurements
+	measuredAt time.Duration // loop time of the last measurement
+	cpuTime    time.Duration // user and system time used by this process until measuredAt
 }
 
-// measure takes a measurement if one is due, and reports whether usedShare is new.
+// measure takes a measurement if one is due, and reports whether it updated usedShare.
 func (meter *cpuMeter) measure(now time.Duration) bool {
 	if now < meter.measuredAt+cpuMeterInterval {
 		return false
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -10,16 +10,16 @@
 	"terntray/scheduler"
 )
 
-// endpointHandler implements discovery.Handler. Of a whole list, replicas that it does not name are
-// first marked as removed, and EndpointListBegins is called. Then it passes each endpoint on, in this order:
+// endpointHandler implements discovery.Handler. It first marks the replicas that are missing from a full list as
+// removed and calls EndpointListBegins. It then passes on each endpoint, in this order:
 //
-//  1. to the replica's record: its state there is what connections' writers check before each attempt (package
-//     invariant), so that a draining replica gets nothing that was queued before;
+//  1. to the replica's record, whose state is checked before each attempt is written (package invariant), so that a
+//     draining replica gets no attempts that were queued before;
 //  2. to the connection pool, which opens and closes connections;
-//  3. to the scheduler, which decides with all of the list at the end of the iteration.
+//  3. to the scheduler, which takes the whole list into account at the end of the iteration.
 type endpointHandler struct{ c *Coordinator }
 
-// The states of endpoints on the wire, as the two packages that use them name them.
+// The states of endpoints in packages invariant and scheduler, by their names on the wire.
 var (
 	invariantStates = map[string]invariant.EndpointState{
 		wire.Ready: invariant.Ready, wire.Draining: invariant.Draining, wire.Removed: invariant.Removed,
@@ -29,7 +29,7 @@
 	}
 )
 
-// discoveryConfig is what package discovery has to know of the deployment.
+// discoveryConfig returns the configuration of package discovery.
 func (c *Coordinator) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:      c.deployment.Discovery,
@@ -39,7 +39,7 @@
 	}
 }
 
-// EndpointsReceived takes what discovery says now.
+// EndpointsReceived applies a list, or change of the list, that discovery has just sent.
 func (handler endpointHandler) EndpointsReceived(list *wire.EndpointList) {
 	c := handler.c
 	c.counts.EndpointLists++
@@ -51,14 +51,15 @@
 	}
 }
 
-// EndpointsKnown takes the list as it was last known. By it alone /up does not say that the process is ready, as a
-// newer list may come at once.
+// EndpointsKnown applies the last known list. It does not make the process ready, as a newer list may arrive at any
+// moment.
 func (handler endpointHandler) EndpointsKnown(list *wire.EndpointList) {
 	handler.c.observeWallClock()
 	handler.c.applyEndpoints(list, lastKnownList)
 }
 
-// PollFailed counts a failure. From then on /up says ready if any list is known: an old list is better than none.
+// PollFailed counts a failed poll. From then on the process is ready if any list is known: an old list is better than
+// none.
 func (handler endpointHandler) PollFailed(isNews bool) {
 	c := handler.c
 	c.counts.EndpointListFailures++
@@ -70,7 +71,7 @@
 	}
 }
 
-// observeWallClock compares the wall clock with the loop's; it returns the loop's time.
+// observeWallClock records the wall clock against the loop's clock, and returns the loop time.
 func (c *Coordinator) observeWallClock() (now time.Duration) {
 	wallClock := time.Now()
 	now = c.loop.Since(wallClock)
@@ -78,12 +79,12 @@
 	return now
 }
 
-// listAge is how old an endpoint list may be.
+// listAge says whether an endpoint list may be out of date.
 type listAge int
 
 const (
-	currentList   listAge = iota // discovery says so now
-	lastKnownList                // as it was known before; it may be old
+	currentList   listAge = iota // just sent by discovery
+	lastKnownList                // known from before; may be old
 )
 
 func (c *Coordinator) applyEndpoints(list *wire.EndpointList, age listAge) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// removeUnlisted has the replicas count as removed that a whole list does not name.
+// removeUnlisted marks the replicas that are missing from a full list as removed.
 func (c *Coordinator) removeUnlisted(endpoints []wire.Endpoint) {
 	isListed := map[string]bool{}
 	for _, endpoint := range endpoints {
@@ -119,7 +120,7 @@
 	})
 }
 
-// connectTo tells the driver of connections where an endpoint is, or that it is removed.
+// connectTo passes the address and state of an endpoint to the driver of replica connections.
 func (c *Coordinator) connectTo(replica *replicaconn.Endpoint, endpoint wire.Endpoint) {
 	if endpoint.State == wire.Removed {
 		c.replicas.Remove(replica)
@@ -133,8 +134,8 @@
 	c.replicas.List(replica, endpoint.Address, endpoint.Model, isDraining)
 }
 
-// observeStart has the connections to a replica closed that are from before its process started, as whatever is
-// written to one of them is lost. It returns that start, as far as it is told, in the loop's time.
+// observeStart returns the loop time at which a replica's process started, or scheduler.StartUnknown. It also has
+// connections from before that time closed, because anything written to them would be lost.
 func (c *Coordinator) observeStart(replica *replicaconn.Endpoint, endpoint wire.Endpoint) time.Duration {
 	if endpoint.BootMS <= 0 {
 		return scheduler.StartUnknown
@@ -151,7 +152,7 @@
 	return scheduler.CellNumber(*endpoint.Cell)
 }
 
-// zoneOf is the zone of an endpoint, -1 for one that the settings do not name.
+// zoneOf returns the zone of an endpoint, or -1 if the settings do not name it.
 func (c *Coordinator) zoneOf(endpoint wire.Endpoint) scheduler.ZoneIndex {
 	if zone, named := c.zones[endpoint.Zone]; named {
 		return zone
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	maxGossipBytes   = 256  // of a message; one byte more is read, so that the scheduler refuses longer ones
-	maxUnreadGossip  = 1024 // messages that wait for the event loop; further ones are dropped, as any may be lost
+	maxGossipBytes   = 256  // per message; one more byte is read, so that the scheduler refuses longer messages
+	maxUnreadGossip  = 1024 // messages waiting for the event loop; further ones are dropped
 	gossipErrorPause = 100 * time.Millisecond
 	gossipNetwork    = "udp4"
 )
 
-// gossip carries the scheduler's messages between co-ordinators as datagrams. A message that cannot be sent, or
-// comes while too many wait, is lost; the scheduler expects that. Its methods may be called from any goroutine; a
-// nil one sends nothing.
+// gossip exchanges the scheduler's messages with other co-ordinators as datagrams. Messages that cannot be sent, or
+// that arrive while too many are waiting, are lost; the scheduler tolerates that. The methods may be called from any
+// goroutine; broadcast and close do nothing on a nil *gossip.
 type gossip struct {
 	socket *net.UDPConn
 	peers  []netip.AddrPort // by scheduler.PeerIndex
 	index  map[netip.AddrPort]scheduler.PeerIndex
 
-	unread         atomic.Int64 // messages that wait for the event loop
-	unknownSenders atomic.Int64 // messages from elsewhere so far, which nobody reads
+	unread         atomic.Int64 // messages waiting for the event loop
+	unknownSenders atomic.Int64 // messages from senders that are not peers; discarded
 }
 
-// openGossip opens the socket. Without peers there is none, and it returns nil.
+// openGossip opens the socket. If no peers are configured, it returns nil.
 func openGossip(in config.Gossip) (*gossip, error) {
 	if len(in.Peers) == 0 {
 		return nil, nil
@@ -58,12 +58,12 @@
 	return opened, nil
 }
 
-// unmapped gives an address the one form in which addresses can be compared.
+// unmapped converts an IPv4-mapped IPv6 address to IPv4, so that addresses can be compared.
 func unmapped(addr netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// receiveAll posts the handling of each peer's messages until the socket is closed.
+// receiveAll reads messages until the socket is closed, and posts a call of handle for each message from a peer.
 func (gossip *gossip) receiveAll(post func(func()) bool, handle func(from scheduler.PeerIndex, message []byte)) {
 	buffer := make([]byte, maxGossipBytes+1)
 	for {
@@ -71,7 +71,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an error that comes again at once must not use up the CPU
+		if err != nil { // a persistent error must not use up the CPU
 			time.Sleep(gossipErrorPause)
 			continue
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-// startGossip opens the socket, where the installation file names peers, and reads until it is closed.
+// startGossip opens the socket and starts reading from it, if the installation file names peers.
 func (c *Coordinator) startGossip(in config.Gossip) error {
 	opened, err := openGossip(in)
 	if opened == nil {
--- a/coordinator/limitedlog.go
+++ b/coordinator/limitedlog.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-const maxLinesPerSecond = 10 // that replicas, peers and clients may cause
+const maxLinesPerSecond = 10 // of the lines that clients, replicas and peers can cause
 
-// limitedLog writes lines that others can cause as often as they like: some in each second, and then how many were
-// left out. It belongs to the event loop.
+// limitedLog writes a limited number of lines per second, and then the number of lines that were suppressed. It is
+// used for events that others can cause at any rate. It belongs to the event loop.
 type limitedLog struct {
 	log         *log.Logger
 	secondBegan time.Duration // loop time
-	written     int           // lines in this second
-	suppressed  int           // lines since then that were left out
+	written     int           // lines written in this second
+	suppressed  int           // lines suppressed in this second
 }
 
 func (limited *limitedLog) printf(now time.Duration, format string, args ...any) {
--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// countersLine is the page of the counters and the last line of the log.
+// countersLine returns all counters, for the counters page and for the log lines at shutdown.
 func (c *Coordinator) countersLine() string {
 	clients := c.server.Counts()
 	line := &counterLine{}
@@ -24,7 +24,7 @@
 	return c.counts.line(len(c.queries)) + " " + line.text.String()
 }
 
-// addShadowCounts adds what other settings would have decided, where they are evaluated.
+// addShadowCounts adds the results of shadow evaluation, if it is enabled.
 func (c *Coordinator) addShadowCounts(line *counterLine) {
 	counts, evaluated := c.scheduler.ShadowCounts()
 	if !evaluated {
@@ -41,7 +41,7 @@
 	line.add("would_copy", counts.WouldHedge)
 }
 
-// estimatesPage is what the scheduler has learned of classes and replicas, for a person to read.
+// estimatesPage returns the estimates for classes and replicas in readable form.
 func (c *Coordinator) estimatesPage() string {
 	var page strings.Builder
 	estimates := c.scheduler.ClassEstimates()
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// reservedSockets are descriptors for all that is no connection to a client or a replica: the listener, the
-	// connections to discovery, gossip, files, the log, and some to spare.
+	// reservedSockets is the number of file descriptors for everything except connections to clients and replicas:
+	// the listener, connections to discovery, gossip, files and the log, with some to spare.
 	reservedSockets = 24
-	// replicaConnDivisor says that one in so many of the other descriptors may be a connection to a replica.
+	// replicaConnDivisor limits connections to replicas: at most one in replicaConnDivisor of the other descriptors.
 	replicaConnDivisor = 3
 )
 
-// maxReplicaConns is how many connections to replicas the process' limit on descriptors leaves room for.
+// maxReplicaConns returns the maximum number of connections to replicas, given the limit on file descriptors.
 func maxReplicaConns(sockets int) int {
 	if sockets <= 0 {
 		return math.MaxInt
@@ -29,7 +29,7 @@
 	return max(2, (sockets-reservedSockets)/replicaConnDivisor)
 }
 
-// configureReplicas makes the driver of connections to replicas.
+// configureReplicas creates the driver of replica connections.
 func (c *Coordinator) configureReplicas() error {
 	deployment := c.deployment
 	c.installation = deployment.Installation
@@ -44,7 +44,7 @@
 	var timeoutErr, idleErr, attemptsErr, callsErr error
 	limits.ConnectTimeout, timeoutErr = deployment.duration("bounds.connectTimeout", time.Second)
 	limits.IdleTimeout, idleErr = deployment.duration("bounds.idleClose", 0)
-	limits.IdleTimeout /= 2 // replicas close idle connections after the whole of it at the latest
+	limits.IdleTimeout /= 2 // replicas close idle connections after the full time at the latest
 	limits.MaxAttemptsPerConn, attemptsErr = deployment.wholeNumber("bounds.multiplex", math.MaxInt32)
 	maxCalls, callsErr := deployment.wholeNumber("familyInfo.batch", 1)
 	driver, err := replicaconn.New(replicaconn.Config{
@@ -59,7 +59,8 @@
 	return errors.Join(timeoutErr, idleErr, attemptsErr, callsErr)
 }
 
-// sendAttempt has an attempt sent. It returns false where no connection carries it and none can be opened.
+// sendAttempt passes an attempt to the driver. It returns false if there is no connection for it and none can be
+// opened.
 func (c *Coordinator) sendAttempt(attempt *attemptState) bool {
 	subquery := attempt.subquery
 	attempt.ID = c.replicas.NextAttemptID()
@@ -81,30 +82,30 @@
 	return true
 }
 
-// replicaHandler implements replicaconn.Handler: it hands what comes of attempts and connections to the coordinator.
+// replicaHandler implements replicaconn.Handler. It passes events of attempts and connections to the coordinator.
 type replicaHandler struct{ c *Coordinator }
 
-// AttemptEnded notifies of an attempt that ended without a reply.
+// AttemptEnded handles the end of an attempt without a reply.
 func (handler replicaHandler) AttemptEnded(id connpool.AttemptID, outcome scheduler.Outcome, took time.Duration) {
 	if attempt := handler.c.attemptsInFlight[id]; attempt != nil {
 		handler.c.attemptEnded(attempt, outcome, took)
 	}
 }
 
-// ReplyReceived notifies of the reply that ends an attempt.
+// ReplyReceived handles the reply that ends an attempt.
 func (handler replicaHandler) ReplyReceived(id connpool.AttemptID, reply *replicaproto.Event, readAt time.Duration) {
 	if attempt := handler.c.attemptsInFlight[id]; attempt != nil {
 		handler.c.replyReceived(attempt, reply, readAt)
 	}
 }
 
-// LateReply counts a reply to an attempt that nobody waited for any more.
+// LateReply counts a reply to an attempt that had already ended.
 func (handler replicaHandler) LateReply() { handler.c.counts.LateReplies++ }
 
-// ConnUp counts a connection that has come up.
+// ConnUp counts an established connection.
 func (handler replicaHandler) ConnUp() { handler.c.counts.ConnsOpened++ }
 
-// ConnEvent counts and logs what happened to a connection.
+// ConnEvent counts and logs an event of a connection.
 func (handler replicaHandler) ConnEvent(event replicaconn.ConnEvent) {
 	c := handler.c
 	c.counts.addConnEvent(event)
@@ -112,13 +113,13 @@
 		event.Kind, event.ReplicaUID, event.Addr, event.Outstanding, event.Cause)
 }
 
-// CertificatesExpiring notes how many certificates expire soon.
+// CertificatesExpiring records how many certificates expire soon.
 func (handler replicaHandler) CertificatesExpiring(count int) {
 	handler.c.counts.CertificatesExpiring = count
 }
 
-// HasRefusedCalls tells whether mayWrite has refused calls of which the loop is yet to be notified.
+// HasRefusedCalls reports whether mayWrite has refused calls of which the loop has not been notified.
 func (handler replicaHandler) HasRefusedCalls() bool { return handler.c.refusedWrites.hasPending() }
 
-// NotifyRefusedCalls notifies the loop of them.
+// NotifyRefusedCalls notifies the loop of the calls that mayWrite has refused.
 func (handler replicaHandler) NotifyRefusedCalls() { handler.c.reportRefusedWrites() }
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -1,12 +1,12 @@
 package coordinator
 
-// At SIGTERM package server begins to send clients away (server/shutdown.go tells the steps and their times). For a
-// while clients may still connect, and all queries that are open or still come run as ever. The process ends when
-// the last client connection has ended and no query is open; only then are the connections to replicas, to discovery
-// and to other coordinators closed (Serve). The shutdown as a whole has no time limit of its own: each query ends by
-// its deadline.
+// At SIGTERM package server starts to close client connections; server/shutdown.go describes the steps and their
+// times. Clients may still connect for a while, and queries that are open or still arrive are served as before. The
+// process ends when the last client connection has ended and no query is open. Only then does Serve close the
+// connections to replicas and discovery and the gossip socket. The shutdown as a whole has no time limit: each query
+// ends by its deadline.
 
-// shutDown begins the graceful shutdown. It is called on the loop, once.
+// shutDown starts the graceful shutdown. It is called once, on the loop.
 func (c *Coordinator) shutDown() {
 	c.log.Printf("event=shutting_down %s", c.countersLine())
 	c.server.Shutdown(func() {
@@ -14,5 +14,5 @@
 	})
 }
 
-// isShutDown tells whether nothing is left to do.
+// isShutDown reports whether the shutdown is complete.
 func (c *Coordinator) isShutDown() bool { return c.clientsClosed && len(c.queries) == 0 }
