--- a/coordinator/deployment.go
+++ b/coordinator/deployment.go
@@ -19,49 +19,50 @@
 	discoveryVariable = "ROUTER_DISCOVERY"
 )
 
-// Deployment is what a co-ordinator is told before it starts: the platform file (ROUTER_CONFIG), in which environment
-// variables may replace some values, and the installation file (package config).
+// Deployment is the configuration of a co-ordinator: the platform file (ROUTER_CONFIG), some values of which can be
+// overridden by environment variables, and the installation file (package config).
 type Deployment struct {
 	Name           string            `json:"name"`
 	Listen         string            `json:"listen"`    // host:port for clients
 	Discovery      string            `json:"discovery"` // host:port
-	Seed           string            `json:"seed"`      // of draws of chance
+	Seed           string            `json:"seed"`      // of the random number generator; see seed
 	Limits         Limits            `json:"limits"`
-	KnownEndpoints wire.EndpointList `json:"known"` // the endpoint list as it was last known; may be old
+	KnownEndpoints wire.EndpointList `json:"known"` // the last known endpoint list, which may be old
 	SettingsJSON   json.RawMessage   `json:"settings"`
 
-	// Installation is what the installation file says; nil: there is none.
+	// Installation is the content of the installation file; nil: there is none.
 	Installation *config.Config `json:"-"`
 
-	settings        map[string]string // SettingsJSON by path: see Flatten
+	settings        map[string]string // SettingsJSON by path; see Flatten
 	path            string            // of the platform file
-	discoveryInFile string            // Discovery before the environment replaced it
+	discoveryInFile string            // Discovery as in the file, before the environment overrides it
 }
 
-// Limits are those of the machine; 0: not known.
+// Limits are the resource limits of the process; 0: unknown.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// MissingVariableError says that an environment variable is not set, and that the platform file has no value in its
-// place either.
+// MissingVariableError reports that a required environment variable is not set, and that the platform file has no
+// value in its place.
 type MissingVariableError struct {
 	Variable string
-	Expected string // what it has to say
+	Expected string // what the variable should hold
 }
 
-// Error names the variable and what it has to say.
+// Error names the variable and its expected content.
 func (e *MissingVariableError) Error() string {
-	return fmt.Sprintf("%s is not set: %s", e.Variable, e.Expected)
+	return fmt.Sprintf("%s is not set; expected %s", e.Variable, e.Expected)
 }
 
-// ReadDeployment reads the platform file, which the environment names. The installation file is not read.
+// ReadDeployment reads the platform file that the environment names, and applies the environment's overrides. It does
+// not read the installation file.
 func ReadDeployment(env func(string) string) (*Deployment, error) {
 	path := env(configVariable)
 	if path == "" {
-		return nil, &MissingVariableError{configVariable, "the file that describes the deployment"}
+		return nil, &MissingVariableError{configVariable, "the path of the platform file"}
 	}
 	deployment, err := readFile(path)
 	if err != nil {
@@ -71,10 +72,10 @@
 	replaceIfSet(&deployment.Listen, env(listenVariable))
 	replaceIfSet(&deployment.Discovery, env(discoveryVariable))
 	if deployment.Listen == "" {
-		return nil, &MissingVariableError{listenVariable, "the address that clients connect to"}
+		return nil, &MissingVariableError{listenVariable, "the host:port to listen on for clients"}
 	}
 	if deployment.Discovery == "" {
-		return nil, &MissingVariableError{discoveryVariable, "the address of discovery"}
+		return nil, &MissingVariableError{discoveryVariable, "the host:port of discovery"}
 	}
 	return deployment, nil
 }
@@ -85,7 +86,7 @@
 	}
 }
 
-// readFile reads what the platform file alone says.
+// readFile reads the platform file without the environment's overrides.
 func readFile(path string) (*Deployment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return deployment, nil
 }
 
-// seed is the number that stands for Seed, which is hexadecimal or any other text.
+// seed converts Seed to a number: the value of hexadecimal text, or the hash of any other text.
 func (deployment *Deployment) seed() uint64 {
 	if number, err := strconv.ParseUint(deployment.Seed, 16, 64); err == nil {
 		return number
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	rereadInterval = 250 * time.Millisecond // between attempts to read a file that may be half written
-	maxRereads     = 40                     // then the old configuration stays until the next reload
+	rereadInterval = 250 * time.Millisecond // between attempts to read a file that may be partly written
+	maxRereads     = 40                     // after them the old configuration stays until the next reload
 )
 
-var errNoDiscoveryAddress = errors.New("ROUTER_CONFIG: found no address of discovery, wanted one")
+var errNoDiscoveryAddress = errors.New("ROUTER_CONFIG: the platform file has no address of discovery")
 
-// Reload is called at SIGHUP. It reads the platform file and the TLS files anew and takes up what can change while
-// the service runs: the address of discovery, and the certificates. It may be called from any goroutine and at any
-// time; of several calls the last counts.
+// Reload is called at SIGHUP. It reads the platform file and the TLS files again and applies what can change while
+// the process runs: the address of discovery and the certificates. It may be called from any goroutine at any time; a
+// later call supersedes an earlier one.
 func (c *Coordinator) Reload() {
 	c.loop.Post(func() {
 		c.drivers.Go(c.replicas.ReloadTLS)
@@ -28,8 +28,8 @@
 	})
 }
 
-// readUntilUsable reads the platform file until it can be used, as it may be replaced just now. Until then the old
-// configuration stays.
+// readUntilUsable reads the platform file, with retries because the file may be in the middle of being replaced. The
+// old configuration stays in effect until a read succeeds.
 func (c *Coordinator) readUntilUsable(ctx context.Context, path string) {
 	for attempt := range maxRereads {
 		deployment, err := readReloaded(path)
@@ -63,15 +63,15 @@
 	return deployment, nil
 }
 
-// reconfigure takes up a new configuration. Its endpoint list is not used: it may be older than the one that is
-// known. An address of discovery that the file states as before changes nothing, as the environment may have
-// replaced it.
+// reconfigure applies a new configuration. It ignores the endpoint list in it, which may be older than the known one.
+// The address of discovery is applied only if it has changed in the file; otherwise an override from the environment
+// stays in effect.
 func (c *Coordinator) reconfigure(deployment *Deployment) {
 	c.counts.Reloads++
 	current := c.deployment
 	c.log.Printf("event=reloaded discovery=%s", deployment.Discovery)
 	if deployment.Limits != current.Limits || !maps.Equal(deployment.settings, current.settings) {
-		c.log.Printf("event=restart_needed reason=%q", "limits and settings have changed; they hold from the start on")
+		c.log.Printf("event=restart_needed reason=%q", "changed limits and settings take effect only after a restart")
 	}
 	if deployment.discoveryInFile != current.discoveryInFile {
 		current.discoveryInFile = deployment.discoveryInFile
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -18,14 +18,14 @@
 	"terntray/scheduler"
 )
 
-// class is what the coordinator itself has to know of a class of queries.
+// class holds the settings of a class of queries that the coordinator itself uses.
 type class struct {
 	index     scheduler.ClassIndex
 	objective time.Duration    // latency objective
 	effect    invariant.Effect // of running a subquery twice
 }
 
-// configure reads the whole configuration; nothing of it changes afterwards.
+// configure reads the whole configuration, which does not change afterwards.
 func (c *Coordinator) configure() error {
 	deployment := c.deployment
 	if err := deployment.validate(); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Flatten gives nested settings the form that the simulator gives them: a path for each value; a list of plain
-// values is joined with commas, a list of objects has its length under .count.
+// Flatten converts nested settings to the simulator's format, a map from the path of each value to its text. A list
+// of scalars is joined with commas. A list of objects has its length under .count and its elements under their index.
 func Flatten(nested []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(nested))
 	decoder.UseNumber()
@@ -106,9 +106,9 @@
 	return flat, nil
 }
 
-var errMoreThanOneObject = errors.New("found more than one object, wanted one")
+var errMoreThanOneObject = errors.New("found data after the object, wanted a single object")
 
-// flatten adds a value and all that it holds to flat, under its path.
+// flatten adds a value and everything nested in it to flat, under its path.
 func flatten(flat map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -139,7 +139,7 @@
 
 func joinPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 
-// nameCharacters replaces what separates settings and their values in the simulator's form.
+// nameCharacters replaces the characters that separate settings and values in the simulator's format.
 var nameCharacters = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
 
 func scalarText(value any) string {
@@ -149,14 +149,14 @@
 	return nameCharacters.Replace(fmt.Sprint(value))
 }
 
-const absentValue = "-" // a setting of null
+const absentValue = "-" // null in the simulator's format
 
 func isAbsent(value string) bool { return value == "" || value == absentValue }
 
 // isZero reports whether a number, or a list of numbers, is 0 or absent.
 func isZero(value string) bool { return strings.Trim(value, "0,.-") == "" }
 
-// names are the names in a list of the settings, which holds either names or objects with names.
+// names returns the names in a list among the settings, which holds either names or objects with names.
 func (deployment *Deployment) names(list string) []string {
 	if count, err := strconv.Atoi(deployment.settings[list+".count"]); err == nil {
 		names := make([]string, count)
@@ -171,13 +171,13 @@
 	return strings.Split(deployment.settings[list], ",")
 }
 
-const maxNumber = 1e15 // largest number that a setting can mean
+const maxNumber = 1e15 // largest number accepted in a setting
 
-// wholeNumber reads a setting that counts something, rounded down.
-func (deployment *Deployment) wholeNumber(key string, absent int) (int, error) {
+// wholeNumber reads a count from a setting, rounded down. If the setting is absent, it returns defaultValue.
+func (deployment *Deployment) wholeNumber(key string, defaultValue int) (int, error) {
 	value := deployment.settings[key]
 	if isAbsent(value) {
-		return absent, nil
+		return defaultValue, nil
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || number < 0 || number > maxNumber {
@@ -186,9 +186,9 @@
 	return int(number), nil
 }
 
-// duration reads a setting in microseconds.
-func (deployment *Deployment) duration(key string, absent time.Duration) (time.Duration, error) {
-	microseconds, err := deployment.wholeNumber(key, int(absent.Microseconds()))
+// duration reads a setting in microseconds. If the setting is absent, it returns defaultValue.
+func (deployment *Deployment) duration(key string, defaultValue time.Duration) (time.Duration, error) {
+	microseconds, err := deployment.wholeNumber(key, int(defaultValue.Microseconds()))
 	return time.Duration(microseconds) * time.Microsecond, err
 }
 
@@ -197,7 +197,7 @@
 	return &scheduler.SettingError{Key: key, Found: strconv.Quote(found), Wanted: wanted}
 }
 
-// positiveSettings are settings that, where they are stated, have to be above 0, with the largest that can be meant.
+// positiveSettings are settings that have to be above 0 if they are present, with their largest accepted values.
 var positiveSettings = []struct {
 	key     string
 	largest float64
@@ -212,8 +212,8 @@
 	{"guarantees.askEvery", maxNumber},
 }
 
-// validate names a setting with which nothing could be served although it can be read, as a
-// *scheduler.SettingError. A process with it would start and then reject every query, call no replica or panic.
+// validate returns a *scheduler.SettingError for a setting that can be parsed but not served with. With such a
+// setting a process would start and then reject every query, call no replica, or panic.
 func (deployment *Deployment) validate() error {
 	for _, setting := range positiveSettings {
 		value := deployment.settings[setting.key]
@@ -229,7 +229,7 @@
 	return deployment.validateClassNames()
 }
 
-// validateClassNames names a class that clients could not name: its name is an element of a request's path.
+// validateClassNames refuses class names that clients could not use: the name is an element of the request's path.
 func (deployment *Deployment) validateClassNames() error {
 	seen := map[string]bool{}
 	for index, name := range deployment.names("lanes") {
@@ -237,7 +237,7 @@
 			return &scheduler.SettingError{
 				Key:    fmt.Sprintf("lanes.%d.name", index),
 				Found:  strconv.Quote(name),
-				Wanted: "a name of its own without slash, question mark or space",
+				Wanted: "a unique name without slash, question mark or space",
 			}
 		}
 		seen[name] = true
@@ -245,8 +245,7 @@
 	return nil
 }
 
-// validateInstallation refuses what the installation file says of co-ordinators and sizes if it does not fit the
-// settings.
+// validateInstallation refuses an installation file whose peers or sizes contradict the settings.
 func (deployment *Deployment) validateInstallation(installation *config.Config) error {
 	var peersErr, sizesErr error
 	if len(installation.Gossip.Peers) > 0 && deployment.settings["bounds.peers"] != "true" {
@@ -263,8 +262,8 @@
 var errPeersForbidden = errors.New(
 	"installation: peers.others: setting bounds.peers allows no messages between co-ordinators")
 
-// schedulerConfigs reads what the scheduler starts with, and the configuration for shadow evaluation that the
-// installation file asks for; nil: none.
+// schedulerConfigs returns the scheduler's configuration, and the one for shadow evaluation if the installation file
+// asks for that; otherwise shadow is nil.
 func (deployment *Deployment) schedulerConfigs() (effective scheduler.Config, shadow *scheduler.Config, err error) {
 	installation := deployment.Installation
 	if installation == nil {
@@ -286,16 +285,16 @@
 	return effective, &evaluated, nil
 }
 
-// supportedSettings are the settings with unsupported ones replaced by what holds in their place. Settings of
-// another deployment that are valid must not keep this one from starting.
+// supportedSettings returns the settings with unsupported ones replaced by their effective values. Valid settings
+// from another deployment must not keep this process from starting.
 func (deployment *Deployment) supportedSettings(hasPeers bool) map[string]string {
 	settings := maps.Clone(deployment.settings)
 	maps.Copy(settings, deployment.unsupportedSettings(hasPeers))
 	return settings
 }
 
-// unsupportedSettings are the settings that cannot be carried out, with the values that hold in their place:
-// messages between co-ordinators where no other one is named, and second steps, which the protocol lacks.
+// unsupportedSettings returns the settings that cannot be applied, with the values that are effective instead: gossip
+// if no peers are named, and second steps, which the protocol does not have.
 func (deployment *Deployment) unsupportedSettings(hasPeers bool) map[string]string {
 	effective := map[string]string{}
 	if deployment.settings["bounds.peers"] == "true" && !hasPeers {
