--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -10,15 +10,15 @@
 	"terntray/replicaconn"
 )
 
-// A query ends while an attempt of it is being written, and then the attempt's connection breaks. The attempt goes
-// on no other connection, also where attempts may not be cancelled: it would be sent after the query's answer, or
-// for a client that has disconnected.
+// A query closes while one of its attempts is being written, and then the attempt's connection breaks. The attempt
+// must not be retransmitted on another connection, even if attempts may not be cancelled: it would be sent after the
+// query's answer, or for a client that has disconnected.
 func TestPartlyWrittenAttemptOfClosedQueryIsNotRetransmitted(t *testing.T) {
 	for _, disconnects := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		from := c.newClient()
 		c.receive(from, newQuery("q", time.Minute, 0), 0)
-		connEnded := c.loop.Receive() // as good as the end of one that was up and broke
+		connEnded := c.loop.Receive() // the failed connect, handled below like a break of an established connection
 		c.markConnsUp(t, 1)
 		query := c.queriesByRequestID["q"]
 		query.subqueries[0].attempts[0].call.Stage = replicaproto.Begun
@@ -29,31 +29,31 @@
 		}
 		c.runIteration(connEnded)
 		if c.replicas.Conns() > 0 {
-			t.Errorf("its client disconnects %t: it goes on another connection", disconnects)
+			t.Errorf("client disconnects %t: the attempt is retransmitted on another connection", disconnects)
 		}
 		c.runPosted()
 		if len(c.attemptsInFlight)+len(c.subqueries) > 0 {
-			t.Errorf("its client disconnects %t: %d attempts, %d subqueries are left",
+			t.Errorf("client disconnects %t: %d attempts and %d subqueries are left",
 				disconnects, len(c.attemptsInFlight), len(c.subqueries))
 		}
 	}
 }
 
-// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other
-// goes on no other connection, be it begun or not.
+// A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other must
+// not be retransmitted on another connection, whether or not it is partly written.
 func TestOtherAttemptOfAnsweredSubqueryIsNotRetransmitted(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		c.receive(c.newClient(), newQuery("q", time.Minute, 0, 2), 0)
 		subquery := c.queriesByRequestID["q"].subqueries[0]
-		c.loop.Receive() // the end of its connection; the connections are as good as ones that are up
+		c.loop.Receive() // drop the failed connect; markConnsUp below makes the connections count as up
 		c.StartAttempt(subquery.id, subquery.attempts[0].replica, time.Second)
 		c.loop.Receive()
 		first, other := subquery.attempts[0], subquery.attempts[1]
 		if begun {
 			other.call.Stage = replicaproto.Begun
 		}
-		const firstConn, otherConn = 1, 2 // a replica gets two attempts of one subquery on two of them
+		const firstConn, otherConn = 1, 2 // two attempts of a subquery use different connections to a replica
 		c.markConnsUp(t, 2)
 		reply := replicaproto.Event{
 			Kind:       replicaproto.Reply,
@@ -65,18 +65,18 @@
 		input := replicaconn.Input{Events: []replicaproto.Event{reply}, At: c.loop.Now()}
 		c.loop.RunIteration(func() { c.replicas.Received(firstConn, input) }, func() {})
 		if !subquery.answered {
-			t.Fatal("the subquery is not answered")
+			t.Fatal("the subquery was not answered")
 		}
 		before := c.replicas.Conns()
 		c.loop.RunIteration(func() { c.replicas.ConnEnded(otherConn, io.EOF, c.loop.Now()) }, func() {})
 		c.loop.RunIteration(func() {}, func() {})
 		if !other.ended || c.replicas.Conns() > before-1 {
-			t.Errorf("begun %t: ended %t, %d connections after %d", begun, other.ended, c.replicas.Conns(), before)
+			t.Errorf("begun %t: ended %t, %d connections, %d before", begun, other.ended, c.replicas.Conns(), before)
 		}
 	}
 }
 
-// markConnsUp has all connections count as up, of which there have to be so many. Their ids count from 1.
+// markConnsUp checks the number of connections and marks all of them as up. Their ids count from 1.
 func (c *Coordinator) markConnsUp(t *testing.T, conns int) {
 	t.Helper()
 	if c.replicas.Conns() != conns {
--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fakeClient is a client that keeps its response; a second one blocks.
+// fakeClient is a client that stores its response. A second response would block.
 type fakeClient struct {
 	gone      atomic.Bool
 	closes    bool
@@ -24,7 +24,7 @@
 }
 func (client *fakeClient) CloseAfterResponse() { client.closes = true }
 
-// panickingConn is a connection whose reads panic once it is told to.
+// panickingConn is a connection whose reads panic once now is closed.
 type panickingConn struct {
 	net.Conn
 	now chan struct{}
@@ -33,13 +33,14 @@
 func (conn *panickingConn) Read(buffer []byte) (int, error) {
 	select {
 	case <-conn.now:
-		panic("as if")
+		panic("injected")
 	default:
 	}
 	return conn.Conn.Read(buffer)
 }
 
-// A client's driver panics while a query is open. The query ends as if its client had left.
+// The goroutine of a client connection panics while a query is open. The query must be closed as if the client had
+// disconnected.
 func TestPanicInClientConnectionClosesItsQuery(t *testing.T) {
 	c := newWithUnreachableReplica(t)
 	near, far := connPair(t)
@@ -53,17 +54,17 @@
 	io.WriteString(far, queryRequest("q"))
 	c.loop.Receive()()
 	if c.queriesByRequestID["q"] == nil {
-		t.Fatal("it is not taken in")
+		t.Fatal("the query was not accepted")
 	}
 	close(conn.now)
-	near.SetReadDeadline(time.Unix(1, 0)) // its reading begins anew
+	near.SetReadDeadline(time.Unix(1, 0)) // makes the connection call Read again
 	<-served
 	if c.runPosted(); len(c.queries) > 0 || c.counts.Disconnected != 1 {
-		t.Errorf("%d queries, counts %+v", len(c.queries), c.counts)
+		t.Errorf("%d queries are open, counts %+v", len(c.queries), c.counts)
 	}
 }
 
-// queryRequest is a request of a query.
+// queryRequest returns the text of an HTTP request for a query.
 func queryRequest(id string) string {
 	body := `{"segments":[{"segment":0,"boost":1}],"text":"x"}`
 	head := "POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s"
--- a/coordinator/counters_test.go
+++ b/coordinator/counters_test.go
@@ -7,8 +7,8 @@
 	"terntray/invariant"
 )
 
-// Operators' dashboards read the counters by their keys. A renamed or reordered key would show as a counter that
-// stands still.
+// Operators' dashboards read the counters by their keys. After a rename or reordering they would show counters that no
+// longer change.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	const want = "taken fulfilled partial turned_back full expired scrapped left open held_back bad " +
 		"legs retries hedges violations " +
--- a/coordinator/deployment_test.go
+++ b/coordinator/deployment_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The environment may replace what the configuration file says; what neither says is named by its variable.
+// Environment variables override the platform file. A required value that is in neither is reported by the name of
+// its variable.
 func TestEnvironmentOverridesPlatformFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name":"n0","listen":"127.0.0.1:1","settings":` + settingsJSON + `}`
@@ -22,7 +23,7 @@
 		t.Helper()
 		var missing *MissingVariableError
 		if _, err := read(); !errors.As(err, &missing) || missing.Variable != variable {
-			t.Errorf("%v, want %s to be missing", err, variable)
+			t.Errorf("%v, want a missing %s", err, variable)
 		}
 	}
 	checkMissing("ROUTER_CONFIG")
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -10,11 +10,11 @@
 	"terntray/internal/fake"
 )
 
-// A process starts anew with the endpoint list of its last incarnation. It serves nobody by that list as long as
-// a newer one may be had at once: the replicas may have moved or be draining. Where discovery is down, the old
-// list is all there is.
+// A restarted process knows the endpoint list of its last run, in which replicas may since have moved or be draining.
+// It must not report itself as ready until discovery has sent a newer list, or has failed so that the old list is the
+// best available.
 func TestReadyOnlyAfterDiscoveryAnswersOrFails(t *testing.T) {
-	for _, told := range []bool{true, false} {
+	for _, responds := range []bool{true, false} {
 		a, err := fake.NewDiscoveryAgent()
 		if err != nil {
 			t.Fatal(err)
@@ -30,16 +30,16 @@
 		go func() { ended <- c.Serve(ctx) }()
 		call := <-a.Calls
 		if c.ready.Load() {
-			t.Error("it is ready with the list of its last incarnation")
+			t.Error("ready with only the list of the last run")
 		}
-		if told {
+		if responds {
 			call.Respond(`{"rev":5,"all":true,"targets":[{"uid":"s-a","endpoint":"127.0.0.1:1","az":"west","pod_group":0,"state":"draining"}]}`)
-		} else { // discovery is down: the old one is all there is
+		} else { // discovery fails
 			call.Conn.Close()
 		}
 		for end := time.Now().Add(20 * time.Second); !c.ready.Load(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("told %t: it is never ready", told)
+				t.Fatalf("discovery responds %t: never ready", responds)
 			}
 		}
 		stop()
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -8,7 +8,7 @@
 	"terntray/internal/fake"
 )
 
-// waitUntil runs iterations until something holds.
+// waitUntil runs iterations until a condition holds, for at most five seconds.
 func (c *Coordinator) waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -17,10 +17,10 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-// newWithGossip makes a coordinator with its gossip open; both end with the test.
+// newWithGossip returns a coordinator with an open gossip socket. Both are closed at the end of the test.
 func newWithGossip(t *testing.T, listen, peer string) *Coordinator {
 	t.Helper()
 	settings := map[string]string{"bounds.peers": "true", "balancers": "40"}
@@ -40,17 +40,17 @@
 	return c
 }
 
-// What one co-ordinator sends to replicas is told to the other. A stranger's message is not taken, and a peer's
-// that cannot be read is counted.
+// A co-ordinator tells its peer of the attempts that it sends. Messages from an unknown sender are ignored, and
+// malformed messages from a peer are counted.
 func TestCoordinatorsGossipOnLoopback(t *testing.T) {
 	addressA, addressB := fake.FreePort("udp4"), fake.FreePort("udp4")
 	a := newWithGossip(t, addressA, addressB)
 	b := newWithGossip(t, addressB, addressA)
 	a.receive(a.newClient(), newQuery("q", 5*time.Second, 0), 0)
 	if a.counts.Attempts != 1 {
-		t.Fatalf("%d attempts", a.counts.Attempts)
+		t.Fatalf("%d attempts, want 1", a.counts.Attempts)
 	}
-	b.waitUntil(t, "the other hears of the attempt", func() bool { return b.counts.GossipReceived == 1 })
+	b.waitUntil(t, "the peer has heard of the attempt", func() bool { return b.counts.GossipReceived == 1 })
 	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
 	stranger := listenUDP(t, fake.FreePort("udp4"))
 	if _, err := stranger.WriteToUDP([]byte("who am I"), to); err != nil {
@@ -61,9 +61,9 @@
 			t.Fatal(err)
 		}
 	}
-	b.waitUntil(t, "three malformed messages are counted", func() bool { return b.counts.MalformedGossip == 3 })
+	b.waitUntil(t, "three malformed messages have been counted", func() bool { return b.counts.MalformedGossip == 3 })
 	if b.counts.GossipReceived != 1 {
-		t.Errorf("%d messages taken", b.counts.GossipReceived)
+		t.Errorf("%d valid messages, want 1", b.counts.GossipReceived)
 	}
 }
 
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -13,29 +13,28 @@
 	"terntray/internal/wire"
 )
 
-// settingsJSON are the settings of the tests' deployment as they stand in a configuration file: classes look and
-// claim, 24 shards in two cells.
+// settingsJSON is the settings object of the tests' platform file: classes look and claim, 24 shards in two cells.
 const settingsJSON = `{"balancers":3,"bounds":{"connectTimeout":250000,"cpuUsPerRequest":0.0,"mayCancel":true,"retryAfter":false},
 "discovery":"automatic","familyInfo":{"cells":2,"classFetch":[0,0],"classNeed":[1.0,0.5],"ranges":24,"span":1},"kinds":["std 2core"],
 "lanes":[{"aim":2500000,"deadline":6000000,"effect":"pure","name":"look"},
 {"aim":1500000,"deadline":3000000,"effect":"side_effect","name":"claim"}],
 "orgs":[{"name":"a,b","share":0.47}],"report":{"fields":[]},"zone":0,"zones":["west","east"]}`
 
-// unreachable is an address at which nobody listens.
+// unreachable is an address on which nothing listens.
 const unreachable = "127.0.0.1:1"
 
-// readyReplica is a replica that holds the shards of cell 0.
+// readyReplica returns the endpoint of a ready replica of cell 0.
 func readyReplica(uid, address string) wire.Endpoint {
 	cell := 0
 	return wire.Endpoint{UID: uid, Address: address, State: wire.Ready, Cell: &cell}
 }
 
-// twoReplicas hold the same shards and cannot be reached.
+// twoReplicas returns two unreachable replicas of the same shards.
 func twoReplicas() []wire.Endpoint {
 	return []wire.Endpoint{readyReplica("s-a", unreachable), readyReplica("s-b", unreachable)}
 }
 
-// newDeployment makes a deployment with an endpoint list as it was last known.
+// newDeployment returns a deployment with a last known endpoint list.
 func newDeployment(t *testing.T, known ...wire.Endpoint) *Deployment {
 	settings, err := Flatten([]byte(settingsJSON))
 	if err != nil {
@@ -52,13 +51,13 @@
 	}
 }
 
-// newCoordinator makes a coordinator whose loop the test drives. It knows no replica before newClient.
+// newCoordinator returns a coordinator whose loop the test drives. It knows no replica until newClient is called.
 func newCoordinator(t *testing.T, known ...wire.Endpoint) *Coordinator {
 	return newCoordinatorOf(t, newDeployment(t, known...))
 }
 
-// newCoordinatorWith makes one with some settings replaced, before one replica that nobody can reach unless others
-// are given.
+// newCoordinatorWith returns a coordinator with some settings replaced. Without an explicit endpoint list, it has one
+// unreachable replica.
 func newCoordinatorWith(t *testing.T, settings map[string]string, known ...wire.Endpoint) *Coordinator {
 	if known == nil {
 		known = []wire.Endpoint{readyReplica("s-a", unreachable)}
@@ -78,20 +77,20 @@
 	return c
 }
 
-// newWithUnreachableReplica makes one that knows a replica which nobody can reach.
+// newWithUnreachableReplica returns a coordinator that knows one unreachable replica.
 func newWithUnreachableReplica(t *testing.T) *Coordinator {
 	c := newCoordinatorWith(t, nil)
 	c.discovery.Repeat()
 	return c
 }
 
-// newClient has the coordinator know its endpoint list and makes a client.
+// newClient returns a client, after making the coordinator apply its endpoint list.
 func (c *Coordinator) newClient() *fakeClient {
 	c.discovery.Repeat()
 	return newFakeClient()
 }
 
-// newQuery is a query of class look for some shards of cell 0.
+// newQuery returns a query of class look for some shards.
 func newQuery(id string, timeout time.Duration, shards ...int) *wire.Query {
 	query := &wire.Query{ID: id, Class: "look", Timeout: timeout}
 	for _, shard := range shards {
@@ -101,18 +100,18 @@
 	return query
 }
 
-// runIteration runs an iteration of the loop that begins with an event.
+// runIteration runs an iteration of the loop with an event.
 func (c *Coordinator) runIteration(event func()) { c.loop.RunIteration(event, c.endIteration) }
 
-// runPosted runs an iteration with what was posted.
+// runPosted runs an iteration without an event of its own, which calls the posted functions.
 func (c *Coordinator) runPosted() { c.runIteration(func() {}) }
 
-// receive runs an iteration in which a query arrives that has waited for some time.
+// receive runs an iteration in which a query arrives that has already waited for some time.
 func (c *Coordinator) receive(from client, query *wire.Query, waited time.Duration) {
 	c.runIteration(func() { c.queryArrives(from, query, c.loop.Now()-waited) })
 }
 
-// connPair is a connection over loopback.
+// connPair returns both ends of a TCP connection over loopback.
 func connPair(t *testing.T) (near, far *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,13 +134,13 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// waitForState waits until a connection's end shows a state.
+// waitForState waits until netconn.Peek returns a state for a connection.
 func waitForState(t *testing.T, conn net.Conn, state netconn.State) {
 	t.Helper()
 	end := time.Now().Add(20 * time.Second)
 	for netconn.Peek(conn) != state {
 		if time.Now().After(end) {
-			t.Fatal("nothing comes")
+			t.Fatal("timed out waiting for the connection's state")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -15,9 +15,11 @@
 	"terntray/scheduler"
 )
 
-// newWithInstallation makes a coordinator with some settings replaced and with an installation file, whose text may be
-// empty.
-func newWithInstallation(t *testing.T, settings map[string]string, file string, known ...wire.Endpoint) (*Coordinator, error) {
+// newWithInstallation returns a coordinator with some settings replaced and with an installation file, or without one
+// if file is empty.
+func newWithInstallation(
+	t *testing.T, settings map[string]string, file string, known ...wire.Endpoint,
+) (*Coordinator, error) {
 	t.Helper()
 	d := newDeployment(t, known...)
 	maps.Copy(d.settings, settings)
@@ -31,15 +33,14 @@
 	return New(d, log.New(io.Discard, "", 0))
 }
 
-// peersFile is the text of an installation file that names other co-ordinators.
+// peersFile returns the text of an installation file that names peers.
 func peersFile(listen string, peers ...string) string {
 	text, _ := json.Marshal(map[string]any{"peers": map[string]any{"listen": listen, "others": peers}})
 	return string(text)
 }
 
-// The settings of another deployment allow messages between co-ordinators where none is named, and a second step,
-// which the protocol lacks. They are valid, so the process starts; it logs what is not supported and decides
-// without it.
+// Settings of another deployment may allow gossip although no peers are named, and second steps, which the protocol
+// does not have. They are valid, so the process starts, logs the unsupported settings and runs without them.
 func TestUnsupportedSettingsAreLoggedAndNotUsed(t *testing.T) {
 	for _, hasPeers := range []bool{false, true} {
 		d := newDeployment(t)
@@ -59,7 +60,7 @@
 			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.schedulerConfig)
 		}
 		if got := strings.Contains(logged.String(), `setting=bounds.peers value="true" effective="false"`); got == hasPeers {
-			t.Errorf("peers %t: it is logged: %s", hasPeers, logged.String())
+			t.Errorf("peers %t: bounds.peers must be logged as unsupported only without peers: %s", hasPeers, logged.String())
 		}
 		if !strings.Contains(logged.String(), `setting=familyInfo.classFetch value="0,2" effective="0"`) {
 			t.Errorf("the second step is not logged: %s", logged.String())
@@ -75,7 +76,7 @@
 	if err := c.startGossip(c.installation.Gossip); err != nil || c.gossip != nil {
 		t.Errorf("%v, gossip %v", err, c.gossip)
 	}
-	c.Broadcast([]byte{1}) // goes nowhere
+	c.Broadcast([]byte{1}) // must do nothing
 }
 
 func TestInstallationConflictingWithSettingsIsRejected(t *testing.T) {
@@ -103,9 +104,9 @@
 	}
 }
 
-// Under shadow evaluation the process decides as without it: the same attempts go, and the counters tell what would
-// have differed. Among 900 co-ordinators that are silent attempts would have longer timeouts, as no hedges may go
-// here.
+// Shadow evaluation must not change decisions: the same attempts are sent, and the counters show what would have
+// differed. With 900 co-ordinators that send no gossip, attempts would have longer timeouts, because hedges are not
+// allowed in these settings.
 func TestShadowEvaluationDoesNotChangeDecisions(t *testing.T) {
 	run := func(file string) (attempts int, line string) {
 		var replicas []wire.Endpoint
@@ -127,10 +128,10 @@
 	attempts, line := run("")
 	same, counted := run(`{"sizes":[{"model":"slow","size":0.1}],"watch":{"settings":{"balancers":"900","weightKind":"nominal"}}}`)
 	if attempts == 0 || attempts != same {
-		t.Errorf("%d attempts, %d under shadow evaluation", attempts, same)
+		t.Errorf("%d attempts, %d with shadow evaluation", attempts, same)
 	}
 	if strings.Contains(line, "watched") {
-		t.Errorf("without shadow evaluation: %s", line)
+		t.Errorf("counters of shadow evaluation without it: %s", line)
 	}
 	for _, want := range []string{
 		" watched=1 ",
@@ -141,7 +142,7 @@
 		}
 	}
 	if strings.Contains(counted, "would_turn_back=0 ") && strings.Contains(counted, "would_go_elsewhere=0") {
-		t.Errorf("nothing would differ: %s", counted)
+		t.Errorf("shadow evaluation found no difference: %s", counted)
 	}
 }
 
--- a/coordinator/limitedlog_test.go
+++ b/coordinator/limitedlog_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A replica closes connection after connection. The log says so a few times in a second, and then how often it did
-// not.
+// A replica that keeps closing connections must not flood the log: only a limited number of lines is written per
+// second, followed by the number of suppressed lines.
 func TestLimitedLogCountsSuppressedLines(t *testing.T) {
 	var text strings.Builder
 	limited := limitedLog{log: log.New(&text, "", 0)}
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -8,31 +8,32 @@
 	"terntray/internal/wire"
 )
 
-// A client asks to wait for a day and disconnects. Nothing of its query is remembered for as long.
+// A client sends a query with a timeout of a day and disconnects. The query's state must be released once its attempts
+// have ended, not at its deadline.
 func TestClosedQueryIsReleasedOnceItsAttemptsEnd(t *testing.T) {
 	c := newCoordinator(t, readyReplica("s-a", unreachable))
 	from := c.newClient()
 	c.receive(from, newQuery("q", 24*time.Hour, 0), 0)
 	if timers, _ := c.loop.Timers(); c.counts.Attempts != 1 || timers < 2 {
-		t.Fatalf("%d attempts, %d timers", c.counts.Attempts, timers)
+		t.Fatalf("%d attempts, want 1; %d timers, want at least 2", c.counts.Attempts, timers)
 	}
 	c.runIteration(func() { c.clientDisconnected(from) })
 	c.runPosted()
 	if _, last := c.loop.Timers(); last > time.Minute {
-		t.Errorf("a timer is left that is due at %v", last)
+		t.Errorf("a timer is left, due at %v", last)
 	}
 	if c.openSizes() != "0 0 0 0 0" || c.counts.Disconnected != 1 {
 		t.Errorf("left: %s, counts %+v", c.openSizes(), c.counts)
 	}
 }
 
-// openSizes tells how much is kept of what is open.
+// openSizes returns the sizes of the collections of open queries and subqueries, and openWork.
 func (c *Coordinator) openSizes() string {
 	return fmt.Sprint(len(c.queries), len(c.queriesByRequestID), len(c.queriesByClient), len(c.subqueries), c.openWork)
 }
 
-// Replicas are replaced, clients come and go, and ids are new each time, for long. None of that leaves anything
-// behind.
+// Replicas are replaced and clients connect and disconnect for a long time, always with new ids. The state must not
+// grow.
 func TestStateDoesNotGrowWithPastQueriesAndReplicas(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
@@ -47,7 +48,7 @@
 			c.queryArrives(from, newQuery(fmt.Sprint("q", n), time.Second, 0), c.loop.Now())
 		})
 		c.runIteration(func() { c.clientDisconnected(from) })
-		for c.replicas.Endpoints() > 2 { // the last ones' connections have yet to fail
+		for c.replicas.Endpoints() > 2 { // until the connects to removed replicas have failed
 			c.runIteration(c.loop.Receive())
 		}
 		if n%1000 != 999 {
@@ -59,7 +60,7 @@
 			sizes = now
 		}
 		if now != sizes {
-			t.Errorf("after %d: %s, before %s", n, now, sizes)
+			t.Errorf("after %d rounds: sizes %s, want %s", n, now, sizes)
 		}
 	}
 	if c.counts.Attempts < 2000 {
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -15,7 +15,7 @@
 	"terntray/scheduler"
 )
 
-// The loop panics while a query is open. Its client gets a 500, and the process serves on.
+// The loop panics while a query is open. The client must get a 500, and the process must keep serving.
 func TestPanicFailsOnlyOpenQueries(t *testing.T) {
 	replica, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	if _, err := replica.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	c.loop.Post(func() { panic("as if") })
+	c.loop.Post(func() { panic("injected") })
 	status := make([]byte, 12)
 	if _, err := io.ReadFull(conn, status); err != nil || string(status) != "HTTP/1.1 500" {
 		t.Errorf("%q, %v", status, err)
@@ -52,7 +52,7 @@
 	}
 }
 
-// listenAddress reads the log until it says where clients are served.
+// listenAddress reads log lines up to the one with the listen address, and returns the address.
 func listenAddress(lines <-chan string) string {
 	for {
 		_, after, found := strings.Cut(<-lines, "listen=")
@@ -63,8 +63,8 @@
 	}
 }
 
-// Attempts are out when the loop panics. They hold no places afterwards: neither on connections nor among the
-// subqueries.
+// Attempts are in flight when the loop panics. They must be released: neither connections nor subqueries may keep
+// them.
 func TestPanicReleasesAttempts(t *testing.T) {
 	replica, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,14 +75,14 @@
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
 	c.runIteration(c.loop.Receive()) // the connection is up
 	if len(c.attemptsInFlight) != 1 {
-		t.Fatalf("%d attempts are out", len(c.attemptsInFlight))
+		t.Fatalf("%d attempts are in flight, want 1", len(c.attemptsInFlight))
 	}
-	c.recoverFromPanic("as if")
+	c.recoverFromPanic("injected")
 	c.runPosted()
 	c.checkNothingIsOpen(t)
 }
 
-// checkNothingIsOpen checks that no query, subquery or attempt is known.
+// checkNothingIsOpen checks that no query, subquery or attempt is left.
 func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
 	t.Helper()
 	if len(c.attemptsInFlight)+len(c.subqueries)+len(c.queries) > 0 {
@@ -90,49 +90,49 @@
 	}
 }
 
-// The loop panics at a request before anything of it is open. The request gets its answer all the same, and only
-// one; so does the next.
+// The loop panics on a request before the query is open. The request must get exactly one answer, and so must the
+// next one.
 func TestRequestThatPanicsTheLoopIsAnswered(t *testing.T) {
 	c := newWithUnreachableReplica(t)
 	from := c.newClient()
 	query := newQuery("q", time.Minute, 0)
-	query.TwoPhase = &wire.TwoPhaseQuery{} // which its class does not allow, so that nothing is ready for it
+	query.TwoPhase = &wire.TwoPhaseQuery{} // panics, because its class allows no two-phase queries
 	cause := eventloop.Recover(func() { c.receive(from, query, 0) })
 	if cause == "" {
-		t.Fatal("nothing panics")
+		t.Fatal("the loop did not panic")
 	}
 	c.recoverFromPanic(cause)
 	if len(from.responses) != 1 || !strings.Contains(string(<-from.responses), " 500 ") {
-		t.Error("it is not answered")
+		t.Error("the request was not answered with 500")
 	}
 	query.TwoPhase = nil
 	c.receive(from, query, 0)
-	c.recoverFromPanic("as if, later")
+	c.recoverFromPanic("injected later")
 	if len(from.responses) != 1 {
-		t.Errorf("the next has %d answers", len(from.responses))
+		t.Errorf("the next request has %d answers, want 1", len(from.responses))
 	}
 }
 
-// An attempt has timed out, and the iteration that was to notify the scheduler of it panics before it comes to
-// that. What the attempt holds is released all the same.
+// An attempt has timed out, and the iteration that should notify the scheduler panics first. The attempt must be
+// released nevertheless.
 func TestAttemptEndsAreDeliveredAfterAPanic(t *testing.T) {
 	c := newWithUnreachableReplica(t)
 	c.receive(c.newClient(), newQuery("q", time.Minute, 0), 0)
 	for _, attempt := range c.attemptsInFlight {
-		c.loop.NextIteration(func() { panic("as if") })
+		c.loop.NextIteration(func() { panic("injected") })
 		c.abandonAttempt(attempt, scheduler.TimedOut)
 	}
 	cause := eventloop.Recover(c.runPosted)
 	if cause == "" || len(c.attemptsInFlight) != 1 {
-		t.Fatalf("it panics by %q with %d attempts", cause, len(c.attemptsInFlight))
+		t.Fatalf("panic %q with %d attempts in flight, want a panic with 1", cause, len(c.attemptsInFlight))
 	}
-	c.recoverFromPanic("as if")
+	c.recoverFromPanic("injected")
 	c.runPosted()
 	c.checkNothingIsOpen(t)
 }
 
-// The loop panics again and again while attempts fail. The retries that the process has made count on: the budget
-// for them is the process', not the scheduler's that was lost.
+// The loop panics again and again while attempts fail. Retries from before a panic must still count against the retry
+// budget, which belongs to the process and not to one scheduler.
 func TestRetryBudgetSurvivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.ratioSpan":  "10000000",
@@ -155,29 +155,30 @@
 			c.failAttempts(subquery)
 		}
 		retries += len(subquery.attempts) - 1
-		c.recoverFromPanic("as if")
+		c.recoverFromPanic("injected")
 		c.runPosted()
 	}
 	if retries > 2 {
-		t.Errorf("%d retries, 2 are allowed", retries)
+		t.Errorf("%d retries, want at most 2", retries)
 	}
 	if retries == 0 {
-		t.Error("no retry: nothing is shown")
+		t.Error("no retries: the test proves nothing")
 	}
 }
 
-// failAttempts ends the attempts that are out as if they had run and failed, and waits until a retry may go.
+// failAttempts ends the attempts in flight as failed, and waits until a retry may be sent.
 func (c *Coordinator) failAttempts(subquery *subqueryState) {
 	for _, attempt := range subquery.attempts {
 		if !attempt.ended {
 			c.abandonAttempt(attempt, scheduler.Failed)
 		}
 	}
-	time.Sleep(220 * time.Millisecond) // longer than a retry waits after an error
+	time.Sleep(220 * time.Millisecond) // longer than the delay of a retry after an error
 	c.runPosted()
 }
 
-// The loop panics again and again while a replica starts slowly. What was sent to it counts on against slow start.
+// The loop panics again and again during the slow start of a replica. Attempts from before a panic must still count
+// against its slow start.
 func TestSlowStartSurvivesAPanic(t *testing.T) {
 	settings := map[string]string{
 		"guarantees.tipMultiple":   "2.0",
@@ -195,7 +196,7 @@
 		for n := range 60 {
 			c.receive(c.newClient(), newQuery(fmt.Sprint("q", n), 5*time.Second, 0), 0)
 			if panics && n%10 == 9 {
-				c.recoverFromPanic("as if")
+				c.recoverFromPanic("injected")
 				c.runPosted()
 			}
 		}
@@ -203,8 +204,8 @@
 	}
 	without := attempts(false)
 	with := attempts(true)
-	t.Logf("%d attempts, %d with panics between", without, with)
+	t.Logf("%d attempts without panics, %d with panics", without, with)
 	if without == 0 || with > without+1 {
-		t.Errorf("%d attempts at a starting replica, %d with panics between", without, with)
+		t.Errorf("%d attempts at a starting replica without panics, %d with panics", without, with)
 	}
 }
--- a/coordinator/settings_test.go
+++ b/coordinator/settings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// settingsPairs are settingsJSON as the simulator words them.
+// settingsPairs is settingsJSON in the simulator's format.
 const settingsPairs = "balancers=3\tbounds.connectTimeout=250000\tbounds.cpuUsPerRequest=0.0\tbounds.mayCancel=true\t" +
 	"bounds.retryAfter=false\tdiscovery=automatic\tfamilyInfo.cells=2\tfamilyInfo.classFetch=0,0\t" +
 	"familyInfo.classNeed=1.0,0.5\tfamilyInfo.ranges=24\tfamilyInfo.span=1\tkinds=std_2core\tlanes.count=2\t" +
@@ -28,16 +28,16 @@
 	}
 	for _, bad := range []string{"", "{", "[]", "{} {}"} {
 		if _, err := Flatten([]byte(bad)); err == nil {
-			t.Errorf("%q passes for settings", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// startWith makes a coordinator of settings in which some text is replaced.
+// startWith creates a coordinator with the settings in settingsJSON after replacing some text in them.
 func startWith(t *testing.T, old, new string) error {
 	text := strings.Replace(settingsJSON, old, new, 1)
 	if text == settingsJSON && old != new {
-		t.Fatalf("%s is not there", old)
+		t.Fatalf("settingsJSON does not contain %s", old)
 	}
 	d := newDeployment(t)
 	var err error
@@ -52,8 +52,8 @@
 	return err
 }
 
-// A deployment states a setting with which nothing could be served. It is named in one line, in place of a process
-// that starts and serves nothing or panics.
+// A setting with which nothing could be served must be reported in one line. Otherwise a process would start and serve
+// nothing, or panic.
 func TestUnusableSettingsAreRejectedInOneLine(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"connectTimeout":250000`, `"connectTimeout":0`, "bounds.connectTimeout"},
@@ -79,7 +79,7 @@
 	}
 }
 
-// Other deployments have other settings; the process starts with them.
+// The process must start with the settings of other deployments.
 func TestSettingsOfOtherDeploymentsAreAccepted(t *testing.T) {
 	for _, c := range []struct{ old, new string }{
 		{`"deadline":3000000`, `"deadline":300000`},
@@ -94,7 +94,7 @@
 		{`"connectTimeout":250000`, `"connectTimeout":20000,"maxAttempts":1,"secondCopies":false,"multiplex":1,"idleClose":500000`},
 	} {
 		if err := startWith(t, c.old, c.new); err != nil {
-			t.Errorf("%s does not start: %v", c.new, err)
+			t.Errorf("%s: %v", c.new, err)
 		}
 	}
 }
