--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -19,7 +19,7 @@
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
 	switch {
-	case from.HasLeft(c.loop.Now()): // the client left while the query waited for the loop
+	case from.HasDisconnected(c.loop.Now()): // the client disconnected while the query waited for the loop
 		c.counts.Queries++
 		c.counts.Disconnected++
 	case c.queriesByRequestID[request.ID] != nil:
@@ -41,7 +41,7 @@
 
 // isFull reports whether too much is open to accept another query.
 func (c *Coordinator) isFull() bool {
-	return c.openWork >= c.maxOpen || c.server.IsCrowded(len(c.queries))
+	return c.openWork >= c.maxOpen || c.server.IsNearConnLimit(len(c.queries))
 }
 
 // unknownShard returns the first shard in a query that does not exist, if there is one.
--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -38,8 +38,8 @@
 		late.gone.Store(true)
 	})
 	c.runPosted()
-	if c.replicas.Conns() > 0 {
-		t.Errorf("disconnected after the query was accepted: %d connections for its subqueries", c.replicas.Conns())
+	if c.replicas.ConnCount() > 0 {
+		t.Errorf("disconnected after the query was accepted: %d connections for its subqueries", c.replicas.ConnCount())
 	}
 }
 
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -12,7 +12,7 @@
 // client is the connection on which a query arrived (server.ClientConn). The server guarantees that it has at most
 // one open query. Tests use a fake.
 type client interface {
-	HasLeft(now time.Duration) bool
+	HasDisconnected(now time.Duration) bool
 	Respond(build func(last bool) []byte)
 	CloseAfterResponse()
 }
@@ -66,8 +66,8 @@
 	c.queryArrives(arrival.Client, arrival.Query, arrival.ReceivedAt)
 }
 
-// ClientLeft closes the open query, if any, of a client that has left.
-func (handler clientHandler) ClientLeft(client *server.ClientConn) {
+// ClientDisconnected closes the open query, if any, of a client that has disconnected.
+func (handler clientHandler) ClientDisconnected(client *server.ClientConn) {
 	handler.c.clientDisconnected(client)
 }
 
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -80,13 +80,13 @@
 // newWithUnreachableReplica returns a coordinator that knows one unreachable replica.
 func newWithUnreachableReplica(t *testing.T) *Coordinator {
 	c := newCoordinatorWith(t, nil)
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 	return c
 }
 
 // newClient returns a client, after making the coordinator apply its endpoint list.
 func (c *Coordinator) newClient() *fakeClient {
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 	return newFakeClient()
 }
 
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -48,7 +48,7 @@
 			c.queryArrives(from, newQuery(fmt.Sprint("q", n), time.Second, 0), c.loop.Now())
 		})
 		c.runIteration(func() { c.clientDisconnected(from) })
-		for c.replicas.Endpoints() > 2 { // until the connects to removed replicas have failed
+		for c.replicas.EndpointCount() > 2 { // until the connects to removed replicas have failed
 			c.runIteration(c.loop.Receive())
 		}
 		if n%1000 != 999 {
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -33,7 +33,7 @@
 		notify()
 	}
 	clear(c.subqueries)
-	c.discovery.Repeat()
+	c.discovery.Redeliver()
 }
 
 // answerArriving answers the request that was being handled, but not open yet, when the loop panicked.
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -38,7 +38,7 @@
 // countAttempt counts an attempt that is about to be sent, and is not among its subquery's yet, if it is a further
 // one. The first of a later phase takes no token of its replica.
 func (b *retryBudget) countAttempt(now time.Duration, subquery *subquery, replica *replicaState) {
-	if subquery.nextIsFurther() {
+	if subquery.nextIsRetryOrHedge() {
 		b.furtherAttempts = append(b.furtherAttempts, now)
 	}
 	if len(subquery.attempts) > 0 {
@@ -54,13 +54,13 @@
 // expire forgets what is older than the budget's span.
 func (b *retryBudget) expire(now time.Duration) {
 	span := b.parameters.retryBudgetSpan
-	b.arrivals = notBefore(b.arrivals, now-span+1)
-	b.furtherAttempts = notBefore(b.furtherAttempts, now-span)
+	b.arrivals = dropBefore(b.arrivals, now-span+1)
+	b.furtherAttempts = dropBefore(b.furtherAttempts, now-span)
 }
 
 // hasRoom reports whether the budget allows a further attempt now.
 func (b *retryBudget) hasRoom() bool {
-	allowed := b.parameters.retryBudgetFree + b.parameters.retryBudgetShare*float64(len(b.arrivals))
+	allowed := b.parameters.retryBudgetMin + b.parameters.retryBudgetShare*float64(len(b.arrivals))
 	return b.parameters.retryBudgetSpan == 0 || float64(len(b.furtherAttempts)+1) <= allowed
 }
 
@@ -104,11 +104,11 @@
 		return 0
 	}
 	expected := max(attempt.work, scale(attempt.expected, attempt.replica.slowdown))
-	return scale(expected, hedgePatience*unseenLoad)
+	return scale(expected, stragglerFactor*unseenLoad)
 }
 
-// notBefore drops the times before one from a list in order.
-func notBefore(times []time.Duration, at time.Duration) []time.Duration {
+// dropBefore drops the times before one from a list in order.
+func dropBefore(times []time.Duration, at time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] < at {
 		times = times[1:]
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -123,7 +123,7 @@
 // silent replicas, ends and places queries, sends queued subqueries, sends hedges and gossips. All queries are looked
 // at in each iteration while few are open, else at each tick; between ticks those for which something came in.
 func (scheduler *Scheduler) Decide(now time.Duration) {
-	scheduler.clock(now)
+	scheduler.advanceClock(now)
 	scheduler.pollEndpoints()
 	scheduler.retries.expire(now)
 	all := len(scheduler.open) <= fewOpen || now >= scheduler.lastTickAt+tickInterval
@@ -161,17 +161,17 @@
 	scheduler.lastTickAt = scheduler.now
 	scheduler.quotas.refill(passed)
 	for index := range scheduler.classes {
-		scheduler.classes[index].admission.fadeLatenessFactor(seconds)
+		scheduler.classes[index].admission.decayLatenessFactor(seconds)
 	}
-	scheduler.slowStart.fade(seconds)
-	scheduler.hedges.forgetLoad(scheduler.now)
+	scheduler.slowStart.decay(seconds)
+	scheduler.hedges.expireLoadReports(scheduler.now)
 	kept := slowdownKept(seconds)
 	for _, replica := range scheduler.replicas.all {
 		if replica.state == Ready {
-			scheduler.slowStart.readyReplica(replica, scheduler.now)
+			scheduler.slowStart.countReadyReplica(replica, scheduler.now)
 		}
 		scheduler.outliers.detect(scheduler.now, replica)
-		scheduler.outliers.releaseLost(scheduler.now, replica)
+		scheduler.outliers.unloadLost(scheduler.now, replica)
 		replica.fadeSlowdown(kept)
 		if replica.state != Removed {
 			replica.lastListedAt = scheduler.now
@@ -199,7 +199,7 @@
 }
 
 func (scheduler *Scheduler) reject(query *query, decision admissionDecision) {
-	if decision.beginsToShed {
+	if decision.startsShedding {
 		scheduler.host.Log("rejecting queries: expected times exceed their objectives")
 	}
 	scheduler.host.Reject(query.id, decision.retryAfter)
@@ -210,7 +210,7 @@
 func (scheduler *Scheduler) hedge(query *query) {
 	for _, subquery := range query.subqueries {
 		straggler := subquery.lastInFlight()
-		if straggler == nil || query.ended || query.suspectedDeadly() {
+		if straggler == nil || query.ended || query.suspectedQueryOfDeath() {
 			continue
 		}
 		target := scheduler.hedges.target(scheduler.now, straggler)
@@ -222,9 +222,9 @@
 	}
 }
 
-// clock takes the time, and for how long this co-ordinator stood still: a wakeup that it asked for is late. Without
-// that a pause of its own would look like slow replicas.
-func (scheduler *Scheduler) clock(now time.Duration) {
+// advanceClock sets the current time and, if a requested wakeup comes late, how long this co-ordinator was stalled.
+// Without that, its own pauses would look like slow replicas.
+func (scheduler *Scheduler) advanceClock(now time.Duration) {
 	if now > scheduler.now {
 		scheduler.now = now
 		scheduler.stalled = max(0, now-scheduler.wakeupAt-tickInterval)
