--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -52,7 +52,7 @@
 		c.counts.Failed++
 	}
 	halfTimeout := (query.deadline - query.arrived) / 2
-	if c.age(query) > halfTimeout && !c.anyWrittenWhole(query) {
+	if c.age(query) > halfTimeout && !c.anyFullyWritten(query) {
 		c.counts.WaitedUnsent++
 	}
 }
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -107,8 +107,8 @@
 	return c.classes[query.request.Class].effect
 }
 
-// anyWrittenWhole reports whether any attempt of a query was fully written.
-func (c *Coordinator) anyWrittenWhole(query *queryState) bool {
+// anyFullyWritten reports whether any attempt of a query was fully written.
+func (c *Coordinator) anyFullyWritten(query *queryState) bool {
 	return slices.ContainsFunc(query.subqueries, func(subquery *subqueryState) bool {
 		return slices.ContainsFunc(subquery.attempts, func(attempt *attemptState) bool {
 			return attempt.Call != nil && c.replicas.FullyWritten(&attempt.Attempt)
