--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -45,8 +45,8 @@
 	return all
 }
 
-// snapshot returns what is known of an attempt at a loop time, except for what only the event loop may read, such as
-// the subquery's earlier attempts; checkStart adds that. It may be called from any goroutine.
+// snapshot returns what is known of an attempt at a loop time. It may be called from any goroutine and therefore
+// leaves out the subquery's earlier attempts, which belong to the event loop; checkStart adds them.
 func (attempt *attemptState) snapshot(now time.Duration) invariant.Attempt {
 	return invariant.Attempt{
 		TimeLeft:    attempt.deadline - now,
