--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -138,7 +138,7 @@
 		if list != nil || err != nil {
 			return list, last, err
 		}
-		count, err := watch.conn.Read(watch.reader.Free())
+		count, err := watch.conn.Read(watch.reader.FreeSpace())
 		watch.reader.Filled(count)
 		isProgress := err == nil || count > 0
 		if isProgress {
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -122,7 +122,7 @@
 }
 
 // ReadBuffer gives space for what is read next.
-func (session *Session) ReadBuffer() []byte { return session.replies.Free() }
+func (session *Session) ReadBuffer() []byte { return session.replies.FreeSpace() }
 
 // Filled tells how many bytes were read into it.
 func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
@@ -141,7 +141,7 @@
 		return event, false, err
 	}
 	event = replicaproto.Event{
-		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.Status], Value: reply.Value, Busy: reply.Busy,
+		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.Status], Value: reply.Value, Busy: reply.CPUUsage,
 	}
 	return event, true, nil
 }
--- a/internal/replicaproto/http2/response.go
+++ b/internal/replicaproto/http2/response.go
@@ -73,7 +73,7 @@
 		}
 		list.end = field.Value
 	case headerLoad:
-		list.busy = wire.LoadReported(field.Value, "=")
+		list.busy = wire.ParseLoadReport(field.Value, "=")
 	}
 }
 
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -166,7 +166,7 @@
 }
 
 // ReadBuffer gives space for what is read next.
-func (session *Session) ReadBuffer() []byte { return session.input.Free() }
+func (session *Session) ReadBuffer() []byte { return session.input.FreeSpace() }
 
 // Filled tells how many bytes were read into it.
 func (session *Session) Filled(size int) { session.input.Filled(size) }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -128,7 +128,7 @@
 			return noLoad
 		}
 	}
-	return wire.LoadReported(report, loadSeparator)
+	return wire.ParseLoadReport(report, loadSeparator)
 }
 
 func microseconds(number int64) time.Duration { return time.Duration(number) * time.Microsecond }
--- a/internal/wire/buffer.go
+++ b/internal/wire/buffer.go
@@ -17,8 +17,8 @@
 	consumed int // bytes of data that are used up
 }
 
-// Free gives free bytes to read into; Filled has to tell how many were read.
-func (buffer *Buffer) Free() []byte {
+// FreeSpace gives free bytes to read into; Filled has to tell how many were read.
+func (buffer *Buffer) FreeSpace() []byte {
 	if buffer.consumed > 0 {
 		left := copy(buffer.data, buffer.data[buffer.consumed:])
 		buffer.data = buffer.data[:left]
@@ -36,13 +36,13 @@
 	return buffer.data[length:cap(buffer.data)]
 }
 
-// Filled takes in the first bytes of what Free gave last.
+// Filled takes in the first bytes of what FreeSpace gave last.
 func (buffer *Buffer) Filled(count int) { buffer.data = buffer.data[:len(buffer.data)+count] }
 
 // Feed takes in a copy of some bytes.
 func (buffer *Buffer) Feed(bytes []byte) {
 	for len(bytes) > 0 {
-		count := copy(buffer.Free(), bytes)
+		count := copy(buffer.FreeSpace(), bytes)
 		buffer.Filled(count)
 		bytes = bytes[count:]
 	}
@@ -51,7 +51,7 @@
 // Buffered is how many bytes are in and not used up.
 func (buffer *Buffer) Buffered() int { return len(buffer.data) - buffer.consumed }
 
-// Bytes is what is in and not used up; it is valid until the next call of Free.
+// Bytes is what is in and not used up; it is valid until the next call of FreeSpace.
 func (buffer *Buffer) Bytes() []byte { return buffer.data[buffer.consumed:] }
 
 // Consume uses up the first bytes of it.
--- a/internal/wire/buffer_test.go
+++ b/internal/wire/buffer_test.go
@@ -9,7 +9,7 @@
 	var buffer Buffer
 	buffer.Feed(make([]byte, 4*maxKept))
 	buffer.Consume(4 * maxKept)
-	if buffer.Free(); cap(buffer.data) > maxKept {
+	if buffer.FreeSpace(); cap(buffer.data) > maxKept {
 		t.Errorf("an empty buffer keeps %d bytes", cap(buffer.data))
 	}
 }
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -15,9 +15,9 @@
 // noLoad stands for a report that tells no load.
 const noLoad = -1
 
-// LoadReported is the share of its cores in use that a replica's load report tells, from 0 to 1, or below 0 if it
+// ParseLoadReport is the share of its cores in use that a replica's load report tells, from 0 to 1, or below 0 if it
 // tells none. A report is a list of pairs with commas; separator stands between a pair's name and value.
-func LoadReported(report, separator string) float64 {
+func ParseLoadReport(report, separator string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
 		name, figure, _ := strings.Cut(pair, separator)
 		if name != loadUtil && name != loadCPU {
--- a/internal/wire/replies.go
+++ b/internal/wire/replies.go
@@ -17,10 +17,10 @@
 
 // Reply is what a replica says of one subquery.
 type Reply struct {
-	ID     string
-	Status ReplyStatus
-	Value  []byte
-	Busy   float64 // the share of its cores in use, as LoadReported gives it
+	ID       string
+	Status   ReplyStatus
+	Value    []byte
+	CPUUsage float64 // the share of its cores in use, as ParseLoadReport returns it
 }
 
 // ErrMalformedReply is a frame that cannot be used: whatever follows on its connection is in doubt.
@@ -80,7 +80,7 @@
 		return nil, malformed("a value of %d bytes with what is no frame behind it", len(value))
 	}
 	reply := &Reply{ID: string(words[0]), Status: status, Value: bytes.Clone(value)}
-	reply.Busy = LoadReported(string(words[3]), "=")
+	reply.CPUUsage = ParseLoadReport(string(words[3]), "=")
 	return reply, nil
 }
 
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -59,7 +59,7 @@
 }
 
 // PeekSimple looks at a request that is in whole and whose end is beyond doubt, without parsing or consuming it:
-// it gives the path behind its first slash, valid until the next call of Free, and the bytes that the request
+// it gives the path behind its first slash, valid until the next call of FreeSpace, and the bytes that the request
 // takes. For anything out of the ordinary the size is 0: Next then reads it.
 func (reader *RequestReader) PeekSimple() (path []byte, size int) {
 	buffered := reader.Bytes()
--- a/server/reading.go
+++ b/server/reading.go
@@ -13,7 +13,7 @@
 		return client.discard()
 	}
 	wasEmpty := client.requests.Buffered() == 0
-	count, err = client.conn.Read(client.requests.Free())
+	count, err = client.conn.Read(client.requests.FreeSpace())
 	client.requests.Filled(count)
 	if wasEmpty && count > 0 {
 		client.noteFirstByte()
