--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -137,8 +137,8 @@
 
 // replyReceived takes a replica's reply to an attempt, which was read at a loop time.
 func (c *Coordinator) replyReceived(attempt *attemptState, reply *replicaproto.Event, readAt time.Duration) {
-	if reply.Busy >= 0 {
-		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.Busy)
+	if reply.CPUUsage >= 0 {
+		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.CPUUsage)
 	}
 	took := readAt - attempt.SentAt
 	outcome := c.takeReply(attempt, reply, took)
@@ -152,7 +152,7 @@
 func (c *Coordinator) takeReply(
 	attempt *attemptState, reply *replicaproto.Event, took time.Duration,
 ) scheduler.Outcome {
-	switch reply.End {
+	switch reply.Status {
 	case replicaproto.Rejected:
 		return scheduler.Overloaded
 	case replicaproto.OK:
--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -58,9 +58,9 @@
 		reply := replicaproto.Event{
 			Kind:       replicaproto.Reply,
 			SubqueryID: first.call.SubqueryID,
-			End:        replicaproto.OK,
+			Status:     replicaproto.OK,
 			Value:      []byte("v"),
-			Busy:       -1,
+			CPUUsage:   -1,
 		}
 		input := replicaconn.Input{Events: []replicaproto.Event{reply}, At: c.loop.Now()}
 		c.loop.RunIteration(func() { c.replicas.Received(firstConn, input) }, func() {})
--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -50,8 +50,8 @@
 // Revocable tells whether no byte of a call was written and none is about to be.
 func (call *Call) Revocable() bool { return call.Stage == Waiting || call.Stage == Withheld }
 
-// OutputEnd is where the last byte of a call stands in an output.
-type OutputEnd struct {
-	Call *Call
-	Size int // bytes of the output up to and including the call's last
+// CallEnd is where the last byte of a call stands in an output.
+type CallEnd struct {
+	Call   *Call
+	Offset int // bytes of the output up to and including the call's last
 }
--- a/internal/replicaproto/event.go
+++ b/internal/replicaproto/event.go
@@ -14,14 +14,14 @@
 	Ready                    // calls may be written
 )
 
-// End is how a replica says that a subquery ended.
-type End int
+// ReplyStatus is how a replica says that a subquery ended.
+type ReplyStatus int
 
 // The ends of a subquery.
 const (
-	OK       End = iota
-	Error        // it may have run
-	Rejected     // it never ran; the protocol defines the word for that
+	OK       ReplyStatus = iota
+	Error                // it may have run
+	Rejected             // it never ran; the protocol defines the word for that
 )
 
 // Evidence is what proves that a call never ran, other than that it was not written whole (Stage).
@@ -29,8 +29,8 @@
 
 // The kinds of evidence.
 const (
-	AboveLast Evidence = "above the last stream that the replica took" // RFC 9113, 6.8
-	Refused   Evidence = "the replica refused the stream"              // RFC 9113, 8.7
+	AboveLastStreamID Evidence = "above the last stream that the replica took" // RFC 9113, 6.8
+	RefusedStream     Evidence = "the replica refused the stream"              // RFC 9113, 8.7
 )
 
 // Event is something that came on a connection.
@@ -38,9 +38,9 @@
 	Kind       Kind
 	Attempt    uint64 // 0: replies name subqueries, and SubqueryID says which
 	SubqueryID string
-	End        End
+	Status     ReplyStatus
 	Value      []byte
-	Busy       float64 // of a reply: the share of the replica's cores in use; below 0: it tells none
+	CPUUsage   float64 // of a reply: the share of the replica's cores in use; below 0: it tells none
 	Evidence   Evidence
 	MaxCalls   int
 	Detail     string // for the log
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -15,7 +15,7 @@
 	maxCalls   int // of one group in a frame
 	replies    wire.ReplyReader
 	queue      []message
-	outputEnds []replicaproto.OutputEnd // of the calls in the last output, in order
+	outputEnds []replicaproto.CallEnd // of the calls in the last output, in order
 }
 
 // message is what waits to be written: a call, or that a subquery is abandoned.
@@ -76,7 +76,7 @@
 		}
 		buffer = wire.AppendCall(buffer, subqueries...)
 		for _, call := range begun {
-			end := replicaproto.OutputEnd{Call: call, Size: len(buffer) - start}
+			end := replicaproto.CallEnd{Call: call, Offset: len(buffer) - start}
 			session.outputEnds = append(session.outputEnds, end)
 		}
 	}
@@ -112,7 +112,7 @@
 func (session *Session) Wrote(bytes int) {
 	for _, end := range session.outputEnds {
 		switch {
-		case end.Size <= bytes:
+		case end.Offset <= bytes:
 			end.Call.Stage = replicaproto.Written
 		case bytes == 0:
 			end.Call.Stage = replicaproto.Waiting
@@ -128,7 +128,7 @@
 func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
 
 // endOf maps the statuses of replies on the wire.
-var endOf = map[wire.ReplyStatus]replicaproto.End{
+var endOf = map[wire.ReplyStatus]replicaproto.ReplyStatus{
 	wire.ReplyOK:       replicaproto.OK,
 	wire.ReplyError:    replicaproto.Error,
 	wire.ReplyRejected: replicaproto.Rejected,
@@ -141,10 +141,14 @@
 		return event, false, err
 	}
 	event = replicaproto.Event{
-		Kind: replicaproto.Reply, SubqueryID: reply.ID, End: endOf[reply.Status], Value: reply.Value, Busy: reply.Busy,
+		Kind:       replicaproto.Reply,
+		SubqueryID: reply.ID,
+		Status:     endOf[reply.Status],
+		Value:      reply.Value,
+		CPUUsage:   reply.Busy,
 	}
 	return event, true, nil
 }
 
-// MidMessage tells whether a frame has begun to come that is not whole.
-func (session *Session) MidMessage() bool { return session.replies.Buffered() > 0 }
+// HasPartialMessage tells whether a frame has begun to come that is not whole.
+func (session *Session) HasPartialMessage() bool { return session.replies.Buffered() > 0 }
--- a/internal/replicaproto/http2/fakereplica_test.go
+++ b/internal/replicaproto/http2/fakereplica_test.go
@@ -141,7 +141,7 @@
 	for _, e := range replica.events {
 		switch e.Kind {
 		case replicaproto.Reply:
-			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.End, e.Value))
+			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.Status, e.Value))
 		case replicaproto.NeverRan:
 			got = append(got, fmt.Sprintf("never %d %s", e.Attempt, e.Evidence))
 		case replicaproto.MayHaveRun:
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -207,7 +207,7 @@
 		if stream.responded {
 			session.emit(mayHaveRunEvent(stream, ""))
 		} else {
-			session.emit(neverRanEvent(stream, replicaproto.AboveLast))
+			session.emit(neverRanEvent(stream, replicaproto.AboveLastStreamID))
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	}
 	session.forget(stream)
 	if frame.ErrCode == http2.ErrCodeRefusedStream && !stream.responded {
-		session.emit(neverRanEvent(stream, replicaproto.Refused))
+		session.emit(neverRanEvent(stream, replicaproto.RefusedStream))
 	} else {
 		session.emit(mayHaveRunEvent(stream, frame.ErrCode.String()))
 	}
--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -41,7 +41,7 @@
 
 // endOf reads how a response says that its subquery ended. Only status and header together say that it ran well, or
 // never; anything else is an error after which it may have run.
-func endOf(status int, end string) replicaproto.End {
+func endOf(status int, end string) replicaproto.ReplyStatus {
 	isRejectedStatus := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
 	case status == http.StatusOK && end == endOK:
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -14,7 +14,7 @@
 type outbound struct {
 	output      []byte // that frames are being written to
 	outputStart int    // where the session's own output begins in it
-	outputEnds  []replicaproto.OutputEnd
+	outputEnds  []replicaproto.CallEnd
 	control     []byte // control frames that wait to be written
 	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer // that the encoder writes to
@@ -163,14 +163,14 @@
 // noteLastByte notes where a call's last byte stands in the output.
 func (session *Session) noteLastByte(stream *stream) {
 	stream.sent = true
-	end := replicaproto.OutputEnd{Call: stream.call, Size: session.outputSize()}
+	end := replicaproto.CallEnd{Call: stream.call, Offset: session.outputSize()}
 	session.outputEnds = append(session.outputEnds, end)
 }
 
 // Wrote tells how many bytes of the last output were taken.
 func (session *Session) Wrote(taken int) {
 	for _, end := range session.outputEnds {
-		if end.Size <= taken {
+		if end.Offset <= taken {
 			end.Call.Stage = replicaproto.Written
 		}
 	}
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -171,8 +171,8 @@
 // Filled tells how many bytes were read into it.
 func (session *Session) Filled(size int) { session.input.Filled(size) }
 
-// MidMessage tells whether a frame, or a header list of several, has begun to come that is not whole.
-func (session *Session) MidMessage() bool {
+// HasPartialMessage tells whether a frame, or a header list of several, has begun to come that is not whole.
+func (session *Session) HasPartialMessage() bool {
 	return session.input.Buffered() > 0 || session.headers.open
 }
 
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -37,7 +37,7 @@
 	replica.head(3, true, headerLoad, "inflight=1,cpu=0.25")
 	replica.framer.WriteRSTStream(3, http2.ErrCodeNo)
 	replica.feed()
-	if e := replica.events; len(e) != 1 || e[0].Busy != 0.25 {
+	if e := replica.events; len(e) != 1 || e[0].CPUUsage != 0.25 {
 		t.Errorf("load reports in head and trailers: events %+v", e)
 	}
 	replica.expect("answered 2 0 value")
@@ -175,7 +175,7 @@
 	replica.framer.WriteGoAway(3, http2.ErrCodeNo, nil)
 	replica.respond(1, "a")
 	replica.framer.WriteRSTStream(3, http2.ErrCodeInternal)
-	aboveLast := string(replicaproto.AboveLast)
+	aboveLast := string(replicaproto.AboveLastStreamID)
 	replica.expect("never 3 "+aboveLast, "never 4 "+aboveLast, "answered 1 0 a", "may 2")
 	if held.Stage != replicaproto.Waiting {
 		t.Error("a stream was begun after GOAWAY")
@@ -194,7 +194,7 @@
 		replica.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 	}
 	replica.framer.WriteRSTStream(5, http2.ErrCodeCancel)
-	replica.expect("ready", "never 1 "+string(replicaproto.Refused), "may 2", "may 3")
+	replica.expect("ready", "never 1 "+string(replicaproto.RefusedStream), "may 2", "may 3")
 }
 
 // The window is given back for responses, also of streams that are over, or the connection would stall in the end. A
--- a/internal/replicaproto/http2/stream.go
+++ b/internal/replicaproto/http2/stream.go
@@ -14,7 +14,7 @@
 	receiveWindow receiveWindow
 
 	responded     bool // the header list of its response has come
-	end           replicaproto.End
+	end           replicaproto.ReplyStatus
 	contentLength int64 // as that says; below 0: it does not
 	value         []byte
 	busy          float64 // the load report of the header list or the trailers; below 0: none
@@ -48,7 +48,7 @@
 func replyEvent(stream *stream) replicaproto.Event {
 	return replicaproto.Event{
 		Kind: replicaproto.Reply, Attempt: stream.call.Attempt, SubqueryID: stream.call.SubqueryID,
-		End: stream.end, Value: stream.value, Busy: stream.busy,
+		Status: stream.end, Value: stream.value, CPUUsage: stream.busy,
 	}
 }
 
--- a/internal/replicaproto/session.go
+++ b/internal/replicaproto/session.go
@@ -31,6 +31,6 @@
 	// Next gives the next event. If there is none and no error, more bytes must be read first. After an error the
 	// connection is of no more use, and Output gives its last message.
 	Next() (event Event, ok bool, err error)
-	// MidMessage tells whether a message has begun to come that is not whole.
-	MidMessage() bool
+	// HasPartialMessage tells whether a message has begun to come that is not whole.
+	HasPartialMessage() bool
 }
--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -106,7 +106,7 @@
 	if conn.traits.RepliesToInput {
 		conn.outputReady.Signal()
 	}
-	input.midMessage = conn.session.MidMessage()
+	input.midMessage = conn.session.HasPartialMessage()
 	return input
 }
 
