--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -202,7 +202,7 @@
 	now := c.soak.now()
 	stopped := c.soak.stoppedTime(conn.coordinator.name, sent, now)
 	if now-sent > halfRequestWait+stopped+measurementSlack {
-		c.soak.violated(RuleHalfRequest, "", "half a request to %s has neither error nor end after %v",
+		c.soak.violated(RulePartialRequest, "", "half a request to %s has neither error nor end after %v",
 			conn.coordinator.name, now-sent)
 	}
 }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -13,29 +13,29 @@
 
 // The kinds of fault.
 const (
-	FaultStop            FaultKind = "stop"             // SIGSTOP, and SIGCONT a moment later
-	FaultTerminate       FaultKind = "terminate"        // SIGTERM, then a new process
-	FaultKill            FaultKind = "kill"             // SIGKILL, then a new process
-	FaultReload          FaultKind = "reload"           // SIGHUP, with discovery at another agent
-	FaultWallStep        FaultKind = "wall_step"        // the wall clock is stepped, and later back
-	FaultAccept          FaultKind = "accept_fails"     // accept(2) fails
-	FaultConnect         FaultKind = "connect_fails"    // connect(2) fails
-	FaultSocket          FaultKind = "socket_fails"     // socket(2) fails
-	FaultFewDescriptors  FaultKind = "few_descriptors"  // RLIMIT_NOFILE is used up
-	FaultAgentDown       FaultKind = "agent_down"       // a discovery agent answers nothing
-	FaultWatchesReset    FaultKind = "watches_reset"    // a discovery agent resets its connections
-	FaultWatchesSilent   FaultKind = "watches_silent"   // open watches get no answer for ever
-	FaultFullLists       FaultKind = "whole_lists"      // watches are answered with full lists
-	FaultReplicaHangs    FaultKind = "replica_hangs"    // a replica neither reads nor answers
-	FaultReplicaDeaf     FaultKind = "replica_deaf"     // a replica accepts no connections
-	FaultReplicaRestarts FaultKind = "replica_restarts" // a replica comes back cold
-	FaultCellRestarts    FaultKind = "cell_restarts"    // most of a cell comes back cold, under a burst
-	FaultReplicaDrains   FaultKind = "replica_drains"   // a replica drains and is removed; another joins
-	FaultReplicaReplaced FaultKind = "replica_replaced" // a replica is removed at once; another has joined
-	FaultReplicaResets   FaultKind = "replica_resets"   // a replica resets its connections
-	FaultClientsLeave    FaultKind = "clients_leave"    // clients leave often
-	FaultBurst           FaultKind = "burst"            // clients send faster
-	FaultIdleConnections FaultKind = "crowd"            // many connections on which nothing comes
+	FaultStop                FaultKind = "stop"             // SIGSTOP, and SIGCONT a moment later
+	FaultTerminate           FaultKind = "terminate"        // SIGTERM, then a new process
+	FaultKill                FaultKind = "kill"             // SIGKILL, then a new process
+	FaultReload              FaultKind = "reload"           // SIGHUP, with discovery at another agent
+	FaultWallStep            FaultKind = "wall_step"        // the wall clock is stepped, and later back
+	FaultAccept              FaultKind = "accept_fails"     // accept(2) fails
+	FaultConnect             FaultKind = "connect_fails"    // connect(2) fails
+	FaultSocket              FaultKind = "socket_fails"     // socket(2) fails
+	FaultDescriptorLimit     FaultKind = "few_descriptors"  // RLIMIT_NOFILE is used up
+	FaultAgentDown           FaultKind = "agent_down"       // a discovery agent answers nothing
+	FaultWatchesReset        FaultKind = "watches_reset"    // a discovery agent resets its connections
+	FaultWatchesHang         FaultKind = "watches_silent"   // open watches get no answer for ever
+	FaultFullLists           FaultKind = "whole_lists"      // watches are answered with full lists
+	FaultReplicaHangs        FaultKind = "replica_hangs"    // a replica neither reads nor answers
+	FaultReplicaNotAccepting FaultKind = "replica_deaf"     // a replica accepts no connections
+	FaultReplicaRestarts     FaultKind = "replica_restarts" // a replica comes back cold
+	FaultCellRestarts        FaultKind = "cell_restarts"    // most of a cell comes back cold, under a burst
+	FaultReplicaDrains       FaultKind = "replica_drains"   // a replica drains and is removed; another joins
+	FaultReplicaReplaced     FaultKind = "replica_replaced" // a replica is removed at once; another has joined
+	FaultReplicaResets       FaultKind = "replica_resets"   // a replica resets its connections
+	FaultClientsDisconnect        FaultKind = "clients_leave"    // clients leave often
+	FaultBurst               FaultKind = "burst"            // clients send faster
+	FaultIdleConnections     FaultKind = "crowd"            // many connections on which nothing comes
 )
 
 // strike does a fault to somebody and returns whom it struck once it is over; empty: it could strike nobody.
@@ -58,19 +58,19 @@
 	{FaultAccept, 3, failSystemCall(faultbuild.AcceptFails)},
 	{FaultConnect, 3, failSystemCall(faultbuild.ConnectFails)},
 	{FaultSocket, 2, failSystemCall(faultbuild.SocketFails)},
-	{FaultFewDescriptors, 2, lowerDescriptorLimit},
+	{FaultDescriptorLimit, 2, lowerDescriptorLimit},
 	{FaultAgentDown, 4, takeAgentDown},
 	{FaultWatchesReset, 3, onAgent((*agent).resetWatches)},
-	{FaultWatchesSilent, 3, onAgent((*agent).silenceWatches)},
+	{FaultWatchesHang, 3, onAgent((*agent).silenceWatches)},
 	{FaultFullLists, 2, sendFullLists},
 	{FaultReplicaHangs, 5, onReplica(hangReplica)},
-	{FaultReplicaDeaf, 3, onReplica(stopAccepting)},
+	{FaultReplicaNotAccepting, 3, onReplica(stopAccepting)},
 	{FaultReplicaRestarts, 4, onReplica(restartReplica)},
 	{FaultCellRestarts, 3, restartCell},
 	{FaultReplicaDrains, 4, onReplica(drainReplica)},
 	{FaultReplicaReplaced, 3, onReplica(replaceReplica)},
 	{FaultReplicaResets, 4, onReplica(resetConnections)},
-	{FaultClientsLeave, 3, haveClientsLeave},
+	{FaultClientsDisconnect, 3, haveClientsLeave},
 	{FaultBurst, 2, sendBurst},
 	{FaultIdleConnections, 2, openIdleConnections},
 }
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -82,7 +82,7 @@
 	return onProcess(soak, random, func(coordinator *coordinator) {
 		old := coordinator.agent()
 		if err := coordinator.reload(); err != nil {
-			soak.violated(RuleSoak, "", "reload: %v", err)
+			soak.violated(RuleHarness, "", "reload: %v", err)
 			return
 		}
 		if random.IntN(2) == 0 {
--- a/internal/soak/fault_replica.go
+++ b/internal/soak/fault_replica.go
@@ -56,7 +56,7 @@
 	replica.stop()
 	time.Sleep(between(random, 50*time.Millisecond, time.Second))
 	if err := replica.restart(); err != nil {
-		soak.violated(RuleSoak, "", "restart of %s: %v", replica.uid, err)
+		soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
 		return
 	}
 	soak.endpoints.publish(replica.endpoint())
@@ -77,7 +77,7 @@
 	time.Sleep(between(random, 50*time.Millisecond, 500*time.Millisecond))
 	for _, replica := range claimed {
 		if err := replica.restart(); err != nil {
-			soak.violated(RuleSoak, "", "restart of %s: %v", replica.uid, err)
+			soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
 		}
 		soak.endpoints.publish(replica.endpoint())
 	}
@@ -126,7 +126,7 @@
 func (s *Soak) addReplica(cell int) {
 	replica, err := newReplica(s, s.nextReplicaName(), cell, s.now())
 	if err != nil {
-		s.violated(RuleSoak, "", "join: %v", err)
+		s.violated(RuleHarness, "", "join: %v", err)
 		return
 	}
 	s.mu.Lock()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -66,7 +66,7 @@
 func (j *judgement) judgeArrival(arrival *arrival) {
 	request := j.requests[arrival.query]
 	if request == nil {
-		j.violated(RuleUnasked, arrival.query, "%s reached %s, and no client asked for it",
+		j.violated(RuleUnsolicited, arrival.query, "%s reached %s, and no client asked for it",
 			arrival.subquery, arrival.replica.uid)
 		return
 	}
@@ -80,10 +80,10 @@
 // stands for no coordinator alone.
 func (j *judgement) judged(rule Rule, coordinator string, from, to time.Duration) {
 	j.result.Counts[string(rule)]++
-	crossed := j.result.Crossed[rule]
+	crossed := j.result.ChecksDuringFault[rule]
 	if crossed == nil {
 		crossed = map[FaultKind]int{}
-		j.result.Crossed[rule] = crossed
+		j.result.ChecksDuringFault[rule] = crossed
 	}
 	seen := map[FaultKind]bool{}
 	for _, fault := range j.ledger.faults {
@@ -113,7 +113,7 @@
 			if overlap && fault.kind != other.kind {
 				first := min(fault.kind, other.kind)
 				second := max(fault.kind, other.kind)
-				j.result.Overlaps[string(first+"+"+second)]++
+				j.result.FaultOverlaps[string(first+"+"+second)]++
 			}
 		}
 	}
--- a/internal/soak/judge_answer.go
+++ b/internal/soak/judge_answer.go
@@ -70,14 +70,14 @@
 		if answer.status != http.StatusOK {
 			continue
 		}
-		j.judged(RuleHonest, request.coordinator.name, request.sent, answer.at)
+		j.judged(RuleAnswerContent, request.coordinator.name, request.sent, answer.at)
 		if !answer.holdsWhatItSays(request) {
-			j.violated(RuleHonest, request.id, "whole %t with %d of %d parts",
+			j.violated(RuleAnswerContent, request.id, "whole %t with %d of %d parts",
 				answer.complete, len(answer.matches), len(request.shards))
 		}
 		for shard, value := range answer.matches {
 			if !j.ledger.values[subqueryID(request.id, shard)][value] {
-				j.violated(RuleHonest, request.id, "shard %d has %q, which no replica gave", shard, value)
+				j.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica gave", shard, value)
 			}
 		}
 	}
--- a/internal/soak/judge_attempt.go
+++ b/internal/soak/judge_attempt.go
@@ -32,10 +32,10 @@
 		return
 	}
 	name := request.coordinator.name
-	j.judged(RuleClientThere, name, request.left, arrival.begun)
+	j.judged(RuleClientConnected, name, request.left, arrival.begun)
 	after := arrival.begun - request.left
 	if after > leftSlack+j.stoppedTime(name, request.left, arrival.begun)+measurementSlack {
-		j.violated(RuleClientThere, request.id, "%s begins at %s %v after its client has gone",
+		j.violated(RuleClientConnected, request.id, "%s begins at %s %v after its client has gone",
 			arrival.subquery, arrival.replica.uid, after)
 	}
 }
@@ -67,9 +67,9 @@
 	name := request.coordinator.name
 	from := attempts[0].begun
 	to := attempts[len(attempts)-1].complete
-	j.judged(RuleEffect, name, from, to)
+	j.judged(RuleNonIdempotent, name, from, to)
 	if len(attempts) > 1 {
-		j.judged(RuleRepeat, name, from, to)
+		j.judged(RuleMultipleAttempts, name, from, to)
 	}
 	if len(attempts) > maxAttempts {
 		j.violated(RuleAttempts, request.id, "%s has %d attempts", subquery, len(attempts))
@@ -79,11 +79,11 @@
 	}
 	ran := countRan(attempts)
 	if ran > 1 {
-		j.violated(RuleEffect, request.id, "%s ran %d times", subquery, ran)
+		j.violated(RuleNonIdempotent, request.id, "%s ran %d times", subquery, ran)
 	}
 	for _, answer := range request.answers {
 		if ran > 0 && answer.outcome() == countRefused {
-			j.violated(RuleEffect, request.id, "refused, and %s ran", subquery)
+			j.violated(RuleNonIdempotent, request.id, "refused, and %s ran", subquery)
 		}
 	}
 }
--- a/internal/soak/judge_load.go
+++ b/internal/soak/judge_load.go
@@ -85,11 +85,11 @@
 	taken := j.acceptedWork()
 	for process, attempts := range extraAttempts {
 		for _, at := range attempts {
-			j.result.Counts[string(RuleBudget)]++
+			j.result.Counts[string(RuleRetryBudget)]++
 			extra := countWithin(attempts, at-budgetSpan+budgetEdge, at)
 			work := countWithin(taken[process], at-budgetSpan-budgetEdge, at+budgetEdge)
 			if float64(extra) > budgetFree+budgetRatio*float64(work)+budgetEdgeAttempts {
-				j.violated(RuleBudget, "", "%d attempts beyond the first in %v, with %d taken", extra, budgetSpan, work)
+				j.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d taken", extra, budgetSpan, work)
 				break
 			}
 		}
--- a/internal/soak/log.go
+++ b/internal/soak/log.go
@@ -35,7 +35,7 @@
 	log := process.program.Log()
 	for _, words := range violationsInLogs {
 		at := strings.Index(log, words)
-		if at < 0 || s.options.Panics && words == loopPanic {
+		if at < 0 || s.options.ExpectPanics && words == loopPanic {
 			continue
 		}
 		quoted := log[at:min(len(log), at+quotedLogBytes)]
@@ -65,7 +65,7 @@
 	}
 	name := fmt.Sprintf("seed%d-%s-%d.log", s.seed, coordinator.name, process.started.Milliseconds())
 	if err := os.WriteFile(filepath.Join(s.options.LogFolder, name), []byte(log), 0o600); err != nil {
-		s.violated(RuleSoak, "", "log: %v", err)
+		s.violated(RuleHarness, "", "log: %v", err)
 	}
 }
 
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -9,28 +9,28 @@
 // Rule names what is judged. The names are printed, and the deliberate breaks name the rule that catches them.
 type Rule string
 
-// The rules. RuleRepeat is only counted: it says how many subqueries had more than one attempt.
+// The rules. RuleMultipleAttempts is only counted, never violated: the number of subqueries with more than one attempt.
 const (
-	RuleAnswer      Rule = "answer"       // one final answer in time, and nothing behind it
-	RuleHonest      Rule = "honest"       // an answer holds what replicas gave, and as much as it says
-	RuleTimeout     Rule = "told_time"    // a replica is given no more time than is left
-	RuleClientThere Rule = "client_there" // nothing begins for a client that has left
-	RuleDrain       Rule = "drain"        // a draining replica gets nothing new
-	RuleEffect      Rule = "effect"       // what is not idempotent runs once at most
-	RuleRepeat      Rule = "repeat"
-	RuleAttempts    Rule = "attempts"    // the limit on attempts of a subquery
-	RuleSlowStart   Rule = "slow_start"  // a replica that warms up is not overloaded
-	RuleBudget      Rule = "budget"      // the limit on attempts beyond the first
-	RuleShutdown    Rule = "shutdown"    // a process ends in time after SIGTERM
-	RuleDescriptors Rule = "descriptors" // an idle process holds few descriptors
-	RuleHalfRequest Rule = "half"        // half a request gets an error or a close
-	RuleUnasked     Rule = "unasked"     // a replica gets only what a client sent
-	RuleFrame       Rule = "frame"       // frames can be read
-	RulePlacement   Rule = "placement"   // a subquery reaches its own cell
-	RuleCrash       Rule = "crash"       // a process ends with success
-	RuleStart       Rule = "start"       // a process starts
-	RuleLog         Rule = "log"         // a log says nothing of a violation or a panic
-	RuleSoak        Rule = "soak"        // the soak itself could do what it meant to
+	RuleAnswer           Rule = "answer"       // one final answer in time, and nothing behind it
+	RuleAnswerContent    Rule = "honest"       // an answer holds what replicas gave, and as much as it says
+	RuleTimeout          Rule = "told_time"    // a replica is given no more time than is left
+	RuleClientConnected  Rule = "client_there" // nothing begins for a client that has left
+	RuleDrain            Rule = "drain"        // a draining replica gets nothing new
+	RuleNonIdempotent    Rule = "effect"       // what is not idempotent runs once at most
+	RuleMultipleAttempts Rule = "repeat"
+	RuleAttempts         Rule = "attempts"    // the limit on attempts of a subquery
+	RuleSlowStart        Rule = "slow_start"  // a replica that warms up is not overloaded
+	RuleRetryBudget      Rule = "budget"      // the limit on attempts beyond the first
+	RuleShutdown         Rule = "shutdown"    // a process ends in time after SIGTERM
+	RuleDescriptors      Rule = "descriptors" // an idle process holds few descriptors
+	RulePartialRequest   Rule = "half"        // half a request gets an error or a close
+	RuleUnsolicited      Rule = "unasked"     // a replica gets only what a client sent
+	RuleFrame            Rule = "frame"       // frames can be read
+	RulePlacement        Rule = "placement"   // a subquery reaches its own cell
+	RuleCrash            Rule = "crash"       // a process ends with success
+	RuleStart            Rule = "start"       // a process starts
+	RuleLog              Rule = "log"         // a log says nothing of a violation or a panic
+	RuleHarness          Rule = "soak"        // the soak itself could do what it meant to
 )
 
 // Keys of Result.Counts beside the rules' names.
@@ -56,19 +56,19 @@
 
 // Result is what a soak has seen.
 type Result struct {
-	Seed       uint64
-	Violations []Violation
-	Counts     map[string]int             // of what was judged, by rule, and of faults
-	Crossed    map[Rule]map[FaultKind]int // judgements of a rule during which a kind of fault was under way
-	Overlaps   map[string]int             // by two kinds of fault that were under way together, as "a+b"
+	Seed              uint64
+	Violations        []Violation
+	Counts            map[string]int             // of what was judged, by rule, and of faults
+	ChecksDuringFault map[Rule]map[FaultKind]int // judgements of a rule during which a kind of fault was under way
+	FaultOverlaps     map[string]int             // by two kinds of fault that were under way together, as "a+b"
 }
 
 func newResult(seed uint64) *Result {
 	return &Result{
-		Seed:     seed,
-		Counts:   map[string]int{},
-		Crossed:  map[Rule]map[FaultKind]int{},
-		Overlaps: map[string]int{},
+		Seed:              seed,
+		Counts:            map[string]int{},
+		ChecksDuringFault: map[Rule]map[FaultKind]int{},
+		FaultOverlaps:     map[string]int{},
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,8 +30,8 @@
 	// Rates are the system calls that fail all the time, in calls of a million.
 	Rates map[faultbuild.Setting]int64
 
-	// Panics says that the program panics on purpose: a panic of the event loop in its log is no violation.
-	Panics bool
+	// ExpectPanics says that the program panics on purpose: a panic of the event loop in its log is no violation.
+	ExpectPanics bool
 }
 
 const (
--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -66,7 +66,7 @@
 				"	if !client.write(response.bytes) {\n",
 		},
 	}},
-	{"client_gone", soak.RuleClientThere, []faultbuild.Patch{
+	{"client_gone", soak.RuleClientConnected, []faultbuild.Patch{
 		{
 			File: "server/notify.go",
 			Old:  "	client.disconnected.Store(true)\n	if client.requestOpen {\n",
@@ -89,7 +89,7 @@
 				"	replica.SetState(",
 		},
 	}},
-	{"effect", soak.RuleEffect, []faultbuild.Patch{
+	{"effect", soak.RuleNonIdempotent, []faultbuild.Patch{
 		{
 			File: "scheduler/retry.go",
 			Old:  "(first == nil || class.effect == invariant.Idempotent ||",
@@ -108,14 +108,14 @@
 			New:  "	if true {\n		return true\n",
 		},
 	}},
-	{"honest", soak.RuleHonest, []faultbuild.Patch{
+	{"honest", soak.RuleAnswerContent, []faultbuild.Patch{
 		{
 			File: "coordinator/answer.go",
 			Old:  "Payload: string(subquery.value)}",
 			New:  "Payload: string(subquery.value) + \"x\"}",
 		},
 	}},
-	{"budget", soak.RuleBudget, []faultbuild.Patch{
+	{"budget", soak.RuleRetryBudget, []faultbuild.Patch{
 		{
 			File: "scheduler/retry.go",
 			Old:  "	return b.parameters.retryBudgetSpan == 0 || float64",
--- a/proofs/soak/proof.go
+++ b/proofs/soak/proof.go
@@ -55,7 +55,7 @@
 		Without:      p.without,
 		LogFolder:    p.logFolder,
 		Rates:        rates,
-		Panics:       p.panics,
+		ExpectPanics: p.panics,
 	}
 }
 
--- a/proofs/soak/total.go
+++ b/proofs/soak/total.go
@@ -32,7 +32,7 @@
 			t.counts[key] += count
 		}
 	}
-	for rule, crossed := range result.Crossed {
+	for rule, crossed := range result.ChecksDuringFault {
 		if t.crossed[rule] == nil {
 			t.crossed[rule] = map[soak.FaultKind]int{}
 		}
@@ -40,7 +40,7 @@
 			t.crossed[rule][kind] += count
 		}
 	}
-	for pair, count := range result.Overlaps {
+	for pair, count := range result.FaultOverlaps {
 		t.overlaps[pair] += count
 	}
 }
