--- a/internal/fake/load.go
+++ b/internal/fake/load.go
@@ -22,14 +22,14 @@
 
 // LoadResult is what became of one query, as its client saw it.
 type LoadResult struct {
-	Due    time.Duration // when it was to be sent, since the load's start
-	Took   time.Duration // from then to its response
-	Status int           // HTTP status; 0: no response came
+	Due     time.Duration // when it was to be sent, since the load's start
+	Latency time.Duration // from then to its response
+	Status  int           // HTTP status; 0: no response came
 }
 
 // WithinObjective reports whether the query succeeded within a latency objective.
 func (result LoadResult) WithinObjective(objective time.Duration) bool {
-	return result.Status == http.StatusOK && result.Took <= objective
+	return result.Status == http.StatusOK && result.Latency <= objective
 }
 
 // Load sends queries of one class on an open-loop schedule: evenly spaced, and never slowed down by responses.
@@ -74,7 +74,7 @@
 		firstShard := random.IntN(load.Shards - load.Subqueries + 1)
 		open.Go(func() {
 			results[n].Status = load.send(n, firstShard, start.Add(due))
-			results[n].Took = time.Since(start) - due
+			results[n].Latency = time.Since(start) - due
 		})
 	}
 	open.Wait()
--- a/internal/fake/shards.go
+++ b/internal/fake/shards.go
@@ -120,7 +120,7 @@
 	FalseBounds                    // bounds that are too low
 	ResetAfterSummary              // its connection is reset behind the summary
 	NoAnswer                       // no reply to the request for hits
-	SummaryFaults                  // how many there are
+	NumSummaryFaults               // how many there are
 )
 
 // twoPhaseCall is the first line of a call of a two-phase query.
--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { page.Close() })
-	page.Step(step)
+	page.SetWallClockOffset(step)
 	replica, err := fake.NewReplica("s-a", 0, act)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	}
 	t.Cleanup(func() { roster.Server.Close() })
 	p, err := fake.Start(fake.Options{Path: built, Settings: settings, Discovery: roster.Listener.Addr().String(),
-		Known: fake.EndpointList(1, true, roster.Replicas), Env: []string{page.Variable()}})
+		Known: fake.EndpointList(1, true, roster.Replicas), Env: []string{page.EnvVar()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbuild/library.go
+++ b/internal/faultbuild/library.go
@@ -72,7 +72,7 @@
 )
 
 func init() {
-	path, named := Getenv("` + PageVariable + `")
+	path, named := Getenv("` + PageEnvVar + `")
 	if !named {
 		return
 	}
--- a/internal/faultbuild/page.go
+++ b/internal/faultbuild/page.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PageVariable names the environment variable with the path of a program's page.
-const PageVariable = "TERNTRAY_FAULT_PAGE"
+// PageEnvVar names the environment variable with the path of a program's page.
+const PageEnvVar = "TERNTRAY_FAULT_PAGE"
 
 const (
 	pageBytes    = 4096
@@ -19,11 +19,11 @@
 
 // The settings, in the order in which the patched library reads them.
 const (
-	WallStep     Setting = iota // nanoseconds by which the wall clock is off; the monotonic clock goes on
-	AcceptFails                 // ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM
-	SocketFails                 // ENFILE, EMFILE, ENOBUFS, ENOMEM
-	ConnectFails                // EADDRNOTAVAIL, ENETUNREACH, ENOBUFS
-	Interrupted                 // reads and writes end with EINTR
+	WallClockOffset Setting = iota // nanoseconds by which the wall clock is off; the monotonic clock goes on
+	AcceptFails                    // ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM
+	SocketFails                    // ENFILE, EMFILE, ENOBUFS, ENOMEM
+	ConnectFails                   // EADDRNOTAVAIL, ENETUNREACH, ENOBUFS
+	Interrupted                    // reads and writes end with EINTR
 	ShortReads
 	ShortWrites
 )
@@ -49,8 +49,8 @@
 	return &Page{file}, nil
 }
 
-// Variable is the environment's entry that hands the page to a process.
-func (page *Page) Variable() string { return PageVariable + "=" + page.file.Name() }
+// EnvVar is the environment's entry that hands the page to a process.
+func (page *Page) EnvVar() string { return PageEnvVar + "=" + page.file.Name() }
 
 // Set changes a setting at once.
 func (page *Page) Set(setting Setting, value int64) error {
@@ -58,8 +58,10 @@
 	return err
 }
 
-// Step sets the wall clock off by a span.
-func (page *Page) Step(by time.Duration) error { return page.Set(WallStep, int64(by)) }
+// SetWallClockOffset sets the wall clock off by a span.
+func (page *Page) SetWallClockOffset(by time.Duration) error {
+	return page.Set(WallClockOffset, int64(by))
+}
 
 // Close lets go of the page; processes that have it keep what it says.
 func (page *Page) Close() error { return page.file.Close() }
--- a/internal/faultbuild/wallclock_test.go
+++ b/internal/faultbuild/wallclock_test.go
@@ -56,7 +56,7 @@
 		p.Signal(syscall.SIGTERM)
 		told := time.Now()
 		time.Sleep(15 * time.Millisecond)
-		if err := page.Step(step); err != nil {
+		if err := page.SetWallClockOffset(step); err != nil {
 			t.Fatal(err)
 		}
 		for _, piece := range []string{text[30:60], text[60:]} {
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -88,7 +88,7 @@
 		Settings:  settings(c.soak.seed),
 		Known:     known,
 		Sockets:   maxSockets,
-		Env:       []string{c.page.Variable()},
+		Env:       []string{c.page.EnvVar()},
 		Args:      []string{"-trace"},
 	})
 	if err != nil {
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -53,8 +53,8 @@
 		step := drawWallStep(random)
 		if random.IntN(3) == 0 {
 			wait := between(random, 0, 400*time.Millisecond)
-			timer := time.AfterFunc(wait, func() { coordinator.page.Step(step) })
-			defer coordinator.page.Step(0)
+			timer := time.AfterFunc(wait, func() { coordinator.page.SetWallClockOffset(step) })
+			defer coordinator.page.SetWallClockOffset(0)
 			defer timer.Stop()
 		}
 		coordinator.terminate(between(random, 200*time.Millisecond, 400*time.Millisecond))
@@ -105,9 +105,9 @@
 // stepWallClock steps a machine's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
-	coordinator.page.Step(drawWallStep(random))
+	coordinator.page.SetWallClockOffset(drawWallStep(random))
 	time.Sleep(between(random, 300*time.Millisecond, 3*time.Second))
-	coordinator.page.Step(0)
+	coordinator.page.SetWallClockOffset(0)
 	return coordinator.name
 }
 
--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -132,7 +132,7 @@
 	}
 	c.differ++
 	fmt.Printf("seed %d, retrieval %d: frames %d in %v, HTTP/2 %d in %v\n",
-		seed, index, frames.Status, frames.Took, http2.Status, http2.Took)
+		seed, index, frames.Status, frames.Latency, http2.Status, http2.Latency)
 }
 
 // proved tells whether no query differed, and under faults HTTP/2 did no worse than frames.
--- a/proofs/dialects/measure.go
+++ b/proofs/dialects/measure.go
@@ -128,7 +128,7 @@
 	var took []time.Duration
 	inTime := 0
 	for _, result := range results {
-		took = append(took, result.Took)
+		took = append(took, result.Latency)
 		if result.WithinObjective(objective) {
 			inTime++
 		}
--- a/proofs/phases/play.go
+++ b/proofs/phases/play.go
@@ -58,7 +58,7 @@
 			return fake.NoFault
 		}
 		for {
-			fault := fake.SummaryFault(random.IntN(int(fake.SummaryFaults)))
+			fault := fake.SummaryFault(random.IntN(int(fake.NumSummaryFaults)))
 			if fault != fake.FalseBounds {
 				return fault
 			}
--- a/proofs/ways-back/core_days.go
+++ b/proofs/ways-back/core_days.go
@@ -87,7 +87,7 @@
 			early = append(early, result)
 		}
 		if result.Status == http.StatusServiceUnavailable {
-			slowest = max(slowest, result.Took)
+			slowest = max(slowest, result.Latency)
 		}
 	}
 	return throughput{
