--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -33,7 +33,7 @@
 	FaultReplicaDrains       FaultKind = "replica_drains"   // a replica drains and is removed; another joins
 	FaultReplicaReplaced     FaultKind = "replica_replaced" // a replica is removed at once; another has joined
 	FaultReplicaResets       FaultKind = "replica_resets"   // a replica resets its connections
-	FaultClientsDisconnect        FaultKind = "clients_leave"    // clients leave often
+	FaultClientsDisconnect   FaultKind = "clients_leave"    // clients leave often
 	FaultBurst               FaultKind = "burst"            // clients send faster
 	FaultIdleConnections     FaultKind = "crowd"            // many connections on which nothing comes
 )
