--- a/internal/wire/buffer.go
+++ b/internal/wire/buffer.go
@@ -1,45 +1,45 @@
-// Package wire holds the state machines of the wire between clients, replicas, discovery and a coordinator: they
-// are fed bytes and give typed messages, and know neither sockets nor clocks.
+// Package wire implements the protocols that a co-ordinator speaks with clients, replicas and discovery agents. Its
+// state machines turn bytes into typed messages and use neither sockets nor clocks.
 //
-// The wire's own names, where they differ from the field's, stand in names.go and nowhere else. What cannot be
-// used is a ProtocolError or another error; nothing is mended silently.
+// Names on the wire that differ from the terms used in the code are defined in names.go only. Malformed input is
+// reported as a ProtocolError or another error and is never repaired silently.
 package wire
 
 const (
-	minFree = 2 << 10  // bytes to read into at the least
-	maxKept = 16 << 10 // bytes that an empty buffer keeps; a larger one is released
+	minFreeSpace = 2 << 10  // minimum number of bytes that FreeSpace returns
+	maxRetained  = 16 << 10 // bytes of capacity that an empty buffer retains; a larger one is released
 )
 
-// Buffer is the one read buffer of a connection: it grows as it needs and is compacted in place. Its zero value
-// is empty.
+// Buffer is the read buffer of a connection. It grows on demand and is compacted in place. The zero value is an
+// empty buffer.
 type Buffer struct {
 	data     []byte
-	consumed int // bytes of data that are used up
+	consumed int // number of leading bytes of data that have been consumed
 }
 
-// FreeSpace gives free bytes to read into; Filled has to tell how many were read.
+// FreeSpace returns unused space to read into. The caller reports the number of bytes read with Filled.
 func (buffer *Buffer) FreeSpace() []byte {
 	if buffer.consumed > 0 {
-		left := copy(buffer.data, buffer.data[buffer.consumed:])
-		buffer.data = buffer.data[:left]
+		remaining := copy(buffer.data, buffer.data[buffer.consumed:])
+		buffer.data = buffer.data[:remaining]
 		buffer.consumed = 0
 	}
-	if len(buffer.data) == 0 && cap(buffer.data) > maxKept {
+	if len(buffer.data) == 0 && cap(buffer.data) > maxRetained {
 		buffer.data = nil
 	}
 	length := len(buffer.data)
-	if cap(buffer.data)-length < minFree {
-		grown := make([]byte, length, max(2*cap(buffer.data), length+minFree))
+	if cap(buffer.data)-length < minFreeSpace {
+		grown := make([]byte, length, max(2*cap(buffer.data), length+minFreeSpace))
 		copy(grown, buffer.data)
 		buffer.data = grown
 	}
 	return buffer.data[length:cap(buffer.data)]
 }
 
-// Filled takes in the first bytes of what FreeSpace gave last.
+// Filled appends the first count bytes of the slice that FreeSpace returned last to the buffered bytes.
 func (buffer *Buffer) Filled(count int) { buffer.data = buffer.data[:len(buffer.data)+count] }
 
-// Feed takes in a copy of some bytes.
+// Feed appends a copy of bytes.
 func (buffer *Buffer) Feed(bytes []byte) {
 	for len(bytes) > 0 {
 		count := copy(buffer.FreeSpace(), bytes)
@@ -48,11 +48,11 @@
 	}
 }
 
-// Buffered is how many bytes are in and not used up.
+// Buffered returns the number of bytes that have not been consumed.
 func (buffer *Buffer) Buffered() int { return len(buffer.data) - buffer.consumed }
 
-// Bytes is what is in and not used up; it is valid until the next call of FreeSpace.
+// Bytes returns the bytes that have not been consumed. The slice is valid until the next call of FreeSpace.
 func (buffer *Buffer) Bytes() []byte { return buffer.data[buffer.consumed:] }
 
-// Consume uses up the first bytes of it.
+// Consume discards the first count bytes of Bytes.
 func (buffer *Buffer) Consume(count int) { buffer.consumed += count }
--- a/internal/wire/buffer_test.go
+++ b/internal/wire/buffer_test.go
@@ -4,12 +4,12 @@
 	"testing"
 )
 
-// A buffer has grown for a large message and is empty again. It gives the memory back.
-func TestBufferLetsGoOfWhatItGrewFor(t *testing.T) {
+// A buffer that has grown for a large message releases the memory once it is empty.
+func TestEmptyBufferReleasesLargeCapacity(t *testing.T) {
 	var buffer Buffer
-	buffer.Feed(make([]byte, 4*maxKept))
-	buffer.Consume(4 * maxKept)
-	if buffer.FreeSpace(); cap(buffer.data) > maxKept {
-		t.Errorf("an empty buffer keeps %d bytes", cap(buffer.data))
+	buffer.Feed(make([]byte, 4*maxRetained))
+	buffer.Consume(4 * maxRetained)
+	if buffer.FreeSpace(); cap(buffer.data) > maxRetained {
+		t.Errorf("an empty buffer retains %d bytes", cap(buffer.data))
 	}
 }
--- a/internal/wire/calls.go
+++ b/internal/wire/calls.go
@@ -6,18 +6,18 @@
 	"strconv"
 )
 
-// SubqueryCall is one subquery in a call to a replica.
+// SubqueryCall is one subquery of a call frame.
 type SubqueryCall struct {
 	ID     string
 	Shard  int
-	WaitMS int64 // how long the coordinator waits, in milliseconds
+	WaitMS int64 // how long the co-ordinator waits for the reply, in milliseconds
 	Text   []byte
 }
 
-// SubqueryID is a subquery's id on the wire.
+// SubqueryID returns the id of a subquery on the wire.
 func SubqueryID(query string, shard int) string { return query + "." + strconv.Itoa(shard) }
 
-// AppendCall appends the frame of a call of some subqueries.
+// AppendCall appends a call frame with the given subqueries.
 func AppendCall(buffer []byte, subqueries ...SubqueryCall) []byte {
 	start := len(buffer)
 	buffer = beginFrame(buffer, frameCall)
@@ -28,7 +28,7 @@
 	return endFrame(buffer, start)
 }
 
-// AppendAbandon appends the frame that tells a replica that nobody waits for a subquery any more.
+// AppendAbandon appends the frame that tells a replica that the result of a subquery is no longer needed.
 func AppendAbandon(buffer []byte, id string) []byte {
 	start := len(buffer)
 	buffer = beginFrame(buffer, frameAbandon)
@@ -36,10 +36,10 @@
 	return endFrame(buffer, start)
 }
 
-// beginFrame appends the beginning of a frame, with a length of 0.
+// beginFrame appends the header of a frame; endFrame sets its length.
 func beginFrame(buffer []byte, letter byte) []byte { return append(buffer, 0, 0, 0, 0, letter) }
 
-// endFrame sets the length of the frame that began at a place.
+// endFrame sets the length of the frame that begins at start and ends with the buffer.
 func endFrame(buffer []byte, start int) []byte {
 	length := len(buffer) - start - frameLengthSize
 	binary.BigEndian.PutUint32(buffer[start:], uint32(length))
--- a/internal/wire/chunks.go
+++ b/internal/wire/chunks.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	maxChunkLine   = 1 << 10     // bytes of the line before a chunk
-	maxChunksBytes = 2 * MaxBody // bytes of all chunks with their lines
+	maxChunkLine   = 1 << 10     // bytes of the line that precedes a chunk
+	maxChunksBytes = 2 * MaxBody // bytes of all chunks including their lines
 )
 
-// chunkedBody decodes a body in chunks (RFC 9112, section 7.1) while it comes in. Chunk extensions and trailers are
-// skipped.
+// chunkedBody decodes a chunked body (RFC 9112, section 7.1) incrementally. Chunk extensions and trailers are ignored.
 type chunkedBody struct {
-	start     int    // where the body begins in its message
-	end       int    // up to where it is decoded
-	inTrailer bool   // the empty chunk is in
-	complete  bool   // the trailer's end is in
+	start     int    // offset of the body in its message
+	end       int    // offset up to which the message is decoded
+	inTrailer bool   // the last chunk, of size 0, has been decoded
+	complete  bool   // the end of the trailer has been decoded
 	data      []byte // decoded so far; never nil
 }
 
@@ -29,7 +28,8 @@
 	return &chunkedBody{start: start, end: start, data: []byte{}}
 }
 
-// decode goes on where it ended last; message is all of the message that is in. It tells whether the body is whole.
+// decode continues where the last call stopped and reports whether the body is complete. message holds all bytes of
+// the message received so far.
 func (body *chunkedBody) decode(message []byte) (complete bool, err error) {
 	for !body.complete {
 		if body.end-body.start > maxChunksBytes {
@@ -44,7 +44,7 @@
 	return true, nil
 }
 
-// decodeNext decodes one chunk, or one line of the trailer. Nothing is consumed where more bytes must come in first.
+// decodeNext decodes one chunk or one line of the trailer. It returns 0 if more bytes are needed.
 func (body *chunkedBody) decodeNext(rest []byte) (consumed int, err error) {
 	lineLength := bytes.IndexByte(rest, '\n') + 1
 	if lineLength == 0 {
@@ -69,7 +69,7 @@
 	return body.decodeData(rest, lineLength, size)
 }
 
-// chunkSize reads the line before a chunk.
+// chunkSize parses the line that precedes a chunk.
 func (body *chunkedBody) chunkSize(line []byte) (int, error) {
 	digits, _, _ := strings.Cut(string(line), ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
@@ -82,21 +82,21 @@
 	return int(size), nil
 }
 
-// decodeData takes in a chunk that begins at a place, with the line end behind it.
+// decodeData decodes the data of a chunk, which begins at from, and the line end that follows it.
 func (body *chunkedBody) decodeData(rest []byte, from, size int) (consumed int, err error) {
 	to := from + size
-	behind := rest[min(len(rest), to):]
-	lineEnd := 0
+	following := rest[min(len(rest), to):]
+	lineEndLength := 0
 	switch {
-	case bytes.HasPrefix(behind, []byte("\n")):
-		lineEnd = 1
-	case bytes.HasPrefix(behind, []byte("\r\n")):
-		lineEnd = 2
-	case len(behind) == 0 || len(behind) == 1 && behind[0] == '\r':
+	case bytes.HasPrefix(following, []byte("\n")):
+		lineEndLength = 1
+	case bytes.HasPrefix(following, []byte("\r\n")):
+		lineEndLength = 2
+	case len(following) == 0 || len(following) == 1 && following[0] == '\r':
 		return 0, nil
 	default:
 		return 0, badRequest("a chunk that is longer than its length")
 	}
 	body.data = append(body.data, rest[from:to]...)
-	return to + lineEnd, nil
+	return to + lineEndLength, nil
 }
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-// DropUnusable drops the endpoints that cannot be used, and returns their names. An endpoint in an unknown state, as of
-// a later version, is kept as draining, so that it gets nothing new; it is named as well. One odd entry must not make
-// the whole list useless, or the drains that it tells of would be missed.
+// DropUnusable removes the endpoints that cannot be used and returns a description of each. An endpoint in an unknown
+// state, for example one that a later version introduces, is kept as draining, so that it gets no new attempts, and is
+// returned as well. An invalid entry does not invalidate the list, because the drains in it would be missed.
 func (list *EndpointList) DropUnusable() (unusable []string) {
 	list.Endpoints = slices.DeleteFunc(list.Endpoints, func(endpoint Endpoint) bool {
 		if !endpoint.isUsable() {
@@ -29,58 +29,58 @@
 	return unusable
 }
 
-// isUsable tells whether an endpoint says which replica it is and, unless that is removed, how it is reached.
+// isUsable reports whether an endpoint identifies its replica and, unless it is removed, has an address and a cell.
 func (endpoint *Endpoint) isUsable() bool {
 	if endpoint.UID == "" {
 		return false
 	}
-	isPlaced := endpoint.Address != "" && endpoint.Cell != nil && *endpoint.Cell >= 0
-	return endpoint.State == Removed || isPlaced
+	hasAddressAndCell := endpoint.Address != "" && endpoint.Cell != nil && *endpoint.Cell >= 0
+	return endpoint.State == Removed || hasAddressAndCell
 }
 
 func (endpoint *Endpoint) describe() string {
 	return fmt.Sprintf("%s %q", endpoint.State, endpoint.UID)
 }
 
-// ListRequest asks a discovery agent for the whole list.
+// ListRequest returns the request to a discovery agent for the complete list.
 func ListRequest(host string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathEndpoints, host)
 }
 
-// WatchRequest asks for what is newer than a revision; the agent may hold the response back for so many milliseconds.
+// WatchRequest returns the request for changes after a revision. The agent may delay its response by up to holdMS
+// milliseconds.
 func WatchRequest(host string, revision, holdMS int64) []byte {
 	return fmt.Appendf(nil, "GET %s?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		pathEndpoints, revision, holdMS, host)
 }
 
-// StatusError is a response of a discovery agent that brings no list.
+// StatusError reports a response of a discovery agent with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error names the status.
-func (err *StatusError) Error() string { return fmt.Sprintf("status %d", err.Status) }
+func (err *StatusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", err.Status) }
 
-// EndpointListReader cuts a discovery agent's responses out of the bytes of a connection.
+// EndpointListReader parses the responses of a discovery agent from the bytes of a connection.
 type EndpointListReader struct {
 	messageReader
 	closed bool
 }
 
-// ConnClosed tells that the far side has closed the connection in order: a response that states no length is
-// whole then (RFC 9112, section 6.3). It is not to be called after a reset, which ends no response.
+// ConnClosed records that the agent has closed the connection in an orderly way, which completes a response without a
+// length (RFC 9112, section 6.3). It must not be called after a reset, which completes no response.
 func (reader *EndpointListReader) ConnClosed() { reader.closed = true }
 
-// IsClosed tells whether ConnClosed was called.
+// IsClosed reports whether ConnClosed was called.
 func (reader *EndpointListReader) IsClosed() bool { return reader.closed }
 
-// Next gives the next list; nil without an error means that more bytes must come in first. Last tells that the
-// connection ends with it. After an error the connection is of no more use.
+// Next returns the next list, or nil without an error if more bytes are needed. last reports that the agent closes the
+// connection after this list. After an error the connection cannot be used any further.
 func (reader *EndpointListReader) Next() (list *EndpointList, last bool, err error) {
-	if due, err := reader.mayBeComplete(); err != nil || !due {
+	if ready, err := reader.mayBeComplete(); err != nil || !ready {
 		return nil, false, err
 	}
 	head, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(reader.head())), nil)
 	if err != nil {
-		return nil, false, fmt.Errorf("no HTTP response: %w", err)
+		return nil, false, fmt.Errorf("malformed HTTP response: %w", err)
 	}
 	body, err := reader.responseBody(head)
 	if err != nil || body == nil {
@@ -92,12 +92,12 @@
 	}
 	list = &EndpointList{}
 	if err := json.Unmarshal(body, list); err != nil {
-		return nil, false, fmt.Errorf("no list: %w", err)
+		return nil, false, fmt.Errorf("malformed endpoint list: %w", err)
 	}
 	return list, head.Close, nil
 }
 
-// responseBody is the body behind a head; nil without an error means that more bytes must come in first.
+// responseBody returns the body that follows a head, or nil without an error if more bytes are needed.
 func (reader *EndpointListReader) responseBody(head *http.Response) ([]byte, error) {
 	length := head.ContentLength
 	endsWithConn := length < 0 && !slices.Contains(head.TransferEncoding, "chunked")
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -27,23 +27,23 @@
 	return got
 }
 
-// Lists come in pieces of any size. The same comes out whatever the pieces; one whose end is not known does not
-// come out.
+// Lists are read in pieces of several sizes. The result must not depend on the pieces; a list whose end is unknown is
+// not returned.
 func TestListsWholeAndSplit(t *testing.T) {
-	const one = `{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"1:2","az":"a","pod_group":3,"state":"ready","boot_ms":0}]}`
+	const list = `{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"1:2","az":"a","pod_group":3,"state":"ready","boot_ms":0}]}`
 	respond := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
 	for name, test := range map[string]struct{ in, want string }{
-		"two": {respond("200 OK", one) + respond("200 OK", `{"rev":42,"all":false,"targets":[]}`),
+		"two": {respond("200 OK", list) + respond("200 OK", `{"rev":42,"all":false,"targets":[]}`),
 			"[41 true 1 false 42 false 0 false]"},
 		"in chunks": {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n%x\r\n%s\r\n0\r\n\r\n",
-			len(one), one), "[41 true 1 true]"},
-		"an error":  {respond("500 no", one), "[error]"},
-		"no length": {"HTTP/1.1 200 OK\r\n\r\n" + one, "[]"}, // it is not known to be whole
-		"endless":   {"HTTP/1.1 200 OK\r\n\r\n" + one + strings.Repeat(" ", MaxBody), "[error]"},
-		"no JSON":   {respond("200 OK", "{"), "[error]"},
-		"gone":      {respond("200 OK", `{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"gone"}]}`), "[43 false 1 false]"},
+			len(list), list), "[41 true 1 true]"},
+		"a 500":     {respond("500 no", list), "[error]"},
+		"no length": {"HTTP/1.1 200 OK\r\n\r\n" + list, "[]"}, // not known to be complete
+		"too long":  {"HTTP/1.1 200 OK\r\n\r\n" + list + strings.Repeat(" ", MaxBody), "[error]"},
+		"bad JSON":  {respond("200 OK", "{"), "[error]"},
+		"a removal": {respond("200 OK", `{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"gone"}]}`), "[43 false 1 false]"},
 	} {
 		for _, piece := range []int{1, 5, 1 << 20} {
 			if got := fmt.Sprint(listsOf(test.in, piece)); got != test.want {
@@ -53,7 +53,7 @@
 	}
 }
 
-// A response that states no length is whole once its connection has ended in order, and not before.
+// A response without a length is complete once its connection has been closed in an orderly way, and not before.
 func TestListWithoutALengthEndsWithItsConnection(t *testing.T) {
 	for text, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\n\r\n{\"rev\":4,\n \"all\":true,\"targets\":[]}\n": "4 true true",
@@ -66,7 +66,7 @@
 		var reader EndpointListReader
 		reader.Feed([]byte(text))
 		if list, _, err := reader.Next(); list != nil || err != nil {
-			t.Errorf("%q before its end: %v, %v", text, list, err)
+			t.Errorf("%q before the connection is closed: %v, %v", text, list, err)
 		}
 		reader.ConnClosed()
 		got := "none"
@@ -81,9 +81,9 @@
 	}
 }
 
-// A list names endpoints without an address, a cell or an id, and one in an unknown state. They are dropped, or
-// count as draining; the others are kept.
-func TestUnusableEndpointsCostOnlyThemselves(t *testing.T) {
+// A list holds endpoints without an address, a cell or an id, and one in an unknown state. These are dropped or
+// treated as draining; the others are kept.
+func TestUnusableEndpointsDoNotInvalidateTheList(t *testing.T) {
 	var list EndpointList
 	if err := json.Unmarshal([]byte(`{"targets":[{"uid":"a","endpoint":"1:2","pod_group":3,"state":"ready"},
 		{"uid":"b","endpoint":"1:2","pod_group":3,"state":"odd"},{"uid":"","state":"gone"},
@@ -99,15 +99,15 @@
 	}
 }
 
-// Lists in pieces give the same as in one.
+// Lists do not depend on how their bytes are split.
 func FuzzLists(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 32\r\n\r\n{\"rev\":1,\"all\":true,\"targets\":[]}", 4)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
 		if len(text) > 4096 {
 			t.Skip()
 		}
-		if a, b := listsOf(text, 1+piece&0xff), listsOf(text, len(text)+1); fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Errorf("%q: %q split, %q whole", text, a, b)
+		if split, whole := listsOf(text, 1+piece&0xff), listsOf(text, len(text)+1); fmt.Sprint(split) != fmt.Sprint(whole) {
+			t.Errorf("%q: %q split, %q whole", text, split, whole)
 		}
 	})
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -6,13 +6,12 @@
 	"net/http"
 )
 
-// ProtocolError is a client's message that cannot be used.
+// ProtocolError reports a client's message that is malformed or not supported.
 type ProtocolError struct {
-	Status  int    // the HTTP status that answers it
-	Message string // what was found and what is wanted, for the client to read
+	Status  int    // HTTP status of the response
+	Message string // what was found and what is expected; sent to the client
 }
 
-// Error is the message.
 func (err *ProtocolError) Error() string { return err.Message }
 
 func protocolError(status int, format string, args ...any) *ProtocolError {
@@ -23,7 +22,7 @@
 	return protocolError(http.StatusBadRequest, format, args...)
 }
 
-// AsProtocolError is the ProtocolError in an error; another error counts as a bad request.
+// AsProtocolError returns the ProtocolError in an error's chain. Any other error is converted to a bad request.
 func AsProtocolError(err error) *ProtocolError {
 	var found *ProtocolError
 	if errors.As(err, &found) {
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// singleFields may not stand twice in a head: it would mean several things.
-var singleFields = []string{
+// uniqueFields are the fields that must not occur twice in a head, because the message would be ambiguous.
+var uniqueFields = []string{
 	"content-length", "transfer-encoding", "host", "expect", "connection",
 	strings.ToLower(headerQueryID), strings.ToLower(headerDeadline), strings.ToLower(headerTenant),
 }
 
-// checkHead looks at a head's own bytes, as http.ReadRequest mends or hides what leaves its end in doubt. It
-// guards against request smuggling: a request hidden in what this process takes for the body of another, and a
-// proxy before it does not. Clients that fold lines or repeat such fields are refused.
+// checkHead validates the raw bytes of a head, because http.ReadRequest repairs or hides what makes the end of a
+// request ambiguous. It protects against request smuggling, where this process and a proxy in front of it disagree
+// on where a request's body ends. Folded lines and repeated uniqueFields are rejected.
 func checkHead(head []byte) error {
 	lines := strings.Split(strings.TrimRight(string(head), "\r\n"), "\n")
 	values := map[string]string{}
@@ -27,30 +27,30 @@
 	return checkLength(values)
 }
 
-// checkField checks a line of the head and adds its value to those seen, by the name in lower case.
+// checkField validates a line of the head and adds its value to values, under the field's name in lower case.
 func checkField(line string, values map[string]string) error {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || name == "" || strings.ContainsFunc(name, isNoNameCharacter) {
+	if !ok || name == "" || strings.ContainsFunc(name, isInvalidNameCharacter) {
 		return badRequest("a line of the head is no field: %.40q", line)
 	}
-	if strings.ContainsFunc(value, isNoValueCharacter) {
+	if strings.ContainsFunc(value, isInvalidValueCharacter) {
 		return badRequest("the field %.40q holds what no field may", name)
 	}
 	name = strings.ToLower(name)
-	if _, seen := values[name]; seen && slices.Contains(singleFields, name) {
+	if _, seen := values[name]; seen && slices.Contains(uniqueFields, name) {
 		return badRequest("the field %s stands twice", name)
 	}
 	values[name] = strings.Trim(value, " \t")
 	return nil
 }
 
-func isNoNameCharacter(character rune) bool { return character <= ' ' || character >= 0x7f }
+func isInvalidNameCharacter(character rune) bool { return character <= ' ' || character >= 0x7f }
 
-func isNoValueCharacter(character rune) bool {
+func isInvalidValueCharacter(character rune) bool {
 	return character < ' ' && character != '\t' || character == 0x7f
 }
 
-// checkLength checks that the fields state the body's length in one way.
+// checkLength checks that the fields state the body's length unambiguously.
 func checkLength(values map[string]string) error {
 	length, hasLength := values["content-length"]
 	encoding, hasEncoding := values["transfer-encoding"]
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -6,24 +6,25 @@
 	"strings"
 )
 
-// Reports are noisy: a figure just beyond 0 to 1 counts as the bound, one further off as none.
+// Reports are noisy: a load outside 0 to 1 but within these bounds is clamped; one beyond them is ignored.
 const (
 	minLoad = -1.0
 	maxLoad = 2.0
 )
 
-// noLoad stands for a report that tells no load.
+// noLoad is the result for a report without a usable load.
 const noLoad = -1
 
-// ParseLoadReport is the share of its cores in use that a replica's load report tells, from 0 to 1, or below 0 if it
-// tells none. A report is a list of pairs with commas; separator stands between a pair's name and value.
+// ParseLoadReport returns the share of its cores in use that a replica states in a load report, from 0 to 1, or a
+// negative value if it states none. A report is a comma-separated list of pairs of name and value; separator is what
+// separates the two.
 func ParseLoadReport(report, separator string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
-		name, figure, _ := strings.Cut(pair, separator)
+		name, value, _ := strings.Cut(pair, separator)
 		if name != loadUtil && name != loadCPU {
 			continue
 		}
-		load, err := strconv.ParseFloat(figure, 64)
+		load, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(load) || load < minLoad || load > maxLoad {
 			return noLoad
 		}
--- a/internal/wire/load_test.go
+++ b/internal/wire/load_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Reports of several forms tell a load; one that cannot be a load counts as none.
+// Load reports of several forms are parsed; an implausible load is ignored.
 func TestParseLoadReport(t *testing.T) {
 	for report, want := range map[string]float64{
 		"inflight=7,util=0.61": 0.61, "active=1,rps=2.5,cpu=0.430": 0.43, "cpu=1.04": 1, "util=-0.01": 0,
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -8,20 +8,20 @@
 
 const (
 	MaxHead = 16 << 10 // bytes of a message's head
-	MaxBody = 64 << 10 // bytes of a body, as the protocol says
+	MaxBody = 64 << 10 // bytes of a body, as specified by the protocol
 )
 
-// messageReader cuts HTTP messages out of a buffer. It remembers how far it has looked, so that a message which
-// comes in many pieces costs no more than one that comes whole.
+// messageReader splits a buffer into HTTP messages. It keeps the position of its scan, so that a message received in
+// many pieces costs no more than one received at once.
 type messageReader struct {
 	Buffer
-	scanned int          // bytes that were searched for the end of the head
-	headEnd int          // length of the head; 0: it is not in yet
-	length  int          // of the whole message, once that is known
-	chunks  *chunkedBody // nil: the body's length is known
+	scanned int          // bytes already searched for the end of the head
+	headEnd int          // length of the head; 0: not received completely
+	length  int          // length of the complete message, once known
+	chunks  *chunkedBody // nil: no chunked body is being decoded
 }
 
-// mayBeComplete tells whether a whole message may be in.
+// mayBeComplete reports whether a complete message may have been received.
 func (reader *messageReader) mayBeComplete() (bool, error) {
 	switch {
 	case reader.headEnd == 0:
@@ -32,16 +32,16 @@
 	return reader.Buffered() >= reader.length, nil
 }
 
-// findHeadEnd looks for the end of the head behind what was scanned before.
+// findHeadEnd searches the bytes not yet scanned for the end of the head and reports whether it was found.
 func (reader *messageReader) findHeadEnd() (bool, error) {
 	reader.skipBlankLines()
 	buffered := reader.Bytes()
-	from := max(0, reader.scanned-3) // the last bytes may be a part of the end
+	from := max(0, reader.scanned-3) // the last bytes scanned may be the beginning of the head's end
 	end := headEnd(buffered[from:])
 	reader.scanned = len(buffered)
 	headLength := from + end
 	if end == 0 {
-		headLength = len(buffered) // at the least
+		headLength = len(buffered) // lower bound
 	}
 	if headLength > MaxHead {
 		return false, protocolError(http.StatusRequestHeaderFieldsTooLarge, "the head is over %d bytes", MaxHead)
@@ -52,7 +52,7 @@
 	return end > 0, nil
 }
 
-// skipBlankLines drops blank lines before a message (RFC 9112, section 2.2).
+// skipBlankLines discards blank lines before a message (RFC 9112, section 2.2).
 func (reader *messageReader) skipBlankLines() {
 	if reader.scanned > 0 {
 		return
@@ -61,7 +61,7 @@
 	reader.Consume(len(buffered) - len(bytes.TrimLeft(buffered, "\r\n")))
 }
 
-// headEnd is where the first empty line after a line ends, 0 if there is none.
+// headEnd returns the offset at which the first empty line after a line ends, or 0 if there is none.
 func headEnd(text []byte) int {
 	for at := 0; ; {
 		lineEnd := bytes.IndexByte(text[at:], '\n')
@@ -78,11 +78,11 @@
 	}
 }
 
-// head is the head, which is in.
+// head returns the head, which must have been received.
 func (reader *messageReader) head() []byte { return reader.Bytes()[:reader.headEnd] }
 
-// body gives a copy of what follows the head, by the length and the encodings that the head states; nil without
-// an error means that more bytes must come in first.
+// body returns a copy of the body, delimited by the length and the encodings that the head states, or nil without an
+// error if more bytes are needed.
 func (reader *messageReader) body(length int64, encodings []string) ([]byte, error) {
 	if length > MaxBody {
 		return nil, errBodyTooLarge
@@ -111,7 +111,7 @@
 	return reader.chunks.data, nil
 }
 
-// finish uses up a message that is whole.
+// finish consumes a complete message.
 func (reader *messageReader) finish() {
 	reader.Consume(reader.length)
 	reader.scanned = 0
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// The names that the protocols' wires use, and what they stand for. They are fixed: clients, replicas and
-// discovery agents that are deployed speak them.
+// Names used on the wire, and the terms they correspond to. They must not change, because deployed clients, replicas
+// and discovery agents use them.
 
 // Fields of a client's request.
 const (
@@ -12,23 +12,23 @@
 	headerTenant   = "Req-Owner"
 )
 
-// queryBody is the body of a query. Clients read the decoder's errors, which quote Go types and fields: hence it and
-// subqueryBody are unnamed types, and their fields have the wire's names.
+// queryBody is the body of a query. It and subqueryBody are unnamed types whose fields have the names on the wire,
+// because the decoder's errors, which are sent to clients, quote Go types and fields.
 type queryBody = struct {
 	Segments []subqueryBody  `json:"segments"`
 	Text     *string         `json:"text"`
 	Question json.RawMessage `json:"question"`
 }
 
-// subqueryBody is what a query states for one shard.
+// subqueryBody is the part of a query's body for one shard.
 type subqueryBody = struct {
 	Segment  *int     `json:"segment"` // the shard
 	Boost    *float64 `json:"boost"`   // the weight
-	Work     float64  `json:"work"`    // the client's guess of the work, in microseconds
+	Work     float64  `json:"work"`    // the client's estimate of the work, in microseconds
 	Affinity *string  `json:"affinity"`
 }
 
-// SubqueryValue is the value that a subquery brought, as the replica gave it.
+// SubqueryValue is the value in a replica's reply to a subquery, unmodified.
 type SubqueryValue struct {
 	Shard   int    `json:"segment"`
 	Payload string `json:"payload"`
@@ -52,10 +52,10 @@
 	Score float64 `json:"score"`
 }
 
-// phaseRequest is the line before the query's text in a subquery of a two-phase query.
+// phaseRequest is the line that precedes the query's text in a subquery of a two-phase query.
 type phaseRequest struct {
 	Phase   string `json:"ask"`
-	Limit   *int   `json:"best,omitempty"` // so many hits by score; absent: all that match
+	Limit   *int   `json:"best,omitempty"` // number of hits with the highest scores; absent: all matches
 	Version string `json:"version,omitempty"`
 }
 
@@ -65,15 +65,15 @@
 	phaseFetch    = "answer"
 )
 
-// summaryBody is what a replica answers in the phase can-match.
+// summaryBody is a replica's reply in the can-match phase.
 type summaryBody struct {
 	Version string   `json:"version"`
 	Count   *int     `json:"count"`
-	Upper   *float64 `json:"upper"` // bound of the scores; absent: not known
-	Lower   *float64 `json:"lower"`
+	Upper   *float64 `json:"upper"` // upper bound of the scores; absent: unknown
+	Lower   *float64 `json:"lower"` // lower bound of the scores; absent: unknown
 }
 
-// answerBody is what a replica answers in the phase fetch.
+// answerBody is a replica's reply in the fetch phase.
 type answerBody struct {
 	Version string       `json:"version"`
 	Hits    []answerHits `json:"hits"`
@@ -84,14 +84,14 @@
 	Score float64 `json:"score"`
 }
 
-// EndpointList is what discovery tells: all endpoints, or those that changed.
+// EndpointList is a discovery agent's list of all endpoints, or of those that changed.
 type EndpointList struct {
 	Revision  int64      `json:"rev"`
 	All       bool       `json:"all"`
 	Endpoints []Endpoint `json:"targets"`
 }
 
-// Endpoint is where a replica is reached, and what discovery says of it.
+// Endpoint is a replica's address and attributes, as discovery states them.
 type Endpoint struct {
 	UID     string `json:"uid"`
 	Address string `json:"endpoint"`
@@ -99,38 +99,38 @@
 	Model   string `json:"model"`
 	Cell    *int   `json:"pod_group"`
 	State   string `json:"state"`
-	BootMS  int64  `json:"boot_ms"` // start of its process, Unix time in milliseconds; 0: not told
+	BootMS  int64  `json:"boot_ms"` // start of its process, Unix time in milliseconds; 0: unknown
 }
 
-// The states of an endpoint.
+// States of an endpoint.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Removed  = "gone"
 )
 
-// pathEndpoints is the path of the discovery agent.
+// pathEndpoints is the path of the endpoint list at a discovery agent.
 const pathEndpoints = "/discovery/hosts"
 
-// The letters of the frames between a coordinator and replicas.
+// Letters of the types of frames between a co-ordinator and replicas.
 const (
 	frameCall    = 'R'
 	frameAbandon = 'A'
 	frameReply   = 'Y'
-	frameRefusal = 'N' // the replica could not use a frame
+	frameRefusal = 'N' // the replica rejected a frame as malformed
 )
 
-// ReplyStatus is how a replica says that a subquery ended.
+// ReplyStatus is the status in a replica's reply to a subquery.
 type ReplyStatus string
 
-// The statuses of a reply.
+// Statuses of a reply.
 const (
 	ReplyOK       ReplyStatus = "OK"
 	ReplyError    ReplyStatus = "ERROR"
 	ReplyRejected ReplyStatus = "REJECTED"
 )
 
-// The names under which load reports state the share of the cores in use.
+// Names under which load reports state the share of the cores in use.
 const (
 	loadUtil = "util"
 	loadCPU  = "cpu"
--- a/internal/wire/query.go
+++ b/internal/wire/query.go
@@ -12,43 +12,43 @@
 
 const (
 	maxIDLength     = 200    // bytes of a query's id
-	maxLimit        = 10_000 // hits that a two-phase query may want
-	maxHintSeconds  = 86400  // of work that a client may guess
-	weightTolerance = 0.001  // by which the weights may miss 1: many of them, rounded to six places
+	maxLimit        = 10_000 // hits that a two-phase query may request
+	maxHintSeconds  = 86400  // of a client's estimate of the work
+	weightTolerance = 0.001  // of the weights' sum, which must be 1: there may be many, rounded to six places
 	affinityLength  = 16     // hexadecimal digits
 )
 
-// Query is what a client asks for.
+// Query is a client's query.
 type Query struct {
 	ID         string
 	Class      string
-	Tenant     string        // who asks; empty: nobody says
-	Timeout    time.Duration // how long the client waits, from when it sent the query
+	Tenant     string        // empty: not stated
+	Timeout    time.Duration // how long the client waits, from the time it sent the query
 	Text       []byte
 	Subqueries []Subquery
-	TwoPhase   *TwoPhaseQuery // nil: none, or its class takes none
+	TwoPhase   *TwoPhaseQuery // nil: not a two-phase query, or its class does not allow them
 }
 
-// Subquery is one shard's part of a query.
+// Subquery is the part of a query for one shard.
 type Subquery struct {
 	Shard  int
-	Weight float64       // of its value for the client; those of a query add up to 1
-	Hint   time.Duration // the client's guess of the work; 0: none
+	Weight float64       // importance of its value for the client; the weights of a query add up to 1
+	Hint   time.Duration // the client's estimate of the work; 0: none
 }
 
-// TwoPhaseQuery is what a query says that it wants, where its text is something that replicas can bound
+// TwoPhaseQuery holds the options of a query that may be executed in two phases, because replicas can bound its hits
 // (docs/phases.md).
 type TwoPhaseQuery struct {
-	Limit *int `json:"best"` // so many hits by score; nil: all that match
+	Limit *int `json:"best"` // number of hits with the highest scores; nil: all matches
 }
 
-// QueryRules are what the class of a query allows.
+// QueryRules holds the restrictions that apply to the queries of a class.
 type QueryRules struct {
 	MaxTimeout time.Duration
-	TwoPhase   bool // its queries may be two-phase queries
+	TwoPhase   bool // two-phase queries are allowed
 }
 
-// ReadQuery makes a query of a request. An error is a ProtocolError.
+// ReadQuery parses and validates the query in a request. An error is a ProtocolError.
 func ReadQuery(request *Request, rules QueryRules) (*Query, error) {
 	query := &Query{
 		ID:     request.Header.Get(headerQueryID),
@@ -78,7 +78,7 @@
 	return query, nil
 }
 
-// isUsableID tells whether an id can stand in a line of a frame without ending it or a field of it.
+// isUsableID reports whether an id can be written into a line of a frame without ending the line or its field.
 func isUsableID(id string) bool {
 	for _, character := range []byte(id) {
 		if character <= ' ' || character >= 0x7f {
@@ -88,17 +88,17 @@
 	return id != "" && len(id) <= maxIDLength
 }
 
-func readTimeout(text string, most time.Duration) (time.Duration, error) {
+func readTimeout(text string, maximum time.Duration) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	isPlain := err == nil && strings.Trim(text, "0123456789.") == ""
-	if !isPlain || !(seconds > 0 && seconds <= most.Seconds()) {
+	if !isPlain || !(seconds > 0 && seconds <= maximum.Seconds()) {
 		return 0, badRequest("Req-Deadline is missing, or no number of seconds that can be meant")
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// readQueryBody reads a body that has subqueries and a text. What is no UTF-8 would reach the replicas as
-// something else.
+// readQueryBody decodes a body, which must have subqueries and a text. Invalid UTF-8 is rejected, because decoding
+// would replace it and change the text that the replicas get.
 func readQueryBody(text []byte) (*queryBody, error) {
 	if !utf8.Valid(text) {
 		return nil, badRequest("the body is no UTF-8")
@@ -117,20 +117,20 @@
 func readTwoPhase(text json.RawMessage) (*TwoPhaseQuery, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	var wanted *TwoPhaseQuery
-	err := decoder.Decode(&wanted)
-	if err != nil || wanted == nil || !wanted.isUsable() {
+	var query *TwoPhaseQuery
+	err := decoder.Decode(&query)
+	if err != nil || query == nil || !query.isUsable() {
 		return nil, badRequest("the question is none, or wants less than 0 or more than %d", maxLimit)
 	}
-	return wanted, nil
+	return query, nil
 }
 
-func (wanted *TwoPhaseQuery) isUsable() bool {
-	return wanted.Limit == nil || *wanted.Limit >= 0 && *wanted.Limit <= maxLimit
+func (query *TwoPhaseQuery) isUsable() bool {
+	return query.Limit == nil || *query.Limit >= 0 && *query.Limit <= maxLimit
 }
 
-// readSubqueries reads the subqueries, of which no two name one shard. Weights that add up to more than 1 would let a
-// response pass for complete while values are missing.
+// readSubqueries converts the subqueries, each of which must have a different shard. The weights must add up to 1: with
+// a larger sum a response could count as complete while values are missing.
 func readSubqueries(bodies []subqueryBody) ([]Subquery, error) {
 	subqueries := make([]Subquery, 0, len(bodies))
 	seen := make(map[int]bool, len(bodies))
--- a/internal/wire/replies.go
+++ b/internal/wire/replies.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	frameLengthSize = 4           // bytes of the length before a frame
-	maxFrame        = 2 * MaxBody // bytes; a longer one fits into no response
-	maxQuoted       = 120         // bytes of a message that an error quotes
+	frameLengthSize = 4           // bytes of the length field before a frame
+	maxFrame        = 2 * MaxBody // bytes; the value of a longer frame would not fit into a response
+	maxQuotedBytes  = 120         // bytes of a message that an error quotes
 )
 
-// Reply is what a replica says of one subquery.
+// Reply is a replica's reply to one subquery.
 type Reply struct {
 	ID       string
 	Status   ReplyStatus
@@ -23,25 +23,24 @@
 	CPUUsage float64 // the share of its cores in use, as ParseLoadReport returns it
 }
 
-// ErrMalformedReply is a frame that cannot be used: whatever follows on its connection is in doubt.
+// ErrMalformedReply reports a malformed frame, after which nothing on its connection can be relied on.
 var ErrMalformedReply = errors.New("malformed reply")
 
-// RefusedError is a replica's refusal of a frame that it was sent.
+// RefusedError reports that a replica rejected a frame as malformed. Message is the replica's.
 type RefusedError struct{ Message string }
 
-// Error gives the replica's words.
 func (err *RefusedError) Error() string {
-	return fmt.Sprintf("the replica could not use a frame: %q", err.Message)
+	return fmt.Sprintf("the replica rejected a frame: %q", err.Message)
 }
 
-// ReplyReader cuts a replica's frames out of the bytes of a connection.
+// ReplyReader parses a replica's frames from the bytes of a connection.
 type ReplyReader struct {
 	Buffer
-	Sizes *ValueSizes // what values of all connections were like; may be nil
+	Sizes *ValueSizes // shared by all connections; may be nil
 }
 
-// Next gives the next reply; nil without an error means that more bytes must come in first. After an error the
-// connection is of no more use.
+// Next returns the next reply, or nil without an error if more bytes are needed. After an error the connection cannot
+// be used any further.
 func (reader *ReplyReader) Next() (*Reply, error) {
 	buffered := reader.Bytes()
 	length, err := frameLength(buffered)
@@ -50,67 +49,67 @@
 	}
 	end := frameLengthSize + length
 	letter, content := buffered[frameLengthSize], buffered[frameLengthSize+1:end]
-	_, errBehind := frameLength(buffered[end:])
+	_, nextErr := frameLength(buffered[end:])
 	reader.Consume(end)
 	switch letter {
 	case frameReply:
-		return reader.parse(content, errBehind != nil)
+		return reader.parse(content, nextErr != nil)
 	case frameRefusal:
-		return nil, &RefusedError{Message: string(quoted(content))}
+		return nil, &RefusedError{Message: string(truncated(content))}
 	}
-	return nil, malformed("a frame of letter %q", letter)
+	return nil, malformed("unknown frame type %q", letter)
 }
 
-// parse reads the content of a reply: a line with the id, the status, a score and a load report, then the value.
-// NoiseBehind tells that what follows the frame is no frame.
-func (reader *ReplyReader) parse(content []byte, noiseBehind bool) (*Reply, error) {
+// parse parses the content of a reply: a line with the id, the status, a score and a load report, then the value.
+// garbageFollows states that the bytes after the frame are not a frame.
+func (reader *ReplyReader) parse(content []byte, garbageFollows bool) (*Reply, error) {
 	line, value, hasValue := bytes.Cut(content, []byte("\n"))
 	words := bytes.SplitN(line, []byte(" "), 4)
 	if !hasValue || len(words) != 4 || len(words[0]) == 0 {
-		return nil, malformed("a reply's line %q", quoted(line))
+		return nil, malformed("malformed reply line %q", truncated(line))
 	}
 	status := ReplyStatus(words[1])
 	if status != ReplyOK && status != ReplyError && status != ReplyRejected {
-		return nil, malformed("a reply's end %q", quoted(words[1]))
+		return nil, malformed("unknown reply status %q", truncated(words[1]))
 	}
 	if !isFinite(string(words[2])) {
-		return nil, malformed("a reply's score %q", quoted(words[2]))
+		return nil, malformed("malformed reply score %q", truncated(words[2]))
 	}
-	if status == ReplyOK && reader.Sizes.isOdd(len(value), noiseBehind) {
-		return nil, malformed("a value of %d bytes with what is no frame behind it", len(value))
+	if status == ReplyOK && reader.Sizes.isSuspicious(len(value), garbageFollows) {
+		return nil, malformed("value of unusual size %d followed by bytes that are not a frame", len(value))
 	}
 	reply := &Reply{ID: string(words[0]), Status: status, Value: bytes.Clone(value)}
 	reply.CPUUsage = ParseLoadReport(string(words[3]), "=")
 	return reply, nil
 }
 
-// malformedError is an ErrMalformedReply that says what was found.
-type malformedError struct{ found string }
+// malformedError is an ErrMalformedReply that states what was found.
+type malformedError struct{ detail string }
 
-func (err *malformedError) Error() string { return err.found }
+func (err *malformedError) Error() string { return err.detail }
 
 func (err *malformedError) Unwrap() error { return ErrMalformedReply }
 
 func malformed(format string, args ...any) error {
-	return &malformedError{found: fmt.Sprintf(format, args...)}
+	return &malformedError{detail: fmt.Sprintf(format, args...)}
 }
 
-func isFinite(figure string) bool {
-	number, err := strconv.ParseFloat(figure, 64)
+func isFinite(text string) bool {
+	number, err := strconv.ParseFloat(text, 64)
 	return err == nil && !math.IsNaN(number) && !math.IsInf(number, 0)
 }
 
-// frameLength is the length of the frame that begins with some bytes, 0 while that is not known.
+// frameLength returns the length of the frame at the start of the buffered bytes, or 0 if more bytes are needed.
 func frameLength(buffered []byte) (int, error) {
 	if len(buffered) < frameLengthSize {
 		return 0, nil
 	}
 	length := binary.BigEndian.Uint32(buffered)
 	if length == 0 || length > maxFrame {
-		return 0, malformed("a frame of %d bytes", length)
+		return 0, malformed("invalid frame length %d", length)
 	}
 	return int(length), nil
 }
 
-// quoted shortens what goes into a log.
-func quoted(text []byte) []byte { return text[:min(len(text), maxQuoted)] }
+// truncated shortens a text that an error quotes.
+func truncated(text []byte) []byte { return text[:min(len(text), maxQuotedBytes)] }
--- a/internal/wire/replies_test.go
+++ b/internal/wire/replies_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// repliesOf feeds frames in pieces and lists what comes out.
+// repliesOf feeds frames in pieces of a size and returns the replies read, with "error" last after an error.
 func repliesOf(b []byte, piece int) (got []string) {
 	var reader ReplyReader
 	for len(b) > 0 {
@@ -27,31 +27,32 @@
 	return got
 }
 
-// frameOf is a frame with a letter and some content.
-func frameOf(letter byte, rest string) []byte {
-	frame := append(beginFrame(nil, letter), rest...)
+// frameOf returns a frame with a letter and some content.
+func frameOf(letter byte, content string) []byte {
+	frame := append(beginFrame(nil, letter), content...)
 	return endFrame(frame, 0)
 }
 
-// Replies come in pieces of any size. The same comes out whatever the pieces; after what is no reply nothing does.
+// Frames are read in pieces of several sizes. The replies must not depend on the pieces; nothing is read after a
+// malformed frame.
 func TestRepliesWholeAndSplit(t *testing.T) {
 	ok := frameOf('Y', "9b1f.3 OK 1840277719 inflight=7,util=0.61\n5b\ne2")
 	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"two":            {append(ok, frameOf('Y', "a.1 REJECTED 0 -\n")...), `[9b1f.3 OK "5b\ne2" a.1 REJECTED ""]`},
-		"an error":       {frameOf('Y', "a.1 ERROR 0 -\n"), `[a.1 ERROR ""]`},
-		"a cut one":      {ok[:len(ok)-1], "[]"},
-		"no line end":    {frameOf('Y', "a.1 OK 0 -"), "[error]"},
-		"a wordy report": {frameOf('Y', "a.1 OK 0 busy, very\nx"), `[a.1 OK "x"]`},
-		"three words":    {frameOf('Y', "a.1 OK 0\nx"), "[error]"},
-		"no id":          {frameOf('Y', " OK 0 -\nx"), "[error]"},
-		"unknown status": {frameOf('Y', "a.1 FINE 0 -\nx"), "[error]"},
-		"refused":        {frameOf('N', "what is this"), "[error]"},
-		"unknown":        {frameOf('Q', ""), "[error]"},
-		"length 0":       {make([]byte, 4), "[error]"},
-		"length beyond":  {[]byte{0xff, 0xff, 0xff, 0xff}, "[error]"},
+		"two":             {append(ok, frameOf('Y', "a.1 REJECTED 0 -\n")...), `[9b1f.3 OK "5b\ne2" a.1 REJECTED ""]`},
+		"an error":        {frameOf('Y', "a.1 ERROR 0 -\n"), `[a.1 ERROR ""]`},
+		"a partial frame": {ok[:len(ok)-1], "[]"},
+		"no end of line":  {frameOf('Y', "a.1 OK 0 -"), "[error]"},
+		"a prose report":  {frameOf('Y', "a.1 OK 0 busy, very\nx"), `[a.1 OK "x"]`},
+		"three words":     {frameOf('Y', "a.1 OK 0\nx"), "[error]"},
+		"no id":           {frameOf('Y', " OK 0 -\nx"), "[error]"},
+		"unknown status":  {frameOf('Y', "a.1 FINE 0 -\nx"), "[error]"},
+		"a refusal":       {frameOf('N', "what is this"), "[error]"},
+		"unknown type":    {frameOf('Q', ""), "[error]"},
+		"length 0":        {make([]byte, 4), "[error]"},
+		"a huge length":   {[]byte{0xff, 0xff, 0xff, 0xff}, "[error]"},
 	} {
 		for _, piece := range []int{1, 3, 1 << 20} {
 			if got := fmt.Sprint(repliesOf(test.in, piece)); got != test.want {
@@ -61,18 +62,18 @@
 	}
 }
 
-// Replies in pieces give the same as in one.
+// Replies do not depend on how their bytes are split.
 func FuzzReplies(f *testing.F) {
 	f.Add(frameOf('Y', "a.1 OK 0 -\nx"), 2)
 	f.Add([]byte{0, 0, 0, 1, 'N'}, 1)
 	f.Fuzz(func(t *testing.T, b []byte, piece int) {
-		if a, w := repliesOf(b, 1+piece&0xff), repliesOf(b, len(b)+1); fmt.Sprint(a) != fmt.Sprint(w) {
-			t.Errorf("%q: %q split, %q whole", b, a, w)
+		if split, whole := repliesOf(b, 1+piece&0xff), repliesOf(b, len(b)+1); fmt.Sprint(split) != fmt.Sprint(whole) {
+			t.Errorf("%q: %q split, %q whole", b, split, whole)
 		}
 	})
 }
 
-// Calls and abandons are framed as replicas read them.
+// Call and abandon frames have the format that replicas expect.
 func TestFramesSent(t *testing.T) {
 	b := AppendCall(nil,
 		SubqueryCall{ID: "9b1f.3", Shard: 3, WaitMS: 240, Text: []byte("c41e77d0")},
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -8,32 +8,32 @@
 	"strings"
 )
 
-// RequestReader cuts a client's requests out of the bytes of a connection.
+// RequestReader parses a client's requests from the bytes of a connection.
 type RequestReader struct {
 	messageReader
-	continueShown bool // the client's wish for a "100 Continue" has been reported
+	continueReported bool // Next has reported that the client expects "100 Continue"
 }
 
-// Request is one whole request.
+// Request is one complete request.
 type Request struct {
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	Close  bool // the connection is to end with its response
+	Close  bool // the connection is to be closed after the response
 }
 
-// Class is the first element of the path: the class of a query.
+// Class returns the class of a query, which is the first element of the path.
 func (request *Request) Class() string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.Path, "/"), "/")
 	return class
 }
 
-// Next gives the next request; nil without an error means that more bytes must come in first. ExpectsContinue
-// tells, once for each request, that the client waits for "100 Continue" before it sends the body. An error is a
-// ProtocolError, and the connection is of no more use.
+// Next returns the next request, or nil without an error if more bytes are needed. expectsContinue reports, once for
+// each request, that the client waits for "100 Continue" before it sends the body. An error is a ProtocolError, after
+// which the connection cannot be used any further.
 func (reader *RequestReader) Next() (request *Request, expectsContinue bool, err error) {
-	if due, err := reader.mayBeComplete(); err != nil || !due {
+	if ready, err := reader.mayBeComplete(); err != nil || !ready {
 		return nil, false, err
 	}
 	if err := checkHead(reader.head()); err != nil {
@@ -48,19 +48,19 @@
 		return nil, false, err
 	}
 	if body == nil {
-		expectsContinue = !reader.continueShown && strings.EqualFold(head.Header.Get("Expect"), "100-continue")
-		reader.continueShown = true
+		expectsContinue = !reader.continueReported && strings.EqualFold(head.Header.Get("Expect"), "100-continue")
+		reader.continueReported = true
 		return nil, expectsContinue, nil
 	}
-	reader.continueShown = false
+	reader.continueReported = false
 	reader.finish()
 	request = &Request{Method: head.Method, Path: head.URL.Path, Header: head.Header, Body: body, Close: head.Close}
 	return request, false, nil
 }
 
-// PeekSimple looks at a request that is in whole and whose end is beyond doubt, without parsing or consuming it:
-// it gives the path behind its first slash, valid until the next call of FreeSpace, and the bytes that the request
-// takes. For anything out of the ordinary the size is 0: Next then reads it.
+// PeekSimple inspects the next request without parsing or consuming it. If the request is complete and its end is
+// unambiguous, PeekSimple returns its path without the leading slash, valid until the next call of FreeSpace, and its
+// size in bytes. Otherwise the size is 0, and the caller has to use Next.
 func (reader *RequestReader) PeekSimple() (path []byte, size int) {
 	buffered := reader.Bytes()
 	if reader.scanned > 0 || !bytes.HasPrefix(buffered, []byte("POST /")) {
@@ -86,8 +86,8 @@
 	return path, size
 }
 
-// simpleLength is the length of the body that the fields of a head state, if they state it once and nothing else
-// bears on the request's end.
+// simpleLength returns the length of the body that the fields of a head state, if they state it exactly once and no
+// other field affects where the request ends.
 func simpleLength(fields []byte) (length int, ok bool) {
 	length = -1
 	for len(fields) > 0 {
@@ -113,7 +113,7 @@
 	return length, length >= 0
 }
 
-// isSimpleName tells whether a field's name has no space at its ends, which some servers take for a part of it.
+// isSimpleName reports whether a field's name has no white space at its ends, which some servers treat as part of it.
 func isSimpleName(name []byte) bool {
 	return len(name) > 0 && name[0] > ' ' && name[len(name)-1] > ' '
 }
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// requestsOf feeds bytes in pieces of a size and lists what comes out.
+// requestsOf feeds bytes in pieces of a size and returns the requests read, with "fault" and the status last after an
+// error.
 func requestsOf(text string, piece int) (got []string) {
 	var reader RequestReader
 	for len(text) > 0 {
@@ -17,11 +18,11 @@
 		for {
 			request, _, err := reader.Next()
 			if err != nil {
-				var refused *ProtocolError
-				if !errors.As(err, &refused) {
-					return append(got, "no ProtocolError: "+err.Error())
+				var rejection *ProtocolError
+				if !errors.As(err, &rejection) {
+					return append(got, "not a ProtocolError: "+err.Error())
 				}
-				return append(got, fmt.Sprint("fault ", refused.Status))
+				return append(got, fmt.Sprint("fault ", rejection.Status))
 			}
 			if request == nil {
 				break
@@ -34,13 +35,13 @@
 	return got
 }
 
-// hidden is a request with some fields and another one in what could be its body.
-func hidden(fields string) string {
+// smuggled returns a request with the given fields, followed by a second request in what may be its body.
+func smuggled(fields string) string {
 	return "POST /a HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n0\r\n\r\nPOST /b HTTP/1.1\r\nHost: x\r\n\r\n"
 }
 
-// Requests come in pieces of any size, and some are made to hide a second one in what could be their body. The
-// same comes out whatever the pieces; what leaves a request's end in doubt is refused.
+// Requests are read in pieces of several sizes, and some hide a second one in what may be their body. The result must
+// not depend on the pieces; a request whose end is ambiguous is rejected.
 func TestRequestsWholeAndSplit(t *testing.T) {
 	const get, post = `GET /up "" close=false id=`, `POST /a "hello" close=false id=7`
 	for name, test := range map[string]struct {
@@ -49,28 +50,28 @@
 	}{
 		"no body":         {"GET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{get}},
 		"a length":        {"POST /a HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nContent-Length: 5\r\n\r\nhello", []string{post}},
-		"both lengths":    {hidden("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), []string{"fault 400"}},
-		"lengths twice":   {hidden("Content-Length: 5\r\nContent-Length: 5\r\n"), []string{"fault 400"}},
-		"two lengths":     {hidden("Content-Length: 5, 5\r\n"), []string{"fault 400"}},
-		"a signed length": {hidden("Content-Length: +5\r\n"), []string{"fault 400"}},
-		"a huge length":   {hidden("Content-Length: 99999999999999999999\r\n"), []string{"fault 413"}},
-		"another coding":  {hidden("Transfer-Encoding: chunked, identity\r\n"), []string{"fault 400"}},
-		"a folded line":   {hidden("Transfer-Encoding:\r\n chunked\r\n"), []string{"fault 400"}},
-		"a space before":  {hidden("Content-Length : 5\r\n"), []string{"fault 400"}},
-		"a bare return":   {hidden("X: y\rContent-Length: 5\r\n"), []string{"fault 400"}},
-		"ids twice":       {hidden("Req-Id: 7\r\nreq-id: 8\r\nContent-Length: 5\r\n"), []string{"fault 400"}},
-		"no field":        {hidden("what\r\n"), []string{"fault 400"}},
-		"bare line ends":  {"POST /a HTTP/1.1\nHost: x\nreq-id: 7\ncontent-length: 5\n\nhello", []string{post}},
+		"both lengths":    {smuggled("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), []string{"fault 400"}},
+		"equal lengths":   {smuggled("Content-Length: 5\r\nContent-Length: 5\r\n"), []string{"fault 400"}},
+		"two lengths":     {smuggled("Content-Length: 5, 5\r\n"), []string{"fault 400"}},
+		"a signed length": {smuggled("Content-Length: +5\r\n"), []string{"fault 400"}},
+		"a huge length":   {smuggled("Content-Length: 99999999999999999999\r\n"), []string{"fault 413"}},
+		"another coding":  {smuggled("Transfer-Encoding: chunked, identity\r\n"), []string{"fault 400"}},
+		"a folded line":   {smuggled("Transfer-Encoding:\r\n chunked\r\n"), []string{"fault 400"}},
+		"space in a name": {smuggled("Content-Length : 5\r\n"), []string{"fault 400"}},
+		"a bare CR":       {smuggled("X: y\rContent-Length: 5\r\n"), []string{"fault 400"}},
+		"duplicate ids":   {smuggled("Req-Id: 7\r\nreq-id: 8\r\nContent-Length: 5\r\n"), []string{"fault 400"}},
+		"a bad field":     {smuggled("what\r\n"), []string{"fault 400"}},
+		"bare line feeds": {"POST /a HTTP/1.1\nHost: x\nreq-id: 7\ncontent-length: 5\n\nhello", []string{post}},
 		"blank lines":     {"\r\n\r\nGET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{get}},
-		"a cut one":       {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhell", nil},
-		"an early end":    {"GET /up HTTP/1.1\r\nHost: x\r\n", nil},
+		"a partial body":  {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhell", nil},
+		"a partial head":  {"GET /up HTTP/1.1\r\nHost: x\r\n", nil},
 		"HTTP/1.0":        {"GET /up HTTP/1.0\r\n\r\n", []string{`GET /up "" close=true id=`}},
 		"asked to close":  {"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", []string{`GET /up "" close=true id=`}},
-		"no HTTP":         {"hello\r\n\r\n", []string{"fault 400"}},
+		"not HTTP":        {"hello\r\n\r\n", []string{"fault 400"}},
 		"a bad length":    {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", []string{"fault 400"}},
 		"a bad chunk":     {"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", []string{"fault 400"}},
-		"too long a body": {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n", []string{"fault 413"}},
-		"too long a head": {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", MaxHead) + "\r\n\r\n", []string{"fault 431"}},
+		"a large body":    {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n", []string{"fault 413"}},
+		"a large head":    {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", MaxHead) + "\r\n\r\n", []string{"fault 431"}},
 		"pipelined chunks": {strings.Repeat("POST /a HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			"2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n", 2) + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{post, post, get}},
 	} {
@@ -82,11 +83,11 @@
 	}
 }
 
-// Bodies in chunks grow beyond the limit, in large chunks, in small ones or without an end. They are refused.
-func TestBodiesBeyondTheLimitInChunksAreRefused(t *testing.T) {
+// Chunked bodies over the limit are rejected: with large chunks, with the smallest, and without an end.
+func TestOversizedChunkedBodiesAreRejected(t *testing.T) {
 	head := "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, text := range map[string]string{
-		"whole":              head + "10001\r\n" + strings.Repeat("y", 0x10001) + "\r\n0\r\n\r\n",
+		"complete":           head + "10001\r\n" + strings.Repeat("y", 0x10001) + "\r\n0\r\n\r\n",
 		"without an end":     head + strings.Repeat("1000\r\n"+strings.Repeat("y", 0x1000)+"\r\n", 40),
 		"in smallest chunks": head + strings.Repeat("1\r\ny\r\n", 0x8000),
 	} {
@@ -96,7 +97,7 @@
 	}
 }
 
-// A client waits for "100 Continue" before it sends the body. That is reported once.
+// That a client waits for "100 Continue" before it sends the body is reported once.
 func TestExpectationIsReportedOnce(t *testing.T) {
 	var reader RequestReader
 	reader.Feed([]byte("POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
@@ -105,7 +106,7 @@
 	}
 	reader.Feed([]byte("o"))
 	if _, expected, _ := reader.Next(); expected {
-		t.Error("told twice")
+		t.Error("reported twice")
 	}
 	reader.Feed([]byte("k"))
 	if request, _, _ := reader.Next(); request == nil || string(request.Body) != "ok" {
@@ -113,13 +114,13 @@
 	}
 }
 
-// Requests in pieces give the same as in one.
+// Requests do not depend on how their bytes are split.
 func FuzzRequestsSplitAnywhere(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET /up HTTP/1.1\r\n\r\n", 3)
 	f.Add("POST /a HTTP/1.1\nTransfer-Encoding: chunked\n\n1\na\n0\n\nGET / HTTP/1.1\n\n", 1)
 	f.Add("\r\n\n\r\nGET", 2)
-	f.Add(hidden("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), 9)
-	f.Add(hidden("Transfer-Encoding: chunked\r\n"), 5)
+	f.Add(smuggled("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), 9)
+	f.Add(smuggled("Transfer-Encoding: chunked\r\n"), 5)
 	f.Add("0 /0 HTTP/1.1\nTrAnsfer-EnCoding: Chunked \n\r\n0\r\n\r\n", 5)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
 		if len(text) > 4096 {
@@ -132,7 +133,8 @@
 	})
 }
 
-// What is rejected by its head alone ends where the reader of whole requests has it end, or is left to that.
+// A request that PeekSimple accepts ends where Next has it end. The server rejects requests by PeekSimple alone, and a
+// wrong end would make it parse a part of a body as the next request.
 func FuzzPeekSimple(f *testing.F) {
 	f.Add("POST /look HTTP/1.1\r\nHost: b\r\nContent-Length: 4\r\n\r\nbodyPOST")
 	f.Add("POST /look HTTP/1.1\r\nHost: b\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody")
@@ -141,19 +143,19 @@
 	f.Add("POST /look HTTP/1.1\r\nContent-Length : 4\r\n\r\nbody")
 	f.Add("POST /look HTTP/1.1\r\nX: a\r\n Content-Length: 9\r\nContent-Length: 4\r\n\r\nbody")
 	f.Fuzz(func(t *testing.T, text string) {
-		var quick, whole RequestReader
-		quick.Feed([]byte(text))
-		_, size := quick.PeekSimple()
+		var peeking, parsing RequestReader
+		peeking.Feed([]byte(text))
+		_, size := peeking.PeekSimple()
 		if size == 0 {
 			return
 		}
-		whole.Feed([]byte(text))
-		request, _, err := whole.Next()
+		parsing.Feed([]byte(text))
+		request, _, err := parsing.Next()
 		if err != nil {
 			return
 		}
-		if request == nil || len(text)-whole.Buffered() != size {
-			t.Errorf("%q: PeekSimple takes %d bytes, whole leaves %d of %d", text, size, whole.Buffered(), len(text))
+		if request == nil || len(text)-parsing.Buffered() != size {
+			t.Errorf("%q: PeekSimple takes %d bytes, Next leaves %d of %d", text, size, parsing.Buffered(), len(text))
 		}
 	})
 }
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -15,8 +15,8 @@
 	status      int
 	contentType string
 	body        []byte
-	retryAfter  time.Duration // 0: not stated
-	last        bool          // the connection ends with it
+	retryAfter  time.Duration // 0: no Retry-After field
+	last        bool          // the connection is closed after it
 }
 
 func (response *response) bytes() []byte {
@@ -33,25 +33,26 @@
 	return append(text, response.body...)
 }
 
-// TextResponse makes a response with a line of text; last tells that the connection ends with it.
+// TextResponse returns a response with a line of text. last states that the connection is closed after it.
 func TextResponse(status int, text string, last bool) []byte {
-	made := response{status: status, contentType: "text/plain", body: []byte(text + "\n"), last: last}
-	return made.bytes()
+	response := response{status: status, contentType: "text/plain", body: []byte(text + "\n"), last: last}
+	return response.bytes()
 }
 
-// RejectResponse makes the response to a query that is rejected: it may be sent again after a time, 0 for any.
+// RejectResponse returns the response to a rejected query, which the client may send again after retryAfter; 0 leaves
+// the time to the client.
 func RejectResponse(retryAfter time.Duration, text string, last bool) []byte {
-	made := response{
+	response := response{
 		status:      http.StatusServiceUnavailable,
 		contentType: "text/plain",
 		body:        []byte(text + "\n"),
 		retryAfter:  retryAfter,
 		last:        last,
 	}
-	return made.bytes()
+	return response.bytes()
 }
 
-// CompleteResponse makes the response to a query that succeeded; complete tells that no subquery's value is missing.
+// CompleteResponse returns the response to a query that succeeded. complete states that no subquery's value is missing.
 func CompleteResponse(complete bool, values []SubqueryValue, last bool) []byte {
 	if values == nil {
 		values = []SubqueryValue{}
@@ -59,22 +60,22 @@
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(completeBody{complete, values}) // strings, numbers and truth values always encode
+	_ = encoder.Encode(completeBody{complete, values}) // cannot fail for strings, numbers and booleans
 	return okResponse(body.Bytes(), last)
 }
 
-// HitsResponse makes the response to a two-phase query whose answer is complete.
+// HitsResponse returns the response to a two-phase query whose answer is complete.
 func HitsResponse(hits []twophase.Hit, last bool) []byte {
 	body := hitsBody{Complete: true, Hits: make([]hitBody, 0, len(hits))}
 	for _, hit := range hits {
-		score := hit.Score + 0 // negative zero is zero
+		score := hit.Score + 0 // converts negative zero to zero
 		body.Hits = append(body.Hits, hitBody{Shard: int(hit.Shard), ID: hit.ID, Score: score})
 	}
-	text, _ := json.Marshal(body) // strings and numbers always encode
+	text, _ := json.Marshal(body) // cannot fail for strings and finite numbers
 	return okResponse(append(text, '\n'), last)
 }
 
 func okResponse(body []byte, last bool) []byte {
-	made := response{status: http.StatusOK, contentType: "application/json", body: body, last: last}
-	return made.bytes()
+	response := response{status: http.StatusOK, contentType: "application/json", body: body, last: last}
+	return response.bytes()
 }
--- a/internal/wire/response_test.go
+++ b/internal/wire/response_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Responses carry the clients' own names and say what becomes of the connection.
+// Responses use the field names of the client protocol and state whether the connection is closed.
 func TestResponses(t *testing.T) {
 	got := string(CompleteResponse(false, []SubqueryValue{{Shard: 3, Payload: "5be<&"}}, true))
 	for _, want := range []string{"HTTP/1.1 200 OK\r\n", "Connection: close\r\n",
--- a/internal/wire/sizes.go
+++ b/internal/wire/sizes.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// sameSizesNeeded is how many values of one size have to come before another size says anything.
-const sameSizesNeeded = 64
+// minSameSizeValues is the number of values of one size after which a value of another size is suspicious.
+const minSameSizeValues = 64
 
-// ValueSizes knows whether the values of replicas have all been of one size. It guards against a value that is
-// cut short by a frame's wrong length, whose rest then stands behind the frame: it would pass for a good value.
-// Any goroutine may use it; its zero value has seen nothing.
+// ValueSizes tracks whether all values of replicas have the same size. It detects a value that a wrong frame length
+// has truncated, with the remainder following the frame, which would otherwise be accepted. It is safe for concurrent
+// use. The zero value has seen no values.
 type ValueSizes struct {
 	mu     sync.Mutex
-	size   int // of the first value
-	same   int // values of that size, up to sameSizesNeeded; 0: none
-	varied bool
+	size   int  // of the first value
+	same   int  // number of values of that size, up to minSameSizeValues; 0: no value yet
+	varied bool // values of several sizes are valid
 }
 
-// isOdd notes a value and tells whether it is of another size than all before it and has noise behind it. A nil
-// ValueSizes finds nothing odd.
-func (sizes *ValueSizes) isOdd(size int, noiseBehind bool) bool {
+// isSuspicious records a value's size and reports whether it differs from the size of all values before it and bytes
+// that are not a frame follow. A nil ValueSizes always returns false.
+func (sizes *ValueSizes) isSuspicious(size int, garbageFollows bool) bool {
 	if sizes == nil {
 		return false
 	}
@@ -29,10 +29,10 @@
 		sizes.size = size
 		sizes.same = 1
 	case size == sizes.size:
-		sizes.same = min(sizes.same+1, sameSizesNeeded)
-	case noiseBehind && sizes.same == sameSizesNeeded:
+		sizes.same = min(sizes.same+1, minSameSizeValues)
+	case garbageFollows && sizes.same == minSameSizeValues:
 		return true
-	case !noiseBehind:
+	case !garbageFollows:
 		sizes.varied = true
 	}
 	return false
--- a/internal/wire/twophase.go
+++ b/internal/wire/twophase.go
@@ -10,36 +10,35 @@
 	"terntray/twophase"
 )
 
-// The wire of two-phase queries, as docs/phases.md states it. What a replica is asked stands in a line before the
-// query's text; what it answers is the value of its reply. Both are JSON; what they hold beyond what is known is
-// an error.
+// The protocol of two-phase queries (docs/phases.md): a request is a line of JSON before the query's text, and the
+// value of a reply is JSON, in which unknown fields are errors.
 
-const maxCount = 100_000 // hits that a replica may say it has; more is no count
+const maxCount = 100_000 // largest number of hits that a summary may state
 
-// Errors of what a replica answers.
+// Errors of malformed replies.
 var (
-	errNoSummary    = errors.New("no version, or no count")
-	errTrailingData = errors.New("more behind it")
+	errNoSummary    = errors.New("summary has no version or no valid count")
+	errTrailingData = errors.New("trailing data after the JSON value")
 )
 
-// CanMatchRequest is the text of the subquery that asks for a shard's summary.
+// CanMatchRequest returns the text of the subquery that requests a shard's summary.
 func CanMatchRequest(query *TwoPhaseQuery, text []byte) []byte {
-	return withPhase(phaseRequest{Phase: phaseCanMatch, Limit: query.Limit}, text)
+	return prependPhase(phaseRequest{Phase: phaseCanMatch, Limit: query.Limit}, text)
 }
 
-// FetchRequest is the text of the subquery that asks for a shard's hits; the version is that of the summary that
-// was used, empty if none was.
+// FetchRequest returns the text of the subquery that requests a shard's hits. version is that of the summary that the
+// decision to fetch was based on; empty if there was none.
 func FetchRequest(query *TwoPhaseQuery, version twophase.Version, text []byte) []byte {
-	return withPhase(phaseRequest{Phase: phaseFetch, Limit: query.Limit, Version: string(version)}, text)
+	return prependPhase(phaseRequest{Phase: phaseFetch, Limit: query.Limit, Version: string(version)}, text)
 }
 
-func withPhase(request phaseRequest, text []byte) []byte {
-	line, _ := json.Marshal(request) // strings and numbers always encode
+func prependPhase(request phaseRequest, text []byte) []byte {
+	line, _ := json.Marshal(request) // cannot fail for strings and integers
 	line = append(line, '\n')
 	return append(line, text...)
 }
 
-// ReadSummary reads a replica's summary; what cannot be used is an error.
+// ReadSummary decodes and validates a replica's summary. Bounds that are absent become infinite.
 func ReadSummary(value []byte) (twophase.Summary, error) {
 	var body summaryBody
 	if err := decodeStrictly(value, &body); err != nil {
@@ -64,7 +63,7 @@
 	return summary, nil
 }
 
-// ReadAnswer reads a replica's hits.
+// ReadAnswer decodes a replica's hits.
 func ReadAnswer(shard int, value []byte) (twophase.Answer, error) {
 	var body answerBody
 	if err := decodeStrictly(value, &body); err != nil {
