--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -7,13 +7,13 @@
 	"terntray/scheduler"
 )
 
-// listedEndpoint is one entry of a numbered list.
+// listedEndpoint is one entry of a numbered endpoint list.
 type listedEndpoint struct {
-	endpoint  scheduler.Endpoint // but for its start
-	startedAt int64              // microseconds of the simulation's clock; 0: no start is known
+	endpoint  scheduler.Endpoint // without its start time
+	startedAt int64              // microseconds of the simulation's clock; 0: unknown
 }
 
-// endpointFor is the endpoint with its start on the instance's own clock.
+// endpointFor returns the endpoint with its start time on the instance's own clock.
 func (l listedEndpoint) endpointFor(to *instance) scheduler.Endpoint {
 	endpoint := l.endpoint
 	endpoint.Started = scheduler.StartUnknown
@@ -23,21 +23,21 @@
 	return endpoint
 }
 
-// readPage reads a numbered list; events refer to it by its number until another list has that number.
-func (s *server) readPage(header *fields) error {
+// readEndpointList reads a numbered list. Events refer to it by its number until another list reuses the number.
+func (s *server) readEndpointList(header *fields) error {
 	page := header.integer("page")
 	count := header.integer("records")
 	if header.err != nil {
 		return header.err
 	}
 	if count < 0 {
-		return header.fail("field records: %d entries", count)
+		return header.fail("field records: negative count %d", count)
 	}
 	var endpoints []listedEndpoint
 	for range count {
 		entry, err := s.read()
 		if errors.Is(err, io.EOF) {
-			return s.fail("the input ends inside a list")
+			return s.fail("input ends inside a list")
 		}
 		if err != nil {
 			return err
@@ -48,13 +48,13 @@
 		}
 		endpoints = append(endpoints, listed)
 	}
-	s.pages[page] = endpoints
+	s.endpointLists[page] = endpoints
 	return nil
 }
 
 func decodeEndpoint(f *fields) (listedEndpoint, error) {
-	if f.message != pageEntry {
-		return listedEndpoint{}, f.fail("an ITEM of the list was due")
+	if f.message != listEntry {
+		return listedEndpoint{}, f.fail("expected an ITEM of the list")
 	}
 	var listed listedEndpoint
 	listed.endpoint.ID = scheduler.ReplicaID(f.id("replica"))
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -7,14 +7,14 @@
 	"terntray/scheduler"
 )
 
-// event is what a message tells an instance.
+// event is an event that a message reports to an instance.
 type event interface {
-	// apply tells the instance's scheduler of the event.
+	// apply passes the event to the instance's scheduler.
 	apply(to *instance, now time.Duration)
 }
 
-// decoders are the events that an instance with a scheduler takes. Each reads its fields in the order of the wire;
-// the event is void if the fields have a fault.
+// decoders holds a decoder for each message that is an event of an instance's scheduler. A decoder reads the fields in
+// the order of the wire; if it records an error in them, the event must not be used.
 var decoders = map[string]func(*server, *fields) event{
 	endpointsChanged: (*server).decodeEndpointsChanged,
 	arrival:          decodeArrival,
@@ -26,26 +26,26 @@
 	gossipReceived:   decodeGossip,
 }
 
-// ignored is an event that means nothing to a Scheduler.
+// ignored is an event that a Scheduler does not handle.
 type ignored struct{}
 
 func (ignored) apply(*instance, time.Duration) {}
 
-// endpointListEvent is a list of endpoints, or of changes of one.
+// endpointListEvent is a list of all endpoints, or of those that changed.
 type endpointListEvent struct {
 	endpoints []listedEndpoint
-	whole     bool // what is not in the list is removed
-	restored  bool // it is as old as the instance's earlier life
+	complete  bool // endpoints that are not in the list are removed
+	restored  bool // the list dates from before the instance was restarted
 }
 
 func (e endpointListEvent) apply(to *instance, now time.Duration) {
-	to.scheduler.EndpointListBegins(now, e.whole, e.restored)
+	to.scheduler.EndpointListBegins(now, e.complete, e.restored)
 	for _, listed := range e.endpoints {
 		to.scheduler.EndpointListed(now, listed.endpointFor(to))
 	}
 }
 
-// endpointPollFailedEvent tells that a poll of the list has failed.
+// endpointPollFailedEvent reports that polling the endpoint list has failed.
 type endpointPollFailedEvent struct{}
 
 func (endpointPollFailedEvent) apply(to *instance, now time.Duration) {
@@ -65,11 +65,11 @@
 		f.fail("field form: unknown value %q", form)
 		return nil
 	}
-	endpoints, known := s.pages[page]
+	endpoints, known := s.endpointLists[page]
 	if !known {
-		f.fail("field page: no list %d", page)
+		f.fail("field page: unknown list %d", page)
 	}
-	return endpointListEvent{endpoints: endpoints, whole: form != formUpdate, restored: form == formRestored}
+	return endpointListEvent{endpoints: endpoints, complete: form != formUpdate, restored: form == formRestored}
 }
 
 // queryEvent is the arrival of a query.
@@ -86,19 +86,19 @@
 	to.scheduler.SubqueryArrives(now, scheduler.SubqueryArrival(e))
 }
 
-// decodeArrival reads a message that stands for a query where its shard is below 0, and for a subquery elsewhere.
+// decodeArrival decodes the arrival of a query if the shard is negative, and of a subquery otherwise.
 func decodeArrival(_ *server, f *fields) event {
 	id := scheduler.RequestID(f.id("requestId"))
 	class := scheduler.ClassIndex(f.integer("type"))
 	tenant := scheduler.TenantIndex(f.integerOr("billing", 0))
 	f.text("item")
-	timeLeft := f.span("budget")
+	timeLeft := f.duration("budget")
 	workHint := microseconds(f.integerOr("sizeHint", 0))
 	number := scheduler.QueryNumber(f.number("queryNo"))
 	shard := f.number("segmentNo")
-	measure := f.number("measure") // of a query the number of subqueries, of a subquery its weight
-	f.skipBool("repeat")
-	f.skipBool("update")
+	measure := f.number("measure") // number of subqueries of a query, or weight of a subquery
+	f.checkBool("repeat")
+	f.checkBool("update")
 	if shard < 0 {
 		return queryEvent{ID: id, Number: number, Class: class, Tenant: tenant, TimeLeft: timeLeft,
 			WorkHint: workHint, Subqueries: int(measure)}
@@ -106,7 +106,7 @@
 	return subqueryEvent{ID: id, Query: number, Shard: scheduler.ShardNumber(shard), Weight: measure, WorkHint: workHint}
 }
 
-// decodeFirstReply reads the begin of an answer, of which no class of this wire makes use.
+// decodeFirstReply decodes the arrival of the beginning of an answer, which no class in the simulator uses.
 func decodeFirstReply(_ *server, f *fields) event {
 	f.id("requestId")
 	f.id("replica")
@@ -115,11 +115,11 @@
 	return ignored{}
 }
 
-// attemptEvent is the end of an attempt, and what its replica said of its load.
+// attemptEvent is the end of an attempt, with its replica's load report.
 type attemptEvent struct {
 	result  scheduler.AttemptResult
 	replica scheduler.ReplicaID
-	load    float64 // noLoad: nothing
+	load    float64 // noLoad: not reported
 }
 
 func (e attemptEvent) apply(to *instance, now time.Duration) {
@@ -134,14 +134,14 @@
 	ended.result.Subquery = scheduler.RequestID(f.id("requestId"))
 	ended.result.Outcome = f.outcome("disposition")
 	ended.replica = scheduler.ReplicaID(f.id("replica"))
-	f.skipBool("closed")
+	f.checkBool("closed")
 	ended.result.Attempt = scheduler.AttemptNumber(f.integer("copy"))
-	ended.result.Took = f.span("waitTime")
+	ended.result.Took = f.duration("waitTime")
 	ended.load = f.load("pressure")
 	return ended
 }
 
-// clientLeftEvent names a query for which nobody waits any more.
+// clientLeftEvent is the id of a query whose client no longer waits for the answer.
 type clientLeftEvent scheduler.RequestID
 
 func (e clientLeftEvent) apply(to *instance, now time.Duration) {
@@ -150,14 +150,14 @@
 
 func decodeClientLeft(_ *server, f *fields) event { return clientLeftEvent(f.id("requestId")) }
 
-// wakeupEvent is the name under which the wake-up was asked for.
+// wakeupEvent is the name under which the wakeup was scheduled.
 type wakeupEvent string
 
 func (e wakeupEvent) apply(to *instance, now time.Duration) { to.scheduler.Wakeup(now, string(e)) }
 
 func decodeWakeup(_ *server, f *fields) event { return wakeupEvent(f.text("keyBack")) }
 
-// decodeProbeEnded reads the end of a probe that is no attempt; a Scheduler sends none.
+// decodeProbeEnded decodes the end of a probe that is not an attempt. A Scheduler sends no such probes.
 func decodeProbeEnded(_ *server, f *fields) event {
 	f.integer("waitTime")
 	f.outcome("disposition")
@@ -166,7 +166,7 @@
 	return ignored{}
 }
 
-// gossipEvent is a message of another co-ordinator.
+// gossipEvent is a gossip message from another co-ordinator.
 type gossipEvent struct {
 	from    scheduler.PeerIndex
 	message []byte
@@ -186,7 +186,7 @@
 	}
 	message, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		f.fail("field msg: no base64")
+		f.fail("field msg: invalid base64")
 	}
 	return gossipEvent{from: from, message: message}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -12,10 +12,10 @@
 	"terntray/scheduler"
 )
 
-// InputError says what is wrong with a line of the input.
+// InputError describes an invalid line of the input.
 type InputError struct {
 	Line    int    // from 1
-	Message string // the name of the message in it; empty: the line has none
+	Message string // name of the message in the line; empty: the error concerns no single message
 	Reason  string
 }
 
@@ -26,16 +26,15 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Message, e.Reason)
 }
 
-// fields hands out the values of one message in order. It keeps the first fault; what it hands out after one means
-// nothing.
+// fields decodes the values of one message in order. It keeps the first error; values decoded after it are meaningless.
 type fields struct {
-	line    int
-	message string
-	left    []string
-	err     error
+	line      int
+	message   string
+	remaining []string
+	err       error
 }
 
-// fail notes a fault, unless there was one before, and returns the one that is kept.
+// fail records an error unless there is one already, and returns the recorded error.
 func (f *fields) fail(format string, args ...any) error {
 	if f.err == nil {
 		f.err = &InputError{Line: f.line, Message: f.message, Reason: fmt.Sprintf(format, args...)}
@@ -44,12 +43,12 @@
 }
 
 func (f *fields) text(field string) string {
-	if len(f.left) == 0 {
+	if len(f.remaining) == 0 {
 		f.fail("field %s is missing", field)
 		return ""
 	}
-	value := f.left[0]
-	f.left = f.left[1:]
+	value := f.remaining[0]
+	f.remaining = f.remaining[1:]
 	return value
 }
 
@@ -57,32 +56,32 @@
 	value := f.text(field)
 	number, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		f.fail("field %s: %q is no integer", field, value)
+		f.fail("field %s: %q is not an integer", field, value)
 	}
 	return number
 }
 
-// integerOr is an integer, otherwise if the field is marked as absent.
-func (f *fields) integerOr(field string, otherwise int64) int64 {
-	if len(f.left) > 0 && f.left[0] == absentValue {
-		f.left = f.left[1:]
-		return otherwise
+// integerOr decodes an integer, or returns absent if the field is marked as absent.
+func (f *fields) integerOr(field string, absent int64) int64 {
+	if len(f.remaining) > 0 && f.remaining[0] == absentValue {
+		f.remaining = f.remaining[1:]
+		return absent
 	}
 	return f.integer(field)
 }
 
-// span is an integer of microseconds.
-func (f *fields) span(field string) time.Duration { return microseconds(f.integer(field)) }
+// duration decodes an integer number of microseconds.
+func (f *fields) duration(field string) time.Duration { return microseconds(f.integer(field)) }
 
 func (f *fields) id(field string) uint32 {
 	number := f.integer(field)
 	if number < 0 || number > math.MaxUint32 {
-		f.fail("field %s: %d is no id", field, number)
+		f.fail("field %s: %d is not an id", field, number)
 	}
 	return uint32(number)
 }
 
-// number is 0 if the field is marked as absent.
+// number decodes a finite number, or returns 0 if the field is marked as absent.
 func (f *fields) number(field string) float64 {
 	value := f.text(field)
 	if value == absentValue {
@@ -90,13 +89,13 @@
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		f.fail("field %s: %q is no number", field, value)
+		f.fail("field %s: %q is not a number", field, value)
 	}
 	return number
 }
 
-// skipBool checks a field that is of no use here.
-func (f *fields) skipBool(field string) {
+// checkBool validates a field whose value is not used.
+func (f *fields) checkBool(field string) {
 	value := f.text(field)
 	if !slices.Contains([]string{boolFalse, boolTrue, absentValue}, value) {
 		f.fail("field %s: %q is neither 0 nor 1", field, value)
@@ -112,19 +111,19 @@
 	return outcome
 }
 
-// noLoad is what load gives where a report tells none.
+// noLoad is the result of load for a report that states no load.
 const noLoad = -1.0
 
-// load is the share of its cores in use that a replica's load report tells, from 0 to 1, or noLoad.
+// load decodes the share of its cores in use that a replica states in a load report, from 0 to 1, or noLoad.
 func (f *fields) load(field string) float64 {
 	report := f.text(field)
 	if report == absentValue || report == "" {
 		return noLoad
 	}
 	for pair := range strings.SplitSeq(report, ",") {
-		_, figure, found := strings.Cut(pair, loadSeparator)
-		if _, err := strconv.ParseFloat(figure, 64); !found || err != nil {
-			f.fail("field %s: %q is no name:value pair", field, pair)
+		_, value, found := strings.Cut(pair, loadSeparator)
+		if _, err := strconv.ParseFloat(value, 64); !found || err != nil {
+			f.fail("field %s: %q is not a name:value pair", field, pair)
 			return noLoad
 		}
 	}
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -9,22 +9,23 @@
 	"terntray/scheduler"
 )
 
-// instance is one co-ordinator. As its scheduler's Host it writes what is asked of it for the present batch's reply.
+// instance is one co-ordinator. As its scheduler's Host it writes the scheduler's requests to the reply of the current
+// batch.
 type instance struct {
 	number    int64
 	startedAt int64                // microseconds of the simulation's clock
-	scheduler *scheduler.Scheduler // nil: stopped, or failed
+	scheduler *scheduler.Scheduler // nil: stopped or failed
 	reply     strings.Builder
-	active    bool // selected in this batch
+	active    bool // selected in the current batch
 }
 
 var _ scheduler.Host = (*instance)(nil)
 
-// start begins a life of the instance; what an earlier one asked for in this batch is void.
+// start starts or restarts the instance and discards what it has written to the current batch's reply.
 func (i *instance) start(clock int64, seed uint64, settings map[string]string) {
 	i.startedAt = clock
 	i.stop()
-	i.guard(func() {
+	i.withRecover(func() {
 		config, err := scheduler.ParseConfig(settings)
 		if err != nil {
 			i.write(instanceFailed, err.Error())
@@ -44,25 +45,25 @@
 	i.reply.Reset()
 }
 
-// now is the time since the instance's start.
+// now returns the time since the instance was started.
 func (i *instance) now(clock int64) time.Duration { return microseconds(clock - i.startedAt) }
 
-// take has a running instance take an event.
-func (i *instance) take(received event, clock int64) {
+// handle passes an event to the scheduler, if the instance is running.
+func (i *instance) handle(received event, clock int64) {
 	if i.scheduler != nil {
-		i.guard(func() { received.apply(i, i.now(clock)) })
+		i.withRecover(func() { received.apply(i, i.now(clock)) })
 	}
 }
 
-// decide has a running instance decide on the events of a batch.
+// decide makes the scheduler decide on the events of a batch, if the instance is running.
 func (i *instance) decide(clock int64) {
 	if i.scheduler != nil {
-		i.guard(func() { i.scheduler.Decide(i.now(clock)) })
+		i.withRecover(func() { i.scheduler.Decide(i.now(clock)) })
 	}
 }
 
-// guard reports a panic of the scheduler in one line of the reply and stops the instance.
-func (i *instance) guard(call func()) {
+// withRecover runs call. If it panics, withRecover writes the cause to the reply as one line and stops the instance.
+func (i *instance) withRecover(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			i.write(instanceFailed, strings.Join(strings.Fields(fmt.Sprint(cause)), " "))
@@ -72,7 +73,7 @@
 	call()
 }
 
-// write adds a message to the reply.
+// write appends a message to the reply.
 func (i *instance) write(message string, values ...any) {
 	i.reply.WriteString(message)
 	for _, value := range values {
@@ -81,43 +82,43 @@
 	i.reply.WriteByte('\n')
 }
 
-// StartAttempt implements scheduler.Host, as do the methods that follow.
+// StartAttempt implements scheduler.Host, like the exported methods below.
 func (i *instance) StartAttempt(subquery scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
 	i.write(startAttempt, subquery, to, timeout.Microseconds())
 }
 
-// CancelAttempt names the attempt by its number.
+// CancelAttempt writes the subquery and the number of the attempt.
 func (i *instance) CancelAttempt(subquery scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	i.write(cancelAttempt, subquery, attempt)
 }
 
-// Complete tells whether the answer is complete.
+// Complete writes the query and whether its answer is complete.
 func (i *instance) Complete(query scheduler.RequestID, complete bool) {
 	i.write(completeQuery, query, wireBool(complete))
 }
 
-// Reject tells after how many microseconds to come again.
+// Reject writes the query and the time after which to retry, in microseconds.
 func (i *instance) Reject(query scheduler.RequestID, retryAfter time.Duration) {
 	i.write(rejectQuery, query, retryAfter.Microseconds())
 }
 
-// Fail names the query.
+// Fail writes the query.
 func (i *instance) Fail(query scheduler.RequestID) { i.write(failQuery, query) }
 
-// ScheduleWakeup tells after how many microseconds.
+// ScheduleWakeup writes the wakeup's name and delay, in microseconds.
 func (i *instance) ScheduleWakeup(name string, in time.Duration) {
 	i.write(scheduleWakeup, name, in.Microseconds())
 }
 
-// PollEndpoints asks for the list and its changes.
+// PollEndpoints requests the endpoint list and its later changes.
 func (i *instance) PollEndpoints() { i.write(pollEndpoints, boolTrue) }
 
-// Broadcast sends the message as base64.
+// Broadcast writes the message in base64.
 func (i *instance) Broadcast(message []byte) {
 	i.write(broadcast, toEveryPeer, base64.StdEncoding.EncodeToString(message))
 }
 
-// Log writes a line of the simulation's log.
+// Log writes a line for the simulation's log.
 func (i *instance) Log(text string) { i.write(logLine, text) }
 
 func wireBool(value bool) string {
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -2,16 +2,16 @@
 
 import "terntray/scheduler"
 
-// The simulator has names of its own theme for its messages and values. They stand here, beside the terms that the
-// rest of the program uses; names of fields stand in the decoders, where errors need them.
+// The simulator uses names of its own for messages and values. They are mapped here to the terms that the rest of the
+// program uses. Names of fields occur only in the decoders, which need them for errors.
 
 // Messages from the simulator.
 const (
 	batchBegins      = "MARK"
 	batchEnds        = "FLUSH"
 	instanceSelected = "INSTANCE" // the messages that follow are for this co-ordinator
-	pageBegins       = "REGISTER" // a numbered list of endpoints, in so many pageEntry
-	pageEntry        = "ITEM"
+	listBegins       = "REGISTER" // a numbered list of endpoints; a given number of listEntry messages follows
+	listEntry        = "ITEM"
 
 	// To the selected instance.
 	instanceStarts   = "PROVISION"
@@ -29,7 +29,7 @@
 // Messages to the simulator.
 const (
 	batchAnswered   = "NEXT"
-	instanceAnswers = "ON_BEHALF" // the messages that follow are of this co-ordinator
+	instanceAnswers = "ON_BEHALF" // the messages that follow are from this co-ordinator
 	instanceFailed  = "EXCEPTION"
 	logLine         = "EMIT"
 	startAttempt    = "SUBMIT_TO"
@@ -54,10 +54,10 @@
 
 // Forms of endpointsChanged.
 const (
-	formUnavailable = "unavailable" // the list could not be had
-	formUpdate      = "update"      // endpoints that are not in it stay as they were
-	formReplace     = "replace"     // the whole list
-	formRestored    = "restored"    // the whole list, as an earlier life of the instance had it
+	formUnavailable = "unavailable" // the list is not available
+	formUpdate      = "update"      // endpoints that are not in the list are unchanged
+	formReplace     = "replace"     // the complete list
+	formRestored    = "restored"    // the complete list as it was before the instance was restarted
 )
 
 var outcomes = map[int64]scheduler.Outcome{
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,10 @@
-// Package simwire runs Schedulers in the simulator: it decodes each line of the simulator's wire into an event of a
-// Scheduler, and encodes what the Scheduler asks of its Host. It decides nothing.
+// Package simwire runs Schedulers in the simulator. It decodes the lines of the simulator's protocol into events for a
+// Scheduler and encodes what the Scheduler requests from its Host. It makes no decisions.
 //
-// A line is a message: its name and its fields with tabs between them. Messages come in batches of one moment of
-// the simulation's clock. In a batch some go to instances, each one co-ordinator; when the batch ends, each
-// instance that was selected in it decides, and one reply has what all of them ask for.
+// Each line is one message: its name and its fields, separated by tabs. Messages are grouped into batches, each for one
+// time of the simulation's clock. An instance is one co-ordinator. Within a batch, messages select an instance or are
+// addressed to the selected one. At the end of the batch every instance selected in it decides, and one reply contains
+// the requests of all of them.
 package simwire
 
 import (
@@ -14,28 +15,28 @@
 	"strings"
 )
 
-const bufferSize = 1 << 20 // bytes, for input and output each
+const ioBufferSize = 1 << 20 // bytes, for each of input and output
 
 // server is the state of one run.
 type server struct {
-	in        *bufio.Reader
-	line      int   // the last one read, from 1
-	clock     int64 // microseconds, of the present batch
-	pages     map[int64][]listedEndpoint
-	instances map[int64]*instance
-	active    []*instance // those selected in this batch, in order of their first selection
-	selected  *instance   // nil: none yet in this batch
+	in            *bufio.Reader
+	line          int   // number of the last line read, from 1
+	clock         int64 // microseconds; time of the current batch
+	endpointLists map[int64][]listedEndpoint
+	instances     map[int64]*instance
+	active        []*instance // selected in the current batch, in order of first selection
+	selected      *instance   // nil: none yet in the current batch
 }
 
-// Serve answers batches until the input ends. It returns nil if that happens between batches, an *InputError for
-// input that cannot be read, and otherwise the error of reading or writing.
+// Serve answers batches until the input ends. It returns nil if the input ends between batches, an *InputError for
+// invalid input, and otherwise the error of reading or writing.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
-		in:        bufio.NewReaderSize(in, bufferSize),
-		pages:     map[int64][]listedEndpoint{},
-		instances: map[int64]*instance{},
+		in:            bufio.NewReaderSize(in, ioBufferSize),
+		endpointLists: map[int64][]listedEndpoint{},
+		instances:     map[int64]*instance{},
 	}
-	writer := bufio.NewWriterSize(out, bufferSize)
+	writer := bufio.NewWriterSize(out, ioBufferSize)
 	for {
 		header, err := s.read()
 		if errors.Is(err, io.EOF) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// read takes the next line apart. The error is io.EOF itself where the input ends between lines.
+// read reads and splits the next line. The error is io.EOF itself if the input ends between lines.
 func (s *server) read() (*fields, error) {
 	text, err := s.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text == "" {
@@ -63,22 +64,22 @@
 	}
 	s.line++
 	if errors.Is(err, io.EOF) {
-		return nil, s.fail("cut off")
+		return nil, s.fail("input ends inside a line")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("line %d: %w", s.line, err)
 	}
 	values := strings.Split(strings.TrimSuffix(text, "\n"), "\t")
-	return &fields{line: s.line, message: values[0], left: values[1:]}, nil
+	return &fields{line: s.line, message: values[0], remaining: values[1:]}, nil
 }
 
-// fail is a fault of the input as a whole at the present line.
+// fail returns an error at the current line that concerns no single message.
 func (s *server) fail(reason string) error { return &InputError{Line: s.line, Reason: reason} }
 
-// batch takes the messages of a batch, has the active instances decide and returns the batch's number.
+// batch handles the messages of a batch, makes the active instances decide and returns the batch's number.
 func (s *server) batch(header *fields) (number int64, err error) {
 	if header.message != batchBegins {
-		return 0, header.fail("not inside a batch")
+		return 0, header.fail("message outside a batch")
 	}
 	s.clock = header.integer("clock")
 	number = header.integer("batch number")
@@ -88,7 +89,7 @@
 	for {
 		message, err := s.read()
 		if errors.Is(err, io.EOF) {
-			return 0, s.fail("the input ends inside a batch")
+			return 0, s.fail("input ends inside a batch")
 		}
 		if err != nil {
 			return 0, err
@@ -96,7 +97,7 @@
 		if message.message == batchEnds {
 			break
 		}
-		if err := s.take(message); err != nil {
+		if err := s.handle(message); err != nil {
 			return 0, err
 		}
 	}
@@ -106,7 +107,7 @@
 	return number, nil
 }
 
-// reply writes what the active instances ask for, and makes ready for the next batch.
+// reply writes the replies of the active instances and resets the state of the batch.
 func (s *server) reply(out io.Writer, number int64) {
 	for _, instance := range s.active {
 		if instance.reply.Len() > 0 {
@@ -120,21 +121,21 @@
 	fmt.Fprintf(out, "%s\t%d\n", batchAnswered, number)
 }
 
-// take takes one message within a batch.
-func (s *server) take(message *fields) error {
+// handle handles one message within a batch.
+func (s *server) handle(message *fields) error {
 	switch message.message {
 	case instanceSelected:
 		return s.selectInstance(message)
-	case pageBegins:
-		return s.readPage(message)
-	case batchBegins, pageEntry:
-		return message.fail("out of place")
+	case listBegins:
+		return s.readEndpointList(message)
+	case batchBegins, listEntry:
+		return message.fail("unexpected message")
 	}
 	if !isForInstance(message.message) {
 		return message.fail("unknown message")
 	}
 	if s.selected == nil {
-		return message.fail("outside an instance")
+		return message.fail("no instance is selected")
 	}
 	switch message.message {
 	case instanceStarts:
@@ -147,7 +148,7 @@
 	if message.err != nil {
 		return message.err
 	}
-	s.selected.take(received, s.clock)
+	s.selected.handle(received, s.clock)
 	return nil
 }
 
@@ -179,11 +180,11 @@
 	if message.err != nil {
 		return message.err
 	}
-	settings := make(map[string]string, len(message.left))
-	for _, pair := range message.left {
+	settings := make(map[string]string, len(message.remaining))
+	for _, pair := range message.remaining {
 		path, value, found := strings.Cut(pair, settingSeparator)
 		if !found {
-			return message.fail("field setup: %q is no path=value pair", pair)
+			return message.fail("field setup: %q is not a path=value pair", pair)
 		}
 		settings[path] = value
 	}
