--- a/config/certificates.go
+++ b/config/certificates.go
@@ -17,7 +17,7 @@
 
 const (
 	serialBits = 120       // of a certificate's random serial number
-	backdating = time.Hour // of the start of validity, for clocks that are behind
+	backdating = time.Hour // of the start of validity, for hosts whose clocks are behind
 )
 
 // issuer signs certificates.
@@ -26,9 +26,9 @@
 	key         *ecdsa.PrivateKey
 }
 
-// MakeCertificates creates a folder, if it is missing, with a CA (ca.pem, ca.key) and two certificates that it signed:
-// one of a replica for the given hosts (box.pem, box.key) and one of a co-ordinator (client.pem, client.key). They are
-// for trials only, as the CA's key is kept beside them; a later call replaces all.
+// MakeCertificates writes a CA (ca.pem, ca.key) and two certificates signed by it to a folder, which it creates if
+// needed: one for a replica at the given hosts (box.pem, box.key) and one for a co-ordinator (client.pem, client.key).
+// They are for testing only, because the CA's key is stored with them. Existing files are overwritten.
 func MakeCertificates(folder string, hosts []string, validity time.Duration) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeCertificate writes NAME.pem and NAME.key with a new key; without a signer the certificate signs itself.
+// writeCertificate writes NAME.pem and NAME.key with a new key. Without a signer the certificate is self-signed.
 func writeCertificate(folder, name string, template *x509.Certificate, signer *issuer) (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
