--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// Names used on the wire, and the terms they correspond to. They must not change, because deployed clients, replicas
-// and discovery agents use them.
+// Names used on the wire, and the corresponding terms of the code. The former must not change, because deployed
+// clients, replicas and discovery agents use them.
 
 // Fields of a client's request.
 const (
--- a/internal/wire/sizes.go
+++ b/internal/wire/sizes.go
@@ -5,9 +5,9 @@
 // minSameSizeValues is the number of values of one size after which a value of another size is suspicious.
 const minSameSizeValues = 64
 
-// ValueSizes tracks whether all values of replicas have the same size. It detects a value that a wrong frame length
-// has truncated, with the remainder following the frame, which would otherwise be accepted. It is safe for concurrent
-// use. The zero value has seen no values.
+// ValueSizes tracks whether all values of replicas have the same size. It detects a value that is truncated by a wrong
+// frame length, so that its remainder follows the frame: such a value would otherwise be accepted. ValueSizes is safe
+// for concurrent use. Its zero value has seen no values.
 type ValueSizes struct {
 	mu     sync.Mutex
 	size   int  // of the first value
