--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -13,7 +13,7 @@
 	for range 40 {
 		query := m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(10 * ms)
+		m.advance(10 * ms)
 		query.ended = true
 		m.scheduler.ForgetQuery(m.now, query.id)
 		m.iterate()
@@ -29,10 +29,10 @@
 // last query.
 func TestLatenessOfARareClassCountsMore(t *testing.T) {
 	m := newModel(t, 0)
-	m.pass(5 * time.Second)
+	m.advance(5 * time.Second)
 	query := m.newQuery(0, 1, 3*time.Second)
 	m.iterate()
-	m.pass(1100 * ms)
+	m.advance(1100 * ms)
 	if m.scheduler.classes[0].admission.latenessFactor < 1.5 || query.ended {
 		t.Errorf("lateness factor %.2f after a late query, ended %v",
 			m.scheduler.classes[0].admission.latenessFactor, query.ended)
@@ -47,7 +47,7 @@
 		for range n {
 			m.newQuery(0, 4, 3*time.Second)
 			m.iterate()
-			m.pass(20 * ms)
+			m.advance(20 * ms)
 			for _, flight := range m.inFlight() {
 				if m.now-flight.attempt().sentAt >= took {
 					m.answer(flight)
@@ -59,7 +59,7 @@
 	}
 	before, during := load(40, 60*ms), load(100, 1500*ms)
 	m.answerAllAfter(100 * ms)
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	load(40, 60*ms)
 	if after := load(40, 60*ms); before > 0 || during < 30 || after > 0 {
 		t.Errorf("rejected: %d before the congestion, %d during it, %d after it", before, during, after)
@@ -83,7 +83,7 @@
 			if len(query.subqueries[0].attempts) > 0 {
 				n++
 			}
-			m.pass(100 * ms)
+			m.advance(100 * ms)
 		}
 		return n
 	}
@@ -138,7 +138,7 @@
 		if !query.ended {
 			admitted++
 		}
-		m.pass(50 * ms) // without any answer
+		m.advance(50 * ms) // without any answer
 	}
 	if admitted < 2 || admitted > 12 {
 		t.Errorf("%d of 200 admitted within 10 s of congestion", admitted)
--- a/scheduler/canary_test.go
+++ b/scheduler/canary_test.go
@@ -14,14 +14,14 @@
 			m := newModel(t, 0)
 			query := m.newQuery(0, 4, 3*time.Second)
 			m.iterate()
-			m.pass(50 * ms)
+			m.advance(50 * ms)
 			for _, subquery := range query.subqueries[1 : 1+answers] {
 				m.endAttempt(subquery, 0, Succeeded)
 			}
 			failed := query.subqueries[0]
 			m.endAttempt(failed, 0, ConnectionReset)
 			m.iterate()
-			m.pass(250 * ms)
+			m.advance(250 * ms)
 			if len(failed.attempts) != 2 || answers < 2 && failed.attempts[1].to != failed.attempts[0].to {
 				t.Fatalf("%d answers: attempts %v", answers, failed.attempts)
 			}
@@ -41,7 +41,7 @@
 	m.restartAsOneOf(40, 0)
 	m.newQuery(0, 20, 3*time.Second)
 	m.iterate()
-	m.pass(30 * ms)
+	m.advance(30 * ms)
 	if len(m.sent) != 1 {
 		t.Fatalf("%d subqueries sent at once", len(m.sent))
 	}
@@ -53,10 +53,10 @@
 	m.answerAllAfter(60 * ms)
 	query := m.newQuery(0, 20, 3*time.Second)
 	m.iterate()
-	m.pass(20 * ms)
+	m.advance(20 * ms)
 	m.endAttempt(query.subqueries[0], 0, ConnectionReset)
 	m.iterate()
-	m.pass(250 * ms)
+	m.advance(250 * ms)
 	if len(m.sent) != 22 || len(query.subqueries[0].attempts) != 2 {
 		t.Fatalf("%d subqueries of a query of death sent", len(m.sent)-20)
 	}
@@ -78,15 +78,15 @@
 	m.restartAsOneOf(40, 0)
 	m.newQuery(0, 20, 3*time.Second)
 	m.iterate()
-	m.pass(50 * ms)
+	m.advance(50 * ms)
 	if len(m.sent) != 1 {
 		t.Fatalf("%d subqueries sent at once", len(m.sent))
 	}
-	m.pass(30 * ms)
+	m.advance(30 * ms)
 	if len(m.sent) != 8 {
 		t.Errorf("%d subqueries sent after a step", len(m.sent))
 	}
-	if m.pass(60 * ms); len(m.sent) != 20 {
+	if m.advance(60 * ms); len(m.sent) != 20 {
 		t.Errorf("%d subqueries of 20 sent after two steps", len(m.sent))
 	}
 }
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -38,11 +38,11 @@
 	m.iterate()
 	m.endAttempt(query.subqueries[0], 0, Overloaded)
 	m.iterate()
-	m.pass(150 * ms)
+	m.advance(150 * ms)
 	if n := len(query.subqueries[0].attempts); query.ended || n != 1 {
 		t.Fatalf("ended %v, %d attempts within 150 ms of the rejection", query.ended, n)
 	}
-	if m.pass(700 * ms); len(query.subqueries[0].attempts) != 2 {
+	if m.advance(700 * ms); len(query.subqueries[0].attempts) != 2 {
 		t.Errorf("%d attempts after the backoff", len(query.subqueries[0].attempts))
 	}
 }
@@ -90,7 +90,7 @@
 		m.nextShard = 0
 		m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(100 * ms)
+		m.advance(100 * ms)
 		for _, flight := range m.inFlight() {
 			if flight.subquery != lost {
 				m.answer(flight)
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The sender of a second phase counts fewer subqueries than this co-ordinator saw answered. The phase consists of the
+// The caller sends fewer subqueries of a second phase than were answered in the first. The phase consists of the
 // subqueries that arrive; waiting for more would leave the query without a final outcome.
 func TestSecondPhaseConsistsOfArrivedSubqueries(t *testing.T) {
 	m := newModel(t, 8)
@@ -13,7 +13,7 @@
 	query := m.newQuery(0, 2, 3*time.Second)
 	m.iterate()
 	m.answerAllAfter(50 * ms)
-	m.pass(10 * ms)
+	m.advance(10 * ms)
 	m.answerAllAfter(50 * ms)
 	if !query.ended || query.phase != 1 || len(query.subqueries) != 1 {
 		t.Errorf("ended %v, phase %d of %d subqueries", query.ended, query.phase, len(query.subqueries))
@@ -25,13 +25,13 @@
 	m := newModel(t, 0)
 	query := m.newEmptyQuery(0, 3, time.Second)
 	m.iterate()
-	if m.pass(1100 * ms); !query.ended {
+	if m.advance(1100 * ms); !query.ended {
 		t.Error("the query did not end before its deadline")
 	}
 }
 
-// First tries arrive with the full deadline. A query with less time left is a client's retry, whose objective is
-// reduced by the time that the first try used.
+// First tries arrive with the same share of their deadline left. A query with less is a client's retry, whose objective
+// is reduced by the time that the first try used.
 func TestClientRetryObjectiveCountsFromFirstTry(t *testing.T) {
 	m := newModel(t, 0)
 	for range 6 {
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -25,10 +25,10 @@
 			m.iterate()
 			failed := m.now
 			for len(m.polls) == before && m.now < failed+time.Minute {
-				m.pass(10 * ms)
+				m.advance(10 * ms)
 			}
 			longest = max(longest, m.now-failed)
-			m.pass(pollHangTime)
+			m.advance(pollHangTime)
 		}
 		if longest+pollHangTime+listDelayTime > maxDelay {
 			t.Fatalf("seed %d: polled %v after a failure; with a poll that hangs for %v, a change is known too late",
@@ -44,14 +44,14 @@
 	}
 	m.scheduler.EndpointPollFailed(m.now)
 	m.iterate()
-	m.pass(2 * time.Second)
+	m.advance(2 * time.Second)
 	if len(m.polls) < 2 {
 		t.Fatal("not polled again after a failure")
 	}
 	m.list(false, false)
 	m.iterate()
 	polls := len(m.polls)
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if len(m.polls) != polls {
 		t.Errorf("polled %d times more while following", len(m.polls)-polls)
 	}
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// This co-ordinator is stalled and then receives all answers at once. Its own pause must not be attributed to the
+// This co-ordinator is stalled and then receives all answers at once. Its own stall must not be attributed to the
 // replicas.
-func TestLocalPauseDoesNotRaiseSlowdowns(t *testing.T) {
+func TestLocalStallDoesNotRaiseSlowdowns(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		m := newModel(t, 0)
 		m.newQuery(0, 4, 3*time.Second)
 		m.iterate()
 		if slow {
-			m.pass(700 * ms)
+			m.advance(700 * ms)
 		}
 		m.now += 800*ms - min(m.now-time.Second, 700*ms)
 		for _, flight := range m.inFlight() {
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -147,7 +147,7 @@
 		"about an unknown cell":         {[]byte{gossipMagic, 0, 0, 1, 0, 3}, "cell"},
 		"with an incomplete cell":       {[]byte{gossipMagic, 0, 0, 1, 0, 0x80}, "remaining bytes of the cell list"},
 		"too long":                      {append(slices.Clone(valid), make([]byte, maxGossipSize)...), "length"},
-		"late by nothing": {
+		"with a lateness of 1": {
 			[]byte{gossipMagic, byte(attemptsLate) << gossipEventShift, 0, 1, gossipLatenessUnit, 0}, "lateness"},
 		"with a parallelism of 0": {
 			[]byte{gossipMagic, byte(attemptsEnded) << gossipEventShift, 0, 1, 0, 0}, "parallelism"},
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -45,7 +45,7 @@
 	if len(m.broadcasts) != 1 {
 		t.Errorf("%d messages broadcast for one attempt", len(m.broadcasts))
 	}
-	m.pass(6 * time.Second)
+	m.advance(6 * time.Second)
 	if m.iterate(); m.replica(102).peerBacklog(m.scheduler.now) > backlog/10 {
 		t.Error("work whose end is never reported does not decay")
 	}
@@ -91,7 +91,7 @@
 	if got := replica.peerBacklog(m.scheduler.now); got != 200*ms {
 		t.Errorf("%v in flight", got)
 	}
-	if m.pass(500 * ms); replica.peerBacklog(m.scheduler.now) < 150*ms {
+	if m.advance(500 * ms); replica.peerBacklog(m.scheduler.now) < 150*ms {
 		t.Errorf("%v in flight after half a second, though no end was reported", replica.peerBacklog(m.scheduler.now))
 	}
 	m.receive(gossipOf(attemptsEnded, attempts, 100*ms, 1, nil, 3)...)
@@ -171,14 +171,14 @@
 	if got := reported(); got[attemptsEnded]+got[attemptsLate] != 0 {
 		t.Errorf("reported %v at once", got)
 	}
-	m.pass(120 * ms)
+	m.advance(120 * ms)
 	if got := reported(); got[attemptsEnded] != 1 || got[attemptsLate] != 0 {
 		t.Errorf("reported %v after one attempt ended and one was cancelled early", got)
 	}
 	m.now += 800 * ms
 	m.endAttempt(q.subqueries[2], 0, Succeeded)
 	m.iterate()
-	m.pass(120 * ms)
+	m.advance(120 * ms)
 	if got := reported(); got[attemptsLate] != 1 {
 		t.Errorf("reported %v after a late attempt", got)
 	}
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -17,7 +17,7 @@
 	for range 12 {
 		m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(40 * ms)
+		m.advance(40 * ms)
 		for _, flight := range m.inFlight() {
 			if flight.subquery.query != query {
 				m.answer(flight)
@@ -42,7 +42,7 @@
 	heavy := m.newQuery(0, 4, 3*time.Second)
 	m.iterate()
 	sent := len(m.sent)
-	if m.pass(900 * ms); len(m.sent) > sent {
+	if m.advance(900 * ms); len(m.sent) > sent {
 		t.Fatalf("%d hedges of a query that has no answer yet", len(m.sent)-sent)
 	}
 	for _, subquery := range heavy.subqueries[:3] {
@@ -51,12 +51,12 @@
 	m.iterate()
 	straggler := m.newQuery(0, 4, 3*time.Second)
 	m.iterate()
-	m.pass(60 * ms)
+	m.advance(60 * ms)
 	for _, subquery := range straggler.subqueries[:3] {
 		m.endAttempt(subquery, 0, Succeeded)
 	}
 	m.iterate()
-	if m.pass(900 * ms); len(straggler.subqueries[3].attempts) < 2 {
+	if m.advance(900 * ms); len(straggler.subqueries[3].attempts) < 2 {
 		t.Error("no hedge of a straggler")
 	}
 }
@@ -69,13 +69,13 @@
 		m.scheduler.hedges.tokens = 0
 		query := m.newQuery(0, 8, 3*time.Second)
 		m.iterate()
-		m.pass(50 * ms)
+		m.advance(50 * ms)
 		for _, subquery := range query.subqueries[missing:] {
 			m.endAttempt(subquery, 0, Succeeded)
 		}
 		m.scheduler.hedges.tokens = 0
 		m.iterate()
-		if m.pass(800 * ms); len(query.subqueries[0].attempts) != want {
+		if m.advance(800 * ms); len(query.subqueries[0].attempts) != want {
 			t.Errorf("%d attempts with %d subqueries missing, want %d", len(query.subqueries[0].attempts), missing, want)
 		}
 	}
@@ -100,13 +100,13 @@
 func (m *model) hedgesOfThree() (hedges int) {
 	query := m.newQuery(0, 10, 3*time.Second)
 	m.iterate()
-	m.pass(80 * ms)
+	m.advance(80 * ms)
 	for _, subquery := range query.subqueries[:7] {
 		m.endAttempt(subquery, 0, Succeeded)
 	}
 	m.iterate()
 	for range 80 {
-		m.pass(10 * ms)
+		m.advance(10 * ms)
 	}
 	for _, subquery := range query.subqueries[7:] {
 		hedges += len(subquery.attempts) - 1
@@ -121,7 +121,7 @@
 	for range 100 {
 		m.scheduler.LoadReported(m.now, 0, 0.95)
 	}
-	m.pass(loadReportsTimeout + 10*ms)
+	m.advance(loadReportsTimeout + 10*ms)
 	if m.hedgesOfThree() == 0 {
 		t.Error("no hedge of a straggler, long after the last report")
 	}
--- a/scheduler/model_fuzz_test.go
+++ b/scheduler/model_fuzz_test.go
@@ -27,7 +27,7 @@
 		for data = data[1:]; len(data) >= 3; data = data[3:] {
 			m.randomEvent(int(data[0]), int(data[1]), int(data[2]))
 		}
-		m.pass(4 * time.Second)
+		m.advance(4 * time.Second)
 	})
 }
 
@@ -73,7 +73,7 @@
 			}
 		}
 	default:
-		m.pass(time.Duration(1+b) * ms)
+		m.advance(time.Duration(1+b) * ms)
 	}
 	m.iterate()
 	m.echoGossip(a, b)
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -366,15 +366,15 @@
 
 // answerAllAfter advances time, then answers all attempts in flight.
 func (m *model) answerAllAfter(after time.Duration) {
-	m.pass(after)
+	m.advance(after)
 	for _, attempt := range m.inFlight() {
 		m.answer(attempt)
 	}
 	m.iterate()
 }
 
-// pass advances time by d: it delivers wakeups when due, and attempts time out at the deadlines of their queries.
-func (m *model) pass(d time.Duration) {
+// advance advances time by d: it delivers wakeups when due, and attempts time out at the deadlines of their queries.
+func (m *model) advance(d time.Duration) {
 	for end := m.now + d; m.now < end; {
 		next := min(end, m.now+50*ms)
 		for _, at := range m.wakeups {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -16,7 +16,7 @@
 	for n := range 30 {
 		m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(100 * ms)
+		m.advance(100 * ms)
 		for _, flight := range m.inFlight() {
 			if attempt := flight.attempt(); attempt.to == 105 {
 				hung = append(hung, attempt)
@@ -51,7 +51,7 @@
 		m.newQuery(0, 1, 3*time.Second)
 		m.newQuery(2, 1, 3*time.Second)
 		m.iterate()
-		m.pass(60 * ms)
+		m.advance(60 * ms)
 		hung = 0
 		for _, flight := range m.inFlight() {
 			if flight.subquery.query.class == 0 && flight.attempt().to == 105 {
@@ -80,7 +80,7 @@
 	for range 20 {
 		m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(100 * ms)
+		m.advance(100 * ms)
 	}
 	if a, b := m.ejected(102), m.ejected(105); a == b {
 		t.Errorf("ejected: %v and %v", a, b)
@@ -120,10 +120,10 @@
 	old := m.newQuery(0, 1, 3*time.Second)
 	m.iterate()
 	m.replica(102).nextProbeAt = m.now + 2*time.Second // due when the first has a third of its time left
-	m.pass(1900 * ms)
+	m.advance(1900 * ms)
 	young := m.newQuery(0, 1, 3*time.Second)
 	m.iterate()
-	m.pass(200 * ms)
+	m.advance(200 * ms)
 	if len(old.subqueries[0].attempts) != 0 || len(young.subqueries[0].attempts) != 1 {
 		t.Errorf("probes: %d with the old, %d with the young",
 			len(old.subqueries[0].attempts), len(young.subqueries[0].attempts))
@@ -159,7 +159,7 @@
 }
 
 // A probe is sent to an ejected holder when it is due. The first attempt of a subquery that can go elsewhere is a probe
-// only if the probe is overdue by maxProbeInterval. The interval doubles unless no holder is in use.
+// only if the probe is overdue by maxProbeInterval. The interval doubles if the subquery is queued for another replica.
 func TestClaimProbe(t *testing.T) {
 	const now = time.Minute
 	for _, test := range []struct {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -18,7 +18,7 @@
 	}
 	m.iterate()
 	m.replica(102).outstandingWork = 0
-	m.pass(50 * ms)
+	m.advance(50 * ms)
 	for _, query := range m.scheduler.open {
 		if len(query.subqueries[0].attempts) == 0 {
 			t.Fatalf("a subquery was not sent; queued for %p, warm replica is %p", query.subqueries[0].replica, m.replica(102))
--- a/scheduler/release_test.go
+++ b/scheduler/release_test.go
@@ -31,7 +31,7 @@
 	m.replica(102).limit = 1
 	first, second := m.newQuery(0, 1, 3*time.Second), m.newQuery(0, 1, 600*ms)
 	m.iterate()
-	m.pass(590 * ms)
+	m.advance(590 * ms)
 	if first.ended || !second.ended || len(second.subqueries[0].attempts) > 0 {
 		t.Errorf("first ended %v, second ended %v after %d attempts",
 			first.ended, second.ended, len(second.subqueries[0].attempts))
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -15,7 +15,7 @@
 	query := m.newQuery(0, 1, 3*time.Second)
 	for range 30 {
 		m.iterate()
-		m.pass(10 * ms)
+		m.advance(10 * ms)
 		for _, flight := range m.inFlight() {
 			m.endAttempt(flight.subquery, flight.number, Unreachable)
 		}
@@ -23,7 +23,7 @@
 	if query.ended || len(query.subqueries[0].attempts) != 2 {
 		t.Errorf("ended %v, %d attempts within 0.3 s", query.ended, len(query.subqueries[0].attempts))
 	}
-	if m.pass(1500 * ms); query.ended || len(query.subqueries[0].attempts) != 3 {
+	if m.advance(1500 * ms); query.ended || len(query.subqueries[0].attempts) != 3 {
 		t.Errorf("ended %v, %d attempts after both holders were unreachable",
 			query.ended, len(query.subqueries[0].attempts))
 	}
@@ -38,7 +38,7 @@
 	m.iterate()
 	m.endAttempt(query.subqueries[0], 0, Failed)
 	m.iterate()
-	m.pass(600 * ms)
+	m.advance(600 * ms)
 	if n := len(query.subqueries[0].attempts); n != 2 {
 		t.Errorf("%d attempts", n)
 	}
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -33,7 +33,7 @@
 			m.nextShard = n
 			m.newQuery(0, 1+n%4, 3*time.Second)
 			m.iterate()
-			m.pass(10 * ms)
+			m.advance(10 * ms)
 		}
 		counts, _ = m.scheduler.ShadowCounts()
 		return m.sent, counts
@@ -89,7 +89,7 @@
 		}
 		q := m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
-		m.pass(2500 * ms)
+		m.advance(2500 * ms)
 		counts, _ = m.scheduler.ShadowCounts()
 		return counts, len(q.subqueries[0].attempts)
 	}
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. Some of them still
-// send a subquery at any time, and all together stay within the budget.
+// Each of many co-ordinators has too small a share of a starting replica's budget for one subquery. In each window some
+// of them still send one, and all together stay within the budget.
 func TestManyCoordinatorsShareAStartingReplica(t *testing.T) {
 	const coordinators = 40
 	var sent []time.Duration
@@ -20,7 +20,7 @@
 		for m.now < until {
 			m.newQuery(0, 1, 3*time.Second)
 			m.iterate()
-			m.pass(100 * ms)
+			m.advance(100 * ms)
 			for _, flight := range m.inFlight() {
 				if m.now-flight.attempt().sentAt >= 100*ms {
 					m.answer(flight)
@@ -65,7 +65,7 @@
 			queries++
 			m.newQuery(0, 1, 3*time.Second)
 			m.iterate()
-			m.pass(400 * ms)
+			m.advance(400 * ms)
 			for _, flight := range m.inFlight() {
 				m.answer(flight)
 			}
