--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -1,10 +1,13 @@
 package scheduler
 
-// Estimates: how long a subquery takes at a replica. Inputs are the measured against the expected time of each reply,
-// and reports of peers (gossip.go). The estimator learns the work of a class's subqueries, the slowdown of each replica
+// Estimates: how long a subquery takes at a replica. Inputs are the measured and the expected time of each reply, and
+// reports of peers (gossip.go). The estimator learns the work of a class's subqueries, the slowdown of each replica
 // (how many times longer than others it takes) and the parallelism (how many subqueries a replica processes
 // concurrently). The expected time is the work ahead of a subquery plus its own, divided by the parallelism and
 // multiplied by the slowdown.
+//
+// The log ratio of a reply is the logarithm of its measured over its expected time. Its deviation is what remains after
+// subtracting the logarithm of the replica's slowdown, which the expected time leaves out.
 
 import (
 	"math"
@@ -22,16 +25,16 @@
 
 	initialParallelism = 1.0  // concurrent subqueries, before any reply
 	maxParallelism     = 8.0  // concurrent subqueries; a higher value would hide any queue
-	parallelismStep    = 0.05 // share of a queued attempt's log ratio by which the parallelism moves
+	parallelismStep    = 0.05 // share of a queued attempt's deviation by which the logarithm of the parallelism moves
 
 	minWork            = time.Millisecond // least work of a subquery; latencies cannot distinguish less from none
-	slowdownStep       = 0.2              // share of a reply's log ratio by which its replica's slowdown moves
-	workStep           = 0.02             // share of a reply's log ratio by which the class's work moves
+	slowdownStep       = 0.2              // share of a reply's deviation by which the logarithm of the slowdown moves
+	workStep           = 0.02             // share of a reply's log ratio by which the logarithm of the class's work moves
 	readDelays         = 3                // read delays that a reply may incur: sending, receiving and forwarding
 	slowdownRegression = 0.01             // share of its logarithm that a slowdown loses with each reply, towards 1
-	maxLogRatio        = 2.0              // bounds the effect of one reply: a ratio of about 7
+	maxDeviation       = 2.0              // bounds the effect of one reply, here and in gossip.go: a ratio of about 7
 
-	slowdownDecayTime = 10.0 // seconds in which the logarithm of an idle replica's slowdown decays to a third
+	slowdownDecaySeconds = 10.0 // time constant with which the logarithm of an idle replica's slowdown decays
 )
 
 // latencyEstimator predicts latencies and learns from replies.
@@ -44,15 +47,15 @@
 // observedReply is a reply, with the delays that this co-ordinator itself caused.
 type observedReply struct {
 	attempt   *attempt
-	took      time.Duration // from its start to its end, or until its reply was read
-	paused    time.Duration // how long this co-ordinator was stalled during that time
+	took      time.Duration // from the attempt's start to its end, or until the reply was read
+	stalled   time.Duration // how long this co-ordinator was stalled during that time
 	readDelay time.Duration // how long replies may wait here unread; 0: no known wait
 	warmingUp bool          // the replica is in slow start
 }
 
-// expectedFinish returns the time until a replica has finished all work in flight and queued there, plus more.
-func (e *latencyEstimator) expectedFinish(now time.Duration, replica *replicaState, more time.Duration) time.Duration {
-	work := replica.outstandingWork + replica.queuedWork + replica.peerBacklog(now) + more
+// expectedFinish returns the time until a replica has finished all work in flight and queued there and the extra work.
+func (e *latencyEstimator) expectedFinish(now time.Duration, replica *replicaState, extra time.Duration) time.Duration {
+	work := replica.outstandingWork + replica.queuedWork + replica.peerBacklog(now) + extra
 	finish := scale(scale(work, 1/e.parallelism), e.timePerWork(replica))
 	if now < replica.fullUntil {
 		finish += e.parameters.longestDeadline
@@ -88,7 +91,7 @@
 	replica, class := attempt.replica, attempt.subquery.query.class
 	took, delayedLocally := reply.withoutLocalDelay(now)
 	logRatio := logLatencyRatio(took, attempt.expected)
-	deviation := max(-maxLogRatio, min(maxLogRatio, logRatio-math.Log(replica.slowdown)))
+	deviation := max(-maxDeviation, min(maxDeviation, logRatio-math.Log(replica.slowdown)))
 	replica.slowdown *= math.Exp(slowdownStep * deviation)
 	if !reply.warmingUp {
 		queuedShare := 1 - float64(attempt.work)/float64(attempt.expected)
@@ -105,11 +108,11 @@
 }
 
 // withoutLocalDelay returns the time that the replica took, without the part that this co-ordinator's own delays
-// explain; delayedLocally reports whether that leaves no more than the expected time. Without this correction, a short
-// pause here looks like slow replicas.
+// explain; delayedLocally reports whether replies are read late here and that leaves no more than the expected time.
+// Without this correction, a short stall here looks like slow replicas.
 func (r observedReply) withoutLocalDelay(now time.Duration) (took time.Duration, delayedLocally bool) {
 	attempt := r.attempt
-	localDelay, expected := r.paused, scale(attempt.expected, attempt.replica.slowdown)
+	localDelay, expected := r.stalled, scale(attempt.expected, attempt.replica.slowdown)
 	if r.readDelay > 0 {
 		localDelay += readDelays * max(r.readDelay, now-attempt.sentAt-r.took)
 		expected = min(expected, attempt.expected)
@@ -134,9 +137,9 @@
 	r.baselineLatency += baselineFallWeight*min(0, rise) + baselineRiseWeight*max(0, min(rise, r.baselineLatency))
 }
 
-// learnWork moves the class's work by a share of a reply's log ratio. The log ratio is relative to the current estimate
-// of the work, not the estimate when the attempt was sent; otherwise the replies to many attempts sent at one time
-// would each correct the same error again.
+// learnWork moves the class's work by a share of a reply's log ratio, which it bounds to 1 in either direction. The log
+// ratio is relative to the current estimate of the work, not the estimate when the attempt was sent; otherwise the
+// replies to many attempts sent at one time would each correct the same error again.
 func (c *class) learnWork(logRatio float64) {
 	growth := math.Exp(workStep * max(-1, min(1, logRatio)))
 	work := max(float64(minWork), min(float64(c.deadline), float64(c.subqueryWork)*growth))
@@ -146,7 +149,7 @@
 }
 
 // slowdownDecay returns the share of a slowdown's logarithm that an idle replica keeps after this many seconds.
-func slowdownDecay(seconds float64) float64 { return math.Exp(-seconds / slowdownDecayTime) }
+func slowdownDecay(seconds float64) float64 { return math.Exp(-seconds / slowdownDecaySeconds) }
 
 // decaySlowdown lets the slowdown of a replica with nothing in flight return towards 1; kept is the result of
 // slowdownDecay.
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -127,11 +127,11 @@
 // applyPeerLatency adjusts a replica's slowdown in the same way as a reply does. Attempts that were not late can only
 // lower it.
 func (scheduler *Scheduler) applyPeerLatency(replica *replicaState, message *gossipMessage, attempts int) {
-	surprise := math.Log(max(1, message.lateness) / replica.slowdown)
-	if message.event != attemptsLate && surprise >= 0 {
+	deviation := math.Log(max(1, message.lateness) / replica.slowdown)
+	if message.event != attemptsLate && deviation >= 0 {
 		return
 	}
-	bounded := max(-maxLogRatio, min(maxLogRatio, surprise))
+	bounded := max(-maxDeviation, min(maxDeviation, deviation))
 	replica.slowdown *= math.Exp(slowdownStep * float64(attempts) * bounded)
 }
 
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Hedges: when a second attempt of a straggling subquery is sent to another replica while the first is in flight. A
+// Hedges: when a further attempt of a straggling subquery is sent to another replica while one is in flight. A
 // straggler is an attempt that takes several times the expected time while most of its query is answered. Attempts
 // that hang are hedged as well. Inputs are the attempt's age, the time left to the objective, the retry budget and
 // tokens (retry.go), the replicas' reported utilization and the hedge tokens that replies earn. The attempt in flight
@@ -14,7 +14,7 @@
 //	attempt that hangs (outlier.go)       any, once it is presumed lost                 as above
 //
 // The ages of stragglers are also multiplied by the mean lateness of the query's other subqueries. Every hedge needs a
-// retry token of its replica and room in the retry budget.
+// retry token of the replica that it is sent to, and room in the retry budget.
 
 import (
 	"math"
@@ -29,13 +29,13 @@
 	manySubqueries = 12.0
 
 	// Multiples of an attempt's expected time.
-	minStragglerFactor  = 2.5 // lower bound of the age of a straggler
+	minStragglerFactor  = 2.5 // age of a straggler in a query of many subqueries, at least
 	stragglerFactor     = 6.0 // age of a straggler in a query of few subqueries
-	lastStragglerFactor = 1.5 // age of a straggler among the last twelfth of a query, at a healthy replica
+	lastStragglerFactor = 1.5 // age of a straggler among the last twelfth of a query; a slowdown above 1 does not count
 
-	// hedgeHeadroomFactor is a multiple of a hedge's expected time. While more time than that is left to the
-	// objective, the first attempt is waited for.
-	hedgeHeadroomFactor = 2.5
+	// hedgeSlackFactor is a multiple of a hedge's expected time. While more time than that is left to the objective, the
+	// attempt in flight is waited for.
+	hedgeSlackFactor = 2.5
 
 	hedgeTokensPerReply = 0.3             // hedge tokens that a reply from any replica earns
 	maxHedgeTokens      = 24.0            // hedge tokens that can be accumulated
@@ -124,7 +124,7 @@
 }
 
 // cost returns the expected time of a hedge at a replica, or forbiddenCost if the hedge must not be sent there or it is
-// better to wait for the first attempt.
+// better to wait for the attempt in flight.
 func (h *hedgePolicy) cost(now time.Duration, attempt *attempt, replica *replicaState) time.Duration {
 	subquery := attempt.subquery
 	query := subquery.query
@@ -138,7 +138,7 @@
 		return forbiddenCost
 	}
 	urgent := h.outliers.hangs(now, attempt) && h.headroom(now, replica) > 0
-	if !urgent && now+scale(finish, hedgeHeadroomFactor*max(1, query.relativeFanout())) <= query.objectiveAt {
+	if !urgent && now+scale(finish, hedgeSlackFactor*max(1, query.relativeFanout())) <= query.objectiveAt {
 		return forbiddenCost
 	}
 	return finish
@@ -153,9 +153,9 @@
 }
 
 // stragglerAge returns the age from which an attempt is a straggler: factor times its expected time, scaled by its
-// replica's slowdown and by the lateness of the query's other subqueries, and less in a query of many subqueries.
-// While most of the others are unanswered no attempt is a straggler, as the query is heavy or the replicas are
-// congested.
+// replica's slowdown and by the lateness of the query's other subqueries, and less in a query of many subqueries. Once
+// at most the last twelfth of the query is missing, lastStragglerFactor applies whatever the factor. While most of the
+// others are unanswered no attempt is a straggler, as the query is heavy or the replicas are congested.
 func (a *attempt) stragglerAge(factor float64) time.Duration {
 	query := a.subquery.query
 	fanout := query.relativeFanout()
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -19,18 +19,18 @@
 	scope       releaseScope
 	blocked     []bool          // by replica: nothing more is sent there in this pass
 	queuedAhead []time.Duration // by replica: work of the subqueries that stay queued
-	open        int             // replicas that are not blocked
+	unblocked   int             // replicas that are not blocked
 }
 
 func (scheduler *Scheduler) newReleaseRound(scope releaseScope) *releaseRound {
 	count := len(scheduler.replicas.all)
 	round := &releaseRound{scope: scope, blocked: make([]bool, count), queuedAhead: make([]time.Duration, count)}
 	for _, replica := range scheduler.replicas.all {
-		hasNothingToSend := replica.queuedWork == 0 || scheduler.limits.full(scheduler.now, replica)
-		blocked := scope == releaseWhereRoom && hasNothingToSend
+		cannotSend := replica.queuedWork == 0 || scheduler.limits.full(scheduler.now, replica)
+		blocked := scope == releaseWhereRoom && cannotSend
 		round.blocked[replica.index] = blocked
 		if !blocked {
-			round.open++
+			round.unblocked++
 		}
 	}
 	return round
@@ -42,7 +42,7 @@
 	index := subquery.replica.index
 	if len(subquery.attempts) == 0 && !r.blocked[index] {
 		r.blocked[index] = true
-		r.open--
+		r.unblocked--
 	}
 	r.queuedAhead[index] += subquery.work
 }
@@ -62,7 +62,7 @@
 		if !query.isActive() {
 			continue
 		}
-		if round.open == 0 && scope == releaseWhereRoom {
+		if round.unblocked == 0 && scope == releaseWhereRoom {
 			return
 		}
 		for _, subquery := range query.subqueries {
@@ -99,7 +99,7 @@
 		return
 	}
 	if replica == nil {
-		return // no holder is in use
+		return // no holder is usable
 	}
 	if round.blocked[replica.index] || scheduler.mustWait(subquery, replica) {
 		round.passOver(subquery)
--- a/scheduler/results.go
+++ b/scheduler/results.go
@@ -68,7 +68,7 @@
 	scheduler.estimates.learn(scheduler.now, observedReply{
 		attempt:   ended,
 		took:      took,
-		paused:    scheduler.stalled,
+		stalled:   scheduler.stalled,
 		readDelay: scheduler.readDelay,
 		warmingUp: scheduler.slowStart.warmingUp(replica, scheduler.now),
 	})
@@ -134,9 +134,9 @@
 	scheduler.hedges.loadReported(now, scheduler.replicas.byID[id], utilization)
 }
 
-// ReadDelayed sets how long replies may wait here unread because this co-ordinator's own core is busy. Without it, that
-// wait would be attributed to the replicas.
-func (scheduler *Scheduler) ReadDelayed(now, unread time.Duration) {
+// ReadDelayed sets the delay for which replies may wait here unread because this co-ordinator's own core is busy.
+// Without it, that wait would be attributed to the replicas.
+func (scheduler *Scheduler) ReadDelayed(now, delay time.Duration) {
 	scheduler.advanceClock(now)
-	scheduler.readDelay = unread
+	scheduler.readDelay = delay
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -208,15 +208,15 @@
 	scheduler.end(query, false)
 }
 
-// hedge sends a second attempt for each straggler of a query.
+// hedge sends the hedges that are due for a query's subqueries.
 func (scheduler *Scheduler) hedge(query *query) {
 	for _, subquery := range query.subqueries {
-		straggler := subquery.lastInFlight()
-		if straggler == nil || query.ended || query.suspectedQueryOfDeath() {
+		latest := subquery.lastInFlight()
+		if latest == nil || query.ended || query.suspectedQueryOfDeath() {
 			continue
 		}
-		target := scheduler.hedges.target(scheduler.now, straggler)
-		scheduler.shadowHedge(straggler, target)
+		target := scheduler.hedges.target(scheduler.now, latest)
+		scheduler.shadowHedge(latest, target)
 		if target != nil {
 			scheduler.hedges.spend()
 			scheduler.startAttempt(subquery, target)
@@ -225,7 +225,7 @@
 }
 
 // advanceClock sets the current time and, if a requested wakeup comes late, how long this co-ordinator was stalled.
-// Without that, its own pauses would look like slow replicas.
+// Without that, its own stalls would look like slow replicas.
 func (scheduler *Scheduler) advanceClock(now time.Duration) {
 	if now > scheduler.now {
 		scheduler.now = now
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -88,17 +88,17 @@
 
 // shadowHedge compares the decision on a hedge of an attempt; target is nil if none is started. An attempt is counted
 // at most once in WouldHedge.
-func (scheduler *Scheduler) shadowHedge(straggler *attempt, target *replicaState) {
+func (scheduler *Scheduler) shadowHedge(latest *attempt, target *replicaState) {
 	if scheduler.shadow == nil {
 		return
 	}
 	other := scheduler.shadow.scheduler(scheduler)
-	otherTarget := other.hedges.target(other.now, straggler)
+	otherTarget := other.hedges.target(other.now, latest)
 	switch {
 	case target != nil && otherTarget == nil:
 		scheduler.shadow.counts.WouldNotHedge++
-	case target == nil && otherTarget != nil && !straggler.shadowCounted:
-		straggler.shadowCounted = true
+	case target == nil && otherTarget != nil && !latest.shadowCounted:
+		latest.shadowCounted = true
 		scheduler.shadow.counts.WouldHedge++
 	}
 }
