--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -19,7 +19,8 @@
 //
 // While peers are silent, both sides are divided by unseenLoad, the factor that allows for the work they may have
 // sent, so it cancels out of the comparison above. It remains in the second phase's allowance, in the bound on each
-// replica's finish, in the bound that a trial has to exceed, and in the time after which the client may retry.
+// replica's finish, in the bound above which a replica is tested by a trial, and in the time after which the client may
+// retry.
 //
 // A wrong estimate would never be corrected if it kept all queries away from the replicas. So a query is occasionally
 // admitted against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected
@@ -215,7 +216,8 @@
 }
 
 // trialIntervalFactor returns the factor on the intervals between trials of the estimate. It grows with the number of
-// co-ordinators, whose trials all load the same replicas, and with the size of the query.
+// co-ordinators beyond fewCoordinators, whose trials all load the same replicas, and with the square of the number of
+// subqueries beyond canaryThreshold.
 func (a *admissionController) trialIntervalFactor(query *query) float64 {
 	coordinatorFactor := max(1, float64(a.parameters.coordinators)/fewCoordinators)
 	sizeFactor := max(1, float64(len(query.subqueries))/canaryThreshold)
--- a/scheduler/arrivals.go
+++ b/scheduler/arrivals.go
@@ -26,7 +26,7 @@
 	}
 	arrived.setDeadlines(arrival.TimeLeft, arrival.WorkHint, clientRetry)
 	if arrived.objectivePassed {
-		arrived.overQuota = true
+		arrived.overQuota = true // its objective is now its deadline; admission allows it overQuotaShare of that
 	}
 	scheduler.open = append(scheduler.open, arrived)
 	scheduler.queriesByID[arrived.id] = arrived
@@ -39,7 +39,7 @@
 	scheduler.advanceClock(now)
 	query := scheduler.queriesByNumber[arrival.Query]
 	isLaterPhase := query != nil && query.callerEndsPhases && query.phase > 0
-	if !isLaterPhase { // later phases of a two-phase query do not count as arrivals
+	if !isLaterPhase { // a later phase asks shards of the first again, which does not enlarge the retry budget
 		scheduler.retries.countArrival(now)
 	}
 	if query == nil {
@@ -65,7 +65,8 @@
 }
 
 // UsePhases puts the caller in charge of a query's phases: each phase needs all of its subqueries, and only
-// StartNextPhase ends it. If reserveAttempt is true, the first phase leaves each shard one attempt for the next.
+// StartNextPhase ends it. If reserveAttempt is true, the first phase leaves each shard one attempt for the next, and
+// abandoned subqueries of the first phase do not end the query, as the next phase can do without their answers.
 func (scheduler *Scheduler) UsePhases(id RequestID, reserveAttempt bool) {
 	if query := scheduler.queriesByID[id]; query != nil {
 		query.callerEndsPhases = true
--- a/scheduler/canary.go
+++ b/scheduler/canary.go
@@ -33,8 +33,8 @@
 	return q.crashes.count > 0 && q.answered < answersPerCrash*q.crashes.count
 }
 
-// recordConnectionReset records that the connection was reset under an attempt which had run for the time took.
-// Several resets at the same replica at the same time count as one crash.
+// recordConnectionReset records that the connection was reset under an attempt; took is the attempt's age. Several
+// resets at the same replica at the same time count as one crash.
 func (q *query) recordConnectionReset(now time.Duration, replica *replicaState, took time.Duration) {
 	counted := q.crashes.lastAt == now && q.crashes.replica == replica
 	if took < staleConnectionAge || counted {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -1,9 +1,10 @@
 package scheduler
 
 // Concurrency limits: how many attempts may be in flight at a replica at a time. A limit grows by one with each reply
-// in about the baseline latency, and is halved when the replica rejects an attempt or its latency rises. It stays
-// below a ceiling, which is lowered to the load at which the replica rejected an attempt. Inputs are replies,
-// rejections and the replica's recent and baseline latency; limits are counts of attempts.
+// whose latency is near the baseline, and is halved when the replica rejects an attempt or its latency rises. It grows
+// at most to a ceiling, which is lowered to the load at which the replica rejected an attempt; only the doubling after
+// a reinstatement disregards the ceiling. Inputs are replies, rejections and the replica's recent and baseline latency;
+// limits are counts of attempts.
 
 import "time"
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -54,7 +54,8 @@
 	// CancelAllowed (bounds.mayCancel) allows cancelling attempts whose answers are no longer needed.
 	CancelAllowed bool
 
-	// HedgeAllowed (bounds.secondCopies) allows a second attempt of an idempotent subquery while the first is in flight.
+	// HedgeAllowed (bounds.secondCopies) allows a further attempt of a subquery while one is in flight, if the subquery is
+	// idempotent, or keyed and within its KeyWindow.
 	HedgeAllowed bool
 
 	// MaxRetryAfter (bounds.maxRetryAfter) is the longest time after which a rejected client may be told to retry. 0, also
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -108,8 +108,8 @@
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// coordinators returns the number of co-ordinators. Capacity planning may set a fraction; above 0, at least one
-// co-ordinator exists.
+// coordinators returns the number of co-ordinators. Capacity planning may set a fraction: it is truncated, but a number
+// above 0 counts as at least 1.
 func (r *settingReader) coordinators() int {
 	number := r.number("balancers")
 	if number <= 0 {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -3,7 +3,7 @@
 // Deadlines: when a query is answered, and with which final outcome. Each query gets exactly one outcome: a complete
 // answer, an incomplete answer, failed, or rejected (admission.go). It is answered as soon as the answered subqueries
 // have enough weight. Shortly before its deadline, or once no further answer can arrive, the scheduler gives it up, and
-// returns the partial answer if the class allows that.
+// returns the incomplete answer if the class allows that.
 
 import (
 	"math"
@@ -19,8 +19,8 @@
 )
 
 // clientRetryDetector distinguishes clients' retries from first tries by their remaining time: a client's first tries
-// all arrive with the same deadline, a retry with less, since the first try has used up time. Without this, work would
-// be done for objectives that have already passed.
+// all arrive with the same share of their deadline left, a retry with less, since the first try has used up time.
+// Without this, work would be done for objectives that have already passed.
 type clientRetryDetector struct {
 	shares []float64 // remaining share of the class's deadline, for the last maxShares queries in order of arrival
 }
@@ -117,7 +117,7 @@
 	}
 }
 
-// answerPhase answers the current phase of a query. The last phase ends the query.
+// answerPhase answers the current phase of a query. Answering the last phase ends the query.
 func (scheduler *Scheduler) answerPhase(query *query, isComplete bool) {
 	scheduler.host.Complete(query.id, isComplete)
 	switch {
@@ -145,7 +145,7 @@
 
 // giveUpIfUnanswerable ends a query if so many of its subqueries are abandoned that no answer is possible.
 func (scheduler *Scheduler) giveUpIfUnanswerable(query *query) {
-	if query.ended || query.reservesAttempt && query.phase == 0 {
+	if query.ended || query.reservesAttempt && query.phase == 0 { // see UsePhases
 		return
 	}
 	if !query.reachesMinimum(func(subquery *subquery) bool { return subquery.answered || !subquery.abandoned }) {
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -25,12 +25,12 @@
 // endpointPoller decides when to poll for the endpoint list, if changes are delivered only after a poll. After an
 // answered poll all changes are delivered until a failure is reported.
 //
-// A lost subscription, whether reported as a failure or unanswered, would leave changes unknown and send attempts to
-// replicas that have left, so the list is polled again. Polls of many co-ordinators could overload a discovery service
-// that has just come back, so polls back off exponentially, with jitter.
+// A lost subscription would leave changes unknown and send attempts to replicas that have left, so the list is polled
+// again after a reported failure and after a poll without an answer. Polls of many co-ordinators could overload a
+// discovery service that has just come back, so polls back off exponentially, with jitter.
 type endpointPoller struct {
 	mustPoll     bool          // changes are delivered only after a poll
-	pollInterval time.Duration // longest time between two polls; math.MaxInt64: no limit
+	pollInterval time.Duration // Config.PollInterval, which bounds the waits between polls; math.MaxInt64: no bound
 
 	following  bool          // a list has been received since the last failure
 	nextPollAt time.Duration // when the next poll is due, unless following
@@ -89,7 +89,7 @@
 	scheduler.advanceClock(now)
 	scheduler.replicas.listChanged()
 	if restored {
-		scheduler.lastTickAt = now
+		scheduler.lastTickAt = now // the time before this Scheduler was created must not decay the state that it resumes
 	} else {
 		scheduler.poller.listReceived()
 	}
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -4,8 +4,8 @@
 //
 // # Use
 //
-// A driver creates a Scheduler with New from a Config, which ParseConfig reads from a deployment's settings. It calls a
-// method for each event, with the time since the driver's start:
+// The caller creates a Scheduler with New from a Config, which ParseConfig reads from a deployment's settings. It calls
+// a method for each event, with the time since the caller's start:
 //
 //   - QueryArrives, then SubqueryArrives for each subquery; ForgetQuery when nobody waits for the answer any more
 //   - AttemptEnds at the end of each attempt, and LoadReported when a replica reports its load
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -14,9 +14,10 @@
 //	list      for each attempt, the cell of its replica, as an unsigned varint
 //	map       for each cell, the number of its attempts in two bits, the first cell in the lowest bits of a byte
 //
-// The cells are encoded as a map if it fits and is shorter. Attempts that do not fit into one message are sent in
-// further ones. These carry the remaining tenants as well, at most 16 each; tenants that remain after the last attempt
-// are not sent. A tenant is encoded as the lowest byte of its index, so an index above 255 is mistaken for another.
+// The cells are encoded as a map if it fits, unless a list of all of them fits and has fewer entries than the map has
+// bytes. Attempts that do not fit into one message are sent in further ones. These carry the remaining tenants as well,
+// at most 16 each; tenants that remain after the last attempt are not sent. A tenant is encoded as the lowest byte of
+// its index, so an index above 255 is mistaken for another.
 
 import (
 	"encoding/binary"
@@ -203,7 +204,7 @@
 	}
 }
 
-// flush encodes the collected attempts in the shorter encoding and empties the tally.
+// flush encodes the collected attempts and empties the tally.
 func (t *attemptTally) flush(event attemptEvent, cells int, parallelism float64) (messages [][]byte) {
 	if len(t.cells) == 0 {
 		return nil
@@ -242,7 +243,8 @@
 	return e.cellMap()
 }
 
-// listIsBetter reports whether the map does not fit, or is longer than a list of all remaining attempts.
+// listIsBetter reports whether the map does not fit, or a list of all remaining attempts fits and has fewer entries
+// than the map has bytes.
 func (e *gossipEncoder) listIsBetter() bool {
 	if gossipHeaderSize+maxTenantsPerMessage+e.mapSize > maxGossipSize {
 		return true
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -11,7 +11,8 @@
 	// shorter, parameters.timeScale shortens those times in proportion.
 	referenceObjective = 1500 * time.Millisecond
 
-	// fewCoordinators is the number of co-ordinators up to which each of them sees enough of the load itself.
+	// fewCoordinators is the number of co-ordinators up to which each of them can judge the load on the replicas from its
+	// own attempts.
 	fewCoordinators = 8.0
 
 	// unseenLoadGrowth is added to parameters.unseenLoadFactor each time that the number of co-ordinators beyond
@@ -118,7 +119,7 @@
 	derived.hedgeScale = 1 / (1 + math.Pow(wastePriceWeight*config.WastePrice, 2))
 }
 
-// manyCoordinators reports whether there are so many co-ordinators that each sees too little of the load itself.
+// manyCoordinators reports whether there are too many co-ordinators for each to judge the load from its own attempts.
 func (derived *parameters) manyCoordinators() bool { return derived.unseenLoadFactor > 1 }
 
 // setTenantQuotas uses the full quotas if gossip reports what the other co-ordinators admit, otherwise an equal share.
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -43,7 +43,7 @@
 	objectivePassed    bool          // it is a client's retry that arrived after the objective of the first try
 	callerEndsPhases   bool          // only StartNextPhase ends a phase, and each phase needs all of its subqueries
 	reservesAttempt    bool          // the first phase leaves each shard one attempt for the next
-	overQuota          bool          // its tenant exceeds its quota
+	overQuota          bool          // its tenant exceeds its quota, or objectivePassed: admission allows it less time
 	admissionDecided   bool
 	admittedAsTrial    bool // admitted although it is expected to be late
 	objectiveRecorded  bool // whether it met its objective has been counted, or is not to be counted
@@ -79,7 +79,7 @@
 	answered     bool
 	abandoned    bool // it gets no further attempt
 	attempts     []*attempt
-	attemptsUsed int  // allowed attempts used by an earlier phase or reserved for a later one
+	attemptsUsed int  // of its allowed attempts, those used by earlier phases or reserved for the next
 	isRetry      bool // an earlier phase had attempts at its shard, so its first attempt is a retry
 }
 
@@ -190,7 +190,8 @@
 	return allExpected && q.expectedSubqueries > len(q.subqueries)
 }
 
-// requiredWeights returns the weights that a complete answer and any answer need in the current phase.
+// requiredWeights returns the weights that a complete answer and any answer need in the current phase. After the first
+// phase a complete answer needs all subqueries, and so does any answer if the class accepts only complete ones.
 func (q *query) requiredWeights() (complete, minimum float64) {
 	complete, minimum = q.class.completeWeight, q.class.minimumWeight
 	if q.callerEndsPhases {
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -18,7 +18,7 @@
 	zone         ZoneIndex
 	size         float64       // relative to the other replicas, above 0
 	startedAt    time.Duration // of its current incarnation; StartUnknown if unknown
-	lastListedAt time.Duration // when it was last in the list, not as removed
+	lastListedAt time.Duration // when it was last listed as ready or draining
 
 	// Load.
 	outstanding     []*attempt    // attempts in flight, in the order in which they were sent
@@ -36,7 +36,7 @@
 
 	// Concurrency limit.
 	limit         float64       // attempts that may be in flight there
-	limitCeiling  float64       // maximum of the limit: below the load at which the replica rejected attempts
+	limitCeiling  float64       // bounds the limit's growth: below the load at which the replica rejected attempts
 	limitHalvedAt time.Duration // when the limit was last halved
 	fullUntil     time.Duration // it counts as full until then, after it rejected an attempt
 	recovering    bool          // reinstated after ejection for all classes: the limit doubles with each reply
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -10,10 +10,10 @@
 // more; the window of a key is checked only here.
 //
 // Further attempts are limited by the number of attempts allowed for a subquery, by the deployment's retry budget (a
-// share of the subqueries that arrived within a span of time) and by the tokens that each replica earns with its
-// replies. A retry without a token is sent once nothing is in flight at its replica, as nothing else would earn a
-// token. After an error at its replica a further attempt backs off, and the last attempt waits until the replica has
-// answered.
+// share of the queries and subqueries that arrived within a span of time, and a fixed number) and by the tokens that
+// each replica earns with its replies. A retry without a token is sent once nothing is in flight at its replica, as
+// nothing else would earn a token. After an error at its replica a further attempt backs off, and the last attempt
+// waits until the replica has answered.
 
 import (
 	"time"
@@ -22,7 +22,7 @@
 )
 
 const (
-	initialRetryTokens  = 4.0  // further attempts that a replica may be sent before it has answered any
+	initialRetryTokens  = 4.0  // further attempts that a replica may be sent before its first reply
 	retryTokensPerReply = 0.25 // further attempts that a reply earns
 	maxRetryTokens      = 10.0 // further attempts; bounds a burst of them when many attempts fail at once
 
@@ -55,7 +55,8 @@
 	replica.retryTokens = min(maxRetryTokens, replica.retryTokens+retryTokensPerReply)
 }
 
-// expire drops arrivals and attempts that are older than the budget's span.
+// expire drops arrivals and attempts that are older than the budget's span. Of those exactly as old as the span it
+// drops only the arrivals, so that the budget holds whether or not the span includes its boundary.
 func (b *retryBudget) expire(now time.Duration) {
 	span := b.parameters.retryBudgetSpan
 	b.arrivals = dropBefore(b.arrivals, now-span+1)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -8,9 +8,9 @@
 // Each co-ordinator has an equal share of the replica's budget, and a subquery uses up its share for budgetTime. There
 // are two modes.
 //
-// Spacing, if budgetTime is at most the burst: a subquery is sent if, with it, the share is used up for no longer than
-// the burst from now. The burst, OverloadFor x (1/slowStartSafety - 1), is how far ahead of its share a co-ordinator
-// may send.
+// Spacing, if budgetTime is at most the burst: a subquery is sent if the share, including that subquery, is then used
+// up until at most one burst from now. The burst, OverloadFor x (1/slowStartSafety - 1), is how far ahead of its share a
+// co-ordinator may send.
 //
 // Random admission, if budgetTime is more than the burst, as with many co-ordinators: each subquery is sent with
 // probability affordable / arrivalsFor, so that all co-ordinators together send no more than the replica can take.
@@ -33,8 +33,8 @@
 	// admitted at once by chance.
 	slowStartProbabilityDivisor = 2.0
 
-	// slowStartProportionalShare is the fraction of the overload multiple up to which a starting replica is sent work
-	// in proportion to what a warm replica answers, in addition to this co-ordinator's share of the budget.
+	// slowStartProportionalShare is the fraction of its overload multiple that a starting replica is sent in proportion
+	// to the answers of a warm replica, in addition to this co-ordinator's share of the budget.
 	slowStartProportionalShare = 0.5
 
 	// slowStartDecaySeconds is the time constant, in seconds, with which counts of answers and arrivals decay.
@@ -104,7 +104,7 @@
 	if needed <= burst {
 		return now >= replica.slowStartUsedUntil+needed-burst
 	}
-	draw := random.forKeys(uint64(subquery.id), uint64(replica.id))
+	draw := random.forKeys(uint64(subquery.id), uint64(replica.id)) // fixed: asking again does not raise the chance
 	return draw*s.arrivalsFor(replica) < s.affordable(replica, needed, now)
 }
 
