--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,16 +17,16 @@
 
 func judge(t *testing.T, seed uint64) {
 	t.Helper()
-	h := Draw(seed)
+	h := RandomHistory(seed)
 	v, err := h.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if v.Stuck {
-		t.Errorf("stuck (%s): %s\n%s", replay(seed), v.Why, h)
+		t.Errorf("stuck (%s): %s\n%s", replay(seed), v.StuckReason, h)
 	}
-	if len(v.Broken) > 0 {
-		t.Errorf("rule broken (%s): %s\n%s", replay(seed), v.Broken[0], h)
+	if len(v.Violations) > 0 {
+		t.Errorf("rule broken (%s): %s\n%s", replay(seed), v.Violations[0], h)
 	}
 }
 
@@ -48,9 +48,9 @@
 func TestOneSeedIsOneRun(t *testing.T) {
 	run := func() string {
 		var lines strings.Builder
-		h := Draw(78)
-		h.Spy = func(f *Fleet) {
-			fmt.Fprintln(&lines, f.Now, f.Node.Module.ClassEstimates(), f.Node.Module.DescribeReplicas())
+		h := RandomHistory(78)
+		h.Observer = func(f *Fleet) {
+			fmt.Fprintln(&lines, f.Now, f.Coordinator.Scheduler.ClassEstimates(), f.Coordinator.Scheduler.DescribeReplicas())
 		}
 		v, err := h.Run()
 		if err != nil {
@@ -63,27 +63,27 @@
 	}
 }
 
-func small(effect string) Shape {
-	return Shape{Replicas: 3, Cells: 1, Reach: 1, Cores: 1, MaxAttempts: 3, Copies: true, Cancels: true, Tracks: []Track{{
-		Agreed: time.Second, CutOff: 3 * time.Second, Window: time.Second, Effect: effect, Parts: 1,
-		Work: 20 * time.Millisecond, Rate: 20}}}
+func small(effect string) FleetConfig {
+	return FleetConfig{Replicas: 3, Cells: 1, CellsPerShard: 1, Cores: 1, MaxAttempts: 3, HedgeAllowed: true, CancelAllowed: true, Classes: []Class{{
+		Objective: time.Second, Deadline: 3 * time.Second, KeyWindow: time.Second, Effect: effect, Subqueries: 1,
+		MeanWork: 20 * time.Millisecond, Rate: 20}}}
 }
 
 // A replica with one core and equal work is an M/D/1 queue: the mean wait is rho/(2(1-rho)) of the work (Pollaczek and
 // Khinchine).
 func TestReplicaIsAQueue(t *testing.T) {
-	s := small(Replayable)
-	s.Replicas, s.Tracks[0].Rate = 1, 25 // rho is a half
+	s := small(Idempotent)
+	s.Replicas, s.Classes[0].Rate = 1, 25 // rho is a half
 	f, err := NewFleet(5, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Ask(1, 200*time.Second)
-	f.Run(210 * time.Second)
+	f.SendLoad(1, 200*time.Second)
+	f.RunUntil(210 * time.Second)
 	sum, n := 0.0, 0
-	for _, q := range f.Node.Ledger.All {
-		if q.How == Whole {
-			sum += (q.Ended - q.Came).Seconds()
+	for _, q := range f.Coordinator.Ledger.Queries {
+		if q.Outcome == Complete {
+			sum += (q.EndedAt - q.ArrivedAt).Seconds()
 			n++
 		}
 	}
@@ -100,26 +100,26 @@
 		effect string
 		breaks func(f *Fleet, g *Ledger, q *Query)
 	}{
-		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { q.How = Whole; g.sends(attemptOf(f, q)) }},
-		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { f.Run(5 * time.Second); g.Close() }},
-		{"rule 1", Replayable, func(f *Fleet, g *Ledger, q *Query) { f.Node.Fail(999) }},
-		{"rule 2", SingleUse, func(f *Fleet, g *Ledger, q *Query) {
+		{"rule 1", Idempotent, func(f *Fleet, g *Ledger, q *Query) { q.Outcome = Complete; g.sends(attemptOf(f, q)) }},
+		{"rule 1", Idempotent, func(f *Fleet, g *Ledger, q *Query) { f.RunUntil(5 * time.Second); g.Close() }},
+		{"rule 1", Idempotent, func(f *Fleet, g *Ledger, q *Query) { f.Coordinator.Fail(999) }},
+		{"rule 2", NonIdempotent, func(f *Fleet, g *Ledger, q *Query) {
 			q.parts[0].attempts = []*attempt{attemptOf(f, q)}
 			g.sends(attemptOf(f, q))
 		}},
-		{"rule 2", Referenced, func(f *Fleet, g *Ledger, q *Query) {
+		{"rule 2", Keyed, func(f *Fleet, g *Ledger, q *Query) {
 			q.parts[0].attempts = []*attempt{attemptOf(f, q)}
-			f.Run(1500 * time.Millisecond)
+			f.RunUntil(1500 * time.Millisecond)
 			g.sends(attemptOf(f, q))
 		}},
-		{"rule 2", SingleUse, func(f *Fleet, g *Ledger, q *Query) {
+		{"rule 2", NonIdempotent, func(f *Fleet, g *Ledger, q *Query) {
 			q.parts[0].attempts = []*attempt{attemptOf(f, q)}
-			q.How = TurnedBack
+			q.Outcome = Rejected
 			g.ends(q)
 		}},
-		{"rule 5", Replayable, func(f *Fleet, g *Ledger, q *Query) { q.How = Whole; g.ends(q) }},
-		{"rule 6", Replayable, func(f *Fleet, g *Ledger, q *Query) {
-			f.Budget = Budget{Free: 0, Share: 0.1, Span: time.Second}
+		{"rule 5", Idempotent, func(f *Fleet, g *Ledger, q *Query) { q.Outcome = Complete; g.ends(q) }},
+		{"rule 6", Idempotent, func(f *Fleet, g *Ledger, q *Query) {
+			f.RetryBudget = RetryBudget{MinRetries: 0, Share: 0.1, Span: time.Second}
 			q.parts[0].attempts = []*attempt{attemptOf(f, q)}
 			g.sends(attemptOf(f, q))
 		}},
@@ -129,16 +129,16 @@
 			t.Fatal(err)
 		}
 		g := newLedger(f)
-		q := &Query{ID: 1, CutOff: 3 * time.Second, agreed: time.Second}
+		q := &Query{ID: 1, Deadline: 3 * time.Second, agreed: time.Second}
 		q.parts = []*part{{id: 2, of: q}}
 		g.came(q)
 		c.breaks(f, g, q)
-		if all := strings.Join(append(g.Broken, f.Node.Ledger.Broken...), "\n"); !strings.Contains(all, c.rule) {
+		if all := strings.Join(append(g.Violations, f.Coordinator.Ledger.Violations...), "\n"); !strings.Contains(all, c.rule) {
 			t.Errorf("%s not found broken: %q", c.rule, all)
 		}
 	}
 }
 
 func attemptOf(f *Fleet, q *Query) *attempt {
-	return &attempt{node: f.Node, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: scheduler.Succeeded}
+	return &attempt{node: f.Coordinator, part: q.parts[0], at: f.Replicas[0], sent: f.Now, how: scheduler.Succeeded}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -16,61 +16,61 @@
 
 // Effects, as the module's settings name them.
 const (
-	Replayable = "pure"
-	Referenced = "token"
-	SingleUse  = "side_effect"
+	Idempotent    = "pure"
+	Keyed         = "token"
+	NonIdempotent = "side_effect"
 )
 
-// Track is a sort of queries: what is agreed, and what its clients ask for.
-type Track struct {
-	Agreed, CutOff, Window time.Duration
-	Effect                 string
-	Parts                  int           // of each query
-	Work                   time.Duration // mean of a part's
-	Spread                 float64       // sigma of the logarithm of a part's work; 0: all alike
-	Rate                   float64       // queries per second
+// Class is a sort of queries: what is agreed, and what its clients ask for.
+type Class struct {
+	Objective, Deadline, KeyWindow time.Duration
+	Effect                         string
+	Subqueries                     int           // of each query
+	MeanWork                       time.Duration // mean of a part's
+	WorkSigma                      float64       // sigma of the logarithm of a part's work; 0: all alike
+	Rate                           float64       // queries per second
 }
 
-// Budget bounds further attempts: Free, and Share of what was taken within the Span. No span: no budget.
-type Budget struct {
-	Free, Share float64
-	Span        time.Duration
+// RetryBudget bounds further attempts: Free, and Share of what was taken within the Span. No span: no budget.
+type RetryBudget struct {
+	MinRetries, Share float64
+	Span              time.Duration
 }
 
-// Shape is what a deployment is made of.
-type Shape struct {
-	Replicas, Cells, Reach, Cores int // Reach: cells in a row that hold a shard
-	Room                          int
-	Tracks                        []Track
-	MaxAttempts                   int
-	Copies, Cancels               bool
-	Budget                        Budget
-	Cold                          Cold // no Warm: replicas are warm at once
-	Balancers                     int
-	PerTurn, PerThing             time.Duration // of a co-ordinator's core; see Node
-	ColdStart                     bool          // all replicas are fresh at the start
+// FleetConfig is what a deployment is made of.
+type FleetConfig struct {
+	Replicas, Cells, CellsPerShard, Cores int // Reach: cells in a row that hold a shard
+	QueueLimit                            int
+	Classes                               []Class
+	MaxAttempts                           int
+	HedgeAllowed, CancelAllowed           bool
+	RetryBudget                           RetryBudget
+	Warmup                                Warmup // no Warm: replicas are warm at once
+	Coordinators                          int
+	IterationCost, EventCost              time.Duration // of a co-ordinator's core; see Node
+	ColdStart                             bool          // all replicas are fresh at the start
 }
 
 // Fleet is a deployment that runs.
 type Fleet struct {
-	*World
-	Shape
-	Replicas []*Replica
-	Node     *Node
+	*Simulation
+	FleetConfig
+	Replicas    []*Replica
+	Coordinator *Coordinator
 
 	byID map[scheduler.ReplicaID]*Replica
 	work map[scheduler.RequestID]time.Duration
 }
 
 // NewFleet puts a deployment together; the co-ordinator has the whole list.
-func NewFleet(seed uint64, s Shape) (*Fleet, error) {
-	f := &Fleet{World: NewWorld(seed), Shape: s, byID: map[scheduler.ReplicaID]*Replica{},
+func NewFleet(seed uint64, s FleetConfig) (*Fleet, error) {
+	f := &Fleet{Simulation: NewSimulation(seed), FleetConfig: s, byID: map[scheduler.ReplicaID]*Replica{},
 		work: map[scheduler.RequestID]time.Duration{}}
 	for n := range s.Replicas {
-		r := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % s.Cells), Cores: s.Cores, Room: s.Room,
-			Cancels: s.Cancels, Started: scheduler.StartUnknown, Cold: s.Cold, world: f.World, factor: 1}
+		r := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % s.Cells), Cores: s.Cores, QueueLimit: s.QueueLimit,
+			SupportsCancel: s.CancelAllowed, StartedAt: scheduler.StartUnknown, Warmup: s.Warmup, world: f.Simulation, factor: 1}
 		if s.ColdStart {
-			r.Started = 0
+			r.StartedAt = 0
 		}
 		f.Replicas, f.byID[r.ID] = append(f.Replicas, r), r
 	}
@@ -78,18 +78,18 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Node = node
-	node.PerTurn, node.PerThing = s.PerTurn, s.PerThing
-	node.Lists(true)
+	f.Coordinator = node
+	node.IterationCost, node.EventCost = s.IterationCost, s.EventCost
+	node.SendEndpointList(true)
 	return f, nil
 }
 
 // Capacity is how many queries per second of a track's mix the replicas do when all are sound and warm; without a
 // bound where they work on all at once.
-func (s Shape) Capacity() float64 {
+func (s FleetConfig) Capacity() float64 {
 	work, rate := 0.0, 0.0
-	for _, t := range s.Tracks {
-		work += t.Rate * float64(t.Parts) * t.Work.Seconds()
+	for _, t := range s.Classes {
+		work += t.Rate * float64(t.Subqueries) * t.MeanWork.Seconds()
 		rate += t.Rate
 	}
 	if s.Cores == 0 || work == 0 {
@@ -107,42 +107,42 @@
 	return true
 }
 
-// Ask has clients ask on an open-loop Poisson schedule, each track at its rate times by, from now until a time.
-func (f *Fleet) Ask(by float64, until time.Duration) {
-	for n, t := range f.Tracks {
+// SendLoad has clients ask on an open-loop Poisson schedule, each track at its rate times by, from now until a time.
+func (f *Fleet) SendLoad(by float64, until time.Duration) {
+	for n, t := range f.Classes {
 		if t.Rate*by <= 0 {
 			continue
 		}
-		gap := distuv.Exponential{Rate: t.Rate * by, Src: f.Chance}
+		gap := distuv.Exponential{Rate: t.Rate * by, Src: f.Rand}
 		var next func()
 		next = func() {
 			if f.Now < until {
 				f.askOnce(n)
-				f.At(f.Now+seconds(gap.Rand()), next)
+				f.Schedule(f.Now+seconds(gap.Rand()), next)
 			}
 		}
-		f.At(f.Now+seconds(gap.Rand()), next)
+		f.Schedule(f.Now+seconds(gap.Rand()), next)
 	}
 }
 
 func (f *Fleet) askOnce(track int) {
-	t := f.Tracks[track]
-	shards, work := make([]int, t.Parts), make([]time.Duration, t.Parts)
-	first := f.Chance.IntN(max(1, f.shards()-t.Parts+1))
+	t := f.Classes[track]
+	shards, work := make([]int, t.Subqueries), make([]time.Duration, t.Subqueries)
+	first := f.Rand.IntN(max(1, f.shards()-t.Subqueries+1))
 	for i := range shards {
-		shards[i], work[i] = first+i, t.Work
-		if t.Spread > 0 { // a log-normal of the same mean
-			sample := distuv.LogNormal{Mu: -t.Spread * t.Spread / 2, Sigma: t.Spread, Src: f.Chance}
-			work[i] = time.Duration(float64(t.Work) * sample.Rand())
+		shards[i], work[i] = first+i, t.MeanWork
+		if t.WorkSigma > 0 { // a log-normal of the same mean
+			sample := distuv.LogNormal{Mu: -t.WorkSigma * t.WorkSigma / 2, Sigma: t.WorkSigma, Src: f.Rand}
+			work[i] = time.Duration(float64(t.MeanWork) * sample.Rand())
 		}
 	}
-	f.Node.Asks(track, shards, work)
+	f.Coordinator.ReceiveQuery(track, shards, work)
 }
 
-func (s Shape) shards() int {
+func (s FleetConfig) shards() int {
 	n := 2 * s.Cells
-	for _, t := range s.Tracks {
-		n = max(n, t.Parts)
+	for _, t := range s.Classes {
+		n = max(n, t.Subqueries)
 	}
 	return n
 }
@@ -150,27 +150,27 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // settings are the deployment's as decide.New reads them.
-func (s Shape) settings() map[string]string {
+func (s FleetConfig) settings() map[string]string {
 	micro := func(d time.Duration) string { return fmt.Sprint(d.Microseconds()) }
-	all := map[string]string{"balancers": fmt.Sprint(max(1, s.Balancers)), "lanes.count": fmt.Sprint(len(s.Tracks)),
-		"familyInfo.cells": fmt.Sprint(s.Cells), "familyInfo.span": fmt.Sprint(s.Reach),
-		"bounds.maxAttempts": fmt.Sprint(s.MaxAttempts), "bounds.mayCancel": fmt.Sprint(s.Cancels),
-		"bounds.secondCopies": fmt.Sprint(s.Copies), "discovery": "automatic"}
+	all := map[string]string{"balancers": fmt.Sprint(max(1, s.Coordinators)), "lanes.count": fmt.Sprint(len(s.Classes)),
+		"familyInfo.cells": fmt.Sprint(s.Cells), "familyInfo.span": fmt.Sprint(s.CellsPerShard),
+		"bounds.maxAttempts": fmt.Sprint(s.MaxAttempts), "bounds.mayCancel": fmt.Sprint(s.CancelAllowed),
+		"bounds.secondCopies": fmt.Sprint(s.HedgeAllowed), "discovery": "automatic"}
 	var need []string
-	for n, t := range s.Tracks {
+	for n, t := range s.Classes {
 		path := fmt.Sprintf("lanes.%d.", n)
-		all[path+"aim"], all[path+"deadline"], all[path+"effect"] = micro(t.Agreed), micro(t.CutOff), t.Effect
-		all[path+"window"] = micro(t.Window)
+		all[path+"aim"], all[path+"deadline"], all[path+"effect"] = micro(t.Objective), micro(t.Deadline), t.Effect
+		all[path+"window"] = micro(t.KeyWindow)
 		need = append(need, "1.0")
 	}
 	all["familyInfo.classNeed"] = strings.Join(need, ",")
-	if s.Budget.Span > 0 {
-		all["guarantees.minExtra"], all["guarantees.extraRatio"] = fmt.Sprint(s.Budget.Free), fmt.Sprint(s.Budget.Share)
-		all["guarantees.ratioSpan"] = micro(s.Budget.Span)
+	if s.RetryBudget.Span > 0 {
+		all["guarantees.minExtra"], all["guarantees.extraRatio"] = fmt.Sprint(s.RetryBudget.MinRetries), fmt.Sprint(s.RetryBudget.Share)
+		all["guarantees.ratioSpan"] = micro(s.RetryBudget.Span)
 	}
-	if s.Cold.Warm > 0 {
-		all["guarantees.tipMultiple"], all["guarantees.startCapacity"] = "3", fmt.Sprint(s.Cold.Share)
-		all["guarantees.warmAfter"], all["guarantees.overloadFor"] = micro(s.Cold.Warm), "1500000"
+	if s.Warmup.Duration > 0 {
+		all["guarantees.tipMultiple"], all["guarantees.startCapacity"] = "3", fmt.Sprint(s.Warmup.StartSpeed)
+		all["guarantees.warmAfter"], all["guarantees.overloadFor"] = micro(s.Warmup.Duration), "1500000"
 	}
 	return all
 }
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Trouble is a condition that some replicas are in for a while.
-type Trouble struct {
-	From, For time.Duration
-	Condition Condition
-	Factor    float64 // of Slow
-	Replicas  []int
+// Fault is a condition that some replicas are in for a while.
+type Fault struct {
+	Start, Duration time.Duration
+	Condition       Condition
+	Factor          float64 // of Slow
+	Replicas        []int
 }
 
-func (t Trouble) String() string {
-	s := fmt.Sprintf("%v+%v %v of %d", t.From.Round(time.Millisecond), t.For.Round(time.Millisecond), t.Condition, len(t.Replicas))
+func (t Fault) String() string {
+	s := fmt.Sprintf("%v+%v %v of %d", t.Start.Round(time.Millisecond), t.Duration.Round(time.Millisecond), t.Condition, len(t.Replicas))
 	if t.Condition == Slow {
 		s += fmt.Sprintf(" by %.1f", t.Factor)
 	}
@@ -26,47 +26,47 @@
 
 // History is a deployment, trouble that ends, and what its clients ask for until then and afterwards.
 type History struct {
-	Seed    uint64
-	Shape   Shape
-	Load    float64 // of the tracks' rates, while trouble lasts
-	Light   float64 // of the tracks' rates, from its end on
-	Trouble []Trouble
-	SoundAt time.Duration // everything is sound and the load light from here on
-	Watched time.Duration // from there
-	Spy     func(*Fleet)  // looks on twice a second; may be nil
+	Seed       uint64
+	Config     FleetConfig
+	LoadBefore float64 // of the tracks' rates, while trouble lasts
+	LoadAfter  float64 // of the tracks' rates, from its end on
+	Faults     []Fault
+	HealthyAt  time.Duration // everything is sound and the load light from here on
+	ObserveFor time.Duration // from there
+	Observer   func(*Fleet)  // looks on twice a second; may be nil
 }
 
 func (h History) String() string {
-	s := h.Shape
+	s := h.Config
 	var words []string
-	for _, t := range s.Tracks {
-		words = append(words, fmt.Sprintf("[%s %.1f/s of %d x %v, %v]", t.Effect, t.Rate, t.Parts, t.Work, t.Agreed))
+	for _, t := range s.Classes {
+		words = append(words, fmt.Sprintf("[%s %.1f/s of %d x %v, %v]", t.Effect, t.Rate, t.Subqueries, t.MeanWork, t.Objective))
 	}
-	for _, t := range h.Trouble {
+	for _, t := range h.Faults {
 		words = append(words, t.String())
 	}
 	return fmt.Sprintf("seed %d: %d replicas of %d cores in %d cells reach %d, load %.2f light %.2f, sound at %v, "+
-		"budget %v cold %v core %v: %s", h.Seed, s.Replicas, s.Cores, s.Cells, s.Reach, h.Load, h.Light,
-		h.SoundAt, s.Budget.Span > 0, s.Cold.Warm > 0, s.PerThing, strings.Join(words, " "))
+		"budget %v cold %v core %v: %s", h.Seed, s.Replicas, s.Cores, s.Cells, s.CellsPerShard, h.LoadBefore, h.LoadAfter,
+		h.HealthyAt, s.RetryBudget.Span > 0, s.Warmup.Duration > 0, s.EventCost, strings.Join(words, " "))
 }
 
-// Back is when service must be back after everything is sound, at the latest.
-func (h History) Back() time.Duration {
+// MaxRecovery is when service must be back after everything is sound, at the latest.
+func (h History) MaxRecovery() time.Duration {
 	back := 5 * time.Second
-	for _, t := range h.Shape.Tracks {
-		back = max(back, 2*t.Agreed)
+	for _, t := range h.Config.Classes {
+		back = max(back, 2*t.Objective)
 	}
-	return back + h.Shape.Cold.Warm // rule 4 holds fresh replicas back until then
+	return back + h.Config.Warmup.Duration // rule 4 holds fresh replicas back until then
 }
 
-// Verdict is what became of a history.
-type Verdict struct {
-	Stuck  bool          // 99% in time was not reached by Back, or something was turned back on an idle fleet after it
-	Back   time.Duration // after everything is sound: from when on 99% were fulfilled in time
-	Broken []string      // rules broken
-	Why    string        // where stuck
-	Asked  int
-	Logs   []string
+// Result is what became of a history.
+type Result struct {
+	Stuck       bool          // 99% in time was not reached by Back, or something was turned back on an idle fleet after it
+	Recovery    time.Duration // after everything is sound: from when on 99% were fulfilled in time
+	Violations  []string      // rules broken
+	StuckReason string        // where stuck
+	QueryCount  int
+	Logs        []string
 }
 
 const (
@@ -75,149 +75,149 @@
 )
 
 // Run plays a history.
-func (h History) Run() (Verdict, error) {
-	f, err := NewFleet(h.Seed, h.Shape)
+func (h History) Run() (Result, error) {
+	f, err := NewFleet(h.Seed, h.Config)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
-	f.Ask(h.Load, h.SoundAt)
-	for _, t := range h.Trouble {
-		f.At(t.From, func() {
+	f.SendLoad(h.LoadBefore, h.HealthyAt)
+	for _, t := range h.Faults {
+		f.Schedule(t.Start, func() {
 			for _, r := range t.Replicas {
-				f.Replicas[r].Becomes(t.Condition, t.Factor)
+				f.Replicas[r].SetCondition(t.Condition, t.Factor)
 			}
 			if t.Condition == Down {
-				f.Node.Lists(false)
+				f.Coordinator.SendEndpointList(false)
 			}
 		})
-		f.At(t.From+t.For, func() {
+		f.Schedule(t.Start+t.Duration, func() {
 			for _, r := range t.Replicas {
-				f.Replicas[r].Becomes(Sound, 1)
+				f.Replicas[r].SetCondition(Healthy, 1)
 			}
-			f.Node.Lists(false)
+			f.Coordinator.SendEndpointList(false)
 		})
 	}
-	f.At(h.SoundAt, func() {
+	f.Schedule(h.HealthyAt, func() {
 		for _, r := range f.Replicas {
-			r.Becomes(Sound, 1)
+			r.SetCondition(Healthy, 1)
 		}
-		f.Node.Lists(false)
-		f.Ask(h.Light, h.SoundAt+h.Watched)
+		f.Coordinator.SendEndpointList(false)
+		f.SendLoad(h.LoadAfter, h.HealthyAt+h.ObserveFor)
 	})
-	for at := time.Duration(0); h.Spy != nil && at < h.SoundAt+h.Watched; at += 500 * time.Millisecond {
-		f.At(at, func() { h.Spy(f) })
+	for at := time.Duration(0); h.Observer != nil && at < h.HealthyAt+h.ObserveFor; at += 500 * time.Millisecond {
+		f.Schedule(at, func() { h.Observer(f) })
 	}
-	f.Run(h.SoundAt + h.Watched)
-	end := h.SoundAt + h.Watched
-	for _, t := range h.Shape.Tracks {
-		end = max(end, h.SoundAt+h.Watched+t.CutOff+time.Second)
+	f.RunUntil(h.HealthyAt + h.ObserveFor)
+	end := h.HealthyAt + h.ObserveFor
+	for _, t := range h.Config.Classes {
+		end = max(end, h.HealthyAt+h.ObserveFor+t.Deadline+time.Second)
 	}
-	f.Run(end)
-	f.Node.Ledger.Close()
+	f.RunUntil(end)
+	f.Coordinator.Ledger.Close()
 	return h.judge(f), nil
 }
 
 // judge reads the verdict off what clients saw after everything was sound.
-func (h History) judge(f *Fleet) Verdict {
-	v := Verdict{Broken: f.Node.Ledger.Broken, Asked: len(f.Node.Ledger.All), Logs: f.Node.Logs}
-	after := slices.DeleteFunc(slices.Clone(f.Node.Ledger.All), func(q *Query) bool { return q.Came < h.SoundAt })
-	back := h.SoundAt + h.Back()
+func (h History) judge(f *Fleet) Result {
+	v := Result{Violations: f.Coordinator.Ledger.Violations, QueryCount: len(f.Coordinator.Ledger.Queries), Logs: f.Coordinator.Logs}
+	after := slices.DeleteFunc(slices.Clone(f.Coordinator.Ledger.Queries), func(q *Query) bool { return q.ArrivedAt < h.HealthyAt })
+	back := h.HealthyAt + h.MaxRecovery()
 	late, turned, seen := 0, 0, 0
 	for n := len(after) - 1; n >= 0; n-- {
 		q := after[n]
 		seen++
-		if !q.InTime() {
+		if !q.WithinObjective() {
 			late++
 		}
 		if float64(late) > (1-inTime)*float64(seen)+1 { // one is let pass, as chance may have it
-			v.Back = max(v.Back, q.Came-h.SoundAt)
+			v.Recovery = max(v.Recovery, q.ArrivedAt-h.HealthyAt)
 		}
-		if q.Came > back && q.How == TurnedBack && q.AllIdle {
+		if q.ArrivedAt > back && q.Outcome == Rejected && q.FleetWasIdle {
 			turned++
 		}
 	}
-	if v.Back > h.Back() || turned > 0 {
+	if v.Recovery > h.MaxRecovery() || turned > 0 {
 		v.Stuck = true
 		fates := [5]int{}
 		for _, q := range after {
-			if q.Came > back {
-				fates[q.How]++
+			if q.ArrivedAt > back {
+				fates[q.Outcome]++
 			}
 		}
-		v.Why = fmt.Sprintf("back after %v; later: whole %d turned back %d (idle fleet %d) scrapped %d", v.Back, fates[Whole],
-			fates[TurnedBack], turned, fates[Scrapped])
+		v.StuckReason = fmt.Sprintf("back after %v; later: whole %d turned back %d (idle fleet %d) scrapped %d", v.Recovery, fates[Complete],
+			fates[Rejected], turned, fates[Failed])
 	}
 	return v
 }
 
-// Draw makes a history of any kind from a seed.
-func Draw(seed uint64) History {
-	w := NewWorld(seed ^ 0x9e3779b97f4a7c15)
-	c := w.Chance
+// RandomHistory makes a history of any kind from a seed.
+func RandomHistory(seed uint64) History {
+	w := NewSimulation(seed ^ 0x9e3779b97f4a7c15)
+	c := w.Rand
 	pick := func(from, to float64) float64 { return from * math.Pow(to/from, c.Float64()) } // log-uniform
 	h := History{Seed: seed}
-	s := &h.Shape
+	s := &h.Config
 	s.Replicas = int(pick(2, 200.99))
-	s.Reach = min(s.Replicas, 2+c.IntN(2))
-	s.Cells = s.Reach + c.IntN(max(1, s.Replicas-s.Reach+1))
+	s.CellsPerShard = min(s.Replicas, 2+c.IntN(2))
+	s.Cells = s.CellsPerShard + c.IntN(max(1, s.Replicas-s.CellsPerShard+1))
 	if c.IntN(2) == 0 {
-		s.Cells = s.Reach // all hold all
+		s.Cells = s.CellsPerShard // all hold all
 	}
 	s.Cores = 1 + c.IntN(8)
 	if c.IntN(4) == 0 {
 		s.Cores = 0
 	}
-	s.MaxAttempts, s.Copies, s.Cancels = 2+c.IntN(3), c.IntN(4) > 0, c.IntN(4) > 0
+	s.MaxAttempts, s.HedgeAllowed, s.CancelAllowed = 2+c.IntN(3), c.IntN(4) > 0, c.IntN(4) > 0
 	if c.IntN(2) == 0 {
-		s.Budget = Budget{Free: 3, Share: 0.1, Span: 10 * time.Second}
+		s.RetryBudget = RetryBudget{MinRetries: 3, Share: 0.1, Span: 10 * time.Second}
 	}
 	if c.IntN(4) == 0 {
-		s.Cold = Cold{Share: 0.25, Warm: 4 * time.Second}
+		s.Warmup = Warmup{StartSpeed: 0.25, Duration: 4 * time.Second}
 		s.ColdStart = c.IntN(2) == 0
 	}
-	s.Balancers = 1
+	s.Coordinators = 1
 	if c.IntN(3) == 0 {
-		s.Balancers = 1 + c.IntN(60)
+		s.Coordinators = 1 + c.IntN(60)
 	}
 	if c.IntN(3) == 0 {
-		s.PerTurn, s.PerThing = 20*time.Microsecond, time.Duration(pick(5, 60))*time.Microsecond
+		s.IterationCost, s.EventCost = 20*time.Microsecond, time.Duration(pick(5, 60))*time.Microsecond
 	}
 	for range 1 + c.IntN(3) {
-		t := Track{Agreed: seconds(pick(0.3, 4)), Effect: []string{Replayable, Replayable, Referenced, SingleUse}[c.IntN(4)],
-			Parts: int(pick(1, 50.99)), Spread: []float64{0, 0.5}[c.IntN(2)], Rate: pick(0.3, 1)}
-		t.CutOff = time.Duration(float64(t.Agreed) * pick(1.5, 4))
-		t.Window = t.CutOff / 2
+		t := Class{Objective: seconds(pick(0.3, 4)), Effect: []string{Idempotent, Idempotent, Keyed, NonIdempotent}[c.IntN(4)],
+			Subqueries: int(pick(1, 50.99)), WorkSigma: []float64{0, 0.5}[c.IntN(2)], Rate: pick(0.3, 1)}
+		t.Deadline = time.Duration(float64(t.Objective) * pick(1.5, 4))
+		t.KeyWindow = t.Deadline / 2
 		// an idle replica does its part of a query in good time
 		side := max(1, s.Cores)
 		if s.Cores == 0 {
 			side = 64
 		}
-		deep := math.Ceil(float64(t.Parts) / float64(s.Replicas) * 2 / float64(side))
-		t.Work = seconds(t.Agreed.Seconds() * pick(0.002, 0.08) / max(1, deep))
-		s.Tracks = append(s.Tracks, t)
+		deep := math.Ceil(float64(t.Subqueries) / float64(s.Replicas) * 2 / float64(side))
+		t.MeanWork = seconds(t.Objective.Seconds() * pick(0.002, 0.08) / max(1, deep))
+		s.Classes = append(s.Classes, t)
 	}
 	if c.IntN(3) == 0 { // for some queries at a time, or a sound box turns away what light load brings
-		s.Room = 8 + c.IntN(60)
-		for _, t := range s.Tracks {
-			s.Room = max(s.Room, 4*(1+t.Parts/s.Replicas))
+		s.QueueLimit = 8 + c.IntN(60)
+		for _, t := range s.Classes {
+			s.QueueLimit = max(s.QueueLimit, 4*(1+t.Subqueries/s.Replicas))
 		}
 	}
-	h.SoundAt = seconds(pick(4, 20))
-	h.Watched = h.Back() + 10*time.Second
+	h.HealthyAt = seconds(pick(4, 20))
+	h.ObserveFor = h.MaxRecovery() + 10*time.Second
 	parts, rate := 0.0, 0.0
-	for _, t := range s.Tracks {
-		parts += t.Rate * float64(t.Parts)
+	for _, t := range s.Classes {
+		parts += t.Rate * float64(t.Subqueries)
 		rate += t.Rate
 	}
-	most := mostParts / h.SoundAt.Seconds() / parts // of Load
-	h.Load = min(most, s.Capacity()/rate*pick(0.02, 2))
-	h.Load = max(h.Load, 1/rate)
-	h.Light = max(min(h.Load, s.Capacity()/rate*0.1, 2500/h.Watched.Seconds()/parts), 1/rate)
+	most := mostParts / h.HealthyAt.Seconds() / parts // of Load
+	h.LoadBefore = min(most, s.Capacity()/rate*pick(0.02, 2))
+	h.LoadBefore = max(h.LoadBefore, 1/rate)
+	h.LoadAfter = max(min(h.LoadBefore, s.Capacity()/rate*0.1, 2500/h.ObserveFor.Seconds()/parts), 1/rate)
 	for range 1 + c.IntN(3) {
-		t := Trouble{Condition: Condition(1 + c.IntN(len(conditionNames)-1)), Factor: pick(2, 200)}
-		t.From = seconds(c.Float64() * h.SoundAt.Seconds() * 0.7)
-		t.For = seconds(pick(0.2, max(0.3, (h.SoundAt-t.From).Seconds())))
-		t.For = min(t.For, h.SoundAt-t.From)
+		t := Fault{Condition: Condition(1 + c.IntN(len(conditionNames)-1)), Factor: pick(2, 200)}
+		t.Start = seconds(c.Float64() * h.HealthyAt.Seconds() * 0.7)
+		t.Duration = seconds(pick(0.2, max(0.3, (h.HealthyAt-t.Start).Seconds())))
+		t.Duration = min(t.Duration, h.HealthyAt-t.Start)
 		share := []float64{1, 1, 0.5, 0}[c.IntN(4)]
 		for n := range s.Replicas {
 			if c.Float64() < share {
@@ -227,7 +227,7 @@
 		if len(t.Replicas) == 0 {
 			t.Replicas = []int{c.IntN(s.Replicas)}
 		}
-		h.Trouble = append(h.Trouble, t)
+		h.Faults = append(h.Faults, t)
 	}
 	return h
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// World is the clock and what is planned.
-type World struct {
-	Now    time.Duration
-	Chance *rand.Rand
+// Simulation is the clock and what is planned.
+type Simulation struct {
+	Now  time.Duration
+	Rand *rand.Rand
 
 	planned plans
 	number  uint64
 }
 
-// NewWorld begins at time 0 with the chance of a seed.
-func NewWorld(seed uint64) *World {
-	return &World{Chance: rand.New(rand.NewPCG(seed, 0x74657272))}
+// NewSimulation begins at time 0 with the chance of a seed.
+func NewSimulation(seed uint64) *Simulation {
+	return &Simulation{Rand: rand.New(rand.NewPCG(seed, 0x74657272))}
 }
 
-// At plans something; what lies in the past happens next.
-func (w *World) At(when time.Duration, do func()) {
+// Schedule plans something; what lies in the past happens next.
+func (w *Simulation) Schedule(when time.Duration, do func()) {
 	w.number++
 	heap.Push(&w.planned, plan{max(w.Now, when), w.number, do})
 }
 
-// Run lets everything happen up to a time, that time included.
-func (w *World) Run(until time.Duration) {
+// RunUntil lets everything happen up to a time, that time included.
+func (w *Simulation) RunUntil(until time.Duration) {
 	for len(w.planned) > 0 && w.planned[0].at <= until {
 		next := heap.Pop(&w.planned).(plan)
 		w.Now = next.at
--- a/proofs/ways-back/histories.go
+++ b/proofs/ways-back/histories.go
@@ -19,36 +19,36 @@
 }
 
 func (s *summary) playHistory(seed uint64) {
-	history := emulator.Draw(seed)
+	history := emulator.RandomHistory(seed)
 	verdict, err := history.Run()
 	s.failed(err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.histories++
-	s.rulesBroken += len(verdict.Broken)
-	s.slowest = max(s.slowest, verdict.Back)
+	s.rulesBroken += len(verdict.Violations)
+	s.slowest = max(s.slowest, verdict.Recovery)
 	if verdict.Stuck {
 		s.stuck++
-		fmt.Printf("stuck: -seed %d: %s\n  %s\n", seed, verdict.Why, history)
+		fmt.Printf("stuck: -seed %d: %s\n  %s\n", seed, verdict.StuckReason, history)
 	}
-	if len(verdict.Broken) > 0 {
-		fmt.Printf("rule broken: -seed %d: %s\n", seed, verdict.Broken[0])
+	if len(verdict.Violations) > 0 {
+		fmt.Printf("rule broken: -seed %d: %s\n", seed, verdict.Violations[0])
 	}
 }
 
 // replayHistory plays one history and tells what was estimated twice a second.
 func replayHistory(seed uint64) {
-	history := emulator.Draw(seed)
+	history := emulator.RandomHistory(seed)
 	fmt.Println(history)
-	history.Spy = func(fleet *emulator.Fleet) {
-		outcomes := map[emulator.Final]int{}
-		for _, query := range fleet.Node.Ledger.All {
-			if query.How == emulator.Open || query.Ended > fleet.Now-recentTime {
-				outcomes[query.How]++
+	history.Observer = func(fleet *emulator.Fleet) {
+		outcomes := map[emulator.QueryOutcome]int{}
+		for _, query := range fleet.Coordinator.Ledger.Queries {
+			if query.Outcome == emulator.Unanswered || query.EndedAt > fleet.Now-recentTime {
+				outcomes[query.Outcome]++
 			}
 		}
-		fmt.Printf("%v, sound in %v: %v\n%+v\n%s\n", fleet.Now, history.SoundAt-fleet.Now, outcomes,
-			fleet.Node.Module.ClassEstimates(), fleet.Node.Module.DescribeReplicas())
+		fmt.Printf("%v, sound in %v: %v\n%+v\n%s\n", fleet.Now, history.HealthyAt-fleet.Now, outcomes,
+			fleet.Coordinator.Scheduler.ClassEstimates(), fleet.Coordinator.Scheduler.DescribeReplicas())
 	}
 	verdict, err := history.Run()
 	fmt.Printf("%+v %v\n", verdict, err)
