--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -11,166 +11,178 @@
 	"terntray/scheduler"
 )
 
-// hop is the way from a co-ordinator to a replica on the same network.
-const hop = 200 * time.Microsecond
+// networkDelay is the one-way delay between a co-ordinator and a replica on the same network.
+const networkDelay = 200 * time.Microsecond
 
-// Effects, as the module's settings name them.
+// The effects of running a subquery twice, as the scheduler's settings name them.
 const (
 	Idempotent    = "pure"
 	Keyed         = "token"
 	NonIdempotent = "side_effect"
 )
 
-// Class is a sort of queries: what is agreed, and what its clients ask for.
+// Class is a class of queries: its settings, and the load that its clients send.
 type Class struct {
 	Objective, Deadline, KeyWindow time.Duration
 	Effect                         string
 	Subqueries                     int           // of each query
-	MeanWork                       time.Duration // mean of a part's
-	WorkSigma                      float64       // sigma of the logarithm of a part's work; 0: all alike
+	MeanWork                       time.Duration // of a subquery
+	WorkSigma                      float64       // standard deviation of the logarithm of the work; 0: constant
 	Rate                           float64       // queries per second
 }
 
-// RetryBudget bounds further attempts: Free, and Share of what was taken within the Span. No span: no budget.
+// RetryBudget limits retries and hedges within a sliding window of Span to MinRetries, plus Share of the queries and
+// subqueries that arrived. Span 0: there is no budget.
 type RetryBudget struct {
 	MinRetries, Share float64
 	Span              time.Duration
 }
 
-// FleetConfig is what a deployment is made of.
+// FleetConfig describes a fleet and its load.
 type FleetConfig struct {
-	Replicas, Cells, CellsPerShard, Cores int // Reach: cells in a row that hold a shard
-	QueueLimit                            int
+	Replicas, Cells, CellsPerShard, Cores int // CellsPerShard: consecutive cells that hold a shard
+	QueueLimit                            int // of a replica; 0: none
 	Classes                               []Class
 	MaxAttempts                           int
 	HedgeAllowed, CancelAllowed           bool
 	RetryBudget                           RetryBudget
-	Warmup                                Warmup // no Warm: replicas are warm at once
-	Coordinators                          int
-	IterationCost, EventCost              time.Duration // of a co-ordinator's core; see Node
-	ColdStart                             bool          // all replicas are fresh at the start
+	Warmup                                Warmup        // Duration 0: replicas are warm at once
+	Coordinators                          int           // as the scheduler is told; only one is simulated
+	IterationCost, EventCost              time.Duration // see Coordinator
+	ColdStart                             bool          // all replicas start with the simulation
 }
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment: replicas and the co-ordinator that sends to them.
 type Fleet struct {
 	*Simulation
 	FleetConfig
 	Replicas    []*Replica
 	Coordinator *Coordinator
 
-	byID map[scheduler.ReplicaID]*Replica
-	work map[scheduler.RequestID]time.Duration
+	replicaByID    map[scheduler.ReplicaID]*Replica
+	workBySubquery map[scheduler.RequestID]time.Duration
 }
 
-// NewFleet puts a deployment together; the co-ordinator has the whole list.
-func NewFleet(seed uint64, s FleetConfig) (*Fleet, error) {
-	f := &Fleet{Simulation: NewSimulation(seed), FleetConfig: s, byID: map[scheduler.ReplicaID]*Replica{},
-		work: map[scheduler.RequestID]time.Duration{}}
-	for n := range s.Replicas {
-		r := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % s.Cells), Cores: s.Cores, QueueLimit: s.QueueLimit,
-			SupportsCancel: s.CancelAllowed, StartedAt: scheduler.StartUnknown, Warmup: s.Warmup, world: f.Simulation, factor: 1}
-		if s.ColdStart {
-			r.StartedAt = 0
+// NewFleet creates a fleet whose co-ordinator receives the full endpoint list at the start.
+func NewFleet(seed uint64, config FleetConfig) (*Fleet, error) {
+	fleet := &Fleet{Simulation: NewSimulation(seed), FleetConfig: config,
+		replicaByID: map[scheduler.ReplicaID]*Replica{}, workBySubquery: map[scheduler.RequestID]time.Duration{}}
+	for n := range config.Replicas {
+		replica := &Replica{ID: scheduler.ReplicaID(1000 + n), Cell: scheduler.CellNumber(n % config.Cells),
+			Cores: config.Cores, QueueLimit: config.QueueLimit, SupportsCancel: config.CancelAllowed,
+			StartedAt: scheduler.StartUnknown, Warmup: config.Warmup, simulation: fleet.Simulation, slowFactor: 1}
+		if config.ColdStart {
+			replica.StartedAt = 0
 		}
-		f.Replicas, f.byID[r.ID] = append(f.Replicas, r), r
+		fleet.Replicas, fleet.replicaByID[replica.ID] = append(fleet.Replicas, replica), replica
 	}
-	node, err := newNode(f, seed, s.settings())
+	coordinator, err := newCoordinator(fleet, seed, config.settings())
 	if err != nil {
 		return nil, err
 	}
-	f.Coordinator = node
-	node.IterationCost, node.EventCost = s.IterationCost, s.EventCost
-	node.SendEndpointList(true)
-	return f, nil
+	fleet.Coordinator = coordinator
+	coordinator.IterationCost, coordinator.EventCost = config.IterationCost, config.EventCost
+	coordinator.SendEndpointList(true)
+	return fleet, nil
 }
 
-// Capacity is how many queries per second of a track's mix the replicas do when all are sound and warm; without a
-// bound where they work on all at once.
-func (s FleetConfig) Capacity() float64 {
+// Capacity is the rate, in queries per second of the classes' mix, that the replicas can serve when all are healthy and
+// warm. It is infinite if replicas run all attempts at once.
+func (config FleetConfig) Capacity() float64 {
 	work, rate := 0.0, 0.0
-	for _, t := range s.Classes {
-		work += t.Rate * float64(t.Subqueries) * t.MeanWork.Seconds()
-		rate += t.Rate
+	for _, class := range config.Classes {
+		work += class.Rate * float64(class.Subqueries) * class.MeanWork.Seconds()
+		rate += class.Rate
 	}
-	if s.Cores == 0 || work == 0 {
+	if config.Cores == 0 || work == 0 {
 		return math.Inf(1)
 	}
-	return rate * float64(s.Replicas*s.Cores) / work
+	return rate * float64(config.Replicas*config.Cores) / work
 }
 
-func (f *Fleet) idle() bool {
-	for _, r := range f.Replicas {
-		if !r.Idle() {
+// idle reports whether no replica has an attempt waiting or running.
+func (fleet *Fleet) idle() bool {
+	for _, replica := range fleet.Replicas {
+		if !replica.Idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// SendLoad has clients ask on an open-loop Poisson schedule, each track at its rate times by, from now until a time.
-func (f *Fleet) SendLoad(by float64, until time.Duration) {
-	for n, t := range f.Classes {
-		if t.Rate*by <= 0 {
+// SendLoad has clients send queries from now until a time, on an open-loop Poisson schedule: each class at its rate
+// times the factor.
+func (fleet *Fleet) SendLoad(factor float64, until time.Duration) {
+	for n, class := range fleet.Classes {
+		if class.Rate*factor <= 0 {
 			continue
 		}
-		gap := distuv.Exponential{Rate: t.Rate * by, Src: f.Rand}
+		interval := distuv.Exponential{Rate: class.Rate * factor, Src: fleet.Rand}
 		var next func()
 		next = func() {
-			if f.Now < until {
-				f.askOnce(n)
-				f.Schedule(f.Now+seconds(gap.Rand()), next)
+			if fleet.Now < until {
+				fleet.sendQuery(n)
+				fleet.Schedule(fleet.Now+seconds(interval.Rand()), next)
 			}
 		}
-		f.Schedule(f.Now+seconds(gap.Rand()), next)
+		fleet.Schedule(fleet.Now+seconds(interval.Rand()), next)
 	}
 }
 
-func (f *Fleet) askOnce(track int) {
-	t := f.Classes[track]
-	shards, work := make([]int, t.Subqueries), make([]time.Duration, t.Subqueries)
-	first := f.Rand.IntN(max(1, f.shards()-t.Subqueries+1))
+// sendQuery sends a query of a class to consecutive shards, the first of which is random.
+func (fleet *Fleet) sendQuery(classIndex int) {
+	class := fleet.Classes[classIndex]
+	shards, work := make([]int, class.Subqueries), make([]time.Duration, class.Subqueries)
+	first := fleet.Rand.IntN(max(1, fleet.shardCount()-class.Subqueries+1))
 	for i := range shards {
-		shards[i], work[i] = first+i, t.MeanWork
-		if t.WorkSigma > 0 { // a log-normal of the same mean
-			sample := distuv.LogNormal{Mu: -t.WorkSigma * t.WorkSigma / 2, Sigma: t.WorkSigma, Src: f.Rand}
-			work[i] = time.Duration(float64(t.MeanWork) * sample.Rand())
+		shards[i], work[i] = first+i, class.MeanWork
+		if class.WorkSigma > 0 { // a log-normal distribution with the same mean
+			distribution := distuv.LogNormal{Mu: -class.WorkSigma * class.WorkSigma / 2, Sigma: class.WorkSigma,
+				Src: fleet.Rand}
+			work[i] = time.Duration(float64(class.MeanWork) * distribution.Rand())
 		}
 	}
-	f.Coordinator.ReceiveQuery(track, shards, work)
+	fleet.Coordinator.ReceiveQuery(classIndex, shards, work)
 }
 
-func (s FleetConfig) shards() int {
-	n := 2 * s.Cells
-	for _, t := range s.Classes {
-		n = max(n, t.Subqueries)
+// shardCount is at least the number of subqueries of any query.
+func (config FleetConfig) shardCount() int {
+	count := 2 * config.Cells
+	for _, class := range config.Classes {
+		count = max(count, class.Subqueries)
 	}
-	return n
+	return count
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// settings are the deployment's as decide.New reads them.
-func (s FleetConfig) settings() map[string]string {
-	micro := func(d time.Duration) string { return fmt.Sprint(d.Microseconds()) }
-	all := map[string]string{"balancers": fmt.Sprint(max(1, s.Coordinators)), "lanes.count": fmt.Sprint(len(s.Classes)),
-		"familyInfo.cells": fmt.Sprint(s.Cells), "familyInfo.span": fmt.Sprint(s.CellsPerShard),
-		"bounds.maxAttempts": fmt.Sprint(s.MaxAttempts), "bounds.mayCancel": fmt.Sprint(s.CancelAllowed),
-		"bounds.secondCopies": fmt.Sprint(s.HedgeAllowed), "discovery": "automatic"}
-	var need []string
-	for n, t := range s.Classes {
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+
+// settings returns the configuration as scheduler.ParseConfig reads it.
+func (config FleetConfig) settings() map[string]string {
+	micros := func(duration time.Duration) string { return fmt.Sprint(duration.Microseconds()) }
+	settings := map[string]string{"balancers": fmt.Sprint(max(1, config.Coordinators)),
+		"lanes.count":      fmt.Sprint(len(config.Classes)),
+		"familyInfo.cells": fmt.Sprint(config.Cells), "familyInfo.span": fmt.Sprint(config.CellsPerShard),
+		"bounds.maxAttempts": fmt.Sprint(config.MaxAttempts), "bounds.mayCancel": fmt.Sprint(config.CancelAllowed),
+		"bounds.secondCopies": fmt.Sprint(config.HedgeAllowed), "discovery": "automatic"}
+	var completeShares []string
+	for n, class := range config.Classes {
 		path := fmt.Sprintf("lanes.%d.", n)
-		all[path+"aim"], all[path+"deadline"], all[path+"effect"] = micro(t.Objective), micro(t.Deadline), t.Effect
-		all[path+"window"] = micro(t.KeyWindow)
-		need = append(need, "1.0")
+		settings[path+"aim"], settings[path+"deadline"], settings[path+"effect"] =
+			micros(class.Objective), micros(class.Deadline), class.Effect
+		settings[path+"window"] = micros(class.KeyWindow)
+		completeShares = append(completeShares, "1.0")
 	}
-	all["familyInfo.classNeed"] = strings.Join(need, ",")
-	if s.RetryBudget.Span > 0 {
-		all["guarantees.minExtra"], all["guarantees.extraRatio"] = fmt.Sprint(s.RetryBudget.MinRetries), fmt.Sprint(s.RetryBudget.Share)
-		all["guarantees.ratioSpan"] = micro(s.RetryBudget.Span)
+	settings["familyInfo.classNeed"] = strings.Join(completeShares, ",")
+	if config.RetryBudget.Span > 0 {
+		settings["guarantees.minExtra"], settings["guarantees.extraRatio"] =
+			fmt.Sprint(config.RetryBudget.MinRetries), fmt.Sprint(config.RetryBudget.Share)
+		settings["guarantees.ratioSpan"] = micros(config.RetryBudget.Span)
 	}
-	if s.Warmup.Duration > 0 {
-		all["guarantees.tipMultiple"], all["guarantees.startCapacity"] = "3", fmt.Sprint(s.Warmup.StartSpeed)
-		all["guarantees.warmAfter"], all["guarantees.overloadFor"] = micro(s.Warmup.Duration), "1500000"
+	if config.Warmup.Duration > 0 {
+		settings["guarantees.tipMultiple"], settings["guarantees.startCapacity"] =
+			"3", fmt.Sprint(config.Warmup.StartSpeed)
+		settings["guarantees.warmAfter"], settings["guarantees.overloadFor"] =
+			micros(config.Warmup.Duration), "1500000"
 	}
-	return all
+	return settings
 }
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -8,226 +8,239 @@
 	"time"
 )
 
-// Fault is a condition that some replicas are in for a while.
+// Fault puts some replicas into a condition for a while.
 type Fault struct {
 	Start, Duration time.Duration
 	Condition       Condition
-	Factor          float64 // of Slow
-	Replicas        []int
+	Factor          float64 // by which Slow replicas are slower
+	Replicas        []int   // indexes
 }
 
-func (t Fault) String() string {
-	s := fmt.Sprintf("%v+%v %v of %d", t.Start.Round(time.Millisecond), t.Duration.Round(time.Millisecond), t.Condition, len(t.Replicas))
-	if t.Condition == Slow {
-		s += fmt.Sprintf(" by %.1f", t.Factor)
+func (fault Fault) String() string {
+	text := fmt.Sprintf("%v+%v %v on %d replicas", fault.Start.Round(time.Millisecond),
+		fault.Duration.Round(time.Millisecond), fault.Condition, len(fault.Replicas))
+	if fault.Condition == Slow {
+		text += fmt.Sprintf(" by a factor of %.1f", fault.Factor)
 	}
-	return s
+	return text
 }
 
-// History is a deployment, trouble that ends, and what its clients ask for until then and afterwards.
+// History is a test scenario: a fleet, faults that end, and the load until then and afterwards.
 type History struct {
 	Seed       uint64
 	Config     FleetConfig
-	LoadBefore float64 // of the tracks' rates, while trouble lasts
-	LoadAfter  float64 // of the tracks' rates, from its end on
+	LoadBefore float64 // until HealthyAt, as a factor of the classes' rates
+	LoadAfter  float64 // from HealthyAt on, as a factor of the classes' rates
 	Faults     []Fault
-	HealthyAt  time.Duration // everything is sound and the load light from here on
-	ObserveFor time.Duration // from there
-	Observer   func(*Fleet)  // looks on twice a second; may be nil
+	HealthyAt  time.Duration // when all faults have ended and the load becomes light
+	ObserveFor time.Duration // from HealthyAt on
+	Observer   func(*Fleet)  // called twice a second; may be nil
 }
 
-func (h History) String() string {
-	s := h.Config
-	var words []string
-	for _, t := range s.Classes {
-		words = append(words, fmt.Sprintf("[%s %.1f/s of %d x %v, %v]", t.Effect, t.Rate, t.Subqueries, t.MeanWork, t.Objective))
-	}
-	for _, t := range h.Faults {
-		words = append(words, t.String())
-	}
-	return fmt.Sprintf("seed %d: %d replicas of %d cores in %d cells reach %d, load %.2f light %.2f, sound at %v, "+
-		"budget %v cold %v core %v: %s", h.Seed, s.Replicas, s.Cores, s.Cells, s.CellsPerShard, h.LoadBefore, h.LoadAfter,
-		h.HealthyAt, s.RetryBudget.Span > 0, s.Warmup.Duration > 0, s.EventCost, strings.Join(words, " "))
+func (history History) String() string {
+	config := history.Config
+	var details []string
+	for _, class := range config.Classes {
+		details = append(details, fmt.Sprintf("[%s %.1f/s, %d subqueries of %v, objective %v]", class.Effect,
+			class.Rate, class.Subqueries, class.MeanWork, class.Objective))
+	}
+	for _, fault := range history.Faults {
+		details = append(details, fault.String())
+	}
+	return fmt.Sprintf("seed %d: %d replicas of %d cores in %d cells, %d per shard, load %.2f then %.2f, "+
+		"healthy at %v, retry budget %v, warm-up %v, co-ordinator's core time per event %v: %s",
+		history.Seed, config.Replicas, config.Cores, config.Cells, config.CellsPerShard, history.LoadBefore,
+		history.LoadAfter, history.HealthyAt, config.RetryBudget.Span > 0, config.Warmup.Duration > 0, config.EventCost,
+		strings.Join(details, " "))
 }
 
-// MaxRecovery is when service must be back after everything is sound, at the latest.
-func (h History) MaxRecovery() time.Duration {
-	back := 5 * time.Second
-	for _, t := range h.Config.Classes {
-		back = max(back, 2*t.Objective)
+// MaxRecovery is the longest time after HealthyAt in which the service must recover.
+func (history History) MaxRecovery() time.Duration {
+	recovery := 5 * time.Second
+	for _, class := range history.Config.Classes {
+		recovery = max(recovery, 2*class.Objective)
 	}
-	return back + h.Config.Warmup.Duration // rule 4 holds fresh replicas back until then
+	return recovery + history.Config.Warmup.Duration // slow start limits the load on fresh replicas for that long
 }
 
-// Result is what became of a history.
+// Result is the result of running a history.
 type Result struct {
-	Stuck       bool          // 99% in time was not reached by Back, or something was turned back on an idle fleet after it
-	Recovery    time.Duration // after everything is sound: from when on 99% were fulfilled in time
-	Violations  []string      // rules broken
-	StuckReason string        // where stuck
+	Stuck       bool          // Recovery exceeds MaxRecovery, or after that a query was rejected by an idle fleet
+	Recovery    time.Duration // from HealthyAt to when 99% of the queries were answered within their objective
+	Violations  []string      // of the ledger's rules
+	StuckReason string        // empty unless Stuck
 	QueryCount  int
 	Logs        []string
 }
 
 const (
-	inTime    = 0.99 // share that must be fulfilled in the agreed time once service is back
-	mostParts = 5000 // asked for in one history, so that hundreds run in a minute
+	minShareInTime = 0.99 // of the queries, to be answered within their objective after recovery
+	maxSubqueries  = 5000 // in a history, so that hundreds of histories run in a minute
 )
 
-// Run plays a history.
-func (h History) Run() (Result, error) {
-	f, err := NewFleet(h.Seed, h.Config)
+// Run runs the history.
+func (history History) Run() (Result, error) {
+	fleet, err := NewFleet(history.Seed, history.Config)
 	if err != nil {
 		return Result{}, err
 	}
-	f.SendLoad(h.LoadBefore, h.HealthyAt)
-	for _, t := range h.Faults {
-		f.Schedule(t.Start, func() {
-			for _, r := range t.Replicas {
-				f.Replicas[r].SetCondition(t.Condition, t.Factor)
+	fleet.SendLoad(history.LoadBefore, history.HealthyAt)
+	for _, fault := range history.Faults {
+		fleet.Schedule(fault.Start, func() {
+			for _, n := range fault.Replicas {
+				fleet.Replicas[n].SetCondition(fault.Condition, fault.Factor)
 			}
-			if t.Condition == Down {
-				f.Coordinator.SendEndpointList(false)
+			if fault.Condition == Down {
+				fleet.Coordinator.SendEndpointList(false)
 			}
 		})
-		f.Schedule(t.Start+t.Duration, func() {
-			for _, r := range t.Replicas {
-				f.Replicas[r].SetCondition(Healthy, 1)
+		fleet.Schedule(fault.Start+fault.Duration, func() {
+			for _, n := range fault.Replicas {
+				fleet.Replicas[n].SetCondition(Healthy, 1)
 			}
-			f.Coordinator.SendEndpointList(false)
+			fleet.Coordinator.SendEndpointList(false)
 		})
 	}
-	f.Schedule(h.HealthyAt, func() {
-		for _, r := range f.Replicas {
-			r.SetCondition(Healthy, 1)
+	fleet.Schedule(history.HealthyAt, func() {
+		for _, replica := range fleet.Replicas {
+			replica.SetCondition(Healthy, 1)
 		}
-		f.Coordinator.SendEndpointList(false)
-		f.SendLoad(h.LoadAfter, h.HealthyAt+h.ObserveFor)
+		fleet.Coordinator.SendEndpointList(false)
+		fleet.SendLoad(history.LoadAfter, history.HealthyAt+history.ObserveFor)
 	})
-	for at := time.Duration(0); h.Observer != nil && at < h.HealthyAt+h.ObserveFor; at += 500 * time.Millisecond {
-		f.Schedule(at, func() { h.Observer(f) })
-	}
-	f.RunUntil(h.HealthyAt + h.ObserveFor)
-	end := h.HealthyAt + h.ObserveFor
-	for _, t := range h.Config.Classes {
-		end = max(end, h.HealthyAt+h.ObserveFor+t.Deadline+time.Second)
-	}
-	f.RunUntil(end)
-	f.Coordinator.Ledger.Close()
-	return h.judge(f), nil
+	for at := time.Duration(0); history.Observer != nil &&
+		at < history.HealthyAt+history.ObserveFor; at += 500 * time.Millisecond {
+		fleet.Schedule(at, func() { history.Observer(fleet) })
+	}
+	fleet.RunUntil(history.HealthyAt + history.ObserveFor)
+	end := history.HealthyAt + history.ObserveFor
+	for _, class := range history.Config.Classes {
+		end = max(end, history.HealthyAt+history.ObserveFor+class.Deadline+time.Second)
+	}
+	fleet.RunUntil(end)
+	fleet.Coordinator.Ledger.Close()
+	return history.evaluate(fleet), nil
 }
 
-// judge reads the verdict off what clients saw after everything was sound.
-func (h History) judge(f *Fleet) Result {
-	v := Result{Violations: f.Coordinator.Ledger.Violations, QueryCount: len(f.Coordinator.Ledger.Queries), Logs: f.Coordinator.Logs}
-	after := slices.DeleteFunc(slices.Clone(f.Coordinator.Ledger.Queries), func(q *Query) bool { return q.ArrivedAt < h.HealthyAt })
-	back := h.HealthyAt + h.MaxRecovery()
-	late, turned, seen := 0, 0, 0
-	for n := len(after) - 1; n >= 0; n-- {
-		q := after[n]
+// evaluate derives the result from what clients observed after HealthyAt.
+func (history History) evaluate(fleet *Fleet) Result {
+	result := Result{Violations: fleet.Coordinator.Ledger.Violations, QueryCount: len(fleet.Coordinator.Ledger.Queries),
+		Logs: fleet.Coordinator.Logs}
+	queries := slices.DeleteFunc(slices.Clone(fleet.Coordinator.Ledger.Queries),
+		func(query *Query) bool { return query.ArrivedAt < history.HealthyAt })
+	recoveryDeadline := history.HealthyAt + history.MaxRecovery()
+	late, idleRejections, seen := 0, 0, 0
+	for n := len(queries) - 1; n >= 0; n-- {
+		query := queries[n]
 		seen++
-		if !q.WithinObjective() {
+		if !query.WithinObjective() {
 			late++
 		}
-		if float64(late) > (1-inTime)*float64(seen)+1 { // one is let pass, as chance may have it
-			v.Recovery = max(v.Recovery, q.ArrivedAt-h.HealthyAt)
+		if float64(late) > (1-minShareInTime)*float64(seen)+1 { // one more query may be late by chance
+			result.Recovery = max(result.Recovery, query.ArrivedAt-history.HealthyAt)
 		}
-		if q.ArrivedAt > back && q.Outcome == Rejected && q.FleetWasIdle {
-			turned++
+		if query.ArrivedAt > recoveryDeadline && query.Outcome == Rejected && query.FleetWasIdle {
+			idleRejections++
 		}
 	}
-	if v.Recovery > h.MaxRecovery() || turned > 0 {
-		v.Stuck = true
-		fates := [5]int{}
-		for _, q := range after {
-			if q.ArrivedAt > back {
-				fates[q.Outcome]++
+	if result.Recovery > history.MaxRecovery() || idleRejections > 0 {
+		result.Stuck = true
+		counts := [5]int{}
+		for _, query := range queries {
+			if query.ArrivedAt > recoveryDeadline {
+				counts[query.Outcome]++
 			}
 		}
-		v.StuckReason = fmt.Sprintf("back after %v; later: whole %d turned back %d (idle fleet %d) scrapped %d", v.Recovery, fates[Complete],
-			fates[Rejected], turned, fates[Failed])
+		result.StuckReason = fmt.Sprintf(
+			"recovered after %v; past the maximum: %d complete, %d rejected (%d on an idle fleet), %d failed",
+			result.Recovery, counts[Complete], counts[Rejected], idleRejections, counts[Failed])
 	}
-	return v
+	return result
 }
 
-// RandomHistory makes a history of any kind from a seed.
+// RandomHistory returns the history of a seed.
 func RandomHistory(seed uint64) History {
-	w := NewSimulation(seed ^ 0x9e3779b97f4a7c15)
-	c := w.Rand
-	pick := func(from, to float64) float64 { return from * math.Pow(to/from, c.Float64()) } // log-uniform
-	h := History{Seed: seed}
-	s := &h.Config
-	s.Replicas = int(pick(2, 200.99))
-	s.CellsPerShard = min(s.Replicas, 2+c.IntN(2))
-	s.Cells = s.CellsPerShard + c.IntN(max(1, s.Replicas-s.CellsPerShard+1))
-	if c.IntN(2) == 0 {
-		s.Cells = s.CellsPerShard // all hold all
-	}
-	s.Cores = 1 + c.IntN(8)
-	if c.IntN(4) == 0 {
-		s.Cores = 0
-	}
-	s.MaxAttempts, s.HedgeAllowed, s.CancelAllowed = 2+c.IntN(3), c.IntN(4) > 0, c.IntN(4) > 0
-	if c.IntN(2) == 0 {
-		s.RetryBudget = RetryBudget{MinRetries: 3, Share: 0.1, Span: 10 * time.Second}
-	}
-	if c.IntN(4) == 0 {
-		s.Warmup = Warmup{StartSpeed: 0.25, Duration: 4 * time.Second}
-		s.ColdStart = c.IntN(2) == 0
-	}
-	s.Coordinators = 1
-	if c.IntN(3) == 0 {
-		s.Coordinators = 1 + c.IntN(60)
-	}
-	if c.IntN(3) == 0 {
-		s.IterationCost, s.EventCost = 20*time.Microsecond, time.Duration(pick(5, 60))*time.Microsecond
-	}
-	for range 1 + c.IntN(3) {
-		t := Class{Objective: seconds(pick(0.3, 4)), Effect: []string{Idempotent, Idempotent, Keyed, NonIdempotent}[c.IntN(4)],
-			Subqueries: int(pick(1, 50.99)), WorkSigma: []float64{0, 0.5}[c.IntN(2)], Rate: pick(0.3, 1)}
-		t.Deadline = time.Duration(float64(t.Objective) * pick(1.5, 4))
-		t.KeyWindow = t.Deadline / 2
-		// an idle replica does its part of a query in good time
-		side := max(1, s.Cores)
-		if s.Cores == 0 {
-			side = 64
+	simulation := NewSimulation(seed ^ 0x9e3779b97f4a7c15)
+	random := simulation.Rand
+	logUniform := func(from, to float64) float64 { return from * math.Pow(to/from, random.Float64()) }
+	history := History{Seed: seed}
+	config := &history.Config
+	config.Replicas = int(logUniform(2, 200.99))
+	config.CellsPerShard = min(config.Replicas, 2+random.IntN(2))
+	config.Cells = config.CellsPerShard + random.IntN(max(1, config.Replicas-config.CellsPerShard+1))
+	if random.IntN(2) == 0 {
+		config.Cells = config.CellsPerShard // every replica holds every shard
+	}
+	config.Cores = 1 + random.IntN(8)
+	if random.IntN(4) == 0 {
+		config.Cores = 0
+	}
+	config.MaxAttempts, config.HedgeAllowed, config.CancelAllowed =
+		2+random.IntN(3), random.IntN(4) > 0, random.IntN(4) > 0
+	if random.IntN(2) == 0 {
+		config.RetryBudget = RetryBudget{MinRetries: 3, Share: 0.1, Span: 10 * time.Second}
+	}
+	if random.IntN(4) == 0 {
+		config.Warmup = Warmup{StartSpeed: 0.25, Duration: 4 * time.Second}
+		config.ColdStart = random.IntN(2) == 0
+	}
+	config.Coordinators = 1
+	if random.IntN(3) == 0 {
+		config.Coordinators = 1 + random.IntN(60)
+	}
+	if random.IntN(3) == 0 {
+		config.IterationCost, config.EventCost =
+			20*time.Microsecond, time.Duration(logUniform(5, 60))*time.Microsecond
+	}
+	for range 1 + random.IntN(3) {
+		class := Class{Objective: seconds(logUniform(0.3, 4)),
+			Effect:     []string{Idempotent, Idempotent, Keyed, NonIdempotent}[random.IntN(4)],
+			Subqueries: int(logUniform(1, 50.99)), WorkSigma: []float64{0, 0.5}[random.IntN(2)],
+			Rate: logUniform(0.3, 1)}
+		class.Deadline = time.Duration(float64(class.Objective) * logUniform(1.5, 4))
+		class.KeyWindow = class.Deadline / 2
+		// An idle fleet answers each query well within its objective.
+		parallelism := max(1, config.Cores)
+		if config.Cores == 0 {
+			parallelism = 64
 		}
-		deep := math.Ceil(float64(t.Subqueries) / float64(s.Replicas) * 2 / float64(side))
-		t.MeanWork = seconds(t.Objective.Seconds() * pick(0.002, 0.08) / max(1, deep))
-		s.Classes = append(s.Classes, t)
-	}
-	if c.IntN(3) == 0 { // for some queries at a time, or a sound box turns away what light load brings
-		s.QueueLimit = 8 + c.IntN(60)
-		for _, t := range s.Classes {
-			s.QueueLimit = max(s.QueueLimit, 4*(1+t.Subqueries/s.Replicas))
+		rounds := math.Ceil(float64(class.Subqueries) / float64(config.Replicas) * 2 / float64(parallelism))
+		class.MeanWork = seconds(class.Objective.Seconds() * logUniform(0.002, 0.08) / max(1, rounds))
+		config.Classes = append(config.Classes, class)
+	}
+	if random.IntN(3) == 0 { // room for several queries at a time; otherwise healthy replicas reject even light load
+		config.QueueLimit = 8 + random.IntN(60)
+		for _, class := range config.Classes {
+			config.QueueLimit = max(config.QueueLimit, 4*(1+class.Subqueries/config.Replicas))
 		}
 	}
-	h.HealthyAt = seconds(pick(4, 20))
-	h.ObserveFor = h.MaxRecovery() + 10*time.Second
-	parts, rate := 0.0, 0.0
-	for _, t := range s.Classes {
-		parts += t.Rate * float64(t.Subqueries)
-		rate += t.Rate
-	}
-	most := mostParts / h.HealthyAt.Seconds() / parts // of Load
-	h.LoadBefore = min(most, s.Capacity()/rate*pick(0.02, 2))
-	h.LoadBefore = max(h.LoadBefore, 1/rate)
-	h.LoadAfter = max(min(h.LoadBefore, s.Capacity()/rate*0.1, 2500/h.ObserveFor.Seconds()/parts), 1/rate)
-	for range 1 + c.IntN(3) {
-		t := Fault{Condition: Condition(1 + c.IntN(len(conditionNames)-1)), Factor: pick(2, 200)}
-		t.Start = seconds(c.Float64() * h.HealthyAt.Seconds() * 0.7)
-		t.Duration = seconds(pick(0.2, max(0.3, (h.HealthyAt-t.Start).Seconds())))
-		t.Duration = min(t.Duration, h.HealthyAt-t.Start)
-		share := []float64{1, 1, 0.5, 0}[c.IntN(4)]
-		for n := range s.Replicas {
-			if c.Float64() < share {
-				t.Replicas = append(t.Replicas, n)
+	history.HealthyAt = seconds(logUniform(4, 20))
+	history.ObserveFor = history.MaxRecovery() + 10*time.Second
+	subqueryRate, rate := 0.0, 0.0
+	for _, class := range config.Classes {
+		subqueryRate += class.Rate * float64(class.Subqueries)
+		rate += class.Rate
+	}
+	maxLoad := maxSubqueries / history.HealthyAt.Seconds() / subqueryRate
+	history.LoadBefore = min(maxLoad, config.Capacity()/rate*logUniform(0.02, 2))
+	history.LoadBefore = max(history.LoadBefore, 1/rate)
+	history.LoadAfter = max(min(history.LoadBefore, config.Capacity()/rate*0.1,
+		2500/history.ObserveFor.Seconds()/subqueryRate), 1/rate)
+	for range 1 + random.IntN(3) {
+		fault := Fault{Condition: Condition(1 + random.IntN(len(conditionNames)-1)), Factor: logUniform(2, 200)}
+		fault.Start = seconds(random.Float64() * history.HealthyAt.Seconds() * 0.7)
+		fault.Duration = seconds(logUniform(0.2, max(0.3, (history.HealthyAt-fault.Start).Seconds())))
+		fault.Duration = min(fault.Duration, history.HealthyAt-fault.Start)
+		share := []float64{1, 1, 0.5, 0}[random.IntN(4)]
+		for n := range config.Replicas {
+			if random.Float64() < share {
+				fault.Replicas = append(fault.Replicas, n)
 			}
 		}
-		if len(t.Replicas) == 0 {
-			t.Replicas = []int{c.IntN(s.Replicas)}
+		if len(fault.Replicas) == 0 {
+			fault.Replicas = []int{random.IntN(config.Replicas)}
 		}
-		h.Faults = append(h.Faults, t)
+		history.Faults = append(history.Faults, fault)
 	}
-	return h
+	return history
 }
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -7,99 +7,111 @@
 	"terntray/scheduler"
 )
 
-// grace is how late a final answer may come: the sweeps and the turn that bring it.
-const grace = 25 * time.Millisecond
+// answerGrace is how long after its deadline a query may be answered. It covers the scheduler's periodic checks and
+// the iteration that sends the answer.
+const answerGrace = 25 * time.Millisecond
 
-// Ledger holds what replicas and clients saw of one co-ordinator, and judges the rules by it alone.
+// Ledger records what the replicas and clients of one co-ordinator observe, and checks the rules against that alone:
+//
+//	1  a query has one answer, by its deadline, and no attempt afterwards
+//	2  a subquery that may have run is attempted again only if its class allows it
+//	5  attempts go to replicas that hold the shard, and a complete answer has all subqueries
+//	6  attempts stay within the limit and the retry budget
 type Ledger struct {
-	Violations []string // rules broken, in words
+	Violations []string
 
-	fleet   *Fleet
-	Queries []*Query
-	taken   []time.Duration // queries and parts within the span of the attempt budget
-	extras  []time.Duration // further attempts within it
+	fleet         *Fleet
+	Queries       []*Query
+	arrivals      []time.Duration // of queries and subqueries within the retry budget's span
+	extraAttempts []time.Duration // retries and hedges within it
 }
 
-func newLedger(f *Fleet) *Ledger { return &Ledger{fleet: f} }
+func newLedger(fleet *Fleet) *Ledger { return &Ledger{fleet: fleet} }
 
-func (g *Ledger) breaks(rule int, format string, args ...any) {
-	g.Violations = append(g.Violations, fmt.Sprintf("%v rule %d: ", g.fleet.Now, rule)+fmt.Sprintf(format, args...))
+func (ledger *Ledger) addViolation(rule int, format string, args ...any) {
+	ledger.Violations = append(ledger.Violations,
+		fmt.Sprintf("%v rule %d: ", ledger.fleet.Now, rule)+fmt.Sprintf(format, args...))
 }
 
-func (g *Ledger) came(q *Query) {
-	g.Queries = append(g.Queries, q)
-	for range 1 + len(q.parts) {
-		g.taken = append(g.taken, g.fleet.Now)
+func (ledger *Ledger) addQuery(query *Query) {
+	ledger.Queries = append(ledger.Queries, query)
+	for range 1 + len(query.subqueries) {
+		ledger.arrivals = append(ledger.arrivals, ledger.fleet.Now)
 	}
 }
 
-func neverRan(how scheduler.Outcome) bool {
-	return how == scheduler.Overloaded || how == scheduler.Unreachable || how == scheduler.NeverSent
+// neverRan reports whether the outcome proves that the attempt did not run.
+func neverRan(outcome scheduler.Outcome) bool {
+	return outcome == scheduler.Overloaded || outcome == scheduler.Unreachable || outcome == scheduler.NeverSent
 }
 
-// sends judges an attempt before it joins its part's.
-func (g *Ledger) sends(l *attempt) {
-	p, q, now := l.part, l.part.of, g.fleet.Now
-	t := g.fleet.Classes[q.Class]
-	if q.Outcome != Unanswered || p.in || now >= q.Deadline {
-		g.breaks(1, "a leg of part %d after its end", p.id)
+// checkAttempt checks an attempt before it is added to its subquery.
+func (ledger *Ledger) checkAttempt(attempt *attempt) {
+	subquery, query, now := attempt.subquery, attempt.subquery.query, ledger.fleet.Now
+	class := ledger.fleet.Classes[query.Class]
+	if query.Outcome != Unanswered || subquery.answered || now >= query.Deadline {
+		ledger.addViolation(1, "attempt at subquery %d after its end", subquery.id)
 	}
-	if behind := (int(l.at.Cell) - p.shard%g.fleet.Cells + g.fleet.Cells) % g.fleet.Cells; behind >= g.fleet.CellsPerShard {
-		g.breaks(5, "replica %d does not hold shard %d", l.at.ID, p.shard)
+	if offset := (int(attempt.replica.Cell) - subquery.shard%ledger.fleet.Cells + ledger.fleet.Cells) %
+		ledger.fleet.Cells; offset >= ledger.fleet.CellsPerShard {
+		ledger.addViolation(5, "replica %d does not hold shard %d", attempt.replica.ID, subquery.shard)
 	}
-	for _, o := range p.attempts {
-		ran := !(o.over && neverRan(o.how))
+	for _, earlier := range subquery.attempts {
+		mayHaveRun := !(earlier.ended && neverRan(earlier.outcome))
 		switch {
-		case ran && t.Effect == NonIdempotent:
-			g.breaks(2, "a further leg of single-use part %d", p.id)
-		case ran && t.Effect == Keyed && now > o.sent+t.KeyWindow:
-			g.breaks(2, "a further leg of referenced part %d after its window", p.id)
+		case mayHaveRun && class.Effect == NonIdempotent:
+			ledger.addViolation(2, "another attempt at non-idempotent subquery %d", subquery.id)
+		case mayHaveRun && class.Effect == Keyed && now > earlier.sentAt+class.KeyWindow:
+			ledger.addViolation(2, "another attempt at keyed subquery %d after its key window", subquery.id)
 		}
 	}
-	if len(p.attempts) >= g.fleet.MaxAttempts {
-		g.breaks(6, "leg %d of part %d", len(p.attempts)+1, p.id)
+	if len(subquery.attempts) >= ledger.fleet.MaxAttempts {
+		ledger.addViolation(6, "attempt %d at subquery %d exceeds the limit", len(subquery.attempts)+1, subquery.id)
 	}
-	if b := g.fleet.RetryBudget; len(p.attempts) > 0 && b.Span > 0 {
-		g.extras = append(since(g.extras, now-b.Span), now)
-		g.taken = since(g.taken, now-b.Span)
-		if float64(len(g.extras)) > b.MinRetries+b.Share*float64(len(g.taken)) {
-			g.breaks(6, "%d further legs for %d taken", len(g.extras), len(g.taken))
+	if budget := ledger.fleet.RetryBudget; len(subquery.attempts) > 0 && budget.Span > 0 {
+		ledger.extraAttempts = append(dropUntil(ledger.extraAttempts, now-budget.Span), now)
+		ledger.arrivals = dropUntil(ledger.arrivals, now-budget.Span)
+		if float64(len(ledger.extraAttempts)) > budget.MinRetries+budget.Share*float64(len(ledger.arrivals)) {
+			ledger.addViolation(6, "%d retries and hedges for %d queries and subqueries",
+				len(ledger.extraAttempts), len(ledger.arrivals))
 		}
 	}
 }
 
-// since drops the times up to one.
-func since(times []time.Duration, after time.Duration) []time.Duration {
-	for len(times) > 0 && times[0] <= after {
+// dropUntil returns the times after a limit; they must be in ascending order.
+func dropUntil(times []time.Duration, limit time.Duration) []time.Duration {
+	for len(times) > 0 && times[0] <= limit {
 		times = times[1:]
 	}
 	return times
 }
 
-// ends judges a final answer.
-func (g *Ledger) ends(q *Query) {
-	if late := q.EndedAt - q.Deadline; late > grace {
-		g.breaks(1, "retrieval %d ends %v after its cut-off", q.ID, late)
+// checkAnswer checks the answer to a query.
+func (ledger *Ledger) checkAnswer(query *Query) {
+	if late := query.EndedAt - query.Deadline; late > answerGrace {
+		ledger.addViolation(1, "query %d answered %v after its deadline", query.ID, late)
 	}
-	if q.Outcome == Complete && q.got < len(q.parts) {
-		g.breaks(5, "retrieval %d answered whole with %d of %d parts", q.ID, q.got, len(q.parts))
+	if query.Outcome == Complete && query.answered < len(query.subqueries) {
+		ledger.addViolation(5, "query %d answered as complete with %d of %d subqueries", query.ID, query.answered,
+			len(query.subqueries))
 	}
-	if q.Outcome == Rejected && g.fleet.Classes[q.Class].Effect == NonIdempotent {
-		for _, p := range q.parts {
-			for _, l := range p.attempts {
-				if !(l.over && neverRan(l.how)) {
-					g.breaks(2, "single-use retrieval %d turned back after a leg that may have run", q.ID)
+	if query.Outcome == Rejected && ledger.fleet.Classes[query.Class].Effect == NonIdempotent {
+		for _, subquery := range query.subqueries {
+			for _, attempt := range subquery.attempts {
+				if !(attempt.ended && neverRan(attempt.outcome)) {
+					ledger.addViolation(2, "non-idempotent query %d rejected after an attempt that may have run",
+						query.ID)
 				}
 			}
 		}
 	}
 }
 
-// Close judges what has had no final answer although its time is over.
-func (g *Ledger) Close() {
-	for _, q := range g.Queries {
-		if q.Outcome == Unanswered && g.fleet.Now > q.Deadline+grace {
-			g.breaks(1, "retrieval %d had no final answer", q.ID)
+// Close checks that every query whose deadline has passed was answered.
+func (ledger *Ledger) Close() {
+	for _, query := range ledger.Queries {
+		if query.Outcome == Unanswered && ledger.fleet.Now > query.Deadline+answerGrace {
+			ledger.addViolation(1, "query %d not answered by its deadline", query.ID)
 		}
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -8,43 +8,49 @@
 	"terntray/scheduler"
 )
 
-// Coordinator is one co-ordinator: the module, and a core that its turns take up. What happens while a turn runs waits
-// for the next, as it does on sockets; what a turn decides leaves at its end.
+// Coordinator simulates one co-ordinator: the real Scheduler, and an event loop whose iterations take up the time of a
+// core. Events that occur during an iteration wait for the next, as they do on sockets. What an iteration sends leaves
+// at its end.
 type Coordinator struct {
 	Scheduler *scheduler.Scheduler
 	Ledger    *Ledger
-	Logs      []string
-
-	world                                  *Simulation
-	fleet                                  *Fleet
-	IterationCost, EventCost, NetworkDelay time.Duration // of its core for a turn and for each thing told; from it to a replica
-	inbox                                  []func()
-	next                                   []func() // told at the start of the next turn
-	freeAt                                 time.Duration
-	planned                                bool
-	leaving                                []func()
-	lastID                                 scheduler.RequestID
-	lastNumber                             scheduler.QueryNumber
-	open                                   map[scheduler.RequestID]*Query
-	parts                                  map[scheduler.RequestID]*part
+	Logs      []string // the latest lines
+
+	simulation *Simulation
+	fleet      *Fleet
+
+	// IterationCost and EventCost are the core time that an iteration takes, and the additional time for each event.
+	// NetworkDelay is the one-way delay to a replica.
+	IterationCost, EventCost, NetworkDelay time.Duration
+
+	events             []func() // received for the next iteration
+	ownEvents          []func() // caused by the co-ordinator itself; handled first in the next iteration
+	coreFreeAt         time.Duration
+	iterationScheduled bool
+	outputs            []func() // attempts that leave at the end of the iteration
+	lastRequestID      scheduler.RequestID
+	lastQueryNumber    scheduler.QueryNumber
+	openQueries        map[scheduler.RequestID]*Query
+	subqueries         map[scheduler.RequestID]*subquery
 }
 
-// Query is a client's, with what became of it.
+// Query is a client's query and its result.
 type Query struct {
 	ID                  scheduler.RequestID
 	Class               int
 	ArrivedAt, Deadline time.Duration
-	EndedAt             time.Duration // when its final answer came; 0: none yet
+	EndedAt             time.Duration // when it was answered; 0: not yet
 	Outcome             QueryOutcome
-	FleetWasIdle        bool // no attempt waited or ran anywhere when it came
-	parts               []*part
-	agreed              time.Duration
-	got                 int
+	FleetWasIdle        bool // no replica had an attempt waiting or running when it arrived
+	subqueries          []*subquery
+	objective           time.Duration
+	answered            int // subqueries
 }
 
-// QueryOutcome is what a client is answered.
+// QueryOutcome is the kind of answer that a client received.
 type QueryOutcome int
 
+// The outcomes of a query.
 const (
 	Unanswered QueryOutcome = iota
 	Complete
@@ -53,235 +59,255 @@
 	Failed
 )
 
-// WithinObjective tells whether it was fulfilled whole within its agreed time.
-func (q *Query) WithinObjective() bool {
-	return q.Outcome == Complete && q.EndedAt <= q.ArrivedAt+q.agreed
+// WithinObjective reports whether the query was answered completely within its latency objective.
+func (query *Query) WithinObjective() bool {
+	return query.Outcome == Complete && query.EndedAt <= query.ArrivedAt+query.objective
 }
 
-type part struct {
+type subquery struct {
 	id       scheduler.RequestID
-	of       *Query
+	query    *Query
 	shard    int
-	in       bool
+	answered bool
 	attempts []*attempt
 }
 
 type attempt struct {
-	node       *Coordinator
-	part       *part
-	number     int
-	at         *Replica
-	sent       time.Duration
-	work       time.Duration
-	done       time.Duration // when its replica is done with it, as things are
-	mayHaveRun bool          // the replica has begun it, or nobody can tell
-	over       bool
-	how        scheduler.Outcome
+	coordinator *Coordinator
+	subquery    *subquery
+	number      int
+	replica     *Replica
+	sentAt      time.Duration
+	work        time.Duration
+	endsAt      time.Duration // when its replica will have finished it, at its present speed
+	mayHaveRun  bool          // the replica has started it, or whether it did is unknown
+	ended       bool
+	outcome     scheduler.Outcome
 }
 
-func newNode(f *Fleet, seed uint64, settings map[string]string) (*Coordinator, error) {
-	n := &Coordinator{world: f.Simulation, fleet: f, NetworkDelay: hop, open: map[scheduler.RequestID]*Query{}, parts: map[scheduler.RequestID]*part{}}
-	n.Ledger = newLedger(f)
+func newCoordinator(fleet *Fleet, seed uint64, settings map[string]string) (*Coordinator, error) {
+	coordinator := &Coordinator{simulation: fleet.Simulation, fleet: fleet, NetworkDelay: networkDelay,
+		openQueries: map[scheduler.RequestID]*Query{}, subqueries: map[scheduler.RequestID]*subquery{}}
+	coordinator.Ledger = newLedger(fleet)
 	config, err := scheduler.ParseConfig(settings)
 	if err != nil {
 		return nil, err
 	}
-	module, err := scheduler.New(n, seed, config)
+	scheduler, err := scheduler.New(coordinator, seed, config)
 	if err != nil {
 		return nil, err
 	}
-	n.Scheduler = module
-	return n, nil
+	coordinator.Scheduler = scheduler
+	return coordinator, nil
 }
 
-// happens has something told in the next turn.
-func (n *Coordinator) happens(do func()) {
-	n.inbox = append(n.inbox, do)
-	n.plan()
+// enqueue has an event handled in the next iteration.
+func (coordinator *Coordinator) enqueue(event func()) {
+	coordinator.events = append(coordinator.events, event)
+	coordinator.scheduleIteration()
 }
 
-func (n *Coordinator) plan() {
-	if !n.planned {
-		n.planned = true
-		n.world.Schedule(n.freeAt, n.turn)
+// scheduleIteration schedules an iteration for when the core is free, unless one is scheduled already.
+func (coordinator *Coordinator) scheduleIteration() {
+	if !coordinator.iterationScheduled {
+		coordinator.iterationScheduled = true
+		coordinator.simulation.Schedule(coordinator.coreFreeAt, coordinator.runIteration)
 	}
 }
 
-func (n *Coordinator) turn() {
-	n.planned = false
-	told := append(n.next, n.inbox...)
-	n.next, n.inbox, n.leaving = nil, nil, nil
-	for _, do := range told {
-		do()
+func (coordinator *Coordinator) runIteration() {
+	coordinator.iterationScheduled = false
+	events := append(coordinator.ownEvents, coordinator.events...)
+	coordinator.ownEvents, coordinator.events, coordinator.outputs = nil, nil, nil
+	for _, handle := range events {
+		handle()
 	}
-	n.Scheduler.Decide(n.world.Now)
-	n.freeAt = n.world.Now + n.IterationCost + time.Duration(len(told))*n.EventCost
-	out := n.leaving
-	n.world.Schedule(n.freeAt, func() {
-		for _, do := range out {
-			do()
+	coordinator.Scheduler.Decide(coordinator.simulation.Now)
+	coordinator.coreFreeAt = coordinator.simulation.Now + coordinator.IterationCost +
+		time.Duration(len(events))*coordinator.EventCost
+	outputs := coordinator.outputs
+	coordinator.simulation.Schedule(coordinator.coreFreeAt, func() {
+		for _, send := range outputs {
+			send()
 		}
 	})
-	if len(n.next) > 0 {
-		n.plan()
+	if len(coordinator.ownEvents) > 0 {
+		coordinator.scheduleIteration()
 	}
 }
 
-// SendEndpointList tells of all replicas as they are.
-func (n *Coordinator) SendEndpointList(old bool) {
-	n.happens(func() {
-		n.Scheduler.EndpointListBegins(n.world.Now, true, old)
-		for _, r := range n.fleet.Replicas {
-			n.Scheduler.EndpointListed(n.world.Now, scheduler.Endpoint{ID: r.ID, State: scheduler.Ready, Started: r.StartedAt, Cell: r.Cell})
+// SendEndpointList gives the Scheduler the full endpoint list. A restored list counts as one that was kept from before
+// the Scheduler was created.
+func (coordinator *Coordinator) SendEndpointList(restored bool) {
+	coordinator.enqueue(func() {
+		coordinator.Scheduler.EndpointListBegins(coordinator.simulation.Now, true, restored)
+		for _, replica := range coordinator.fleet.Replicas {
+			coordinator.Scheduler.EndpointListed(coordinator.simulation.Now, scheduler.Endpoint{ID: replica.ID,
+				State: scheduler.Ready, Started: replica.StartedAt, Cell: replica.Cell})
 		}
 	})
 }
 
-// ReceiveQuery has a client ask for shards, each part's work as given.
-func (n *Coordinator) ReceiveQuery(track int, shards []int, work []time.Duration) *Query {
-	t := n.fleet.Classes[track]
-	n.lastID++
-	q := &Query{ID: n.lastID, Class: track, ArrivedAt: n.world.Now, Deadline: n.world.Now + t.Deadline, agreed: t.Objective,
-		FleetWasIdle: n.fleet.idle()}
-	for i, s := range shards {
-		n.lastID++
-		q.parts = append(q.parts, &part{id: n.lastID, of: q, shard: s})
-		n.fleet.work[n.lastID] = work[i]
+// ReceiveQuery has a client's query arrive, with a subquery for each shard whose work is given at the same index.
+func (coordinator *Coordinator) ReceiveQuery(classIndex int, shards []int, work []time.Duration) *Query {
+	class := coordinator.fleet.Classes[classIndex]
+	coordinator.lastRequestID++
+	query := &Query{ID: coordinator.lastRequestID, Class: classIndex, ArrivedAt: coordinator.simulation.Now,
+		Deadline: coordinator.simulation.Now + class.Deadline, objective: class.Objective,
+		FleetWasIdle: coordinator.fleet.idle()}
+	for i, shard := range shards {
+		coordinator.lastRequestID++
+		query.subqueries = append(query.subqueries, &subquery{id: coordinator.lastRequestID, query: query,
+			shard: shard})
+		coordinator.fleet.workBySubquery[coordinator.lastRequestID] = work[i]
 	}
-	n.Ledger.came(q)
-	n.happens(func() {
-		n.lastNumber++
-		n.open[q.ID] = q
-		left := max(0, q.Deadline-n.world.Now)
-		n.Scheduler.QueryArrives(n.world.Now, scheduler.QueryArrival{ID: q.ID, Number: n.lastNumber, Class: scheduler.ClassIndex(track),
-			TimeLeft: left, Subqueries: len(q.parts)})
-		for _, p := range q.parts {
-			n.parts[p.id] = p
-			n.Scheduler.SubqueryArrives(n.world.Now, scheduler.SubqueryArrival{ID: p.id, Query: n.lastNumber, Shard: scheduler.ShardNumber(p.shard),
-				Weight: 1 / float64(len(q.parts))})
+	coordinator.Ledger.addQuery(query)
+	coordinator.enqueue(func() {
+		coordinator.lastQueryNumber++
+		coordinator.openQueries[query.ID] = query
+		timeLeft := max(0, query.Deadline-coordinator.simulation.Now)
+		coordinator.Scheduler.QueryArrives(coordinator.simulation.Now, scheduler.QueryArrival{ID: query.ID,
+			Number: coordinator.lastQueryNumber, Class: scheduler.ClassIndex(classIndex), TimeLeft: timeLeft,
+			Subqueries: len(query.subqueries)})
+		for _, subquery := range query.subqueries {
+			coordinator.subqueries[subquery.id] = subquery
+			coordinator.Scheduler.SubqueryArrives(coordinator.simulation.Now, scheduler.SubqueryArrival{ID: subquery.id,
+				Query: coordinator.lastQueryNumber, Shard: scheduler.ShardNumber(subquery.shard),
+				Weight: 1 / float64(len(query.subqueries))})
 		}
 	})
-	return q
+	return query
 }
 
-// StartAttempt sends an attempt once the turn is over.
-func (n *Coordinator) StartAttempt(id scheduler.RequestID, to scheduler.ReplicaID, timeout time.Duration) {
-	p := n.parts[id]
-	r := n.fleet.byID[to]
-	if p == nil || r == nil {
-		n.Ledger.breaks(1, "a leg of part %d to replica %d, one of which is not known", id, to)
+// StartAttempt implements scheduler.Host. The attempt leaves at the end of the iteration.
+func (coordinator *Coordinator) StartAttempt(subqueryID scheduler.RequestID, replicaID scheduler.ReplicaID,
+	timeout time.Duration) {
+	subquery := coordinator.subqueries[subqueryID]
+	replica := coordinator.fleet.replicaByID[replicaID]
+	if subquery == nil || replica == nil {
+		coordinator.Ledger.addViolation(1, "attempt at subquery %d on replica %d: one of them is unknown", subqueryID,
+			replicaID)
 		return
 	}
-	l := &attempt{node: n, part: p, number: len(p.attempts), at: r, sent: n.world.Now, work: n.fleet.work[id]}
-	n.Ledger.sends(l)
-	p.attempts = append(p.attempts, l)
-	until := p.of.Deadline
+	attempt := &attempt{coordinator: coordinator, subquery: subquery, number: len(subquery.attempts), replica: replica,
+		sentAt: coordinator.simulation.Now, work: coordinator.fleet.workBySubquery[subqueryID]}
+	coordinator.Ledger.checkAttempt(attempt)
+	subquery.attempts = append(subquery.attempts, attempt)
+	until := subquery.query.Deadline
 	if timeout > 0 {
-		until = min(until, n.world.Now+timeout)
+		until = min(until, coordinator.simulation.Now+timeout)
 	}
-	n.leaving = append(n.leaving, func() {
-		n.world.Schedule(n.world.Now+n.NetworkDelay, func() {
-			if !l.over || !l.at.SupportsCancel {
-				r.takes(l)
+	coordinator.outputs = append(coordinator.outputs, func() {
+		coordinator.simulation.Schedule(coordinator.simulation.Now+coordinator.NetworkDelay, func() {
+			if !attempt.ended || !attempt.replica.SupportsCancel {
+				replica.receive(attempt)
 			}
 		})
-		n.world.Schedule(until, func() { l.ends(scheduler.TimedOut) })
+		coordinator.simulation.Schedule(until, func() { attempt.end(scheduler.TimedOut) })
 	})
 }
 
-// outcome has the node hear of it after the way back.
-func (l *attempt) outcome(how scheduler.Outcome) {
-	l.node.world.Schedule(l.node.world.Now+l.node.NetworkDelay, func() { l.ends(how) })
+// endAfterDelay ends the attempt once its outcome has crossed the network to the co-ordinator.
+func (attempt *attempt) endAfterDelay(outcome scheduler.Outcome) {
+	attempt.coordinator.simulation.Schedule(attempt.coordinator.simulation.Now+attempt.coordinator.NetworkDelay,
+		func() { attempt.end(outcome) })
 }
 
-// ends tells the node of the attempt's end, once.
-func (l *attempt) ends(how scheduler.Outcome) {
-	if l.over {
+// end records the outcome and reports it to the Scheduler, unless the attempt has already ended.
+func (attempt *attempt) end(outcome scheduler.Outcome) {
+	if attempt.ended {
 		return
 	}
-	n, took := l.node, l.node.world.Now-l.sent
-	l.over, l.how = true, how
-	n.happens(func() { n.told(l, took) })
+	coordinator, took := attempt.coordinator, attempt.coordinator.simulation.Now-attempt.sentAt
+	attempt.ended, attempt.outcome = true, outcome
+	coordinator.enqueue(func() { coordinator.reportEnd(attempt, took) })
 }
 
-func (n *Coordinator) told(l *attempt, took time.Duration) {
-	if l.how == scheduler.Succeeded && !l.part.in && l.part.of.Outcome == Unanswered {
-		l.part.in = true
-		l.part.of.got++
+// reportEnd tells the Scheduler that an attempt has ended.
+func (coordinator *Coordinator) reportEnd(attempt *attempt, took time.Duration) {
+	if attempt.outcome == scheduler.Succeeded && !attempt.subquery.answered &&
+		attempt.subquery.query.Outcome == Unanswered {
+		attempt.subquery.answered = true
+		attempt.subquery.query.answered++
 	}
-	n.Scheduler.AttemptEnds(n.world.Now, scheduler.AttemptResult{Subquery: l.part.id, Attempt: scheduler.AttemptNumber(l.number), Outcome: l.how, Took: took})
-	n.clear(l.part)
+	coordinator.Scheduler.AttemptEnds(coordinator.simulation.Now, scheduler.AttemptResult{Subquery: attempt.subquery.id,
+		Attempt: scheduler.AttemptNumber(attempt.number), Outcome: attempt.outcome, Took: took})
+	coordinator.forgetEnded(attempt.subquery)
 }
 
-// clear lets go of a part that nothing can be told of any more.
-func (n *Coordinator) clear(p *part) {
-	if p.of.Outcome != Unanswered && !slices.ContainsFunc(p.attempts, func(l *attempt) bool { return !l.over }) {
-		delete(n.parts, p.id)
-		delete(n.fleet.work, p.id)
+// forgetEnded forgets a subquery whose query is answered and whose attempts have all ended.
+func (coordinator *Coordinator) forgetEnded(subquery *subquery) {
+	if subquery.query.Outcome != Unanswered &&
+		!slices.ContainsFunc(subquery.attempts, func(attempt *attempt) bool { return !attempt.ended }) {
+		delete(coordinator.subqueries, subquery.id)
+		delete(coordinator.fleet.workBySubquery, subquery.id)
 	}
 }
 
-// CancelAttempt calls an attempt off; the module hears of it at the start of the next turn.
-func (n *Coordinator) CancelAttempt(id scheduler.RequestID, number scheduler.AttemptNumber) {
-	p := n.parts[id]
-	if p == nil || int(number) >= len(p.attempts) || p.attempts[number].over {
+// CancelAttempt implements scheduler.Host. The Scheduler is told of the attempt's end at the start of the next
+// iteration.
+func (coordinator *Coordinator) CancelAttempt(subqueryID scheduler.RequestID, number scheduler.AttemptNumber) {
+	subquery := coordinator.subqueries[subqueryID]
+	if subquery == nil || int(number) >= len(subquery.attempts) || subquery.attempts[number].ended {
 		return
 	}
-	l := p.attempts[number]
-	l.over, l.how = true, scheduler.Cancelled
-	l.at.cancels(l)
-	took := n.world.Now - l.sent
-	n.next = append(n.next, func() { n.told(l, took) })
-	n.plan()
+	attempt := subquery.attempts[number]
+	attempt.ended, attempt.outcome = true, scheduler.Cancelled
+	attempt.replica.cancel(attempt)
+	took := coordinator.simulation.Now - attempt.sentAt
+	coordinator.ownEvents = append(coordinator.ownEvents, func() { coordinator.reportEnd(attempt, took) })
+	coordinator.scheduleIteration()
 }
 
-func (n *Coordinator) final(id scheduler.RequestID, how QueryOutcome) {
-	q := n.open[id]
-	if q == nil {
-		n.Ledger.breaks(1, "a second final answer to retrieval %d, or one to none", id)
+func (coordinator *Coordinator) answer(id scheduler.RequestID, outcome QueryOutcome) {
+	query := coordinator.openQueries[id]
+	if query == nil {
+		coordinator.Ledger.addViolation(1, "query %d answered, but it is unknown or already answered", id)
 		return
 	}
-	delete(n.open, id)
-	q.Outcome, q.EndedAt = how, n.world.Now
-	n.Ledger.ends(q)
-	for _, p := range q.parts {
-		n.clear(p)
+	delete(coordinator.openQueries, id)
+	query.Outcome, query.EndedAt = outcome, coordinator.simulation.Now
+	coordinator.Ledger.checkAnswer(query)
+	for _, subquery := range query.subqueries {
+		coordinator.forgetEnded(subquery)
 	}
 }
 
-// Complete gives a query its final answer, as Reject and Fail do.
-func (n *Coordinator) Complete(id scheduler.RequestID, whole bool) {
-	how := Partial
-	if whole {
-		how = Complete
+// Complete implements scheduler.Host.
+func (coordinator *Coordinator) Complete(id scheduler.RequestID, complete bool) {
+	outcome := Partial
+	if complete {
+		outcome = Complete
 	}
-	n.final(id, how)
+	coordinator.answer(id, outcome)
 }
 
-// Reject is a final answer.
-func (n *Coordinator) Reject(id scheduler.RequestID, _ time.Duration) { n.final(id, Rejected) }
+// Reject implements scheduler.Host.
+func (coordinator *Coordinator) Reject(id scheduler.RequestID, _ time.Duration) {
+	coordinator.answer(id, Rejected)
+}
 
-// Fail is a final answer.
-func (n *Coordinator) Fail(id scheduler.RequestID) { n.final(id, Failed) }
+// Fail implements scheduler.Host.
+func (coordinator *Coordinator) Fail(id scheduler.RequestID) { coordinator.answer(id, Failed) }
 
-// ScheduleWakeup has the module told when a time has passed.
-func (n *Coordinator) ScheduleWakeup(name string, in time.Duration) {
-	n.world.Schedule(n.world.Now+in, func() {
-		n.happens(func() { n.Scheduler.Wakeup(n.world.Now, name) })
+// ScheduleWakeup implements scheduler.Host.
+func (coordinator *Coordinator) ScheduleWakeup(name string, after time.Duration) {
+	coordinator.simulation.Schedule(coordinator.simulation.Now+after, func() {
+		coordinator.enqueue(func() { coordinator.Scheduler.Wakeup(coordinator.simulation.Now, name) })
 	})
 }
 
-// PollEndpoints is answered by the whole list.
-func (n *Coordinator) PollEndpoints() { n.SendEndpointList(false) }
+// PollEndpoints implements scheduler.Host. The full list follows.
+func (coordinator *Coordinator) PollEndpoints() { coordinator.SendEndpointList(false) }
 
-// Broadcast carries out decide.Host; nodes here send each other nothing.
-func (n *Coordinator) Broadcast([]byte) {}
+// Broadcast implements scheduler.Host. The message is discarded, as no other co-ordinator is simulated.
+func (coordinator *Coordinator) Broadcast([]byte) {}
 
-// Log keeps the newest lines.
-func (n *Coordinator) Log(text string) {
-	const kept = 200
-	if len(n.Logs) == kept {
-		n.Logs = n.Logs[1:]
+// Log implements scheduler.Host. Only the latest lines are kept.
+func (coordinator *Coordinator) Log(text string) {
+	const maxLines = 200
+	if len(coordinator.Logs) == maxLines {
+		coordinator.Logs = coordinator.Logs[1:]
 	}
-	n.Logs = append(n.Logs, fmt.Sprintf("%v %s", n.world.Now, text))
+	coordinator.Logs = append(coordinator.Logs, fmt.Sprintf("%v %s", coordinator.simulation.Now, text))
 }
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -7,155 +7,162 @@
 	"terntray/scheduler"
 )
 
-// Condition is the state of a replica's health.
+// Condition is a replica's health: whether it has a fault, and which.
 type Condition int
 
+// The conditions.
 const (
 	Healthy    Condition = iota
-	Slow                 // its work takes longer by its factor
-	Silent               // takes attempts and answers none; what it took is lost
-	Paused               // its process stands still, and goes on with what it has when it is sound
+	Slow                 // its work takes longer by a factor
+	Silent               // accepts attempts and never answers; attempts accepted before are lost
+	Paused               // its process is suspended; it resumes its attempts afterwards
 	Failing              // answers with an error at once
-	Overloaded           // turns all away at once
-	Resetting            // closes the connection on which an attempt comes
-	Down                 // cannot be reached; what it had is lost
+	Overloaded           // rejects all attempts at once
+	Resetting            // resets the connection on which an attempt arrives
+	Down                 // cannot be reached; attempts accepted before are lost
 )
 
-var conditionNames = [...]string{"sound", "slow", "silent", "stopped", "erring", "full", "closing", "down"}
+var conditionNames = [...]string{
+	"healthy", "slow", "silent", "paused", "failing", "overloaded", "resetting", "down"}
 
-func (c Condition) String() string { return conditionNames[c] }
+func (condition Condition) String() string { return conditionNames[condition] }
 
-// Replica works on as many attempts side by side as it has cores, the rest in order of arrival (0: on all at once).
-// A queue of more than Room turns away. Cancelled attempts that wait are dropped where Cancels is set.
+// Replica runs as many attempts in parallel as it has cores, in order of arrival; without cores, all at once. It
+// rejects attempts that arrive while the queue is full. If SupportsCancel is set, cancelled attempts leave the queue.
 type Replica struct {
 	ID             scheduler.ReplicaID
 	Cell           scheduler.CellNumber
 	Cores          int
 	QueueLimit     int // attempts that may wait; 0: any number
 	SupportsCancel bool
-	StartedAt      time.Duration // decide.LongAgo: warm since ever
+	StartedAt      time.Duration // scheduler.StartUnknown: warm from the beginning
 	Warmup         Warmup
 
-	world           *Simulation
-	health          Condition
-	factor          float64
+	simulation      *Simulation
+	condition       Condition
+	slowFactor      float64
 	queue           []*attempt
-	busy            []*attempt
-	epoch           int // counts what was lost with its process or its condition
-	AttemptsStarted int // attempts that it has begun
+	running         []*attempt
+	epoch           int // increases when all attempts are dropped, which invalidates their scheduled ends
+	AttemptsStarted int
 }
 
-// Warmup tells how a fresh replica works: from Share of its speed up to all of it after Warm.
+// Warmup describes the speed of a replica that has just started: it rises from StartSpeed, a share of full speed, to
+// full speed over Duration.
 type Warmup struct {
 	StartSpeed float64
 	Duration   time.Duration
 }
 
-// SetCondition changes the condition; factor is for Slow.
-func (r *Replica) SetCondition(c Condition, factor float64) {
-	was, before := r.health, r.slowness()
-	r.health, r.factor = c, factor
-	if now := r.slowness(); now != before {
-		for _, l := range r.busy { // what is left of them goes on at the new speed
-			r.finish(l, time.Duration(float64(l.done-r.world.Now)*now/before))
+// SetCondition changes the replica's condition. The factor applies to Slow.
+func (replica *Replica) SetCondition(condition Condition, factor float64) {
+	oldCondition, oldSlowdown := replica.condition, replica.slowdown()
+	replica.condition, replica.slowFactor = condition, factor
+	if slowdown := replica.slowdown(); slowdown != oldSlowdown {
+		for _, attempt := range replica.running { // the remaining work continues at the new speed
+			replica.scheduleEnd(attempt,
+				time.Duration(float64(attempt.endsAt-replica.simulation.Now)*slowdown/oldSlowdown))
 		}
 	}
 	switch {
-	case c == Down || c == Resetting:
-		r.lose(scheduler.ConnectionReset)
-	case was == Silent || c == Silent:
-		r.lose(-1)
+	case condition == Down || condition == Resetting:
+		replica.dropAll(scheduler.ConnectionReset)
+	case oldCondition == Silent || condition == Silent:
+		replica.dropAll(-1)
 	}
-	if was == Down && c != Down {
-		r.StartedAt = r.world.Now
+	if oldCondition == Down && condition != Down {
+		replica.StartedAt = replica.simulation.Now
 	}
-	if was == Paused && c != Paused {
-		for _, l := range r.busy {
-			r.finish(l, l.work)
+	if oldCondition == Paused && condition != Paused {
+		for _, attempt := range replica.running {
+			replica.scheduleEnd(attempt, attempt.work)
 		}
-		r.next()
+		replica.startQueued()
 	}
 }
 
-// Idle tells whether no attempt waits or is worked on.
-func (r *Replica) Idle() bool { return len(r.queue)+len(r.busy) == 0 }
-
-// lose lets go of all that the replica has; below 0 nobody hears of it.
-func (r *Replica) lose(how scheduler.Outcome) {
-	all := slices.Concat(r.busy, r.queue)
-	r.busy, r.queue = nil, nil
-	r.epoch++
-	for _, l := range all {
-		if how >= 0 {
-			l.outcome(how)
+// Idle reports whether no attempt is waiting or running.
+func (replica *Replica) Idle() bool { return len(replica.queue)+len(replica.running) == 0 }
+
+// dropAll drops all attempts. They end with the outcome; if it is below 0, their ends are never reported.
+func (replica *Replica) dropAll(outcome scheduler.Outcome) {
+	dropped := slices.Concat(replica.running, replica.queue)
+	replica.running, replica.queue = nil, nil
+	replica.epoch++
+	for _, attempt := range dropped {
+		if outcome >= 0 {
+			attempt.endAfterDelay(outcome)
 		}
 	}
 }
 
-// takes has an attempt arrive.
-func (r *Replica) takes(l *attempt) {
+// receive handles the arrival of an attempt.
+func (replica *Replica) receive(attempt *attempt) {
 	switch {
-	case r.health == Down:
-		l.outcome(scheduler.Unreachable)
-	case r.health == Resetting:
-		l.mayHaveRun = true
-		l.outcome(scheduler.ConnectionReset)
-	case r.health == Silent:
-		l.mayHaveRun = true
-		r.AttemptsStarted++
-	case r.health == Failing:
-		l.mayHaveRun = true
-		r.AttemptsStarted++
-		l.outcome(scheduler.Failed)
-	case r.health == Overloaded, r.QueueLimit > 0 && len(r.queue) >= r.QueueLimit:
-		l.outcome(scheduler.Overloaded)
+	case replica.condition == Down:
+		attempt.endAfterDelay(scheduler.Unreachable)
+	case replica.condition == Resetting:
+		attempt.mayHaveRun = true
+		attempt.endAfterDelay(scheduler.ConnectionReset)
+	case replica.condition == Silent:
+		attempt.mayHaveRun = true
+		replica.AttemptsStarted++
+	case replica.condition == Failing:
+		attempt.mayHaveRun = true
+		replica.AttemptsStarted++
+		attempt.endAfterDelay(scheduler.Failed)
+	case replica.condition == Overloaded, replica.QueueLimit > 0 && len(replica.queue) >= replica.QueueLimit:
+		attempt.endAfterDelay(scheduler.Overloaded)
 	default:
-		r.queue = append(r.queue, l)
-		r.next()
+		replica.queue = append(replica.queue, attempt)
+		replica.startQueued()
 	}
 }
 
-func (r *Replica) next() {
-	for len(r.queue) > 0 && r.health != Paused && (r.Cores == 0 || len(r.busy) < r.Cores) {
-		l := r.queue[0]
-		r.queue = r.queue[1:]
-		l.mayHaveRun = true
-		r.busy = append(r.busy, l)
-		r.AttemptsStarted++
-		r.finish(l, time.Duration(float64(l.work)*r.slowness()))
+// startQueued starts queued attempts while cores are free.
+func (replica *Replica) startQueued() {
+	for len(replica.queue) > 0 && replica.condition != Paused &&
+		(replica.Cores == 0 || len(replica.running) < replica.Cores) {
+		attempt := replica.queue[0]
+		replica.queue = replica.queue[1:]
+		attempt.mayHaveRun = true
+		replica.running = append(replica.running, attempt)
+		replica.AttemptsStarted++
+		replica.scheduleEnd(attempt, time.Duration(float64(attempt.work)*replica.slowdown()))
 	}
 }
 
-// slowness is by how much longer work takes now.
-func (r *Replica) slowness() float64 {
-	by := 1.0
-	if r.health == Slow {
-		by = r.factor
+// slowdown is the factor by which work takes longer now than on a healthy, warm replica.
+func (replica *Replica) slowdown() float64 {
+	slowdown := 1.0
+	if replica.condition == Slow {
+		slowdown = replica.slowFactor
 	}
-	if r.Warmup.Duration > 0 && r.StartedAt != scheduler.StartUnknown {
-		age := min(1, (r.world.Now-r.StartedAt).Seconds()/r.Warmup.Duration.Seconds())
-		by /= r.Warmup.StartSpeed + (1-r.Warmup.StartSpeed)*age
+	if replica.Warmup.Duration > 0 && replica.StartedAt != scheduler.StartUnknown {
+		progress := min(1, (replica.simulation.Now-replica.StartedAt).Seconds()/replica.Warmup.Duration.Seconds())
+		slowdown /= replica.Warmup.StartSpeed + (1-replica.Warmup.StartSpeed)*progress
 	}
-	return by
+	return slowdown
 }
 
-func (r *Replica) finish(l *attempt, after time.Duration) {
-	epoch, done := r.epoch, r.world.Now+after
-	l.done = done
-	r.world.Schedule(done, func() {
-		at := slices.Index(r.busy, l)
-		if r.epoch != epoch || at < 0 || l.done != done || r.health == Paused {
+// scheduleEnd sets the time after which a running attempt succeeds; it replaces an earlier one.
+func (replica *Replica) scheduleEnd(attempt *attempt, after time.Duration) {
+	epoch, endsAt := replica.epoch, replica.simulation.Now+after
+	attempt.endsAt = endsAt
+	replica.simulation.Schedule(endsAt, func() {
+		index := slices.Index(replica.running, attempt)
+		if replica.epoch != epoch || index < 0 || attempt.endsAt != endsAt || replica.condition == Paused {
 			return
 		}
-		r.busy = slices.Delete(r.busy, at, at+1)
-		l.outcome(scheduler.Succeeded)
-		r.next()
+		replica.running = slices.Delete(replica.running, index, index+1)
+		attempt.endAfterDelay(scheduler.Succeeded)
+		replica.startQueued()
 	})
 }
 
-// cancels has an attempt called off: one that still waits is dropped, one that is worked on goes on.
-func (r *Replica) cancels(l *attempt) {
-	if at := slices.Index(r.queue, l); at >= 0 && r.SupportsCancel {
-		r.queue = slices.Delete(r.queue, at, at+1)
+// cancel removes a cancelled attempt from the queue. A running attempt continues.
+func (replica *Replica) cancel(attempt *attempt) {
+	if index := slices.Index(replica.queue, attempt); index >= 0 && replica.SupportsCancel {
+		replica.queue = slices.Delete(replica.queue, index, index+1)
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,10 +1,11 @@
-// Package emulator runs co-ordinators among replicas and clients in virtual time: a discrete-event simulation
-// whose co-ordinators are the real decide.Coordinator. Replicas have cores, a queue, work and conditions
-// (conditions.go); a co-ordinator has a core of its own, whose turns cost time (node.go); clients send on an open-loop
-// schedule (clients.go). A ledger (ledger.go) judges the rules from what replicas and clients saw.
+// Package emulator runs a co-ordinator among replicas and clients in virtual time: a discrete-event simulation around
+// the real scheduler.Scheduler. Replicas have cores, a queue, work and faults (replica.go); the co-ordinator has a core
+// of its own, on which its iterations take time (node.go); clients send on an open-loop schedule (fleet.go). A ledger
+// (ledger.go) checks the rules against what replicas and clients observe.
 //
-// One seed gives one run, to the byte: chance comes from it alone, and things that happen at one time happen in the
-// order in which they were planned. All times are since the world's start. A World is for one goroutine.
+// A seed determines a run completely: it is the only source of randomness, and events scheduled for the same time run
+// in the order in which they were scheduled. All times are since the start of the simulation. A Simulation must be used
+// by one goroutine only.
 package emulator
 
 import (
@@ -13,54 +14,55 @@
 	"time"
 )
 
-// Simulation is the clock and what is planned.
+// Simulation is the virtual clock and the queue of scheduled events.
 type Simulation struct {
 	Now  time.Duration
 	Rand *rand.Rand
 
-	planned plans
-	number  uint64
+	events       eventQueue
+	lastSequence uint64
 }
 
-// NewSimulation begins at time 0 with the chance of a seed.
+// NewSimulation returns a Simulation at time 0 whose random numbers follow from the seed.
 func NewSimulation(seed uint64) *Simulation {
 	return &Simulation{Rand: rand.New(rand.NewPCG(seed, 0x74657272))}
 }
 
-// Schedule plans something; what lies in the past happens next.
-func (w *Simulation) Schedule(when time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.planned, plan{max(w.Now, when), w.number, do})
+// Schedule runs an action at a time; if the time has passed, the action runs now, after those already due.
+func (simulation *Simulation) Schedule(when time.Duration, action func()) {
+	simulation.lastSequence++
+	heap.Push(&simulation.events, event{max(simulation.Now, when), simulation.lastSequence, action})
 }
 
-// RunUntil lets everything happen up to a time, that time included.
-func (w *Simulation) RunUntil(until time.Duration) {
-	for len(w.planned) > 0 && w.planned[0].at <= until {
-		next := heap.Pop(&w.planned).(plan)
-		w.Now = next.at
-		next.do()
+// RunUntil runs all events scheduled up to and including a time.
+func (simulation *Simulation) RunUntil(until time.Duration) {
+	for len(simulation.events) > 0 && simulation.events[0].time <= until {
+		next := heap.Pop(&simulation.events).(event)
+		simulation.Now = next.time
+		next.action()
 	}
-	w.Now = max(w.Now, until)
+	simulation.Now = max(simulation.Now, until)
 }
 
-type plan struct {
-	at     time.Duration
-	number uint64 // in order of planning
-	do     func()
+type event struct {
+	time     time.Duration
+	sequence uint64 // in order of scheduling
+	action   func()
 }
 
-type plans []plan
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
 
-func (p plans) Len() int { return len(p) }
-func (p plans) Less(a, b int) bool {
-	return p[a].at < p[b].at || p[a].at == p[b].at && p[a].number < p[b].number
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(a, b int) bool {
+	return queue[a].time < queue[b].time || queue[a].time == queue[b].time && queue[a].sequence < queue[b].sequence
 }
-func (p plans) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
-func (p *plans) Push(x any)   { *p = append(*p, x.(plan)) }
-func (p *plans) Pop() any {
-	last := len(*p) - 1
-	x := (*p)[last]
-	(*p)[last] = plan{}
-	*p = (*p)[:last]
+func (queue eventQueue) Swap(a, b int) { queue[a], queue[b] = queue[b], queue[a] }
+func (queue *eventQueue) Push(x any)   { *queue = append(*queue, x.(event)) }
+func (queue *eventQueue) Pop() any {
+	last := len(*queue) - 1
+	x := (*queue)[last]
+	(*queue)[last] = event{}
+	*queue = (*queue)[:last]
 	return x
 }
