--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// silentWatchTime is from when on, after a watch fell silent, what it misses counts as notified: by then the
+	// hungWatchTime is from when on, after a watch fell silent, what it misses counts as notified: by then the
 	// coordinator has to have given the watch up and polled.
-	silentWatchTime = 6 * time.Second
+	hungWatchTime = 6 * time.Second
 
 	// reloadTime is from when on, after SIGHUP, what the new agent has counts as notified.
 	reloadTime = 4 * time.Second
@@ -25,17 +25,17 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu            sync.Mutex
-	revision      int           // that it has
-	down          bool          // it answers nothing and learns nothing
-	pending       int           // the revision that it learns of at its return
-	silence       chan struct{} // closed when the calls that are open are to stay without an answer
-	silentAt      time.Duration // when that was last
-	fullLists     bool          // watches are answered with full lists
-	changed       chan struct{} // closed at a new revision, and at its return
-	conns         map[net.Conn]bool
-	notifications []notification
-	countsFrom    time.Duration // notifications count from here on: a reload takes its time
+	mu              sync.Mutex
+	revision        int           // that it has
+	down            bool          // it answers nothing and learns nothing
+	pendingRevision int           // the revision that it learns of at its return
+	hangOpenCalls   chan struct{} // closed when the calls that are open are to stay without an answer
+	hungAt          time.Duration // when that was last
+	sendsFullLists  bool          // watches are answered with full lists
+	changed         chan struct{} // closed at a new revision, and at its return
+	conns           map[net.Conn]bool
+	notifications   []notification
+	effectiveFrom   time.Duration // notifications count from here on: a reload takes its time
 }
 
 func newAgent(soak *Soak) (*agent, error) {
@@ -44,14 +44,14 @@
 		return nil, err
 	}
 	agent := &agent{
-		soak:     soak,
-		listener: listener,
-		changed:  make(chan struct{}),
-		silence:  make(chan struct{}),
-		conns:    map[net.Conn]bool{},
-		silentAt: -time.Hour,
+		soak:          soak,
+		listener:      listener,
+		changed:       make(chan struct{}),
+		hangOpenCalls: make(chan struct{}),
+		conns:         map[net.Conn]bool{},
+		hungAt:        -time.Hour,
 	}
-	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve), ConnState: agent.noteConn}
+	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve), ConnState: agent.trackConn}
 	soak.endpoints.subscribe(agent)
 	go agent.server.Serve(listener)
 	return agent, nil
@@ -61,8 +61,8 @@
 
 func (a *agent) close() { a.server.Close() }
 
-// noteConn keeps the open connections, to reset them.
-func (a *agent) noteConn(conn net.Conn, state http.ConnState) {
+// trackConn keeps the open connections, to reset them.
+func (a *agent) trackConn(conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -77,22 +77,22 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
-		a.pending = max(a.pending, revision)
+		a.pendingRevision = max(a.pendingRevision, revision)
 		return
 	}
-	a.learn(revision)
+	a.applyRevision(revision)
 }
 
-// learn takes a revision up; a.mu is held.
-func (a *agent) learn(revision int) {
+// applyRevision takes a revision up; a.mu is held.
+func (a *agent) applyRevision(revision int) {
 	if revision <= a.revision {
 		return
 	}
-	_, changed := a.soak.endpoints.at(revision, a.revision)
+	_, changed := a.soak.endpoints.listAt(revision, a.revision)
 	now := a.soak.now()
-	countsAt := max(now, a.countsFrom)
-	if now < a.silentAt+silentWatchTime {
-		countsAt = max(countsAt, a.silentAt+silentWatchTime)
+	countsAt := max(now, a.effectiveFrom)
+	if now < a.hungAt+hungWatchTime {
+		countsAt = max(countsAt, a.hungAt+hungWatchTime)
 	}
 	for _, endpoint := range changed {
 		a.notifications = append(a.notifications, notification{endpoint.UID, endpoint.State, countsAt})
@@ -113,18 +113,18 @@
 	defer a.mu.Unlock()
 	a.down = down
 	if !down {
-		a.learn(a.pending)
+		a.applyRevision(a.pendingRevision)
 		a.wakeCalls()
 	}
 }
 
-// silenceWatches leaves all calls that are open without an answer for ever.
-func (a *agent) silenceWatches() {
+// hangWatches leaves all calls that are open without an answer for ever.
+func (a *agent) hangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silentAt = a.soak.now()
-	close(a.silence)
-	a.silence = make(chan struct{})
+	a.hungAt = a.soak.now()
+	close(a.hangOpenCalls)
+	a.hangOpenCalls = make(chan struct{})
 }
 
 // resetWatches resets all connections.
@@ -136,20 +136,20 @@
 	}
 }
 
-// setFullLists has watches be answered with full lists.
-func (a *agent) setFullLists(full bool) {
+// setSendsFullLists has watches be answered with full lists.
+func (a *agent) setSendsFullLists(full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fullLists = full
+	a.sendsFullLists = full
 }
 
-// startCountingAt has no notification, so far or to come, count before a time.
-func (a *agent) startCountingAt(from time.Duration) {
+// setEffectiveFrom has no notification, so far or to come, count before a time.
+func (a *agent) setEffectiveFrom(from time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.countsFrom = from
+	a.effectiveFrom = from
 	for n := range a.notifications {
-		a.notifications[n].at = max(a.notifications[n].at, from)
+		a.notifications[n].effectiveAt = max(a.notifications[n].effectiveAt, from)
 	}
 }
 
@@ -169,17 +169,17 @@
 // serve answers a call.
 func (a *agent) serve(writer http.ResponseWriter, httpRequest *http.Request) {
 	call := parseCallParameters(httpRequest.URL.Query())
-	if a.await(call, httpRequest.Context().Done()) {
+	if a.waitToAnswer(call, httpRequest.Context().Done()) {
 		json.NewEncoder(writer).Encode(a.answer(call))
 	}
 }
 
-// await waits until a call is to be answered: a poll at once, a watch at a newer revision or when its time is over, and
+// waitToAnswer waits until a call is to be answered: a poll at once, a watch at a newer revision or when its time is over, and
 // neither while the agent is down. It tells whether to answer; false: the caller has left, or the call was silenced.
-func (a *agent) await(call endpointCall, callerLeft <-chan struct{}) (answers bool) {
+func (a *agent) waitToAnswer(call endpointCall, callerLeft <-chan struct{}) (answers bool) {
 	end := time.After(call.hold)
 	a.mu.Lock()
-	silence := a.silence
+	silence := a.hangOpenCalls
 	a.mu.Unlock()
 	for {
 		a.mu.Lock()
@@ -208,10 +208,10 @@
 
 func (a *agent) answer(call endpointCall) endpointList {
 	a.mu.Lock()
-	list := endpointList{Revision: a.revision, Full: !call.watch || a.fullLists}
+	list := endpointList{Revision: a.revision, Full: !call.watch || a.sendsFullLists}
 	a.mu.Unlock()
 	since := max(0, min(call.from, list.Revision))
-	all, changed := a.soak.endpoints.at(list.Revision, since)
+	all, changed := a.soak.endpoints.listAt(list.Revision, since)
 	list.Endpoints = changed
 	if list.Full {
 		list.Endpoints = all
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	maxKeptConns = 3 // connections that a client keeps for later requests
+	maxIdleConns = 3 // connections that a client keeps for later requests
 
-	usualPause = 110 * time.Millisecond  // longest pause between requests
-	restPause  = 2500 * time.Millisecond // longest, when the client rests
-	burstSpeed = 6                       // times as fast as usual
+	maxPause     = 110 * time.Millisecond  // longest pause between requests
+	maxLongPause = 2500 * time.Millisecond // longest, when the client rests
+	burstSpeedup = 6                       // times as fast as usual
 
-	requestWriteTime = 2 * time.Second
-	answerWait       = 1500 * time.Millisecond // beyond the deadline, for an answer that is later than any may be
-	halfRequestWait  = 3 * time.Second         // for half a request to get its error or close
-	halfRequestSpare = 500 * time.Millisecond  // to see what comes after halfRequestWait
+	requestWriteTimeout     = 2 * time.Second
+	answerWait              = 1500 * time.Millisecond // beyond the deadline, for an answer that is later than any may be
+	partialRequestWait      = 3 * time.Second         // for half a request to get its error or close
+	partialRequestExtraWait = 500 * time.Millisecond  // to see what comes after halfRequestWait
 )
 
 // client sends requests, one at a time, until the soak has no more time for another. Its source of chance decides all
 // that it does; the order of its draws is part of a seed's plan.
 type client struct {
-	soak   *Soak
-	name   string
-	random *rand.Rand
-	kept   []*clientConn
-	made   int // requests so far
+	soak         *Soak
+	name         string
+	random       *rand.Rand
+	idleConns    []*clientConn
+	requestCount int // requests so far
 }
 
-// exchange is what became of a request's connection.
-type exchange int
+// exchangeResult is what became of a request's connection.
+type exchangeResult int
 
 const (
-	connectionOver  exchange = iota
-	connectionLasts          // it can carry another request
-	requestUnread            // it was closed before the request can have been read
+	connClosed     exchangeResult = iota
+	connReusable                  // it can carry another request
+	requestNotRead                // it was closed before the request can have been read
 )
 
 func (c *client) run() {
@@ -47,70 +47,70 @@
 		c.sendOnce()
 		c.pause()
 	}
-	for _, conn := range c.kept {
+	for _, conn := range c.idleConns {
 		conn.Close()
 	}
 }
 
 func (c *client) pause() {
-	longest := usualPause
+	longest := maxPause
 	if c.soak.burst.Load() {
-		longest /= burstSpeed
+		longest /= burstSpeedup
 	}
 	if c.random.IntN(40) == 0 {
-		longest = restPause
+		longest = maxLongPause
 	}
-	time.Sleep(between(c.random, 0, longest))
+	time.Sleep(drawDuration(c.random, 0, longest))
 }
 
 // sendOnce sends a request or half of one. A request that crossed the connection's close is sent once more, on a new
 // connection.
 func (c *client) sendOnce() {
-	conn := c.connection()
+	conn := c.getConn()
 	if conn == nil {
 		return
 	}
 	if c.random.IntN(60) == 0 {
-		c.sendHalf(conn)
+		c.sendPartial(conn)
 		return
 	}
 	outcome := c.exchange(conn, c.newRequest(conn))
-	if outcome == requestUnread {
+	if outcome == requestNotRead {
 		conn = c.dial()
 		if conn == nil {
 			return
 		}
 		outcome = c.exchange(conn, c.newRequest(conn))
 	}
-	if outcome == connectionLasts && len(c.kept) < maxKeptConns && c.random.IntN(5) > 0 {
-		c.kept = append(c.kept, conn)
+	if outcome == connReusable && len(c.idleConns) < maxIdleConns && c.random.IntN(5) > 0 {
+		c.idleConns = append(c.idleConns, conn)
 		return
 	}
 	conn.Close()
 }
 
 // exchange sends a request and takes what comes.
-func (c *client) exchange(conn *clientConn, request *request) exchange {
-	conn.carried++
-	if !c.write(conn, request.text()) {
+func (c *client) exchange(conn *clientConn, request *request) exchangeResult {
+	conn.requestCount++
+	if !c.write(conn, request.wireText()) {
 		conn.Close()
 		if request.reused {
-			return requestUnread
+			return requestNotRead
 		}
-		return connectionOver
+		return connClosed
 	}
-	request.sent = c.soak.now()
+	request.sentAt = c.soak.now()
 	c.soak.ledger.addRequest(request)
-	if c.drawLeaving() {
-		c.leave(conn, request)
-		return connectionOver
+	if c.drawDisconnect() {
+		c.disconnect(conn, request)
+		return connClosed
 	}
 	conn.SetReadDeadline(time.Now().Add(request.deadline + answerWait))
 	response, answer, err := readResponse(conn.in)
-	answer.at = c.soak.now()
+	answer.receivedAt = c.soak.now()
 	if err != nil {
 		conn.Close()
-		return c.noteClose(request, answer.at)
+		return c.recordClose(request, answer.receivedAt)
 	}
 	trailing := conn.in.Buffered()
 	c.soak.ledger.update(func() {
@@ -118,31 +118,31 @@
 		request.trailingBytes = trailing
 	})
 	if response.Close {
-		return connectionOver
+		return connClosed
 	}
-	return connectionLasts
+	return connReusable
 }
 
-// noteClose notes that a connection ended without an answer. A request on a connection that had carried others, and of
+// recordClose notes that a connection ended without an answer. A request on a connection that had carried others, and of
 // which no replica has seen anything, may have crossed the close: it counts as not sent here.
-func (c *client) noteClose(request *request, at time.Duration) exchange {
-	unread := request.reused && !c.soak.ledger.attempted(request.id)
+func (c *client) recordClose(request *request, at time.Duration) exchangeResult {
+	unread := request.reused && !c.soak.ledger.reachedReplica(request.id)
 	c.soak.ledger.update(func() {
-		request.closed = at
+		request.closedAt = at
 		if unread {
-			request.left = request.sent
+			request.disconnectedAt = request.sentAt
 		}
 	})
 	if unread {
-		return requestUnread
+		return requestNotRead
 	}
-	return connectionOver
+	return connClosed
 }
 
-// drawLeaving tells whether the client leaves before its answer.
-func (c *client) drawLeaving() bool {
+// drawDisconnect tells whether the client leaves before its answer.
+func (c *client) drawDisconnect() bool {
 	oneOf := 12
-	if c.soak.clientsLeaving.Load() {
+	if c.soak.clientsDisconnecting.Load() {
 		oneOf = 2
 	}
 	return c.random.IntN(oneOf) == 0
@@ -150,7 +150,7 @@
 
 // write writes in one go, or in pieces.
 func (c *client) write(conn *clientConn, text string) bool {
-	conn.SetWriteDeadline(time.Now().Add(requestWriteTime))
+	conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout))
 	if c.random.IntN(8) > 0 {
 		_, err := io.WriteString(conn, text)
 		return err == nil
@@ -168,8 +168,8 @@
 	return true
 }
 
-// leave closes the connection some time after the request, with or without a reset.
-func (c *client) leave(conn *clientConn, request *request) {
+// disconnect closes the connection some time after the request, with or without a reset.
+func (c *client) disconnect(conn *clientConn, request *request) {
 	after := time.Duration(0)
 	if c.random.IntN(3) > 0 {
 		after = time.Duration(c.random.IntN(150)) * time.Millisecond
@@ -181,18 +181,18 @@
 		conn.Close()
 	}
 	at := c.soak.now()
-	c.soak.ledger.update(func() { request.left = at })
+	c.soak.ledger.update(func() { request.disconnectedAt = at })
 }
 
-// sendHalf sends half a request and stays: an error or the connection's end is owed.
-func (c *client) sendHalf(conn *clientConn) {
+// sendPartial sends half a request and stays: an error or the connection's end is owed.
+func (c *client) sendPartial(conn *clientConn) {
 	defer conn.Close()
-	text := c.newRequest(conn).text()
+	text := c.newRequest(conn).wireText()
 	if _, err := io.WriteString(conn, text[:len(text)/2]); err != nil {
 		return
 	}
 	sent := c.soak.now()
-	conn.SetReadDeadline(time.Now().Add(halfRequestWait + halfRequestSpare))
+	conn.SetReadDeadline(time.Now().Add(partialRequestWait + partialRequestExtraWait))
 	_, err := conn.in.ReadByte()
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
@@ -201,7 +201,7 @@
 	}
 	now := c.soak.now()
 	stopped := c.soak.stoppedTime(conn.coordinator.name, sent, now)
-	if now-sent > halfRequestWait+stopped+measurementSlack {
+	if now-sent > partialRequestWait+stopped+measurementSlack {
 		c.soak.violated(RulePartialRequest, "", "half a request to %s has neither error nor end after %v",
 			conn.coordinator.name, now-sent)
 	}
--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-const clientDialTime = time.Second
+const clientDialTimeout = time.Second
 
 // clientConn is a client's connection to one process of a coordinator.
 type clientConn struct {
 	net.Conn
-	in          *bufio.Reader
-	coordinator *coordinator
-	process     *process
-	carried     int // requests so far
+	in           *bufio.Reader
+	coordinator  *coordinator
+	process      *process
+	requestCount int // requests so far
 }
 
-// connection is one that the client kept, or a new one; nil: no coordinator takes any.
-func (c *client) connection() *clientConn {
-	if len(c.kept) > 0 && c.random.IntN(4) > 0 {
-		n := c.random.IntN(len(c.kept))
-		conn := c.kept[n]
-		c.kept = append(c.kept[:n], c.kept[n+1:]...)
+// getConn is one that the client kept, or a new one; nil: no coordinator takes any.
+func (c *client) getConn() *clientConn {
+	if len(c.idleConns) > 0 && c.random.IntN(4) > 0 {
+		n := c.random.IntN(len(c.idleConns))
+		conn := c.idleConns[n]
+		c.idleConns = append(c.idleConns[:n], c.idleConns[n+1:]...)
 		return conn
 	}
 	return c.dial()
@@ -41,11 +41,11 @@
 
 // dialTo opens a connection to a coordinator; nil if it takes none.
 func (c *client) dialTo(coordinator *coordinator) *clientConn {
-	process, addr := coordinator.takesClients()
+	process, addr := coordinator.acceptingProcess()
 	if process == nil {
 		return nil
 	}
-	conn, err := net.DialTimeout("tcp", addr, clientDialTime)
+	conn, err := net.DialTimeout("tcp", addr, clientDialTimeout)
 	if err != nil {
 		return nil
 	}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -20,29 +20,29 @@
 	// maxSockets is the coordinators' setting for the sockets that they may hold.
 	maxSockets = 400
 
-	// revisionsBehind is how old the list is that a process is started with.
-	revisionsBehind = 2
+	// knownListLag is how old the list is that a process is started with.
+	knownListLag = 2
 
-	// shutdownExtra is what a process may take after SIGTERM beyond the longest deadline, and slowWriteTime what its
+	// shutdownAllowance is what a process may take after SIGTERM beyond the longest deadline, and slowWriteTime what its
 	// last answer may take on top, to be written to a client that reads slowly.
-	shutdownExtra = 700 * time.Millisecond
-	slowWriteTime = 3*time.Second + 500*time.Millisecond
+	shutdownAllowance = 700 * time.Millisecond
+	slowWriteTime     = 3*time.Second + 500*time.Millisecond
 )
 
 // process is one process of a coordinator. Its times are on the soak's clock.
 type process struct {
-	program      *fake.Program
-	started      time.Duration
-	terminated   time.Duration // SIGTERM; 0: never
-	killed       time.Duration // SIGKILL; 0: never
-	clientsUntil time.Duration // until when new clients are sent to it; 0: without end
+	program             *fake.Program
+	startedAt           time.Duration
+	terminatedAt        time.Duration // SIGTERM; 0: never
+	killedAt            time.Duration // SIGKILL; 0: never
+	acceptsClientsUntil time.Duration // until when new clients are sent to it; 0: without end
 }
 
 // coordinator is one coordinator in all its processes.
 type coordinator struct {
-	soak *Soak
-	name string
-	page *faultbuild.Page
+	soak      *Soak
+	name      string
+	faultPage *faultbuild.Page
 
 	mu        sync.Mutex
 	addr      string     // the same in all processes
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	coordinator := &coordinator{soak: soak, name: name, page: page}
+	coordinator := &coordinator{soak: soak, name: name, faultPage: page}
 	coordinator.addAgent(agent)
 	return coordinator, coordinator.start()
 }
@@ -85,10 +85,10 @@
 		Name:      c.name,
 		Listen:    addr,
 		Discovery: c.agent().addr(),
-		Settings:  settings(c.soak.seed),
+		Settings:  settingsJSON(c.soak.seed),
 		Known:     known,
 		Sockets:   maxSockets,
-		Env:       []string{c.page.Variable()},
+		Env:       []string{c.faultPage.Variable()},
 		Args:      []string{"-trace"},
 	})
 	if err != nil {
@@ -102,7 +102,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = program.Addr
-	c.running = &process{program: program, started: started}
+	c.running = &process{program: program, startedAt: started}
 	c.processes = append(c.processes, c.running)
 	return nil
 }
@@ -111,9 +111,9 @@
 func (c *coordinator) knownEndpoints() (string, error) {
 	agent := c.agent()
 	agent.mu.Lock()
-	revision := max(cells*replicasPerCell, agent.revision-revisionsBehind)
+	revision := max(cells*replicasPerCell, agent.revision-knownListLag)
 	agent.mu.Unlock()
-	all, _ := c.soak.endpoints.at(revision, 0)
+	all, _ := c.soak.endpoints.listAt(revision, 0)
 	known, err := json.Marshal(endpointList{Revision: 1, Full: true, Endpoints: all})
 	return string(known), err
 }
@@ -137,8 +137,8 @@
 	return slices.Clone(c.agents)
 }
 
-// current is the process that runs; nil: none.
-func (c *coordinator) current() *process {
+// currentProcess is the process that runs; nil: none.
+func (c *coordinator) currentProcess() *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running
@@ -147,17 +147,17 @@
 func (c *coordinator) wasKilled(process *process) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return process.killed > 0
+	return process.killedAt > 0
 }
 
-// takesClients is the process to which new clients are sent, with its address; nil: none are.
-func (c *coordinator) takesClients() (*process, string) {
+// acceptingProcess is the process to which new clients are sent, with its address; nil: none are.
+func (c *coordinator) acceptingProcess() (*process, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running == nil {
 		return nil, ""
 	}
-	if until := c.running.clientsUntil; until > 0 && c.soak.now() > until {
+	if until := c.running.acceptsClientsUntil; until > 0 && c.soak.now() > until {
 		return nil, ""
 	}
 	return c.running, c.addr
@@ -184,22 +184,22 @@
 func (c *coordinator) terminate(clientsFor time.Duration) {
 	c.mu.Lock()
 	process := c.running
-	process.terminated = c.soak.now()
-	process.clientsUntil = process.terminated + clientsFor
+	process.terminatedAt = c.soak.now()
+	process.acceptsClientsUntil = process.terminatedAt + clientsFor
 	c.mu.Unlock()
 	process.program.Signal(syscall.SIGTERM)
 	select {
 	case <-process.program.Done():
-	case <-time.After(longestDeadline() + shutdownExtra + slowWriteTime):
-		c.soak.violated(RuleShutdown, "", "%s runs %v after SIGTERM", c.name, c.soak.now()-process.terminated)
+	case <-time.After(longestDeadline() + shutdownAllowance + slowWriteTime):
+		c.soak.violated(RuleShutdown, "", "%s runs %v after SIGTERM", c.name, c.soak.now()-process.terminatedAt)
 		process.program.Signal(syscall.SIGKILL)
 		<-process.program.Done()
 		c.mu.Lock()
-		process.killed = c.soak.now()
+		process.killedAt = c.soak.now()
 		c.mu.Unlock()
 	}
-	c.noteEnd(process)
-	if state := process.program.State(); process.killed == 0 && !state.Success() {
+	c.recordExit(process)
+	if state := process.program.State(); process.killedAt == 0 && !state.Success() {
 		c.soak.violated(RuleCrash, "", "%s ended with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
 	}
 }
@@ -208,16 +208,16 @@
 func (c *coordinator) kill() {
 	c.mu.Lock()
 	process := c.running
-	process.killed = c.soak.now()
-	process.clientsUntil = process.killed
+	process.killedAt = c.soak.now()
+	process.acceptsClientsUntil = process.killedAt
 	c.mu.Unlock()
 	process.program.Signal(syscall.SIGKILL)
 	<-process.program.Done()
-	c.noteEnd(process)
+	c.recordExit(process)
 }
 
-func (c *coordinator) noteEnd(process *process) {
-	c.soak.readLog(c, process)
+func (c *coordinator) recordExit(process *process) {
+	c.soak.checkLog(c, process)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running = nil
@@ -229,11 +229,11 @@
 	if err != nil {
 		return err
 	}
-	process := c.current()
+	process := c.currentProcess()
 	if err := process.program.Configure(agent.addr()); err != nil {
 		return err
 	}
-	agent.startCountingAt(c.soak.now() + reloadTime)
+	agent.setEffectiveFrom(c.soak.now() + reloadTime)
 	c.addAgent(agent)
 	return process.program.Signal(syscall.SIGHUP)
 }
@@ -246,5 +246,5 @@
 	for _, agent := range c.agents {
 		agent.close()
 	}
-	c.page.Close()
+	c.faultPage.Close()
 }
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -12,7 +12,7 @@
 	name       string
 	effect     string // the settings' word for whether it may run more than once
 	deadline   time.Duration
-	leastShare float64 // of the shards that an answer with success has to hold
+	minShare   float64 // of the shards that an answer with success has to hold
 	idempotent bool
 }
 
@@ -22,12 +22,12 @@
 	cells            = 2
 	replicasPerCell  = 5
 	shardCount       = 24
-	batch            = 2 // subqueries that a frame may hold
+	maxBatch         = 2 // subqueries that a frame may hold
 	maxAttempts      = 3 // of a subquery
 
 	connectTimeout     = 250 * time.Millisecond  // of even seeds
 	longConnectTimeout = 1300 * time.Millisecond // of odd seeds: a connection may come up at its second SYN
-	idleClose          = 3 * time.Second         // a connection to a replica is closed after so long without a frame
+	idleTimeout        = 3 * time.Second         // a connection to a replica is closed after so long without a frame
 	drainGrace         = time.Second             // after its notification a draining replica gets nothing new
 
 	replicaCores = 3
@@ -38,15 +38,15 @@
 	startCapacity    = 0.1                     // share of its capacity that a replica has at its start
 	warmAfter        = 20 * time.Second        // age at which it has all
 
-	budgetFree  = 3    // attempts beyond the first in a budgetSpan, whatever was taken,
-	budgetRatio = 0.04 // and so many more for each query and subquery taken
-	budgetSpan  = 5 * time.Second
+	minBudget    = 3    // attempts beyond the first in a budgetSpan, whatever was taken,
+	budgetRatio  = 0.04 // and so many more for each query and subquery taken
+	budgetWindow = 5 * time.Second
 )
 
 var classes = []*class{
-	{name: "look", effect: "pure", deadline: 1500 * time.Millisecond, leastShare: 1, idempotent: true},
-	{name: "claim", effect: "side_effect", deadline: 1500 * time.Millisecond, leastShare: 1},
-	{name: "some", effect: "pure", deadline: 1200 * time.Millisecond, leastShare: 0.3, idempotent: true},
+	{name: "look", effect: "pure", deadline: 1500 * time.Millisecond, minShare: 1, idempotent: true},
+	{name: "claim", effect: "side_effect", deadline: 1500 * time.Millisecond, minShare: 1},
+	{name: "some", effect: "pure", deadline: 1200 * time.Millisecond, minShare: 0.3, idempotent: true},
 }
 
 // longestDeadline is that of the class with the longest.
@@ -57,8 +57,8 @@
 	return longest
 }
 
-// settings are the deployment's as JSON.
-func settings(seed uint64) string {
+// settingsJSON are the deployment's as JSON.
+func settingsJSON(seed uint64) string {
 	connect := connectTimeout
 	if seed%2 == 1 {
 		connect = longConnectTimeout
@@ -70,15 +70,15 @@
 "guarantees":{"answerSlack":20000,"stopSendingWithin":%d,"tipMultiple":%v,"overloadFor":%d,"startCapacity":%v,
 "warmAfter":%d,"minExtra":%d,"extraRatio":%v,"ratioSpan":%d},
 "lanes":[%s],"orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`,
-		coordinatorCount, connect.Microseconds(), idleClose.Microseconds(), maxAttempts,
-		batch, cells, shardCount,
+		coordinatorCount, connect.Microseconds(), idleTimeout.Microseconds(), maxAttempts,
+		maxBatch, cells, shardCount,
 		drainGrace.Microseconds(), overloadMultiple, overloadWindow.Microseconds(), startCapacity,
-		warmAfter.Microseconds(), budgetFree, budgetRatio, budgetSpan.Microseconds(),
-		classSettings())
+		warmAfter.Microseconds(), minBudget, budgetRatio, budgetWindow.Microseconds(),
+		classSettingsJSON())
 }
 
-// classSettings are the classes as the settings list them.
-func classSettings() string {
+// classSettingsJSON are the classes as the settings list them.
+func classSettingsJSON() string {
 	var all []string
 	for _, class := range classes {
 		objective := class.deadline / 2
@@ -98,13 +98,13 @@
 	return overloadMultiple * capacity * replicaCores * overloadWindow.Seconds() / meanWork.Seconds()
 }
 
-// manyArrivals is the allowance from which on the limit lies two standard deviations above it; below it is three.
-const manyArrivals = 30
+// manyArrivalsThreshold is the allowance from which on the limit lies two standard deviations above it; below it is three.
+const manyArrivalsThreshold = 30
 
 // warmUpLimit is the number of arrivals from which on a replica that warms up falls (STANDING.md): the work of so many
 // is above the allowance nearly for certain, though each one's work is drawn.
 func warmUpLimit(allowance float64) float64 {
-	if allowance < manyArrivals {
+	if allowance < manyArrivalsThreshold {
 		return allowance + 3*math.Sqrt(allowance) + 3
 	}
 	return allowance + 2*math.Sqrt(allowance) + 2
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -61,9 +61,9 @@
 	agent.publish(revision)
 }
 
-// at is the list as of a revision without what was removed, and the endpoints that changed after another revision, in
+// listAt is the list as of a revision without what was removed, and the endpoints that changed after another revision, in
 // the order in which they first appeared.
-func (h *endpointHistory) at(revision, since int) (all, changed []endpoint) {
+func (h *endpointHistory) listAt(revision, since int) (all, changed []endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	latest := map[string]endpoint{}
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -33,19 +33,19 @@
 	FaultReplicaDrains       FaultKind = "replica_drains"   // a replica drains and is removed; another joins
 	FaultReplicaReplaced     FaultKind = "replica_replaced" // a replica is removed at once; another has joined
 	FaultReplicaResets       FaultKind = "replica_resets"   // a replica resets its connections
-	FaultClientsDisconnect        FaultKind = "clients_leave"    // clients leave often
+	FaultClientsDisconnect   FaultKind = "clients_leave"    // clients leave often
 	FaultBurst               FaultKind = "burst"            // clients send faster
 	FaultIdleConnections     FaultKind = "crowd"            // many connections on which nothing comes
 )
 
-// strike does a fault to somebody and returns whom it struck once it is over; empty: it could strike nobody.
-type strike func(soak *Soak, random *rand.Rand) (target string)
+// injector does a fault to somebody and returns whom it struck once it is over; empty: it could injector nobody.
+type injector func(soak *Soak, random *rand.Rand) (target string)
 
 // fault is one kind, with its share of all draws.
 type fault struct {
 	kind   FaultKind
 	weight int
-	strike strike
+	inject injector
 }
 
 // faults are drawn from in this order: a seed's plan depends on it.
@@ -60,17 +60,17 @@
 	{FaultSocket, 2, failSystemCall(faultbuild.SocketFails)},
 	{FaultDescriptorLimit, 2, lowerDescriptorLimit},
 	{FaultAgentDown, 4, takeAgentDown},
-	{FaultWatchesReset, 3, onAgent((*agent).resetWatches)},
-	{FaultWatchesHang, 3, onAgent((*agent).silenceWatches)},
+	{FaultWatchesReset, 3, agentFault((*agent).resetWatches)},
+	{FaultWatchesHang, 3, agentFault((*agent).hangWatches)},
 	{FaultFullLists, 2, sendFullLists},
-	{FaultReplicaHangs, 5, onReplica(hangReplica)},
-	{FaultReplicaNotAccepting, 3, onReplica(stopAccepting)},
-	{FaultReplicaRestarts, 4, onReplica(restartReplica)},
+	{FaultReplicaHangs, 5, replicaFault(hangReplica)},
+	{FaultReplicaNotAccepting, 3, replicaFault(stopAccepting)},
+	{FaultReplicaRestarts, 4, replicaFault(restartReplica)},
 	{FaultCellRestarts, 3, restartCell},
-	{FaultReplicaDrains, 4, onReplica(drainReplica)},
-	{FaultReplicaReplaced, 3, onReplica(replaceReplica)},
-	{FaultReplicaResets, 4, onReplica(resetConnections)},
-	{FaultClientsDisconnect, 3, haveClientsLeave},
+	{FaultReplicaDrains, 4, replicaFault(drainReplica)},
+	{FaultReplicaReplaced, 3, replicaFault(replaceReplica)},
+	{FaultReplicaResets, 4, replicaFault(resetConnections)},
+	{FaultClientsDisconnect, 3, disconnectClients},
 	{FaultBurst, 2, sendBurst},
 	{FaultIdleConnections, 2, openIdleConnections},
 }
@@ -89,7 +89,7 @@
 // injectFaults strikes again and again until the time is over.
 func (s *Soak) injectFaults(random *rand.Rand) {
 	for {
-		time.Sleep(between(random, 0, maxFaultPause))
+		time.Sleep(drawDuration(random, 0, maxFaultPause))
 		if s.now() > s.end-longestDeadline() {
 			return
 		}
@@ -98,7 +98,7 @@
 			continue
 		}
 		from := s.now()
-		target := fault.strike(s, random)
+		target := fault.inject(s, random)
 		if target != "" && fault.kind != FaultStop { // a stop notes itself, to the moment
 			s.ledger.addFault(faultSpan{fault.kind, target, from, s.now()})
 		}
@@ -121,8 +121,8 @@
 	panic("a draw below the sum of all weights fits none")
 }
 
-// between draws a span.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
+// drawDuration draws a span.
+func drawDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
 
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -8,16 +8,16 @@
 // targetClients is the target of faults that strike all clients.
 const targetClients = "clients"
 
-func haveClientsLeave(soak *Soak, random *rand.Rand) string {
-	soak.clientsLeaving.Store(true)
-	time.Sleep(between(random, 200*time.Millisecond, time.Second))
-	soak.clientsLeaving.Store(false)
+func disconnectClients(soak *Soak, random *rand.Rand) string {
+	soak.clientsDisconnecting.Store(true)
+	time.Sleep(drawDuration(random, 200*time.Millisecond, time.Second))
+	soak.clientsDisconnecting.Store(false)
 	return targetClients
 }
 
 func sendBurst(soak *Soak, random *rand.Rand) string {
 	soak.burst.Store(true)
-	time.Sleep(between(random, 300*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 300*time.Millisecond, 1500*time.Millisecond))
 	soak.burst.Store(false)
 	return targetClients
 }
@@ -32,7 +32,7 @@
 			idle = append(idle, conn)
 		}
 	}
-	time.Sleep(between(random, 100*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 100*time.Millisecond, 1500*time.Millisecond))
 	for _, conn := range idle {
 		conn.Close()
 	}
--- a/internal/soak/fault_discovery.go
+++ b/internal/soak/fault_discovery.go
@@ -10,13 +10,13 @@
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
 	agent.setDown(true)
-	time.Sleep(between(random, 200*time.Millisecond, 4*time.Second))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 4*time.Second))
 	agent.setDown(false)
 	return coordinator.name
 }
 
-// onAgent does something to a coordinator's discovery agent that is over at once.
-func onAgent(do func(*agent)) strike {
+// agentFault does something to a coordinator's discovery agent that is over at once.
+func agentFault(do func(*agent)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		coordinator := soak.drawCoordinator(random)
 		do(coordinator.agent())
@@ -28,8 +28,8 @@
 func sendFullLists(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
-	agent.setFullLists(true)
-	time.Sleep(between(random, 500*time.Millisecond, 3*time.Second))
-	agent.setFullLists(false)
+	agent.setSendsFullLists(true)
+	time.Sleep(drawDuration(random, 500*time.Millisecond, 3*time.Second))
+	agent.setSendsFullLists(false)
 	return coordinator.name
 }
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -15,22 +15,22 @@
 func stopProcess(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	for range 1 + random.IntN(3) {
-		process := coordinator.current()
+		process := coordinator.currentProcess()
 		if process == nil || process.program.Ended() {
 			return ""
 		}
 		from := soak.now()
 		process.program.Signal(syscall.SIGSTOP)
-		time.Sleep(between(random, 50*time.Millisecond, 150*time.Millisecond))
+		time.Sleep(drawDuration(random, 50*time.Millisecond, 150*time.Millisecond))
 		process.program.Signal(syscall.SIGCONT)
 		soak.ledger.addFault(faultSpan{FaultStop, coordinator.name, from, soak.now()})
-		time.Sleep(between(random, 50*time.Millisecond, 200*time.Millisecond))
+		time.Sleep(drawDuration(random, 50*time.Millisecond, 200*time.Millisecond))
 	}
 	return coordinator.name
 }
 
-// onProcess strikes a process that no other fault ends or starts meanwhile.
-func onProcess(soak *Soak, random *rand.Rand, strike func(coordinator *coordinator)) string {
+// withClaimedProcess strikes a process that no other fault ends or starts meanwhile.
+func withClaimedProcess(soak *Soak, random *rand.Rand, strike func(coordinator *coordinator)) string {
 	coordinator := soak.drawCoordinator(random)
 	if !coordinator.claim() {
 		return ""
@@ -42,7 +42,7 @@
 
 // terminateProcess restarts a process as planned, with silent clients, and sometimes with a step of its wall clock.
 func terminateProcess(soak *Soak, random *rand.Rand) string {
-	return onProcess(soak, random, func(coordinator *coordinator) {
+	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
 		silent := &client{soak: soak, random: random}
 		for range 2 { // connections on which nothing comes, or half a request, until the process ends
 			if conn := silent.dialTo(coordinator); conn != nil {
@@ -52,26 +52,26 @@
 		}
 		step := drawWallStep(random)
 		if random.IntN(3) == 0 {
-			wait := between(random, 0, 400*time.Millisecond)
-			timer := time.AfterFunc(wait, func() { coordinator.page.Step(step) })
-			defer coordinator.page.Step(0)
+			wait := drawDuration(random, 0, 400*time.Millisecond)
+			timer := time.AfterFunc(wait, func() { coordinator.faultPage.Step(step) })
+			defer coordinator.faultPage.Step(0)
 			defer timer.Stop()
 		}
-		coordinator.terminate(between(random, 200*time.Millisecond, 400*time.Millisecond))
-		soak.startAgain(coordinator)
+		coordinator.terminate(drawDuration(random, 200*time.Millisecond, 400*time.Millisecond))
+		soak.restart(coordinator)
 	})
 }
 
 func killProcess(soak *Soak, random *rand.Rand) string {
-	return onProcess(soak, random, func(coordinator *coordinator) {
+	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
 		coordinator.kill()
-		time.Sleep(between(random, 0, 300*time.Millisecond))
-		soak.startAgain(coordinator)
+		time.Sleep(drawDuration(random, 0, 300*time.Millisecond))
+		soak.restart(coordinator)
 	})
 }
 
-// startAgain starts a coordinator's next process; a start that fails is a violation.
-func (s *Soak) startAgain(coordinator *coordinator) {
+// restart starts a coordinator's next process; a start that fails is a violation.
+func (s *Soak) restart(coordinator *coordinator) {
 	if err := coordinator.start(); err != nil {
 		s.violated(RuleStart, "", "%v", err)
 	}
@@ -79,17 +79,17 @@
 
 // reloadProcess moves discovery to another agent; the old one sometimes falls silent soon after.
 func reloadProcess(soak *Soak, random *rand.Rand) string {
-	return onProcess(soak, random, func(coordinator *coordinator) {
+	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
 		old := coordinator.agent()
 		if err := coordinator.reload(); err != nil {
 			soak.violated(RuleHarness, "", "reload: %v", err)
 			return
 		}
 		if random.IntN(2) == 0 {
-			time.Sleep(between(random, 0, 300*time.Millisecond))
+			time.Sleep(drawDuration(random, 0, 300*time.Millisecond))
 			old.setDown(true)
 		}
-		time.Sleep(between(random, 0, time.Second))
+		time.Sleep(drawDuration(random, 0, time.Second))
 	})
 }
 
@@ -105,23 +105,23 @@
 // stepWallClock steps a machine's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
-	coordinator.page.Step(drawWallStep(random))
-	time.Sleep(between(random, 300*time.Millisecond, 3*time.Second))
-	coordinator.page.Step(0)
+	coordinator.faultPage.Step(drawWallStep(random))
+	time.Sleep(drawDuration(random, 300*time.Millisecond, 3*time.Second))
+	coordinator.faultPage.Step(0)
 	return coordinator.name
 }
 
 // failSystemCall has a system call fail for a moment: always, or one time of three.
-func failSystemCall(setting faultbuild.Setting) strike {
+func failSystemCall(setting faultbuild.Setting) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		coordinator := soak.drawCoordinator(random)
 		rate := int64(faultbuild.Always)
 		if random.IntN(2) == 0 {
 			rate /= 3
 		}
-		coordinator.page.Set(setting, rate)
-		time.Sleep(between(random, 30*time.Millisecond, 300*time.Millisecond))
-		coordinator.page.Set(setting, soak.options.Rates[setting])
+		coordinator.faultPage.Set(setting, rate)
+		time.Sleep(drawDuration(random, 30*time.Millisecond, 300*time.Millisecond))
+		coordinator.faultPage.Set(setting, soak.options.Rates[setting])
 		return coordinator.name
 	}
 }
@@ -129,7 +129,7 @@
 // lowerDescriptorLimit lowers a process's limit on descriptors for a moment to what it holds.
 func lowerDescriptorLimit(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
-	process := coordinator.current()
+	process := coordinator.currentProcess()
 	if process == nil || process.program.Ended() {
 		return ""
 	}
@@ -141,7 +141,7 @@
 	low := usual
 	low.Cur = uint64(process.program.Descriptors())
 	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &low, nil)
-	time.Sleep(between(random, 50*time.Millisecond, 300*time.Millisecond))
+	time.Sleep(drawDuration(random, 50*time.Millisecond, 300*time.Millisecond))
 	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil)
 	return coordinator.name
 }
--- a/internal/soak/fault_replica.go
+++ b/internal/soak/fault_replica.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// onReplica strikes a replica that is ready, and gives it back afterwards.
-func onReplica(do func(soak *Soak, replica *replica, random *rand.Rand)) strike {
+// replicaFault strikes a replica that is ready, and gives it back afterwards.
+func replicaFault(do func(soak *Soak, replica *replica, random *rand.Rand)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		replica := soak.claimReplica(random)
 		if replica == nil {
@@ -33,28 +33,28 @@
 
 func hangReplica(_ *Soak, replica *replica, random *rand.Rand) {
 	replica.setHanging(true)
-	time.Sleep(between(random, 200*time.Millisecond, 2*time.Second))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 2*time.Second))
 	replica.setHanging(false)
 }
 
 func stopAccepting(_ *Soak, replica *replica, random *rand.Rand) {
 	replica.resetAll()
 	replica.setAccepting(false)
-	time.Sleep(between(random, 200*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 1500*time.Millisecond))
 	replica.setAccepting(true)
 }
 
 func resetConnections(_ *Soak, replica *replica, random *rand.Rand) {
 	for range 1 + random.IntN(4) {
 		replica.resetAll()
-		time.Sleep(between(random, 0, 100*time.Millisecond))
+		time.Sleep(drawDuration(random, 0, 100*time.Millisecond))
 	}
 }
 
 // restartReplica has a replica's process die and come back cold; discovery tells the new start.
 func restartReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.stop()
-	time.Sleep(between(random, 50*time.Millisecond, time.Second))
+	time.Sleep(drawDuration(random, 50*time.Millisecond, time.Second))
 	if err := replica.restart(); err != nil {
 		soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
 		return
@@ -74,7 +74,7 @@
 	for _, replica := range claimed {
 		replica.stop()
 	}
-	time.Sleep(between(random, 50*time.Millisecond, 500*time.Millisecond))
+	time.Sleep(drawDuration(random, 50*time.Millisecond, 500*time.Millisecond))
 	for _, replica := range claimed {
 		if err := replica.restart(); err != nil {
 			soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
@@ -106,19 +106,19 @@
 // drainReplica has a replica drain and be removed; another joins cold under another name.
 func drainReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.publishState(stateDraining)
-	time.Sleep(between(random, drainGrace, 2*drainGrace+500*time.Millisecond))
+	time.Sleep(drawDuration(random, drainGrace, 2*drainGrace+500*time.Millisecond))
 	replica.publishState(stateRemoved)
 	soak.addReplica(replica.cell)
-	time.Sleep(between(random, 0, time.Second)) // it still answers
+	time.Sleep(drawDuration(random, 0, time.Second)) // it still answers
 	replica.stop()
 }
 
 // replaceReplica has a replica be removed without draining, after another has joined.
 func replaceReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	soak.addReplica(replica.cell)
-	time.Sleep(between(random, 0, 200*time.Millisecond))
+	time.Sleep(drawDuration(random, 0, 200*time.Millisecond))
 	replica.publishState(stateRemoved)
-	time.Sleep(between(random, 0, 2*time.Second))
+	time.Sleep(drawDuration(random, 0, 2*time.Second))
 	replica.stop()
 }
 
@@ -140,7 +140,7 @@
 func (s *Soak) nextReplicaName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	name := "s-" + string(rune('a'+s.replicasJoined%26)) + time.Duration(s.replicasJoined).String()
-	s.replicasJoined++
+	name := "s-" + string(rune('a'+s.replicaCount%26)) + time.Duration(s.replicaCount).String()
+	s.replicaCount++
 	return name
 }
--- a/internal/soak/judge_answer.go
+++ b/internal/soak/judge_answer.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// lostAfter is from when on, beyond the deadline, an answer counts as lost and no longer as late.
-	lostAfter = 500 * time.Millisecond
+	// lostAnswerDelay is from when on, beyond the deadline, an answer counts as lost and no longer as late.
+	lostAnswerDelay = 500 * time.Millisecond
 
-	// acceptedAfterTerm is how long after SIGTERM a request must still get its answer; what comes later may go without.
-	acceptedAfterTerm = 700 * time.Millisecond
+	// acceptsAfterSIGTERM is how long after SIGTERM a request must still get its answer; what comes later may go without.
+	acceptsAfterSIGTERM = 700 * time.Millisecond
 
 	// shareSlack is for the rounding of shares.
 	shareSlack = 0.0001
@@ -18,38 +18,38 @@
 
 // mayGoUnanswered tells whether a request's process was killed, or the request came too late after SIGTERM.
 func (r *request) mayGoUnanswered() bool {
-	if r.process.killed > 0 {
+	if r.process.killedAt > 0 {
 		return true
 	}
-	terminated := r.process.terminated
-	return terminated > 0 && r.sent > terminated+acceptedAfterTerm
+	terminated := r.process.terminatedAt
+	return terminated > 0 && r.sentAt > terminated+acceptsAfterSIGTERM
 }
 
-// judgeAnswer judges that a client that stays gets one final answer in time, and nothing behind it.
-func (j *judgement) judgeAnswer(request *request) {
-	if request.left > 0 || request.mayGoUnanswered() {
+// checkAnswer judges that a client that stays gets one final answer in time, and nothing behind it.
+func (c *checker) checkAnswer(request *request) {
+	if request.disconnectedAt > 0 || request.mayGoUnanswered() {
 		return
 	}
-	end := request.sent + request.deadline
+	end := request.sentAt + request.deadline
 	name := request.coordinator.name
-	j.judged(RuleAnswer, name, request.sent, end)
-	slack := socketSlack + j.stoppedTime(name, request.sent, end+lostAfter) + measurementSlack
+	c.countCheck(RuleAnswer, name, request.sentAt, end)
+	slack := socketSlack + c.stoppedTime(name, request.sentAt, end+lostAnswerDelay) + measurementSlack
 	switch {
-	case request.closed > 0:
-		j.violated(RuleAnswer, request.id,
+	case request.closedAt > 0:
+		c.violated(RuleAnswer, request.id,
 			"closed without an answer %v after it was sent to %s (reused %t, SIGTERM at %v, sent at %v)",
-			request.closed-request.sent, name, request.reused, request.process.terminated, request.sent)
+			request.closedAt-request.sentAt, name, request.reused, request.process.terminatedAt, request.sentAt)
 	case len(request.answers) != 1:
-		j.violated(RuleAnswer, request.id, "%d answers of %s", len(request.answers), name)
-	case request.answers[0].at > end+lostAfter+slack:
-		j.violated(RuleAnswer, request.id, "answered %v after its deadline by %s", request.answers[0].at-end, name)
+		c.violated(RuleAnswer, request.id, "%d answers of %s", len(request.answers), name)
+	case request.answers[0].receivedAt > end+lostAnswerDelay+slack:
+		c.violated(RuleAnswer, request.id, "answered %v after its deadline by %s", request.answers[0].receivedAt-end, name)
 	case request.trailingBytes > 0:
-		j.violated(RuleAnswer, request.id, "%d bytes behind the answer of %s", request.trailingBytes, name)
-	case request.answers[0].at > end+slack:
-		j.result.Counts[countAnsweredLate]++
+		c.violated(RuleAnswer, request.id, "%d bytes behind the answer of %s", request.trailingBytes, name)
+	case request.answers[0].receivedAt > end+slack:
+		c.result.Counts[countAnsweredLate]++
 	}
 	for _, answer := range request.answers {
-		j.result.Counts[answer.outcome()]++
+		c.result.Counts[answer.outcome()]++
 	}
 }
 
@@ -64,29 +64,29 @@
 	return countFailed
 }
 
-// judgeHonesty judges that an answer's parts are as replicas gave them, and as many as it says.
-func (j *judgement) judgeHonesty(request *request) {
+// checkAnswerContent judges that an answer's parts are as replicas gave them, and as many as it says.
+func (c *checker) checkAnswerContent(request *request) {
 	for _, answer := range request.answers {
 		if answer.status != http.StatusOK {
 			continue
 		}
-		j.judged(RuleAnswerContent, request.coordinator.name, request.sent, answer.at)
-		if !answer.holdsWhatItSays(request) {
-			j.violated(RuleAnswerContent, request.id, "whole %t with %d of %d parts",
+		c.countCheck(RuleAnswerContent, request.coordinator.name, request.sentAt, answer.receivedAt)
+		if !answer.hasRequiredShards(request) {
+			c.violated(RuleAnswerContent, request.id, "whole %t with %d of %d parts",
 				answer.complete, len(answer.matches), len(request.shards))
 		}
 		for shard, value := range answer.matches {
-			if !j.ledger.values[subqueryID(request.id, shard)][value] {
-				j.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica gave", shard, value)
+			if !c.ledger.replyValues[subqueryID(request.id, shard)][value] {
+				c.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica gave", shard, value)
 			}
 		}
 	}
 }
 
-// holdsWhatItSays tells whether an answer holds its class's least share, and all shards if it says that it is complete.
-func (a answer) holdsWhatItSays(request *request) bool {
+// hasRequiredShards tells whether an answer holds its class's least share, and all shards if it says that it is complete.
+func (a answer) hasRequiredShards(request *request) bool {
 	share := float64(len(a.matches)) / float64(len(request.shards))
-	if share < request.class.leastShare-shareSlack {
+	if share < request.class.minShare-shareSlack {
 		return false
 	}
 	return !a.complete || len(a.matches) >= len(request.shards)
--- a/internal/soak/log.go
+++ b/internal/soak/log.go
@@ -15,8 +15,8 @@
 // loopPanic is what a program that panics on purpose may log.
 const loopPanic = "event=loop_panic"
 
-// violationsInLogs are words of a program's log that are violations of their own.
-var violationsInLogs = []string{
+// logViolationMarkers are words of a program's log that are violations of their own.
+var logViolationMarkers = []string{
 	"event=violation",
 	loopPanic,
 	"event=client_panic",
@@ -26,27 +26,27 @@
 }
 
 const (
-	quotedLogBytes = 600
-	quotedLogLines = 30
+	maxQuotedLogBytes = 600
+	maxQuotedLogLines = 30
 )
 
-// readLog judges the log of a process that has ended, and keeps it if the options say so.
-func (s *Soak) readLog(coordinator *coordinator, process *process) {
+// checkLog judges the log of a process that has ended, and keeps it if the options say so.
+func (s *Soak) checkLog(coordinator *coordinator, process *process) {
 	log := process.program.Log()
-	for _, words := range violationsInLogs {
+	for _, words := range logViolationMarkers {
 		at := strings.Index(log, words)
 		if at < 0 || s.options.ExpectPanics && words == loopPanic {
 			continue
 		}
-		quoted := log[at:min(len(log), at+quotedLogBytes)]
-		s.violated(RuleLog, "", "%s says %s", coordinator.name, lastLines(quoted, quotedLogLines))
+		quoted := log[at:min(len(log), at+maxQuotedLogBytes)]
+		s.violated(RuleLog, "", "%s says %s", coordinator.name, lastLines(quoted, maxQuotedLogLines))
 	}
 	for line := range strings.Lines(log) {
 		if delay, logged := loopDelay(line); logged && delay < minLoopDelay {
 			s.violated(RuleLog, "", "%s left a query open until its deadline: %s", coordinator.name, line)
 		}
 	}
-	s.keepLog(coordinator, process, log)
+	s.saveLog(coordinator, process, log)
 }
 
 // loopDelay is by how much a log line says that the event loop was late; a delay that cannot be read counts as none.
@@ -59,11 +59,11 @@
 	return delay, true
 }
 
-func (s *Soak) keepLog(coordinator *coordinator, process *process, log string) {
+func (s *Soak) saveLog(coordinator *coordinator, process *process, log string) {
 	if s.options.LogFolder == "" {
 		return
 	}
-	name := fmt.Sprintf("seed%d-%s-%d.log", s.seed, coordinator.name, process.started.Milliseconds())
+	name := fmt.Sprintf("seed%d-%s-%d.log", s.seed, coordinator.name, process.startedAt.Milliseconds())
 	if err := os.WriteFile(filepath.Join(s.options.LogFolder, name), []byte(log), 0o600); err != nil {
 		s.violated(RuleHarness, "", "log: %v", err)
 	}
--- a/internal/soak/notification.go
+++ b/internal/soak/notification.go
@@ -9,9 +9,9 @@
 
 // notification is a change of an endpoint as it counts as told to a coordinator.
 type notification struct {
-	uid   string
-	state endpointState
-	at    time.Duration
+	uid         string
+	state       endpointState
+	effectiveAt time.Duration
 }
 
 // notifications are what a coordinator's agents have told it, in order. An agent that it has left counts until it was
@@ -21,14 +21,14 @@
 	for _, agent := range slices.Backward(c.allAgents()) {
 		agent.mu.Lock()
 		for _, notification := range agent.notifications {
-			if notification.at <= until {
+			if notification.effectiveAt <= until {
 				all = append(all, notification)
 			}
 		}
-		until = agent.countsFrom - reloadTime
+		until = agent.effectiveFrom - reloadTime
 		agent.mu.Unlock()
 	}
-	slices.SortStableFunc(all, func(a, b notification) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(all, func(a, b notification) int { return cmp.Compare(a.effectiveAt, b.effectiveAt) })
 	return all
 }
 
@@ -38,7 +38,7 @@
 	var since time.Duration
 	draining := false
 	for _, notification := range notifications {
-		if notification.at > by {
+		if notification.effectiveAt > by {
 			break
 		}
 		if notification.uid != uid {
@@ -50,7 +50,7 @@
 		}
 		if !draining {
 			draining = true
-			since = notification.at
+			since = notification.effectiveAt
 		}
 	}
 	return since, draining
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -16,7 +16,7 @@
 	hash := fnv.New64a()
 	for seed := uint64(1); seed <= 20; seed++ {
 		soak := &Soak{seed: seed, ledger: newLedger()}
-		fmt.Fprintln(hash, settings(seed))
+		fmt.Fprintln(hash, settingsJSON(seed))
 		writeRequests(hash, soak)
 		writeReplicaDraws(hash, soak)
 		writeFaults(hash, soak)
@@ -38,15 +38,15 @@
 	}
 	conn := &clientConn{}
 	for range 200 {
-		fmt.Fprintln(out, client.newRequest(conn).text())
+		fmt.Fprintln(out, client.newRequest(conn).wireText())
 	}
 }
 
 func writeReplicaDraws(out io.Writer, soak *Soak) {
 	replica := &replica{soak: soak, random: soak.randomFor("s-4")}
 	for range 200 {
-		fate := replica.drawFate()
-		fmt.Fprintln(out, fate.cutAfter, fate.slowReplies, replica.draw(100), replica.draw(int(meanWork)))
+		fate := replica.drawConnFaults()
+		fmt.Fprintln(out, fate.resetAfter, fate.slowReplies, replica.draw(100), replica.draw(int(meanWork)))
 	}
 }
 
@@ -58,6 +58,6 @@
 	for range 200 {
 		fmt.Fprintln(out, drawFault(random).kind)
 		coordinator := soak.drawCoordinator(random)
-		fmt.Fprintln(out, coordinator.name, between(random, 5, 10000), drawWallStep(random))
+		fmt.Fprintln(out, coordinator.name, drawDuration(random, 5, 10000), drawWallStep(random))
 	}
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -12,51 +12,51 @@
 const longRunning time.Duration = -1
 
 const (
-	// justResumed is how long after a replica reads again what it reads may have been written long before.
-	justResumed = 50 * time.Millisecond
+	// resumeWindow is how long after a replica reads again what it reads may have been written long before.
+	resumeWindow = 50 * time.Millisecond
 
-	usualBacklog = 128
+	defaultBacklog = 128
 
-	restartTries = 50 // to listen at the old address again
-	restartPause = 20 * time.Millisecond
+	restartAttempts = 50 // to listen at the old address again
+	restartPause    = 20 * time.Millisecond
 )
 
 // replica speaks the frames of the protocol page and notes in the ledger what reached it.
 type replica struct {
-	soak  *Soak
-	uid   string
-	cell  int
-	cores chan struct{} // a place for each attempt that runs
-
-	mu           sync.Mutex
-	listener     net.Listener
-	conns        map[net.Conn]bool
-	boot         time.Duration // of its process, on the soak's clock; below 0: longRunning
-	bootMS       int64         // the same as discovery tells it, in Unix milliseconds; 0: long ago
-	state        endpointState // as discovery has it
-	claimed      bool          // a fault has it
-	hanging      bool          // it reads nothing and answers nothing
-	notAccepting bool          // it accepts no connections
-	readsAgain   time.Duration // when it last read again; 0: it always did
-	acceptsAgain time.Duration // when it last accepted connections again; 0: it always did
-	resumed      *sync.Cond    // on mu: it no longer hangs, or accepts again
-	random       *rand.Rand
+	soak      *Soak
+	uid       string
+	cell      int
+	coreSlots chan struct{} // a place for each attempt that runs
+
+	mu             sync.Mutex
+	listener       net.Listener
+	conns          map[net.Conn]bool
+	startedAt      time.Duration // of its process, on the soak's clock; below 0: longRunning
+	startUnixMS    int64         // the same as discovery tells it, in Unix milliseconds; 0: long ago
+	state          endpointState // as discovery has it
+	claimed        bool          // a fault has it
+	hanging        bool          // it reads nothing and answers nothing
+	notAccepting   bool          // it accepts no connections
+	readingSince   time.Duration // when it last read again; 0: it always did
+	acceptingSince time.Duration // when it last accepted connections again; 0: it always did
+	resumed        *sync.Cond    // on mu: it no longer hangs, or accepts again
+	random         *rand.Rand
 }
 
 // newReplica starts a replica that discovery does not know yet.
 func newReplica(soak *Soak, uid string, cell int, boot time.Duration) (*replica, error) {
 	replica := &replica{
-		soak:   soak,
-		uid:    uid,
-		cell:   cell,
-		cores:  make(chan struct{}, replicaCores),
-		conns:  map[net.Conn]bool{},
-		boot:   boot,
-		state:  stateReady,
-		random: soak.randomFor(uid),
+		soak:      soak,
+		uid:       uid,
+		cell:      cell,
+		coreSlots: make(chan struct{}, replicaCores),
+		conns:     map[net.Conn]bool{},
+		startedAt: boot,
+		state:     stateReady,
+		random:    soak.randomFor(uid),
 	}
 	if boot >= 0 {
-		replica.bootMS = time.Now().UnixMilli()
+		replica.startUnixMS = time.Now().UnixMilli()
 	}
 	replica.resumed = sync.NewCond(&replica.mu)
 	return replica, replica.listen("127.0.0.1:0")
@@ -92,7 +92,7 @@
 		Cell:     r.cell,
 		State:    r.state,
 		Capacity: 1,
-		BootMS:   r.bootMS,
+		BootMS:   r.startUnixMS,
 	}
 }
 
@@ -128,22 +128,22 @@
 	return r.random.IntN(n)
 }
 
-// awaitReading waits while the replica hangs; it tells whether it had to, now or a moment ago.
-func (r *replica) awaitReading() (late bool) {
+// waitWhileHanging waits while the replica hangs; it tells whether it had to, now or a moment ago.
+func (r *replica) waitWhileHanging() (late bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.hanging {
 		late = true
 		r.resumed.Wait()
 	}
-	return late || r.readsAgain > 0 && r.soak.now()-r.readsAgain < justResumed
+	return late || r.readingSince > 0 && r.soak.now()-r.readingSince < resumeWindow
 }
 
 func (r *replica) setHanging(hanging bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.hanging && !hanging {
-		r.readsAgain = r.soak.now()
+		r.readingSince = r.soak.now()
 	}
 	r.hanging = hanging
 	r.resumed.Broadcast()
@@ -155,11 +155,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.notAccepting && accepting {
-		r.readsAgain = r.soak.now()
-		r.acceptsAgain = r.soak.now()
+		r.readingSince = r.soak.now()
+		r.acceptingSince = r.soak.now()
 	}
 	r.notAccepting = !accepting
-	backlog := usualBacklog
+	backlog := defaultBacklog
 	if !accepting {
 		backlog = 0
 	}
@@ -194,10 +194,10 @@
 func (r *replica) restart() error {
 	addr := r.addr()
 	var err error
-	for range restartTries {
+	for range restartAttempts {
 		r.mu.Lock()
-		r.boot = r.soak.now()
-		r.bootMS = time.Now().UnixMilli()
+		r.startedAt = r.soak.now()
+		r.startUnixMS = time.Now().UnixMilli()
 		r.mu.Unlock()
 		if err = r.listen(addr); err == nil {
 			return nil
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -16,30 +16,30 @@
 // twice as long, until a segment gets through. What arrives so soon after the replica accepts again says nothing of
 // when it was written.
 const (
-	handshakeRetries = 3 * time.Second
-	retransmitTime   = 100 * time.Millisecond // for those bytes to be read once the connection is accepted
+	handshakeRetryTime = 3 * time.Second
+	retransmitReadTime = 100 * time.Millisecond // for those bytes to be read once the connection is accepted
 )
 
-// maxCutAfter bounds the bytes after which a connection is reset.
-const maxCutAfter = 3000
+// maxResetAfter bounds the bytes after which a connection is reset.
+const maxResetAfter = 3000
 
-// unlimited is the number of bytes of a connection that is not cut.
-const unlimited = -1
+// neverReset is the number of bytes of a connection that is not cut.
+const neverReset = -1
 
-// connFate is what the network does to a connection.
-type connFate struct {
-	cutAfter    int           // bytes that come in before it is reset, or unlimited
-	slowReplies bool          // answers go out a few bytes at a time
-	lateUntil   time.Duration // what is read until then may have been written long before; see handshakeRetries
+// connFaults is what the network does to a connection.
+type connFaults struct {
+	resetAfter   int           // bytes that come in before it is reset, or unlimited
+	slowReplies  bool          // answers go out a few bytes at a time
+	delayedUntil time.Duration // what is read until then may have been written long before; see handshakeRetries
 }
 
 // replicaConn is a connection from a coordinator.
 type replicaConn struct {
 	net.Conn
-	replica *replica
-	boot    time.Duration // of the replica's process that accepted it
-	fate    connFate
-	writing sync.Mutex
+	replica          *replica
+	replicaStartedAt time.Duration // of the replica's process that accepted it
+	faults           connFaults
+	writing          sync.Mutex
 }
 
 // accept takes connections until the listener closes.
@@ -49,32 +49,32 @@
 		if err != nil {
 			return
 		}
-		admitted := r.admit(conn) // holds the next ones up while the replica accepts none
+		admitted := r.register(conn) // holds the next ones up while the replica accepts none
 		go admitted.serve()
 	}
 }
 
-// admit notes a connection, once the replica accepts any, and draws its fate.
-func (r *replica) admit(conn net.Conn) *replicaConn {
+// register notes a connection, once the replica accepts any, and draws its fate.
+func (r *replica) register(conn net.Conn) *replicaConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.notAccepting {
 		r.resumed.Wait()
 	}
 	r.conns[conn] = true
-	fate := r.drawFate()
-	if now := r.soak.now(); r.acceptsAgain > 0 && now-r.acceptsAgain < handshakeRetries {
-		fate.lateUntil = now + retransmitTime
+	fate := r.drawConnFaults()
+	if now := r.soak.now(); r.acceptingSince > 0 && now-r.acceptingSince < handshakeRetryTime {
+		fate.delayedUntil = now + retransmitReadTime
 	}
-	return &replicaConn{Conn: conn, replica: r, boot: r.boot, fate: fate}
+	return &replicaConn{Conn: conn, replica: r, replicaStartedAt: r.startedAt, faults: fate}
 }
 
-// drawFate draws one; r.mu is held.
-func (r *replica) drawFate() connFate {
-	fate := connFate{cutAfter: unlimited}
+// drawConnFaults draws one; r.mu is held.
+func (r *replica) drawConnFaults() connFaults {
+	fate := connFaults{resetAfter: neverReset}
 	switch r.random.IntN(12) {
 	case 0:
-		fate.cutAfter = 1 + r.random.IntN(maxCutAfter)
+		fate.resetAfter = 1 + r.random.IntN(maxResetAfter)
 	case 1:
 		fate.slowReplies = true
 	}
@@ -84,33 +84,33 @@
 // serve reads a connection's frames until it ends, is idle for too long, or cannot be read.
 func (c *replicaConn) serve() {
 	defer c.close()
-	in := bufio.NewReader(&cutConn{c.Conn, c.fate.cutAfter})
+	in := bufio.NewReader(&limitedConn{c.Conn, c.faults.resetAfter})
 	for {
-		c.SetReadDeadline(time.Now().Add(idleClose))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		if first, err := in.Peek(1); err != nil || len(first) == 0 {
 			return
 		}
-		late := c.awaitReading()
+		late := c.waitWhileHanging()
 		if late {
-			c.replica.soak.lateFrames.Add(1)
+			c.replica.soak.delayedFrames.Add(1)
 		}
 		begun := c.replica.soak.now()
 		c.SetReadDeadline(time.Time{})
 		frame, err := readFrame(in)
 		if err != nil {
-			c.reportFrame(err)
+			c.reportMalformed(err)
 			return
 		}
 		if !isCall(frame) {
 			continue
 		}
-		late = c.replica.awaitReading() || late
+		late = c.replica.waitWhileHanging() || late
 		calls, err := parseCall(frame)
 		if err != nil {
-			c.reportFrame(err)
+			c.reportMalformed(err)
 			return
 		}
-		c.take(calls, arrival{begun: begun, complete: c.replica.soak.now(), late: late})
+		c.startAttempts(calls, arrival{firstByteAt: begun, lastByteAt: c.replica.soak.now(), delayed: late})
 	}
 }
 
@@ -121,21 +121,21 @@
 	delete(c.replica.conns, c.Conn)
 }
 
-// awaitReading waits while the replica hangs; it tells whether the time of the bytes' writing is unknown.
-func (c *replicaConn) awaitReading() (late bool) {
-	return c.replica.awaitReading() || c.replica.soak.now() < c.fate.lateUntil
+// waitWhileHanging waits while the replica hangs; it tells whether the time of the bytes' writing is unknown.
+func (c *replicaConn) waitWhileHanging() (late bool) {
+	return c.replica.waitWhileHanging() || c.replica.soak.now() < c.faults.delayedUntil
 }
 
-// reportFrame notes a frame that breaks the protocol; the end of a connection is no violation.
-func (c *replicaConn) reportFrame(err error) {
+// reportMalformed notes a frame that breaks the protocol; the end of a connection is no violation.
+func (c *replicaConn) reportMalformed(err error) {
 	var malformed *malformedFrameError
 	if errors.As(err, &malformed) {
 		c.replica.soak.violated(RuleFrame, "", "replica %s: %v", c.replica.uid, malformed)
 	}
 }
 
-// take notes the subqueries of a frame, and has each run.
-func (c *replicaConn) take(calls []subqueryCall, frame arrival) {
+// startAttempts notes the subqueries of a frame, and has each run.
+func (c *replicaConn) startAttempts(calls []subqueryCall, frame arrival) {
 	replica := c.replica
 	for _, call := range calls {
 		query, shard, _ := strings.Cut(call.id, ".")
@@ -144,56 +144,56 @@
 		attempt.subquery = call.id
 		attempt.replica = replica
 		attempt.timeout = call.timeout
-		attempt.boot = c.boot
-		if c.boot >= 0 {
-			attempt.warmUpAllowance = warmUpAllowance(attempt.complete - c.boot)
+		attempt.replicaStartedAt = c.replicaStartedAt
+		if c.replicaStartedAt >= 0 {
+			attempt.warmUpAllowance = warmUpAllowance(attempt.lastByteAt - c.replicaStartedAt)
 		}
 		if n, err := strconv.Atoi(shard); err != nil || n%cells != replica.cell {
 			replica.soak.violated(RulePlacement, query, "%s reached %s of cell %d", call.id, replica.uid, replica.cell)
 		}
 		replica.soak.ledger.addArrival(&attempt)
-		go c.run(&attempt)
+		go c.runAttempt(&attempt)
 	}
 }
 
 // What becomes of an attempt, by a draw below 100: each takes the draws below its bound that are left by those before.
 const (
-	rejectedBelow = 4 // it never runs
-	failedBelow   = 6
-	silentBelow   = 8
-	resetBelow    = 9
+	rejectedBelow   = 4 // it never runs
+	failedBelow     = 6
+	unansweredBelow = 8
+	resetBelow      = 9
 )
 
-// run runs an attempt and answers it, or does something else.
-func (c *replicaConn) run(attempt *arrival) {
+// runAttempt runs an attempt and answers it, or does something else.
+func (c *replicaConn) runAttempt(attempt *arrival) {
 	replica := c.replica
 	fate := replica.draw(100)
 	if fate < rejectedBelow {
 		c.reply(attempt.subquery, "REJECTED", "")
 		return
 	}
-	replica.cores <- struct{}{}
-	defer func() { <-replica.cores }()
+	replica.coreSlots <- struct{}{}
+	defer func() { <-replica.coreSlots }()
 	replica.soak.ledger.update(func() { attempt.ran = true })
 	time.Sleep(meanWork/2 + time.Duration(replica.draw(int(meanWork))))
-	replica.awaitReading()
+	replica.waitWhileHanging()
 	switch {
 	case fate < failedBelow:
 		c.reply(attempt.subquery, "ERROR", "")
-	case fate < silentBelow: // nothing is answered
+	case fate < unansweredBelow: // nothing is answered
 	case fate < resetBelow:
 		reset(c.Conn)
 	default:
 		value := fmt.Sprintf("v<%s.%s.%d>", replica.uid, attempt.subquery, replica.draw(1000))
-		replica.soak.ledger.addValue(attempt.subquery, value)
+		replica.soak.ledger.addReplyValue(attempt.subquery, value)
 		c.reply(attempt.subquery, "OK", value)
 	}
 }
 
 const (
-	replyWriteTime = 2 * time.Second
-	slowReplyBytes = 7
-	slowReplyPause = time.Millisecond
+	replyWriteTimeout = 2 * time.Second
+	slowReplyBytes    = 7
+	slowReplyPause    = time.Millisecond
 )
 
 // reply writes a reply, one at a time on a connection.
@@ -201,8 +201,8 @@
 	frame := replyFrame(subquery, outcome, value)
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	c.SetWriteDeadline(time.Now().Add(replyWriteTime))
-	if !c.fate.slowReplies {
+	c.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
+	if !c.faults.slowReplies {
 		c.Write(frame)
 		return
 	}
@@ -222,13 +222,13 @@
 	conn.Close()
 }
 
-// cutConn is a connection that is reset once so many bytes came in.
-type cutConn struct {
+// limitedConn is a connection that is reset once so many bytes came in.
+type limitedConn struct {
 	net.Conn
 	remaining int // or unlimited
 }
 
-func (c *cutConn) Read(b []byte) (int, error) {
+func (c *limitedConn) Read(b []byte) (int, error) {
 	if c.remaining < 0 {
 		return c.Conn.Read(b)
 	}
--- a/internal/soak/replica_frame.go
+++ b/internal/soak/replica_frame.go
@@ -12,10 +12,10 @@
 
 // A frame is its length, four bytes in network order, and its content, whose first byte is its type.
 const (
-	callFrame  = 'R'
-	replyType  = 'Y'
-	maxFrame   = 1 << 20
-	lengthSize = 4
+	callFrameType  = 'R'
+	replyFrameType = 'Y'
+	maxFrameBytes  = 1 << 20
+	lengthBytes    = 4
 )
 
 // malformedFrameError says what a coordinator sent against the protocol.
@@ -29,12 +29,12 @@
 
 // readFrame reads a frame's content. An error is a malformedFrameError or the connection's end.
 func readFrame(in io.Reader) ([]byte, error) {
-	var size [lengthSize]byte
+	var size [lengthBytes]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length == 0 || length > maxFrame {
+	if length == 0 || length > maxFrameBytes {
 		return nil, malformed("a frame of %d bytes", length)
 	}
 	frame := make([]byte, length)
@@ -42,7 +42,7 @@
 	return frame, err
 }
 
-func isCall(frame []byte) bool { return frame[0] == callFrame }
+func isCall(frame []byte) bool { return frame[0] == callFrameType }
 
 // subqueryCall is one subquery of a call.
 type subqueryCall struct {
@@ -84,7 +84,7 @@
 }
 
 func replyFrame(subquery, outcome, value string) []byte {
-	content := fmt.Sprintf("%c%s %s 7 -\n%s", replyType, subquery, outcome, value)
+	content := fmt.Sprintf("%c%s %s 7 -\n%s", replyFrameType, subquery, outcome, value)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(content))), content...)
 }
 
--- a/internal/soak/request.go
+++ b/internal/soak/request.go
@@ -14,14 +14,14 @@
 
 // newRequest draws a request for a connection.
 func (c *client) newRequest(conn *clientConn) *request {
-	c.made++
+	c.requestCount++
 	class := classes[c.random.IntN(len(classes))]
 	request := &request{
-		id:          fmt.Sprintf("%s-%d", c.name, c.made),
+		id:          fmt.Sprintf("%s-%d", c.name, c.requestCount),
 		class:       class,
 		coordinator: conn.coordinator,
 		process:     conn.process,
-		reused:      conn.carried > 0,
+		reused:      conn.requestCount > 0,
 		deadline:    c.drawDeadline(class),
 	}
 	shards := c.random.Perm(shardCount)
@@ -40,8 +40,8 @@
 	return class.deadline
 }
 
-// text is the request as it goes over the wire.
-func (r *request) text() string {
+// wireText is the request as it goes over the wire.
+func (r *request) wireText() string {
 	boost := 1 / float64(len(r.shards))
 	var segments []string
 	for _, shard := range r.shards {
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -35,13 +35,13 @@
 
 // Keys of Result.Counts beside the rules' names.
 const (
-	countAnsweredLate     = "answered_late"
-	countServed           = "served"
-	countRefused          = "refused"
-	countFailed           = "failed"
-	countFramesNotJudged  = "frames_not_judged"
-	countSlowStartPercent = "slow_start_most_percent" // the highest load of a cold replica, in percent of the limit
-	countFaultPrefix      = "trouble_"                // before a fault's kind
+	countAnsweredLate        = "answered_late"
+	countServed              = "served"
+	countRefused             = "refused"
+	countFailed              = "failed"
+	countFramesNotChecked    = "frames_not_judged"
+	countMaxSlowStartPercent = "slow_start_most_percent" // the highest load of a cold replica, in percent of the limit
+	countFaultPrefix         = "trouble_"                // before a fault's kind
 )
 
 // Violation is a rule that was broken, or anything else that must not happen.
@@ -80,7 +80,7 @@
 
 // IsMaximum tells whether a key of Result.Counts stands for a highest value: of several results the highest holds,
 // where others are added.
-func IsMaximum(key string) bool { return key == countSlowStartPercent }
+func IsMaximum(key string) bool { return key == countMaxSlowStartPercent }
 
 // maxViolations bounds what a run keeps; a program that is broken for good breaks a rule with each request.
 const maxViolations = 200
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -56,14 +56,14 @@
 	endpoints    *endpointHistory
 	coordinators []*coordinator
 
-	burst          atomic.Bool // clients send faster
-	clientsLeaving atomic.Bool // clients leave often
-	lateFrames     atomic.Int64
-
-	mu             sync.Mutex
-	replicas       []*replica
-	replicasJoined int // replicas so far, for the names of those that join
-	violations     []Violation
+	burst                atomic.Bool // clients send faster
+	clientsDisconnecting atomic.Bool // clients leave often
+	delayedFrames        atomic.Int64
+
+	mu           sync.Mutex
+	replicas     []*replica
+	replicaCount int // replicas so far, for the names of those that join
+	violations   []Violation
 }
 
 // Run plays a seed and judges it. An error says that the seed could not be played; broken rules are in the result.
@@ -87,7 +87,7 @@
 	}
 	soak.play()
 	soak.terminateAll()
-	return soak.judge(), nil
+	return soak.check(), nil
 }
 
 // startAll starts the replicas, then all coordinators at once.
@@ -121,7 +121,7 @@
 		s.replicas = append(s.replicas, replica)
 		s.endpoints.publish(replica.endpoint())
 	}
-	s.replicasJoined = len(s.replicas)
+	s.replicaCount = len(s.replicas)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	var all sync.WaitGroup
 	for _, coordinator := range s.coordinators {
 		all.Go(func() {
-			process := coordinator.current()
+			process := coordinator.currentProcess()
 			if process == nil {
 				return
 			}
