--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// hungWatchTime is from when on, after a watch fell silent, what it misses counts as notified: by then the
-	// coordinator has to have given the watch up and polled.
+	// hungWatchTime is how long after a watch was hung the changes that it missed count as notified: by then the
+	// coordinator must have abandoned the watch and polled.
 	hungWatchTime = 6 * time.Second
 
-	// reloadTime is from when on, after SIGHUP, what the new agent has counts as notified.
+	// reloadTime is how long after SIGHUP the changes known to the new agent count as notified.
 	reloadTime = 4 * time.Second
 )
 
-// agent is the discovery agent on one coordinator's machine.
+// agent is a discovery agent on the machine of one coordinator.
 type agent struct {
 	soak     *Soak
 	listener net.Listener
 	server   *http.Server
 
 	mu              sync.Mutex
-	revision        int           // that it has
-	down            bool          // it answers nothing and learns nothing
-	pendingRevision int           // the revision that it learns of at its return
-	hangOpenCalls   chan struct{} // closed when the calls that are open are to stay without an answer
-	hungAt          time.Duration // when that was last
-	sendsFullLists  bool          // watches are answered with full lists
-	changed         chan struct{} // closed at a new revision, and at its return
+	revision        int           // latest revision applied
+	down            bool          // it neither answers calls nor applies revisions
+	pendingRevision int           // revision to apply once it is up again
+	hangOpenCalls   chan struct{} // closed to leave all open calls unanswered
+	hungAt          time.Duration // time of the last hangWatches
+	sendsFullLists  bool          // it answers watches with full lists
+	changed         chan struct{} // closed at a new revision and when the agent is up again
 	conns           map[net.Conn]bool
 	notifications   []notification
-	effectiveFrom   time.Duration // notifications count from here on: a reload takes its time
+	effectiveFrom   time.Duration // earliest effective time of notifications, to allow for a reload
 }
 
 func newAgent(soak *Soak) (*agent, error) {
@@ -61,7 +61,7 @@
 
 func (a *agent) close() { a.server.Close() }
 
-// trackConn keeps the open connections, to reset them.
+// trackConn maintains the set of open connections, for resetWatches.
 func (a *agent) trackConn(conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,7 +72,7 @@
 	a.conns[conn] = true
 }
 
-// publish has the agent learn of a revision, at once or when it is back.
+// publish applies a revision, or defers it until the agent is up again.
 func (a *agent) publish(revision int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -83,31 +83,31 @@
 	a.applyRevision(revision)
 }
 
-// applyRevision takes a revision up; a.mu is held.
+// applyRevision records the notifications of a newer revision and wakes the open calls. The caller holds a.mu.
 func (a *agent) applyRevision(revision int) {
 	if revision <= a.revision {
 		return
 	}
 	_, changed := a.soak.endpoints.listAt(revision, a.revision)
 	now := a.soak.now()
-	countsAt := max(now, a.effectiveFrom)
+	effectiveAt := max(now, a.effectiveFrom)
 	if now < a.hungAt+hungWatchTime {
-		countsAt = max(countsAt, a.hungAt+hungWatchTime)
+		effectiveAt = max(effectiveAt, a.hungAt+hungWatchTime)
 	}
 	for _, endpoint := range changed {
-		a.notifications = append(a.notifications, notification{endpoint.UID, endpoint.State, countsAt})
+		a.notifications = append(a.notifications, notification{endpoint.UID, endpoint.State, effectiveAt})
 	}
 	a.revision = revision
 	a.wakeCalls()
 }
 
-// wakeCalls has the calls that are open look again; a.mu is held.
+// wakeCalls wakes the open calls to check whether they can be answered. The caller holds a.mu.
 func (a *agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// setDown has the agent answer nothing and learn nothing, or return.
+// setDown takes the agent down, so that it neither answers calls nor applies revisions, or brings it up again.
 func (a *agent) setDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// hangWatches leaves all calls that are open without an answer for ever.
+// hangWatches leaves all open calls unanswered until the callers close them.
 func (a *agent) hangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,14 +136,14 @@
 	}
 }
 
-// setSendsFullLists has watches be answered with full lists.
+// setSendsFullLists sets whether watches are answered with full lists.
 func (a *agent) setSendsFullLists(full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sendsFullLists = full
 }
 
-// setEffectiveFrom has no notification, so far or to come, count before a time.
+// setEffectiveFrom sets the earliest effective time of all notifications, past and future.
 func (a *agent) setEffectiveFrom(from time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,11 +153,11 @@
 	}
 }
 
-// endpointCall is a coordinator's call: a watch from a revision on, or a poll of the list as it is.
+// endpointCall is a request from a coordinator: a watch for changes after a revision, or a poll of the current list.
 type endpointCall struct {
 	watch bool
-	from  int           // of a watch: the revision that the coordinator has
-	hold  time.Duration // how long a watch waits for another
+	from  int           // of a watch: the coordinator's revision
+	hold  time.Duration // how long a watch waits for a newer revision
 }
 
 func parseCallParameters(query url.Values) endpointCall {
@@ -166,7 +166,6 @@
 	return endpointCall{watch: err == nil, from: from, hold: time.Duration(holdMS) * time.Millisecond}
 }
 
-// serve answers a call.
 func (a *agent) serve(writer http.ResponseWriter, httpRequest *http.Request) {
 	call := parseCallParameters(httpRequest.URL.Query())
 	if a.waitToAnswer(call, httpRequest.Context().Done()) {
@@ -174,33 +173,33 @@
 	}
 }
 
-// waitToAnswer waits until a call is to be answered: a poll at once, a watch at a newer revision or when its time is over, and
-// neither while the agent is down. It tells whether to answer; false: the caller has left, or the call was silenced.
-func (a *agent) waitToAnswer(call endpointCall, callerLeft <-chan struct{}) (answers bool) {
-	end := time.After(call.hold)
+// waitToAnswer blocks until a call can be answered: a poll at once, a watch at a newer revision or when its hold time
+// has passed, and neither while the agent is down. It returns false if the caller disconnected or the call was hung.
+func (a *agent) waitToAnswer(call endpointCall, callerGone <-chan struct{}) (shouldAnswer bool) {
+	holdExpired := time.After(call.hold)
 	a.mu.Lock()
-	silence := a.hangOpenCalls
+	hang := a.hangOpenCalls
 	a.mu.Unlock()
 	for {
 		a.mu.Lock()
 		changed := a.changed
 		down := a.down
-		waits := down || call.watch && a.revision <= call.from
+		mustWait := down || call.watch && a.revision <= call.from
 		a.mu.Unlock()
-		if !waits {
+		if !mustWait {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-holdExpired:
 			if !down {
 				return true
 			}
 			<-changed
-		case <-silence:
-			<-callerLeft
+		case <-hang:
+			<-callerGone
 			return false
-		case <-callerLeft:
+		case <-callerGone:
 			return false
 		}
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -4,17 +4,17 @@
 	"sync"
 )
 
-// endpointState is a replica's state as discovery tells it.
+// endpointState is the state of a replica in discovery.
 type endpointState string
 
-// The states on the wire.
+// The values on the wire.
 const (
 	stateReady    endpointState = "ready"
 	stateDraining endpointState = "draining"
 	stateRemoved  endpointState = "gone"
 )
 
-// endpoint is a replica as discovery tells it.
+// endpoint is a replica in the wire format of discovery.
 type endpoint struct {
 	UID      string        `json:"uid"`
 	Address  string        `json:"endpoint"`
@@ -26,21 +26,21 @@
 	BootMS   int64         `json:"boot_ms"`
 }
 
-// endpointList is an answer of discovery: all endpoints, or those that changed.
+// endpointList is a response of discovery: all endpoints, or only those that changed.
 type endpointList struct {
 	Revision  int        `json:"rev"`
 	Full      bool       `json:"all"`
 	Endpoints []endpoint `json:"targets"`
 }
 
-// endpointHistory is what discovery knows: every revision, so that each agent can be behind by some.
+// endpointHistory holds every revision of the endpoint list, so that each agent can lag behind.
 type endpointHistory struct {
 	mu      sync.Mutex
 	changes []endpoint // revision n is changes[n-1]
 	agents  []*agent
 }
 
-// publish makes a new revision and has the agents learn of it.
+// publish adds a revision and notifies the agents.
 func (h *endpointHistory) publish(change endpoint) {
 	h.mu.Lock()
 	h.changes = append(h.changes, change)
@@ -52,7 +52,7 @@
 	}
 }
 
-// subscribe adds an agent, which learns of all revisions so far and to come.
+// subscribe adds an agent and notifies it of the current revision and all later ones.
 func (h *endpointHistory) subscribe(agent *agent) {
 	h.mu.Lock()
 	h.agents = append(h.agents, agent)
@@ -61,8 +61,8 @@
 	agent.publish(revision)
 }
 
-// listAt is the list as of a revision without what was removed, and the endpoints that changed after another revision, in
-// the order in which they first appeared.
+// listAt returns the endpoints as of a revision without the removed ones, and the endpoints that changed after the
+// revision since. Both are in the order in which the endpoints first appeared.
 func (h *endpointHistory) listAt(revision, since int) (all, changed []endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/notification.go
+++ b/internal/soak/notification.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// notification is a change of an endpoint as it counts as told to a coordinator.
+// notification is a change of an endpoint with the time from which on the coordinator must know it.
 type notification struct {
 	uid         string
 	state       endpointState
 	effectiveAt time.Duration
 }
 
-// notifications are what a coordinator's agents have told it, in order. An agent that it has left counts until it was
-// left.
+// notifications returns the notifications of all agents of a coordinator, sorted by effective time. Those of a replaced
+// agent count until the reload that replaced it.
 func (c *coordinator) notifications() (all []notification) {
 	until := time.Duration(math.MaxInt64)
 	for _, agent := range slices.Backward(c.allAgents()) {
@@ -32,8 +32,9 @@
 	return all
 }
 
-// drainingSince is since when, as of a time, a coordinator has been notified that a replica drains or was removed;
-// false: it has not, or the replica was ready again. The notifications are in order.
+// drainingSince returns the time since which a replica has been draining or removed, according to the notifications up
+// to a time. It returns false if there is no such notification or the replica is ready again. The notifications must be
+// sorted by effective time.
 func drainingSince(notifications []notification, uid string, by time.Duration) (time.Duration, bool) {
 	var since time.Duration
 	draining := false
