--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	maxIdleConns = 3 // connections that a client keeps for later requests
+	maxIdleConns = 3 // connections that a client keeps open for later requests
 
 	maxPause     = 110 * time.Millisecond  // longest pause between requests
-	maxLongPause = 2500 * time.Millisecond // longest, when the client rests
-	burstSpeedup = 6                       // times as fast as usual
+	maxLongPause = 2500 * time.Millisecond // longest of the occasional long pauses
+	burstSpeedup = 6                       // divisor of maxPause during a burst
 
 	requestWriteTimeout     = 2 * time.Second
-	answerWait              = 1500 * time.Millisecond // beyond the deadline, for an answer that is later than any may be
-	partialRequestWait      = 3 * time.Second         // for half a request to get its error or close
-	partialRequestExtraWait = 500 * time.Millisecond  // to see what comes after halfRequestWait
+	answerWait              = 1500 * time.Millisecond // beyond the deadline; longer than the latest answer allowed
+	partialRequestWait      = 3 * time.Second         // limit for an error or a close after half a request
+	partialRequestExtraWait = 500 * time.Millisecond  // further wait, to measure a response past the limit
 )
 
-// client sends requests, one at a time, until the soak has no more time for another. Its source of chance decides all
-// that it does; the order of its draws is part of a seed's plan.
+// client sends requests, one at a time, until the end of the soak. All its choices are drawn from its random source;
+// the order of the draws is part of a seed's plan.
 type client struct {
 	soak         *Soak
 	name         string
 	random       *rand.Rand
 	idleConns    []*clientConn
-	requestCount int // requests so far
+	requestCount int // requests drawn so far
 }
 
-// exchangeResult is what became of a request's connection.
+// exchangeResult is the state of a connection after a request.
 type exchangeResult int
 
 const (
 	connClosed     exchangeResult = iota
-	connReusable                  // it can carry another request
-	requestNotRead                // it was closed before the request can have been read
+	connReusable                  // it can be reused for another request
+	requestNotRead                // it was closed before the request was read; the request can be resent
 )
 
 func (c *client) run() {
@@ -63,8 +63,8 @@
 	time.Sleep(drawDuration(c.random, 0, longest))
 }
 
-// sendOnce sends a request or half of one. A request that crossed the connection's close is sent once more, on a new
-// connection.
+// sendOnce sends a request or half of one. If the coordinator closed a reused connection before it read the request, a
+// new request is sent once on a new connection.
 func (c *client) sendOnce() {
 	conn := c.getConn()
 	if conn == nil {
@@ -74,22 +74,22 @@
 		c.sendPartial(conn)
 		return
 	}
-	outcome := c.exchange(conn, c.newRequest(conn))
-	if outcome == requestNotRead {
+	result := c.exchange(conn, c.newRequest(conn))
+	if result == requestNotRead {
 		conn = c.dial()
 		if conn == nil {
 			return
 		}
-		outcome = c.exchange(conn, c.newRequest(conn))
+		result = c.exchange(conn, c.newRequest(conn))
 	}
-	if outcome == connReusable && len(c.idleConns) < maxIdleConns && c.random.IntN(5) > 0 {
+	if result == connReusable && len(c.idleConns) < maxIdleConns && c.random.IntN(5) > 0 {
 		c.idleConns = append(c.idleConns, conn)
 		return
 	}
 	conn.Close()
 }
 
-// exchange sends a request and takes what comes.
+// exchange sends a request, reads the response and records both in the ledger.
 func (c *client) exchange(conn *clientConn, request *request) exchangeResult {
 	conn.requestCount++
 	if !c.write(conn, request.wireText()) {
@@ -123,23 +123,23 @@
 	return connReusable
 }
 
-// recordClose notes that a connection ended without an answer. A request on a connection that had carried others, and of
-// which no replica has seen anything, may have crossed the close: it counts as not sent here.
+// recordClose records that a connection was closed without an answer. On a reused connection the coordinator may have
+// closed it before the request arrived: if no attempt of the request has reached a replica, it counts as not sent.
 func (c *client) recordClose(request *request, at time.Duration) exchangeResult {
-	unread := request.reused && !c.soak.ledger.reachedReplica(request.id)
+	notRead := request.reused && !c.soak.ledger.reachedReplica(request.id)
 	c.soak.ledger.update(func() {
 		request.closedAt = at
-		if unread {
+		if notRead {
 			request.disconnectedAt = request.sentAt
 		}
 	})
-	if unread {
+	if notRead {
 		return requestNotRead
 	}
 	return connClosed
 }
 
-// drawDisconnect tells whether the client leaves before its answer.
+// drawDisconnect reports whether the client disconnects without waiting for its answer.
 func (c *client) drawDisconnect() bool {
 	oneOf := 12
 	if c.soak.clientsDisconnecting.Load() {
@@ -148,7 +148,7 @@
 	return c.random.IntN(oneOf) == 0
 }
 
-// write writes in one go, or in pieces.
+// write writes a text at once or in pieces with pauses, and reports whether it succeeded.
 func (c *client) write(conn *clientConn, text string) bool {
 	conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout))
 	if c.random.IntN(8) > 0 {
@@ -168,15 +168,15 @@
 	return true
 }
 
-// disconnect closes the connection some time after the request, with or without a reset.
+// disconnect closes the connection after a random delay, which may be zero.
 func (c *client) disconnect(conn *clientConn, request *request) {
-	after := time.Duration(0)
+	delay := time.Duration(0)
 	if c.random.IntN(3) > 0 {
-		after = time.Duration(c.random.IntN(150)) * time.Millisecond
+		delay = time.Duration(c.random.IntN(150)) * time.Millisecond
 	}
-	time.Sleep(after)
+	time.Sleep(delay)
 	if c.random.IntN(3) == 0 {
-		reset(conn) // which sees no TCP connection in a clientConn, and closes it as usual
+		reset(conn) // clientConn is not a *net.TCPConn, so this closes it without a TCP reset
 	} else {
 		conn.Close()
 	}
@@ -184,14 +184,15 @@
 	c.soak.ledger.update(func() { request.disconnectedAt = at })
 }
 
-// sendPartial sends half a request and stays: an error or the connection's end is owed.
+// sendPartial sends half a request and keeps the connection open: the coordinator must answer with an error or close it
+// in time.
 func (c *client) sendPartial(conn *clientConn) {
 	defer conn.Close()
 	text := c.newRequest(conn).wireText()
 	if _, err := io.WriteString(conn, text[:len(text)/2]); err != nil {
 		return
 	}
-	sent := c.soak.now()
+	sentAt := c.soak.now()
 	conn.SetReadDeadline(time.Now().Add(partialRequestWait + partialRequestExtraWait))
 	_, err := conn.in.ReadByte()
 	var netError net.Error
@@ -200,14 +201,13 @@
 		return
 	}
 	now := c.soak.now()
-	stopped := c.soak.stoppedTime(conn.coordinator.name, sent, now)
-	if now-sent > partialRequestWait+stopped+measurementSlack {
-		c.soak.violated(RulePartialRequest, "", "half a request to %s has neither error nor end after %v",
-			conn.coordinator.name, now-sent)
+	stopped := c.soak.stoppedTime(conn.coordinator.name, sentAt, now)
+	if now-sentAt > partialRequestWait+stopped+measurementSlack {
+		c.soak.violated(RulePartialRequest, "", "half a request to %s got neither an error nor a close after %v",
+			conn.coordinator.name, now-sentAt)
 	}
 }
 
-// readResponse reads a response with its answer.
 func readResponse(in *bufio.Reader) (*http.Response, answer, error) {
 	response, err := http.ReadResponse(in, nil)
 	if err != nil {
--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -14,10 +14,10 @@
 	in           *bufio.Reader
 	coordinator  *coordinator
 	process      *process
-	requestCount int // requests so far
+	requestCount int // requests sent so far
 }
 
-// getConn is one that the client kept, or a new one; nil: no coordinator takes any.
+// getConn returns an idle connection or a new one, or nil if no coordinator that it tried accepts connections.
 func (c *client) getConn() *clientConn {
 	if len(c.idleConns) > 0 && c.random.IntN(4) > 0 {
 		n := c.random.IntN(len(c.idleConns))
@@ -28,7 +28,7 @@
 	return c.dial()
 }
 
-// dial opens a connection to a coordinator that takes clients; nil if it meets none.
+// dial opens a connection to a random coordinator, or returns nil if none that it tried accepts connections.
 func (c *client) dial() *clientConn {
 	for range 2 * coordinatorCount {
 		coordinator := c.soak.coordinators[c.random.IntN(coordinatorCount)]
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// dialTo opens a connection to a coordinator; nil if it takes none.
+// dialTo opens a connection to a coordinator, or returns nil if it accepts none.
 func (c *client) dialTo(coordinator *coordinator) *clientConn {
 	process, addr := coordinator.acceptingProcess()
 	if process == nil {
--- a/internal/soak/request.go
+++ b/internal/soak/request.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxSubqueries bounds the shards that a request asks for.
+// maxSubqueries is the maximum number of shards that a request queries.
 const maxSubqueries = 5
 
-// newRequest draws a request for a connection.
+// newRequest creates a random request to be sent on a connection.
 func (c *client) newRequest(conn *clientConn) *request {
 	c.requestCount++
 	class := classes[c.random.IntN(len(classes))]
@@ -29,7 +29,7 @@
 	return request
 }
 
-// drawDeadline is that of the class for most requests; some have a shorter one of their own.
+// drawDeadline returns the deadline of the class for most requests, and a shorter random one for the others.
 func (c *client) drawDeadline(class *class) time.Duration {
 	switch c.random.IntN(10) {
 	case 0:
@@ -40,7 +40,7 @@
 	return class.deadline
 }
 
-// wireText is the request as it goes over the wire.
+// wireText returns the request as it is sent over HTTP.
 func (r *request) wireText() string {
 	boost := 1 / float64(len(r.shards))
 	var segments []string
@@ -54,7 +54,7 @@
 	return head + body
 }
 
-// readAnswer reads a response's body.
+// readAnswer reads the body of a response. It parses the body only if the status is 200.
 func readAnswer(response *http.Response) (answer, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
