--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// coordinatorPrefix begins the coordinators' names, and no other target's of a fault.
+	// coordinatorPrefix is the prefix of the coordinators' names. No other target of a fault begins with it.
 	coordinatorPrefix = "n"
 
-	// maxSockets is the coordinators' setting for the sockets that they may hold.
+	// maxSockets is the limit on open sockets in the coordinators' settings.
 	maxSockets = 400
 
-	// knownListLag is how old the list is that a process is started with.
+	// knownListLag is how many revisions the endpoint list that a process starts with is behind its agent.
 	knownListLag = 2
 
-	// shutdownAllowance is what a process may take after SIGTERM beyond the longest deadline, and slowWriteTime what its
-	// last answer may take on top, to be written to a client that reads slowly.
+	// shutdownAllowance is how long beyond the longest deadline a process may run after SIGTERM. slowWriteTime is
+	// added to it for writing the last answer to a slow client.
 	shutdownAllowance = 700 * time.Millisecond
 	slowWriteTime     = 3*time.Second + 500*time.Millisecond
 )
 
-// process is one process of a coordinator. Its times are on the soak's clock.
+// process is one run of a coordinator's program. Its times are on the soak's clock.
 type process struct {
 	program             *fake.Program
 	startedAt           time.Duration
-	terminatedAt        time.Duration // SIGTERM; 0: never
-	killedAt            time.Duration // SIGKILL; 0: never
-	acceptsClientsUntil time.Duration // until when new clients are sent to it; 0: without end
+	terminatedAt        time.Duration // time of SIGTERM; 0: not sent
+	killedAt            time.Duration // time of SIGKILL; 0: not sent
+	acceptsClientsUntil time.Duration // clients open no connections after it; 0: no limit
 }
 
-// coordinator is one coordinator in all its processes.
+// coordinator is one coordinator through all its restarts.
 type coordinator struct {
 	soak      *Soak
 	name      string
 	faultPage *faultbuild.Page
 
 	mu        sync.Mutex
-	addr      string     // the same in all processes
-	running   *process   // nil: none
-	processes []*process // so far
-	agents    []*agent   // the last is the one that its configuration names
-	claimed   bool       // a fault ends or starts it
+	addr      string     // the same for all processes
+	running   *process   // nil if none is running
+	processes []*process // all so far
+	agents    []*agent   // all so far; its configuration names the last
+	claimed   bool       // a fault has exclusive control of the process
 }
 
-// newCoordinator starts a coordinator and its discovery agent.
+// newCoordinator starts a discovery agent and a coordinator that uses it.
 func newCoordinator(soak *Soak, index int) (*coordinator, error) {
 	name := fmt.Sprint(coordinatorPrefix, index)
 	page, err := faultbuild.NewPage(filepath.Join(soak.folder, name+".page"))
@@ -71,7 +71,7 @@
 	return coordinator, coordinator.start()
 }
 
-// start starts a process and waits until it serves.
+// start starts a process and waits until it serves requests.
 func (c *coordinator) start() error {
 	known, err := c.knownEndpoints()
 	if err != nil {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	started := c.soak.now()
+	startedAt := c.soak.now()
 	if err := program.WaitServing(); err != nil {
 		program.Stop()
 		return fmt.Errorf("%s: %w", c.name, err)
@@ -102,12 +102,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = program.Addr
-	c.running = &process{program: program, startedAt: started}
+	c.running = &process{program: program, startedAt: startedAt}
 	c.processes = append(c.processes, c.running)
 	return nil
 }
 
-// knownEndpoints is the list that a process is started with: some revisions behind its agent, as a file on disk is.
+// knownEndpoints returns the endpoint list that a process starts with: a few revisions behind its agent, as a file on
+// disk would be.
 func (c *coordinator) knownEndpoints() (string, error) {
 	agent := c.agent()
 	agent.mu.Lock()
@@ -118,7 +119,7 @@
 	return string(known), err
 }
 
-// agent is the discovery agent that its configuration names.
+// agent returns the discovery agent that the configuration names.
 func (c *coordinator) agent() *agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +138,7 @@
 	return slices.Clone(c.agents)
 }
 
-// currentProcess is the process that runs; nil: none.
+// currentProcess returns the running process, or nil.
 func (c *coordinator) currentProcess() *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +151,7 @@
 	return process.killedAt > 0
 }
 
-// acceptingProcess is the process to which new clients are sent, with its address; nil: none are.
+// acceptingProcess returns the process to which clients may open connections, with its address, or nil.
 func (c *coordinator) acceptingProcess() (*process, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +164,8 @@
 	return c.running, c.addr
 }
 
-// claim has one fault at a time end or start the coordinator; it tells whether the caller has it now.
+// claim gives the caller exclusive control of the process until release. It returns false if another fault has it or no
+// process is running.
 func (c *coordinator) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +182,8 @@
 	c.claimed = false
 }
 
-// terminate ends the process as a planned restart does, and judges its end. New clients are sent to it for a while yet.
+// terminate ends the process with SIGTERM, as a planned restart does, and checks its exit. Clients keep opening
+// connections to it for clientsFor.
 func (c *coordinator) terminate(clientsFor time.Duration) {
 	c.mu.Lock()
 	process := c.running
@@ -191,7 +194,7 @@
 	select {
 	case <-process.program.Done():
 	case <-time.After(longestDeadline() + shutdownAllowance + slowWriteTime):
-		c.soak.violated(RuleShutdown, "", "%s runs %v after SIGTERM", c.name, c.soak.now()-process.terminatedAt)
+		c.soak.violated(RuleShutdown, "", "%s is still running %v after SIGTERM", c.name, c.soak.now()-process.terminatedAt)
 		process.program.Signal(syscall.SIGKILL)
 		<-process.program.Done()
 		c.mu.Lock()
@@ -200,7 +203,7 @@
 	}
 	c.recordExit(process)
 	if state := process.program.State(); process.killedAt == 0 && !state.Success() {
-		c.soak.violated(RuleCrash, "", "%s ended with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
+		c.soak.violated(RuleCrash, "", "%s exited with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
 	}
 }
 
@@ -223,7 +226,7 @@
 	c.running = nil
 }
 
-// reload moves discovery to another agent: a new configuration, then SIGHUP.
+// reload writes a configuration that names a new discovery agent and sends SIGHUP.
 func (c *coordinator) reload() error {
 	agent, err := newAgent(c.soak)
 	if err != nil {
@@ -238,7 +241,7 @@
 	return process.program.Signal(syscall.SIGHUP)
 }
 
-// close ends whatever still runs.
+// close stops all processes and agents and releases the fault page.
 func (c *coordinator) close() {
 	for _, process := range c.processes {
 		process.program.Stop()
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// class is a class of queries, as the settings have it.
+// class is a class of queries as defined in the settings.
 type class struct {
 	name       string
-	effect     string // the settings' word for whether it may run more than once
+	effect     string // value in the settings that says whether a subquery may run more than once
 	deadline   time.Duration
-	minShare   float64 // of the shards that an answer with success has to hold
+	minShare   float64 // share of the shards that a successful answer must contain
 	idempotent bool
 }
 
-// The deployment that every soak plays.
+// The deployment that every soak runs.
 const (
 	coordinatorCount = 12
 	cells            = 2
 	replicasPerCell  = 5
 	shardCount       = 24
-	maxBatch         = 2 // subqueries that a frame may hold
-	maxAttempts      = 3 // of a subquery
+	maxBatch         = 2 // subqueries in a frame
+	maxAttempts      = 3 // attempts of a subquery
 
-	connectTimeout     = 250 * time.Millisecond  // of even seeds
-	longConnectTimeout = 1300 * time.Millisecond // of odd seeds: a connection may come up at its second SYN
-	idleTimeout        = 3 * time.Second         // a connection to a replica is closed after so long without a frame
-	drainGrace         = time.Second             // after its notification a draining replica gets nothing new
+	connectTimeout     = 250 * time.Millisecond  // for even seeds
+	longConnectTimeout = 1300 * time.Millisecond // for odd seeds: long enough to connect on the second SYN
+	idleTimeout        = 3 * time.Second         // time without a frame after which a connection to a replica is closed
+	drainGrace         = time.Second             // how long a notified coordinator may send to a draining replica
 
 	replicaCores = 3
-	meanWork     = 40 * time.Millisecond // of a subquery, on a core
+	meanWork     = 40 * time.Millisecond // mean time of a subquery on one core
 
-	overloadMultiple = 2.0                     // a replica falls under this multiple of what it can do,
-	overloadWindow   = 1500 * time.Millisecond // over so long
-	startCapacity    = 0.1                     // share of its capacity that a replica has at its start
-	warmAfter        = 20 * time.Second        // age at which it has all
+	overloadMultiple = 2.0                     // a replica fails at this multiple of its capacity
+	overloadWindow   = 1500 * time.Millisecond // if sustained over this time
+	startCapacity    = 0.1                     // share of its full capacity that a cold replica has
+	warmAfter        = 20 * time.Second        // age at which a replica has its full capacity
 
-	minBudget    = 3    // attempts beyond the first in a budgetSpan, whatever was taken,
-	budgetRatio  = 0.04 // and so many more for each query and subquery taken
+	minBudget    = 3    // attempts beyond the first that are always allowed in a budgetWindow
+	budgetRatio  = 0.04 // further ones for each query and subquery accepted in it
 	budgetWindow = 5 * time.Second
 )
 
@@ -49,7 +49,7 @@
 	{name: "some", effect: "pure", deadline: 1200 * time.Millisecond, minShare: 0.3, idempotent: true},
 }
 
-// longestDeadline is that of the class with the longest.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline() (longest time.Duration) {
 	for _, class := range classes {
 		longest = max(longest, class.deadline)
@@ -57,11 +57,11 @@
 	return longest
 }
 
-// settingsJSON are the deployment's as JSON.
+// settingsJSON returns the settings of the deployment.
 func settingsJSON(seed uint64) string {
-	connect := connectTimeout
+	timeout := connectTimeout
 	if seed%2 == 1 {
-		connect = longConnectTimeout
+		timeout = longConnectTimeout
 	}
 	return fmt.Sprintf(`{"balancers":%d,"bounds":{"connectTimeout":%d,"idleClose":%d,"maxAttempts":%d,"maxOpen":400,
 "mayCancel":true,"multiplex":8,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
@@ -70,14 +70,14 @@
 "guarantees":{"answerSlack":20000,"stopSendingWithin":%d,"tipMultiple":%v,"overloadFor":%d,"startCapacity":%v,
 "warmAfter":%d,"minExtra":%d,"extraRatio":%v,"ratioSpan":%d},
 "lanes":[%s],"orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`,
-		coordinatorCount, connect.Microseconds(), idleTimeout.Microseconds(), maxAttempts,
+		coordinatorCount, timeout.Microseconds(), idleTimeout.Microseconds(), maxAttempts,
 		maxBatch, cells, shardCount,
 		drainGrace.Microseconds(), overloadMultiple, overloadWindow.Microseconds(), startCapacity,
 		warmAfter.Microseconds(), minBudget, budgetRatio, budgetWindow.Microseconds(),
 		classSettingsJSON())
 }
 
-// classSettingsJSON are the classes as the settings list them.
+// classSettingsJSON returns the elements of the list of classes in the settings.
 func classSettingsJSON() string {
 	var all []string
 	for _, class := range classes {
@@ -88,8 +88,8 @@
 	return strings.Join(all, ",")
 }
 
-// warmUpAllowance is how many subqueries of mean work the settings allow a replica in the overload window at an age,
-// all coordinators together; 0 once it is warm.
+// warmUpAllowance returns how many subqueries of mean work the settings allow a replica of a given age in one overload
+// window, from all coordinators together. It is 0 once the replica is warm.
 func warmUpAllowance(age time.Duration) float64 {
 	if age >= warmAfter+overloadWindow {
 		return 0
@@ -98,11 +98,11 @@
 	return overloadMultiple * capacity * replicaCores * overloadWindow.Seconds() / meanWork.Seconds()
 }
 
-// manyArrivalsThreshold is the allowance from which on the limit lies two standard deviations above it; below it is three.
+// manyArrivalsThreshold is the allowance from which on warmUpLimit adds two standard deviations instead of three.
 const manyArrivalsThreshold = 30
 
-// warmUpLimit is the number of arrivals from which on a replica that warms up falls (STANDING.md): the work of so many
-// is above the allowance nearly for certain, though each one's work is drawn.
+// warmUpLimit returns the number of arrivals above which a replica that is warming up is overloaded (docs/standing.md).
+// The work of each arrival is random; above the limit, their total almost certainly exceeds the allowance.
 func warmUpLimit(allowance float64) float64 {
 	if allowance < manyArrivalsThreshold {
 		return allowance + 3*math.Sqrt(allowance) + 3
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// Rule names what is judged. The names are printed, and the deliberate breaks name the rule that catches them.
+// Rule is a rule that the soak checks. Its value is printed. Each deliberate break of the soak proof names the rule
+// that must detect it.
 type Rule string
 
 // The rules. RuleMultipleAttempts is only counted, never violated: the number of subqueries with more than one attempt.
 const (
-	RuleAnswer           Rule = "answer"       // one final answer in time, and nothing behind it
-	RuleAnswerContent    Rule = "honest"       // an answer holds what replicas gave, and as much as it says
-	RuleTimeout          Rule = "told_time"    // a replica is given no more time than is left
-	RuleClientConnected  Rule = "client_there" // nothing begins for a client that has left
-	RuleDrain            Rule = "drain"        // a draining replica gets nothing new
-	RuleNonIdempotent    Rule = "effect"       // what is not idempotent runs once at most
+	RuleAnswer           Rule = "answer"       // a query gets exactly one answer, in time
+	RuleAnswerContent    Rule = "honest"       // an answer has only values that replicas returned, and enough shards
+	RuleTimeout          Rule = "told_time"    // the timeout given to a replica is within the time left
+	RuleClientConnected  Rule = "client_there" // no attempt begins after the client has disconnected
+	RuleDrain            Rule = "drain"        // a draining or removed replica gets no new attempts
+	RuleNonIdempotent    Rule = "effect"       // a non-idempotent subquery runs at most once, and never if rejected
 	RuleMultipleAttempts Rule = "repeat"
-	RuleAttempts         Rule = "attempts"    // the limit on attempts of a subquery
-	RuleSlowStart        Rule = "slow_start"  // a replica that warms up is not overloaded
-	RuleRetryBudget      Rule = "budget"      // the limit on attempts beyond the first
-	RuleShutdown         Rule = "shutdown"    // a process ends in time after SIGTERM
-	RuleDescriptors      Rule = "descriptors" // an idle process holds few descriptors
-	RulePartialRequest   Rule = "half"        // half a request gets an error or a close
-	RuleUnsolicited      Rule = "unasked"     // a replica gets only what a client sent
-	RuleFrame            Rule = "frame"       // frames can be read
-	RulePlacement        Rule = "placement"   // a subquery reaches its own cell
-	RuleCrash            Rule = "crash"       // a process ends with success
-	RuleStart            Rule = "start"       // a process starts
-	RuleLog              Rule = "log"         // a log says nothing of a violation or a panic
-	RuleHarness          Rule = "soak"        // the soak itself could do what it meant to
+	RuleAttempts         Rule = "attempts"    // a subquery has at most maxAttempts attempts
+	RuleSlowStart        Rule = "slow_start"  // a replica that is warming up is not overloaded
+	RuleRetryBudget      Rule = "budget"      // attempts beyond the first stay within the retry budget
+	RuleShutdown         Rule = "shutdown"    // a process exits in time after SIGTERM
+	RuleDescriptors      Rule = "descriptors" // a process without clients has few open descriptors
+	RulePartialRequest   Rule = "half"        // half a request gets an error or a close in time
+	RuleUnsolicited      Rule = "unasked"     // a replica gets only subqueries of queries that a client sent
+	RuleFrame            Rule = "frame"       // frames are well-formed
+	RulePlacement        Rule = "placement"   // a subquery reaches a replica of the cell that has its shard
+	RuleCrash            Rule = "crash"       // a process exits with status 0
+	RuleStart            Rule = "start"       // a process starts and serves requests
+	RuleLog              Rule = "log"         // a log has no violation, panic or query open at its deadline
+	RuleHarness          Rule = "soak"        // the soak itself works, for example restarts a fake replica
 )
 
-// Keys of Result.Counts beside the rules' names.
+// Keys of Result.Counts other than the rules.
 const (
 	countAnsweredLate        = "answered_late"
 	countServed              = "served"
 	countRefused             = "refused"
 	countFailed              = "failed"
 	countFramesNotChecked    = "frames_not_judged"
-	countMaxSlowStartPercent = "slow_start_most_percent" // the highest load of a cold replica, in percent of the limit
-	countFaultPrefix         = "trouble_"                // before a fault's kind
+	countMaxSlowStartPercent = "slow_start_most_percent" // maximum load of a cold replica, in percent of the limit
+	countFaultPrefix         = "trouble_"                // followed by a FaultKind
 )
 
-// Violation is a rule that was broken, or anything else that must not happen.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule   Rule
-	Query  string // empty: it concerns no query alone
+	Query  string // empty if it concerns no single query
 	Detail string
 }
 
-// String is the violation as it is printed.
+// String returns the violation as the soak proof prints it.
 func (v Violation) String() string { return fmt.Sprintf("%s %s: %s", v.Rule, v.Query, v.Detail) }
 
-// Result is what a soak has seen.
+// Result is the result of a soak.
 type Result struct {
 	Seed              uint64
 	Violations        []Violation
-	Counts            map[string]int             // of what was judged, by rule, and of faults
-	ChecksDuringFault map[Rule]map[FaultKind]int // judgements of a rule during which a kind of fault was under way
-	FaultOverlaps     map[string]int             // by two kinds of fault that were under way together, as "a+b"
+	Counts            map[string]int             // checks by rule, faults by FaultKey, and the other keys above
+	ChecksDuringFault map[Rule]map[FaultKind]int // checks of a rule during which a fault of a kind was active
+	FaultOverlaps     map[string]int             // by two kinds of fault, as "a+b": how often both were active
 }
 
 func newResult(seed uint64) *Result {
@@ -72,20 +73,20 @@
 	}
 }
 
-// FaultKey is the key under which Result.Counts tells how often a kind of fault struck.
+// FaultKey returns the key in Result.Counts of the number of faults of a kind.
 func FaultKey(kind FaultKind) string { return countFaultPrefix + string(kind) }
 
-// IsFaultKey tells whether a key of Result.Counts is a FaultKey.
+// IsFaultKey reports whether a key of Result.Counts is a FaultKey.
 func IsFaultKey(key string) bool { return strings.HasPrefix(key, countFaultPrefix) }
 
-// IsMaximum tells whether a key of Result.Counts stands for a highest value: of several results the highest holds,
-// where others are added.
+// IsMaximum reports whether the count under a key of Result.Counts is a maximum. Such counts of several results are
+// combined by taking the maximum, all others by adding them.
 func IsMaximum(key string) bool { return key == countMaxSlowStartPercent }
 
-// maxViolations bounds what a run keeps; a program that is broken for good breaks a rule with each request.
+// maxViolations limits the violations that a run records, since a broken program may violate a rule with every request.
 const maxViolations = 200
 
-// violated notes a violation. It may be called from any goroutine.
+// violated records a violation. It is safe for concurrent use.
 func (s *Soak) violated(rule Rule, query, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// stoppedTime is for how long a coordinator's process was stopped by a fault within a span.
+// stoppedTime returns for how long FaultStop stopped a coordinator's process between from and to.
 func (s *Soak) stoppedTime(coordinator string, from, to time.Duration) (sum time.Duration) {
 	s.ledger.mu.Lock()
 	defer s.ledger.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak plays seeded, overlapping faults against real coordinator processes on loopback and judges the rules of
-// the protocol page from outside: by what the replicas were sent, what the clients sent and were answered, and when the
-// discovery agents had each change. Nothing that a coordinator reports about itself takes part in that, except a line
-// in its log that a rule was violated, which is a violation of its own.
+// Package soak injects seeded, overlapping faults into real coordinator processes on loopback and checks the rules of
+// the protocol from outside: by the frames that the replicas received, the requests and answers of the clients, and the
+// times at which the discovery agents learned of each change. It does not rely on what a coordinator reports about
+// itself, except that a rule violation in its log is a violation in itself.
 //
-// The replicas, agents and clients live in the soak's own process and share one clock. The coordinators are built by
-// package faultbuild, so that their system calls can fail and their wall clocks can be stepped.
+// The fake replicas, agents and clients run in the process of the soak and share one clock. The coordinators are built
+// by package faultbuild, so that their system calls can fail and their wall clocks can be stepped.
 package soak
 
 import (
@@ -19,54 +19,55 @@
 	"terntray/internal/faultbuild"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
-	Program      string        // path of the program, built by package faultbuild
-	Duration     time.Duration // for how long clients send requests
-	FaultStreams int           // streams of faults that run side by side
-	Without      []FaultKind   // kinds of fault that are left out, to shrink a failure
-	LogFolder    string        // where the programs' logs are written; empty: nowhere
+	Program      string        // path of the coordinator program, built by package faultbuild
+	Duration     time.Duration // how long clients send requests
+	FaultStreams int           // number of concurrent streams of faults
+	Without      []FaultKind   // kinds of fault that are not injected, to shrink a failure
+	LogFolder    string        // folder in which the programs' logs are saved, if not empty
 
-	// Rates are the system calls that fail all the time, in calls of a million.
+	// Rates are the rates of the system call faults that are injected all the time, in faults per million calls.
 	Rates map[faultbuild.Setting]int64
 
-	// ExpectPanics says that the program panics on purpose: a panic of the event loop in its log is no violation.
+	// ExpectPanics is set for a program that panics on purpose: a panic of the event loop in its log is no violation.
 	ExpectPanics bool
 }
 
 const (
 	clientsPerCoordinator = 5
 
-	// settleTime passes between the last request's deadline and the end, for late frames and closes to be seen.
+	// settleTime is how long the soak waits after the last request's deadline for late frames and closes.
 	settleTime = 700 * time.Millisecond
 
-	// maxIdleDescriptors is what a process may hold once its clients are gone: some of its own, and connections to
-	// replicas.
+	// maxIdleDescriptors is the maximum number of open descriptors of a process without clients: some of its own, and
+	// the connections to replicas.
 	maxIdleDescriptors = 24 + 4*cells*replicasPerCell
 )
 
-// Soak is one run of one seed.
+// Soak is a run of one seed.
 type Soak struct {
 	clock
 	seed         uint64
 	options      Options
-	folder       string        // for the fault pages; removed at the end
+	folder       string        // temporary, for the fault pages
 	end          time.Duration // when clients stop sending, on the soak's clock
 	ledger       *ledger
 	endpoints    *endpointHistory
 	coordinators []*coordinator
 
 	burst                atomic.Bool // clients send faster
-	clientsDisconnecting atomic.Bool // clients leave often
+	clientsDisconnecting atomic.Bool // clients often disconnect early
 	delayedFrames        atomic.Int64
 
 	mu           sync.Mutex
 	replicas     []*replica
-	replicaCount int // replicas so far, for the names of those that join
+	replicaCount int // all replicas so far, for the names of new ones
 	violations   []Violation
 }
 
-// Run plays a seed and judges it. An error says that the seed could not be played; broken rules are in the result.
+// Run runs a soak with a seed and checks the rules. Violations are in the result; an error means that the soak could
+// not be started.
 func Run(seed uint64, options Options) (*Result, error) {
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -85,12 +86,12 @@
 	if err := soak.startAll(); err != nil {
 		return nil, err
 	}
-	soak.play()
+	soak.runWorkload()
 	soak.terminateAll()
 	return soak.check(), nil
 }
 
-// startAll starts the replicas, then all coordinators at once.
+// startAll starts the replicas, then all coordinators concurrently.
 func (s *Soak) startAll() error {
 	if err := s.startReplicas(); err != nil {
 		return err
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// play has clients send requests while faults strike.
-func (s *Soak) play() {
+// runWorkload runs the clients and the streams of faults, and waits until both have ended and all answers are due.
+func (s *Soak) runWorkload() {
 	s.end = s.now() + s.options.Duration
 	var clients, streams sync.WaitGroup
 	for n := range clientsPerCoordinator * coordinatorCount {
@@ -146,7 +147,7 @@
 	time.Sleep(longestDeadline() + settleTime)
 }
 
-// terminateAll ends every coordinator as a planned restart does, and judges before what it still holds.
+// terminateAll checks the open descriptors of every coordinator and then terminates it, as a planned restart does.
 func (s *Soak) terminateAll() {
 	var all sync.WaitGroup
 	for _, coordinator := range s.coordinators {
@@ -155,8 +156,8 @@
 			if process == nil {
 				return
 			}
-			if held := process.program.Descriptors(); held > maxIdleDescriptors {
-				s.violated(RuleDescriptors, "", "%s holds %d with no client", coordinator.name, held)
+			if open := process.program.Descriptors(); open > maxIdleDescriptors {
+				s.violated(RuleDescriptors, "", "%s has %d open descriptors without clients", coordinator.name, open)
 			}
 			coordinator.terminate(0)
 		})
@@ -164,7 +165,7 @@
 	all.Wait()
 }
 
-// close ends whatever still runs.
+// close stops all coordinators and replicas.
 func (s *Soak) close() {
 	for _, coordinator := range s.coordinators {
 		if coordinator != nil {
@@ -176,7 +177,7 @@
 	}
 }
 
-// randomFor is a source of chance of its own for each name: the same seed and name draw the same.
+// randomFor returns a random source that depends only on the seed and a name.
 func (s *Soak) randomFor(name string) *rand.Rand {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
