--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -8,47 +8,47 @@
 	"terntray/internal/faultbuild"
 )
 
-// FaultKind names a kind of fault, as it is printed and as the soak's flag -without takes it.
+// FaultKind is a kind of fault. Its value is printed and is accepted by the flag -without of the soak proof.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	FaultStop                FaultKind = "stop"             // SIGSTOP, and SIGCONT a moment later
+	FaultStop                FaultKind = "stop"             // SIGSTOP, shortly afterwards SIGCONT
 	FaultTerminate           FaultKind = "terminate"        // SIGTERM, then a new process
 	FaultKill                FaultKind = "kill"             // SIGKILL, then a new process
-	FaultReload              FaultKind = "reload"           // SIGHUP, with discovery at another agent
-	FaultWallStep            FaultKind = "wall_step"        // the wall clock is stepped, and later back
+	FaultReload              FaultKind = "reload"           // SIGHUP, with a new discovery agent
+	FaultWallStep            FaultKind = "wall_step"        // the wall clock steps, and later steps back
 	FaultAccept              FaultKind = "accept_fails"     // accept(2) fails
 	FaultConnect             FaultKind = "connect_fails"    // connect(2) fails
 	FaultSocket              FaultKind = "socket_fails"     // socket(2) fails
-	FaultDescriptorLimit     FaultKind = "few_descriptors"  // RLIMIT_NOFILE is used up
-	FaultAgentDown           FaultKind = "agent_down"       // a discovery agent answers nothing
+	FaultDescriptorLimit     FaultKind = "few_descriptors"  // RLIMIT_NOFILE is lowered to the descriptors in use
+	FaultAgentDown           FaultKind = "agent_down"       // a discovery agent does not answer
 	FaultWatchesReset        FaultKind = "watches_reset"    // a discovery agent resets its connections
-	FaultWatchesHang         FaultKind = "watches_silent"   // open watches get no answer for ever
+	FaultWatchesHang         FaultKind = "watches_silent"   // open watches are never answered
 	FaultFullLists           FaultKind = "whole_lists"      // watches are answered with full lists
-	FaultReplicaHangs        FaultKind = "replica_hangs"    // a replica neither reads nor answers
+	FaultReplicaHangs        FaultKind = "replica_hangs"    // a replica neither reads nor replies
 	FaultReplicaNotAccepting FaultKind = "replica_deaf"     // a replica accepts no connections
-	FaultReplicaRestarts     FaultKind = "replica_restarts" // a replica comes back cold
-	FaultCellRestarts        FaultKind = "cell_restarts"    // most of a cell comes back cold, under a burst
-	FaultReplicaDrains       FaultKind = "replica_drains"   // a replica drains and is removed; another joins
-	FaultReplicaReplaced     FaultKind = "replica_replaced" // a replica is removed at once; another has joined
+	FaultReplicaRestarts     FaultKind = "replica_restarts" // a replica restarts cold
+	FaultCellRestarts        FaultKind = "cell_restarts"    // most of a cell restarts cold, under a burst
+	FaultReplicaDrains       FaultKind = "replica_drains"   // a replica drains and is removed; a new one joins
+	FaultReplicaReplaced     FaultKind = "replica_replaced" // a new replica joins, an old one is removed at once
 	FaultReplicaResets       FaultKind = "replica_resets"   // a replica resets its connections
-	FaultClientsDisconnect   FaultKind = "clients_leave"    // clients leave often
-	FaultBurst               FaultKind = "burst"            // clients send faster
-	FaultIdleConnections     FaultKind = "crowd"            // many connections on which nothing comes
+	FaultClientsDisconnect   FaultKind = "clients_leave"    // clients often disconnect early
+	FaultBurst               FaultKind = "burst"            // clients send requests faster
+	FaultIdleConnections     FaultKind = "crowd"            // many connections without requests
 )
 
-// injector does a fault to somebody and returns whom it struck once it is over; empty: it could injector nobody.
+// injector injects a fault and, once the fault is over, returns its target, or "" if no target was available.
 type injector func(soak *Soak, random *rand.Rand) (target string)
 
-// fault is one kind, with its share of all draws.
+// fault is a kind of fault with its weight in the random choice.
 type fault struct {
 	kind   FaultKind
 	weight int
 	inject injector
 }
 
-// faults are drawn from in this order: a seed's plan depends on it.
+// faults is the table that drawFault draws from. A seed's plan depends on its order.
 var faults = []fault{
 	{FaultStop, 6, stopProcess},
 	{FaultTerminate, 5, terminateProcess},
@@ -75,7 +75,7 @@
 	{FaultIdleConnections, 2, openIdleConnections},
 }
 
-// FaultKinds lists the kinds of fault, in the order of their table.
+// FaultKinds returns all kinds of fault, in a fixed order.
 func FaultKinds() (all []FaultKind) {
 	for _, fault := range faults {
 		all = append(all, fault.kind)
@@ -83,10 +83,10 @@
 	return all
 }
 
-// maxFaultPause is the longest pause between two faults of a stream.
+// maxFaultPause is the maximum pause between two faults of a stream.
 const maxFaultPause = 500 * time.Millisecond
 
-// injectFaults strikes again and again until the time is over.
+// injectFaults injects one fault after another. It stops before the clients do, by the longest deadline of all classes.
 func (s *Soak) injectFaults(random *rand.Rand) {
 	for {
 		time.Sleep(drawDuration(random, 0, maxFaultPause))
@@ -99,41 +99,42 @@
 		}
 		from := s.now()
 		target := fault.inject(s, random)
-		if target != "" && fault.kind != FaultStop { // a stop notes itself, to the moment
+		if target != "" && fault.kind != FaultStop { // stopProcess records its own exact spans
 			s.ledger.addFault(faultSpan{fault.kind, target, from, s.now()})
 		}
 	}
 }
 
-// drawFault draws a fault by the weights, with one draw of chance.
+// drawFault draws a fault by weight, with a single draw from the random source.
 func drawFault(random *rand.Rand) fault {
-	sum := 0
+	totalWeight := 0
 	for _, fault := range faults {
-		sum += fault.weight
+		totalWeight += fault.weight
 	}
-	pick := random.IntN(sum)
+	remaining := random.IntN(totalWeight)
 	for _, fault := range faults {
-		pick -= fault.weight
-		if pick < 0 {
+		remaining -= fault.weight
+		if remaining < 0 {
 			return fault
 		}
 	}
-	panic("a draw below the sum of all weights fits none")
+	panic("unreachable: a draw below the sum of the weights matches no fault")
 }
 
-// drawDuration draws a span.
-func drawDuration(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+// drawDuration draws a duration from low up to, but not including, high.
+func drawDuration(random *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// favouredCoordinators get most of the faults, so that faults meet in one process.
+// favouredCoordinators is the number of coordinators that get most of the faults, so that faults overlap in one
+// process.
 const favouredCoordinators = 3
 
-// drawCoordinator draws one: six times of ten among those that are favoured.
+// drawCoordinator draws a coordinator, with a probability of 60 percent from the favoured ones alone.
 func (s *Soak) drawCoordinator(random *rand.Rand) *coordinator {
-	among := s.coordinators
+	candidates := s.coordinators
 	if random.IntN(10) < 6 {
-		among = among[:favouredCoordinators]
+		candidates = candidates[:favouredCoordinators]
 	}
-	return among[random.IntN(len(among))]
+	return candidates[random.IntN(len(candidates))]
 }
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// targetClients is the target of faults that strike all clients.
+// targetClients is the target of faults that affect all clients.
 const targetClients = "clients"
 
 func disconnectClients(soak *Soak, random *rand.Rand) string {
@@ -22,7 +22,7 @@
 	return targetClients
 }
 
-// openIdleConnections opens many connections on which nothing comes, to all coordinators.
+// openIdleConnections opens many connections to random coordinators and sends no request on them.
 func openIdleConnections(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	client := &client{soak: soak, random: random}
--- a/internal/soak/fault_discovery.go
+++ b/internal/soak/fault_discovery.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// takeAgentDown has a discovery agent answer nothing and learn nothing for a while.
+// takeAgentDown takes a discovery agent down for a while.
 func takeAgentDown(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
@@ -15,16 +15,16 @@
 	return coordinator.name
 }
 
-// agentFault does something to a coordinator's discovery agent that is over at once.
-func agentFault(do func(*agent)) injector {
+// agentFault returns an injector of an instantaneous fault of a discovery agent.
+func agentFault(inject func(*agent)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		coordinator := soak.drawCoordinator(random)
-		do(coordinator.agent())
+		inject(coordinator.agent())
 		return coordinator.name
 	}
 }
 
-// sendFullLists has a discovery agent answer its watches with full lists for a while.
+// sendFullLists makes a discovery agent answer watches with full lists for a while.
 func sendFullLists(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -11,7 +11,7 @@
 	"terntray/internal/faultbuild"
 )
 
-// stopProcess stops a process for a moment, up to three times.
+// stopProcess briefly stops a process, up to three times.
 func stopProcess(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	for range 1 + random.IntN(3) {
@@ -29,23 +29,24 @@
 	return coordinator.name
 }
 
-// withClaimedProcess strikes a process that no other fault ends or starts meanwhile.
-func withClaimedProcess(soak *Soak, random *rand.Rand, strike func(coordinator *coordinator)) string {
+// withClaimedProcess injects a fault while it has exclusive control of a coordinator's process. It does nothing and
+// returns "" if another fault has control or no process is running.
+func withClaimedProcess(soak *Soak, random *rand.Rand, inject func(coordinator *coordinator)) string {
 	coordinator := soak.drawCoordinator(random)
 	if !coordinator.claim() {
 		return ""
 	}
 	defer coordinator.release()
-	strike(coordinator)
+	inject(coordinator)
 	return coordinator.name
 }
 
-// terminateProcess restarts a process as planned, with silent clients, and sometimes with a step of its wall clock.
+// terminateProcess performs a planned restart with idle clients connected, sometimes with a step of the wall clock.
 func terminateProcess(soak *Soak, random *rand.Rand) string {
 	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
-		silent := &client{soak: soak, random: random}
-		for range 2 { // connections on which nothing comes, or half a request, until the process ends
-			if conn := silent.dialTo(coordinator); conn != nil {
+		idleClient := &client{soak: soak, random: random}
+		for range 2 { // connections that send nothing or the start of a request until the process ends
+			if conn := idleClient.dialTo(coordinator); conn != nil {
 				defer conn.Close()
 				io.WriteString(conn, "POST /look HTTP/1.1\r\n"[:random.IntN(10)])
 			}
@@ -70,14 +71,14 @@
 	})
 }
 
-// restart starts a coordinator's next process; a start that fails is a violation.
+// restart starts a new process of a coordinator. A failure to start is a violation.
 func (s *Soak) restart(coordinator *coordinator) {
 	if err := coordinator.start(); err != nil {
 		s.violated(RuleStart, "", "%v", err)
 	}
 }
 
-// reloadProcess moves discovery to another agent; the old one sometimes falls silent soon after.
+// reloadProcess switches a coordinator to a new discovery agent; sometimes the old agent goes down soon after.
 func reloadProcess(soak *Soak, random *rand.Rand) string {
 	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
 		old := coordinator.agent()
@@ -93,7 +94,7 @@
 	})
 }
 
-// wallSteps are by how much a wall clock is stepped.
+// wallSteps are the steps that are applied to a wall clock.
 var wallSteps = []time.Duration{
 	time.Hour, -time.Hour,
 	3 * time.Second, -3 * time.Second,
@@ -102,7 +103,7 @@
 
 func drawWallStep(random *rand.Rand) time.Duration { return wallSteps[random.IntN(len(wallSteps))] }
 
-// stepWallClock steps a machine's wall clock, and later back.
+// stepWallClock steps a coordinator's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	coordinator.faultPage.Step(drawWallStep(random))
@@ -111,7 +112,7 @@
 	return coordinator.name
 }
 
-// failSystemCall has a system call fail for a moment: always, or one time of three.
+// failSystemCall returns an injector that briefly makes a system call fail, either always or one time in three.
 func failSystemCall(setting faultbuild.Setting) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		coordinator := soak.drawCoordinator(random)
@@ -126,7 +127,7 @@
 	}
 }
 
-// lowerDescriptorLimit lowers a process's limit on descriptors for a moment to what it holds.
+// lowerDescriptorLimit briefly lowers a process's limit on descriptors to the number that it has open.
 func lowerDescriptorLimit(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	process := coordinator.currentProcess()
@@ -134,14 +135,14 @@
 		return ""
 	}
 	pid := process.program.PID()
-	var usual unix.Rlimit
-	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &usual) != nil {
+	var original unix.Rlimit
+	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original) != nil {
 		return ""
 	}
-	low := usual
-	low.Cur = uint64(process.program.Descriptors())
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &low, nil)
+	lowered := original
+	lowered.Cur = uint64(process.program.Descriptors())
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil)
 	time.Sleep(drawDuration(random, 50*time.Millisecond, 300*time.Millisecond))
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil)
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil)
 	return coordinator.name
 }
--- a/internal/soak/fault_replica.go
+++ b/internal/soak/fault_replica.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// replicaFault strikes a replica that is ready, and gives it back afterwards.
-func replicaFault(do func(soak *Soak, replica *replica, random *rand.Rand)) injector {
+// replicaFault returns an injector that claims a ready replica for the time of the fault.
+func replicaFault(inject func(soak *Soak, replica *replica, random *rand.Rand)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		replica := soak.claimReplica(random)
 		if replica == nil {
 			return ""
 		}
 		defer replica.release()
-		do(soak, replica, random)
+		inject(soak, replica, random)
 		return replica.uid
 	}
 }
 
-// claimReplica draws until it meets a replica that is ready and that no other fault has claimed; nil: it met none.
+// claimReplica draws replicas until one is ready and not claimed by another fault. It claims and returns that one, or
+// returns nil after a limited number of draws.
 func (s *Soak) claimReplica(random *rand.Rand) *replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// restartReplica has a replica's process die and come back cold; discovery tells the new start.
+// restartReplica stops a replica's process, restarts it cold and publishes the new start to discovery.
 func restartReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.stop()
 	time.Sleep(drawDuration(random, 50*time.Millisecond, time.Second))
@@ -62,7 +63,8 @@
 	soak.endpoints.publish(replica.endpoint())
 }
 
-// restartCell has most replicas of a cell restart together, under a burst: the cell's whole load meets cold replicas.
+// restartCell restarts most replicas of a cell together, followed by a burst: the whole load of the cell hits cold
+// replicas.
 func restartCell(soak *Soak, random *rand.Rand) string {
 	cell := random.IntN(cells)
 	claimed := soak.claimMostOfCell(cell, random)
@@ -87,7 +89,8 @@
 	return "cell"
 }
 
-// claimMostOfCell claims all replicas of a cell but one at the most, as far as its draws meet them.
+// claimMostOfCell claims up to all but one of a cell's replicas. It may claim fewer, since it draws a limited number of
+// times.
 func (s *Soak) claimMostOfCell(cell int, random *rand.Rand) (claimed []*replica) {
 	for range 4 * replicasPerCell {
 		replica := s.claimReplica(random)
@@ -103,17 +106,17 @@
 	return claimed
 }
 
-// drainReplica has a replica drain and be removed; another joins cold under another name.
+// drainReplica drains and removes a replica; a new, cold one with a new name joins.
 func drainReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.publishState(stateDraining)
 	time.Sleep(drawDuration(random, drainGrace, 2*drainGrace+500*time.Millisecond))
 	replica.publishState(stateRemoved)
 	soak.addReplica(replica.cell)
-	time.Sleep(drawDuration(random, 0, time.Second)) // it still answers
+	time.Sleep(drawDuration(random, 0, time.Second)) // it still replies
 	replica.stop()
 }
 
-// replaceReplica has a replica be removed without draining, after another has joined.
+// replaceReplica removes a replica without draining it, after a new one has joined.
 func replaceReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	soak.addReplica(replica.cell)
 	time.Sleep(drawDuration(random, 0, 200*time.Millisecond))
@@ -122,7 +125,7 @@
 	replica.stop()
 }
 
-// addReplica has a fresh replica join a cell.
+// addReplica adds a new replica to a cell.
 func (s *Soak) addReplica(cell int) {
 	replica, err := newReplica(s, s.nextReplicaName(), cell, s.now())
 	if err != nil {
@@ -135,8 +138,8 @@
 	s.endpoints.publish(replica.endpoint())
 }
 
-// nextReplicaName is a name that no replica has had. A replica draws its chance by its name, so that other names would
-// change a seed's plan.
+// nextReplicaName returns a name that no replica has had. A replica's random source depends on its name, so other names
+// would change a seed's plan.
 func (s *Soak) nextReplicaName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
