--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// measurementSlack is for this process's own scheduling, on both sides of a measurement.
+// measurementSlack allows for scheduling delays of this process at the start and the end of a measurement.
 const measurementSlack = 60 * time.Millisecond
 
-// socketSlack is granted on every limit that a coordinator keeps on sockets: its timers and the kernel's buffers.
+// socketSlack is added to every time limit that a coordinator enforces on sockets, for its timers and the kernel's
+// buffers.
 const socketSlack = 50 * time.Millisecond
 
-// faultEffectTime is how soon after a fault's end a check still counts as crossed by it.
+// faultEffectTime is how long after its end a fault still counts as overlapping a check.
 const faultEffectTime = 300 * time.Millisecond
 
-// checker gathers what was judged. It runs once all processes have ended, so that the ledger no longer changes. Time
-// during which a process was stopped by a fault is granted on top of each limit.
+// checker checks the rules against the ledger and collects the result. It runs after all processes have ended, so that
+// the ledger no longer changes. Time for which a fault stopped a process is added to each time limit.
 type checker struct {
 	*Soak
 	result        *Result
@@ -24,7 +25,7 @@
 	notifications map[*coordinator][]notification
 }
 
-// check judges all rules by the ledger.
+// check checks all rules against the ledger.
 func (s *Soak) check() *Result {
 	checker := newChecker(s)
 	for _, request := range s.ledger.requests {
@@ -62,11 +63,11 @@
 	return checker
 }
 
-// checkArrival judges an attempt by itself, and notes it with its subquery.
+// checkArrival checks the rules for a single attempt, and adds it to its subquery's attempts.
 func (c *checker) checkArrival(arrival *arrival) {
 	request := c.requests[arrival.query]
 	if request == nil {
-		c.violated(RuleUnsolicited, arrival.query, "%s reached %s, and no client asked for it",
+		c.violated(RuleUnsolicited, arrival.query, "%s reached %s, but no client requested it",
 			arrival.subquery, arrival.replica.uid)
 		return
 	}
@@ -76,25 +77,25 @@
 	c.checkDrain(request, arrival)
 }
 
-// countCheck counts that a rule was checked, and which faults were under way at its coordinator meanwhile. An empty name
-// stands for no coordinator alone.
+// countCheck counts a check of a rule, and the kinds of fault that affected the coordinator between from and to. An
+// empty name means that the check concerns no single coordinator.
 func (c *checker) countCheck(rule Rule, coordinator string, from, to time.Duration) {
 	c.result.Counts[string(rule)]++
-	crossed := c.result.ChecksDuringFault[rule]
-	if crossed == nil {
-		crossed = map[FaultKind]int{}
-		c.result.ChecksDuringFault[rule] = crossed
+	overlapping := c.result.ChecksDuringFault[rule]
+	if overlapping == nil {
+		overlapping = map[FaultKind]int{}
+		c.result.ChecksDuringFault[rule] = overlapping
 	}
 	seen := map[FaultKind]bool{}
 	for _, fault := range c.ledger.faults {
 		if fault.affects(coordinator) && fault.overlaps(from, to) && !seen[fault.kind] {
 			seen[fault.kind] = true
-			crossed[fault.kind]++
+			overlapping[fault.kind]++
 		}
 	}
 }
 
-// affects tells whether a fault struck a coordinator, or no coordinator alone.
+// affects reports whether a fault's target is the given coordinator or is not a coordinator.
 func (f faultSpan) affects(coordinator string) bool {
 	return !strings.HasPrefix(f.target, coordinatorPrefix) || f.target == coordinator
 }
@@ -103,7 +104,7 @@
 	return f.from <= to && f.to+faultEffectTime >= from
 }
 
-// countFaults counts the faults, and which were under way at the same time.
+// countFaults counts the faults of each kind, and the overlaps of each pair of kinds.
 func (c *checker) countFaults() {
 	faults := c.ledger.faults
 	for n, fault := range faults {
--- a/internal/soak/judge_answer.go
+++ b/internal/soak/judge_answer.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// lostAnswerDelay is from when on, beyond the deadline, an answer counts as lost and no longer as late.
+	// lostAnswerDelay is how long after the deadline an answer counts as late; after that it counts as lost.
 	lostAnswerDelay = 500 * time.Millisecond
 
-	// acceptsAfterSIGTERM is how long after SIGTERM a request must still get its answer; what comes later may go without.
+	// acceptsAfterSIGTERM is how long after SIGTERM a process must still answer new requests.
 	acceptsAfterSIGTERM = 700 * time.Millisecond
 
-	// shareSlack is for the rounding of shares.
+	// shareSlack is the tolerance for rounding errors of shares.
 	shareSlack = 0.0001
 )
 
-// mayGoUnanswered tells whether a request's process was killed, or the request came too late after SIGTERM.
+// mayGoUnanswered reports whether the process of a request was killed, or the request was sent too late after SIGTERM.
 func (r *request) mayGoUnanswered() bool {
 	if r.process.killedAt > 0 {
 		return true
@@ -25,7 +25,7 @@
 	return terminated > 0 && r.sentAt > terminated+acceptsAfterSIGTERM
 }
 
-// checkAnswer judges that a client that stays gets one final answer in time, and nothing behind it.
+// checkAnswer checks that a client that stays connected gets exactly one answer in time, and no bytes after it.
 func (c *checker) checkAnswer(request *request) {
 	if request.disconnectedAt > 0 || request.mayGoUnanswered() {
 		return
@@ -40,11 +40,11 @@
 			"closed without an answer %v after it was sent to %s (reused %t, SIGTERM at %v, sent at %v)",
 			request.closedAt-request.sentAt, name, request.reused, request.process.terminatedAt, request.sentAt)
 	case len(request.answers) != 1:
-		c.violated(RuleAnswer, request.id, "%d answers of %s", len(request.answers), name)
+		c.violated(RuleAnswer, request.id, "%d answers from %s", len(request.answers), name)
 	case request.answers[0].receivedAt > end+lostAnswerDelay+slack:
 		c.violated(RuleAnswer, request.id, "answered %v after its deadline by %s", request.answers[0].receivedAt-end, name)
 	case request.trailingBytes > 0:
-		c.violated(RuleAnswer, request.id, "%d bytes behind the answer of %s", request.trailingBytes, name)
+		c.violated(RuleAnswer, request.id, "%d bytes after the answer from %s", request.trailingBytes, name)
 	case request.answers[0].receivedAt > end+slack:
 		c.result.Counts[countAnsweredLate]++
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// outcome is the key under which an answer is counted.
+// outcome returns the key in Result.Counts under which an answer is counted.
 func (a answer) outcome() string {
 	switch a.status {
 	case http.StatusOK:
@@ -64,7 +64,7 @@
 	return countFailed
 }
 
-// checkAnswerContent judges that an answer's parts are as replicas gave them, and as many as it says.
+// checkAnswerContent checks that a successful answer has enough shards, and only values that replicas returned.
 func (c *checker) checkAnswerContent(request *request) {
 	for _, answer := range request.answers {
 		if answer.status != http.StatusOK {
@@ -72,18 +72,19 @@
 		}
 		c.countCheck(RuleAnswerContent, request.coordinator.name, request.sentAt, answer.receivedAt)
 		if !answer.hasRequiredShards(request) {
-			c.violated(RuleAnswerContent, request.id, "whole %t with %d of %d parts",
+			c.violated(RuleAnswerContent, request.id, "complete %t with %d of %d shards",
 				answer.complete, len(answer.matches), len(request.shards))
 		}
 		for shard, value := range answer.matches {
 			if !c.ledger.replyValues[subqueryID(request.id, shard)][value] {
-				c.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica gave", shard, value)
+				c.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica returned", shard, value)
 			}
 		}
 	}
 }
 
-// hasRequiredShards tells whether an answer holds its class's least share, and all shards if it says that it is complete.
+// hasRequiredShards reports whether an answer has the minimum share of its class, and all shards if it is marked
+// complete.
 func (a answer) hasRequiredShards(request *request) bool {
 	share := float64(len(a.matches)) / float64(len(request.shards))
 	if share < request.class.minShare-shareSlack {
--- a/internal/soak/judge_attempt.go
+++ b/internal/soak/judge_attempt.go
@@ -3,14 +3,16 @@
 import "time"
 
 const (
-	// timeoutSlack is how much more time than is left a replica may be given: the frame's way there, and rounding.
+	// timeoutSlack is how far the timeout that a replica is given may exceed the time left, for the frame's network
+	// delay and for rounding.
 	timeoutSlack = 150 * time.Millisecond
 
-	// disconnectSlack is how long after its client has left an attempt may begin: the close's way, and the frame's.
+	// disconnectSlack is how long after its client's disconnect an attempt may begin, for the network delay of the close
+	// and of the frame.
 	disconnectSlack = 100 * time.Millisecond
 )
 
-// checkTimeout judges that a replica is given no more time than the query has left.
+// checkTimeout checks that the timeout given to a replica is within the time that the query has left.
 func (c *checker) checkTimeout(request *request, arrival *arrival) {
 	if arrival.delayed {
 		return
@@ -20,12 +22,12 @@
 	remaining := request.sentAt + request.deadline - arrival.firstByteAt
 	slack := timeoutSlack + c.stoppedTime(name, request.sentAt, arrival.lastByteAt) + measurementSlack
 	if arrival.timeout > max(0, remaining)+slack {
-		c.violated(RuleTimeout, request.id, "%s was told %v with %v left (%s)",
+		c.violated(RuleTimeout, request.id, "%s was given a timeout of %v with %v left (%s)",
 			arrival.subquery, arrival.timeout, remaining, arrival.replica.uid)
 	}
 }
 
-// checkClientConnected judges that nothing begins for a client that has left.
+// checkClientConnected checks that no attempt begins after the client has disconnected.
 func (c *checker) checkClientConnected(request *request, arrival *arrival) {
 	countsAsNotSent := request.disconnectedAt == request.sentAt
 	if request.disconnectedAt == 0 || countsAsNotSent || arrival.delayed {
@@ -35,13 +37,14 @@
 	c.countCheck(RuleClientConnected, name, request.disconnectedAt, arrival.firstByteAt)
 	after := arrival.firstByteAt - request.disconnectedAt
 	if after > disconnectSlack+c.stoppedTime(name, request.disconnectedAt, arrival.firstByteAt)+measurementSlack {
-		c.violated(RuleClientConnected, request.id, "%s begins at %s %v after its client has gone",
+		c.violated(RuleClientConnected, request.id, "%s began at %s %v after its client disconnected",
 			arrival.subquery, arrival.replica.uid, after)
 	}
 }
 
-// checkDrain judges that a replica gets nothing new once the grace has passed since the coordinator was notified that
-// it drains or was removed. A process knows nothing from before its own start.
+// checkDrain checks that a replica gets no attempts once drainGrace has passed since the coordinator was notified that
+// the replica is draining or was removed. If the process started after the notification, the grace period begins at its
+// start.
 func (c *checker) checkDrain(request *request, arrival *arrival) {
 	if arrival.delayed {
 		return
@@ -55,13 +58,13 @@
 	c.countCheck(RuleDrain, name, since, arrival.firstByteAt)
 	slack := socketSlack + c.stoppedTime(name, since, arrival.firstByteAt) + measurementSlack
 	if arrival.firstByteAt > since+drainGrace+slack {
-		c.violated(RuleDrain, request.id, "%s sends %s to %s %v after it was told to stop",
+		c.violated(RuleDrain, request.id, "%s sent %s to %s %v after the notification of its drain or removal",
 			name, arrival.subquery, arrival.replica.uid, arrival.firstByteAt-since)
 	}
 }
 
-// checkAttempts judges all attempts of a subquery: their number, and that what is not idempotent runs once at most, and
-// never when its query was rejected.
+// checkAttempts checks the number of attempts of a subquery, and that a non-idempotent subquery runs at most once, and
+// never if its query was rejected.
 func (c *checker) checkAttempts(subquery string, attempts []*arrival) {
 	request := c.requests[attempts[0].query]
 	name := request.coordinator.name
@@ -83,7 +86,7 @@
 	}
 	for _, answer := range request.answers {
 		if ran > 0 && answer.outcome() == countRefused {
-			c.violated(RuleNonIdempotent, request.id, "refused, and %s ran", subquery)
+			c.violated(RuleNonIdempotent, request.id, "rejected, but %s ran", subquery)
 		}
 	}
 }
--- a/internal/soak/judge_load.go
+++ b/internal/soak/judge_load.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// minNotifiedShare is the share of a cold replica's arrivals that has to come from coordinators that were notified of its
-// start, for an overload to be theirs: who has not heard of it cannot spare it.
+// minNotifiedShare is the share of a cold replica's arrivals that must come from coordinators that were notified of its
+// start for an overload to be a violation: a coordinator that was not notified cannot limit its load.
 const minNotifiedShare = 2.0 / 3
 
-// replicaProcess is one process of a replica, by its start.
+// replicaProcess identifies one run of a replica by its start.
 type replicaProcess struct {
 	replica   *replica
 	startedAt time.Duration
 }
 
-// checkSlowStart judges that no replica falls while it warms up, over all coordinators together: for each arrival the
-// window that ends with it.
+// checkSlowStart checks that all coordinators together do not overload a replica that is warming up. It checks the
+// window that ends with each arrival.
 func (c *checker) checkSlowStart() {
 	cold := map[replicaProcess][]*arrival{}
 	for _, arrival := range c.ledger.arrivals {
@@ -35,10 +35,10 @@
 	}
 }
 
-// checkWarmUpWindow judges the overload window that ends with the last of the arrivals, which are in order.
+// checkWarmUpWindow checks the overload window that ends with the last arrival. The arrivals are sorted by lastByteAt.
 func (c *checker) checkWarmUpWindow(process replicaProcess, arrivals []*arrival) {
-	last := arrivals[len(arrivals)-1]
-	start := last.lastByteAt - overloadWindow
+	lastArrival := arrivals[len(arrivals)-1]
+	start := lastArrival.lastByteAt - overloadWindow
 	sent := 0
 	notified := 0
 	for _, arrival := range slices.Backward(arrivals) {
@@ -50,17 +50,17 @@
 			notified++
 		}
 	}
-	c.countCheck(RuleSlowStart, "", start, last.lastByteAt)
-	limit := warmUpLimit(last.warmUpAllowance)
+	c.countCheck(RuleSlowStart, "", start, lastArrival.lastByteAt)
+	limit := warmUpLimit(lastArrival.warmUpAllowance)
 	percent := int(100 * float64(sent) / limit)
 	c.result.Counts[countMaxSlowStartPercent] = max(c.result.Counts[countMaxSlowStartPercent], percent)
 	if float64(sent) > limit && float64(notified) > minNotifiedShare*float64(sent) {
-		c.violated(RuleSlowStart, "", "%s, up for %v, gets %d in %v; %.0f are allowed",
-			process.replica.uid, last.lastByteAt-process.startedAt, sent, overloadWindow, math.Floor(limit))
+		c.violated(RuleSlowStart, "", "%s, up for %v, got %d attempts in %v; the limit is %.0f",
+			process.replica.uid, lastArrival.lastByteAt-process.startedAt, sent, overloadWindow, math.Floor(limit))
 	}
 }
 
-// notifiedOfStart tells whether the coordinator that sent an attempt had been notified of the replica's start by then.
+// notifiedOfStart reports whether the coordinator that sent an attempt had been notified of the replica's start before.
 func (c *checker) notifiedOfStart(process replicaProcess, arrival *arrival) bool {
 	request := c.requests[arrival.query]
 	if request == nil {
@@ -71,56 +71,58 @@
 	})
 }
 
-// budgetEdgeSlack is how far a window's ends are moved in the coordinator's favour, and budgetEdgeAttempts how many attempts
-// are granted on top: attempts are seen at replicas, so that a few may belong to the window before.
+// Attempts are timed at replicas, so a few of them may belong to the previous window. Therefore the ends of a window
+// are moved by budgetEdgeSlack in the coordinator's favour, and budgetEdgeAttempts more attempts are allowed.
 const (
 	budgetEdgeSlack    = 500 * time.Millisecond
 	budgetEdgeAttempts = 1
 )
 
-// checkRetryBudget judges the attempts beyond the first, for each process by itself. A process's first window over the
-// budget is a violation; its others are not judged.
+// checkRetryBudget checks the attempts beyond the first against the retry budget of each process. The first window of a
+// process over the budget is a violation; its later windows are not checked.
 func (c *checker) checkRetryBudget() {
 	extraAttempts := c.extraAttempts()
-	taken := c.acceptedWork()
+	accepted := c.acceptedWork()
 	for process, attempts := range extraAttempts {
 		for _, at := range attempts {
 			c.result.Counts[string(RuleRetryBudget)]++
-			extra := countWithin(attempts, at-budgetWindow+budgetEdgeSlack, at)
-			work := countWithin(taken[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
-			if float64(extra) > minBudget+budgetRatio*float64(work)+budgetEdgeAttempts {
-				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d taken", extra, budgetWindow, work)
+			extraCount := countWithin(attempts, at-budgetWindow+budgetEdgeSlack, at)
+			acceptedCount := countWithin(accepted[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
+			if float64(extraCount) > minBudget+budgetRatio*float64(acceptedCount)+budgetEdgeAttempts {
+				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d queries and subqueries accepted",
+					extraCount, budgetWindow, acceptedCount)
 				break
 			}
 		}
 	}
 }
 
-// extraAttempts are the times of attempts beyond the first of each subquery, by process.
+// extraAttempts returns the start times of all attempts beyond the first of their subquery, by process.
 func (c *checker) extraAttempts() map[*process][]time.Duration {
-	extra := map[*process][]time.Duration{}
+	extraTimes := map[*process][]time.Duration{}
 	for _, attempts := range c.subqueries {
 		process := c.requests[attempts[0].query].process
 		slices.SortFunc(attempts, func(a, b *arrival) int { return cmp.Compare(a.firstByteAt, b.firstByteAt) })
 		for _, attempt := range attempts[1:] {
-			extra[process] = append(extra[process], attempt.firstByteAt)
+			extraTimes[process] = append(extraTimes[process], attempt.firstByteAt)
 		}
 	}
-	return extra
+	return extraTimes
 }
 
-// acceptedWork are the times at which queries and subqueries were taken, by process: each counts by itself.
+// acceptedWork returns the times at which queries and subqueries were sent, by process. The time of a query with n
+// subqueries is in it n+1 times.
 func (c *checker) acceptedWork() map[*process][]time.Duration {
-	taken := map[*process][]time.Duration{}
+	accepted := map[*process][]time.Duration{}
 	for _, request := range c.ledger.requests {
 		for range 1 + len(request.shards) {
-			taken[request.process] = append(taken[request.process], request.sentAt)
+			accepted[request.process] = append(accepted[request.process], request.sentAt)
 		}
 	}
-	return taken
+	return accepted
 }
 
-// countWithin counts the times after from, up to and with to.
+// countWithin counts the times after from, up to and including to.
 func countWithin(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at > from && at <= to {
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// clock is time since the soak's start. It is monotonic.
+// clock measures the time since the start of the soak. It is monotonic.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration { return time.Since(c.start) }
 
-// arrival is one attempt as it reached a replica.
+// arrival is an attempt that reached a replica.
 type arrival struct {
 	query            string
 	subquery         string
 	replica          *replica
-	firstByteAt      time.Duration // its frame's first byte
-	lastByteAt       time.Duration // its frame's last byte
-	timeout          time.Duration // how long the coordinator says that it waits
-	delayed          bool          // the replica did not read just before: the bytes may have come earlier
+	firstByteAt      time.Duration // first byte of its frame
+	lastByteAt       time.Duration // last byte of its frame
+	timeout          time.Duration // how long the coordinator will wait, as stated in the frame
+	delayed          bool          // it may have been sent much earlier: the replica was not reading
 	ran              bool
-	replicaStartedAt time.Duration // of the replica's process that it reached
+	replicaStartedAt time.Duration // start of the replica's process
 
-	// warmUpAllowance is how many arrivals in the overload window the settings allow at the replica's age; 0: it is
-	// warm.
+	// warmUpAllowance is how many arrivals the settings allow in an overload window at the replica's age; 0: the
+	// replica is warm.
 	warmUpAllowance float64
 }
 
-// answer is what a client got.
+// answer is a response that a client received.
 type answer struct {
 	receivedAt time.Duration
 	status     int
@@ -35,34 +35,35 @@
 	matches    map[int]string // by shard
 }
 
-// request is one as its client sent it.
+// request is a request of a client.
 type request struct {
 	id             string
 	class          *class
 	coordinator    *coordinator
 	process        *process
-	reused         bool          // its connection had carried one before
-	sentAt         time.Duration // its last byte
-	deadline       time.Duration // from then
+	reused         bool          // its connection had been used before
+	sentAt         time.Duration // time at which it was written in full
+	deadline       time.Duration // relative to sentAt
 	shards         []int
-	disconnectedAt time.Duration // when the client closed; 0: it did not
+	disconnectedAt time.Duration // when the client closed the connection; 0: it did not; sentAt: it counts as not sent
 	answers        []answer
-	closedAt       time.Duration // when the connection ended without an answer; 0: it did not
-	trailingBytes  int           // behind the answer, that belong to no answer
+	closedAt       time.Duration // when the connection was closed without an answer; 0: it was not
+	trailingBytes  int           // bytes received after the answer
 }
 
-// faultSpan is a stretch of time in which a fault was under way.
+// faultSpan is an interval during which a fault was active.
 type faultSpan struct {
 	kind     FaultKind
-	target   string // what it struck
+	target   string
 	from, to time.Duration
 }
 
-// ledger is all that was seen. It is complete once the soak has ended, and is read without its mutex from then on.
+// ledger records what the replicas, the clients and the fault injectors observed. It is complete once the soak has
+// ended, and is read without its mutex from then on.
 type ledger struct {
 	mu          sync.Mutex
 	arrivals    []*arrival
-	replyValues map[string]map[string]bool // by subquery: what replicas gave
+	replyValues map[string]map[string]bool // by subquery: values that replicas returned
 	requests    []*request
 	faults      []faultSpan
 }
@@ -75,7 +76,7 @@
 	l.arrivals = append(l.arrivals, arrival)
 }
 
-// addReplyValue notes what a replica is about to give for a subquery.
+// addReplyValue records a value that a replica is about to return for a subquery.
 func (l *ledger) addReplyValue(subquery, value string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,14 +98,14 @@
 	l.faults = append(l.faults, fault)
 }
 
-// update alters a record under the ledger's mutex.
+// update calls a function that changes a record, with the mutex held.
 func (l *ledger) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// reachedReplica tells whether any attempt of a query has reached a replica.
+// reachedReplica reports whether any attempt of a query has reached a replica.
 func (l *ledger) reachedReplica(query string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/log.go
+++ b/internal/soak/log.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// minLoopDelay is by how much the event loop must be late for a query to be open at its deadline: it fails queries from
-// 20 ms before their deadline on, and looks every 10 ms.
+// minLoopDelay is the minimum delay of the event loop that excuses a query that is still open at its deadline: the loop
+// fails queries from 20 ms before their deadline on and checks every 10 ms.
 const minLoopDelay = 10 * time.Millisecond
 
-// loopPanic is what a program that panics on purpose may log.
+// loopPanic is the log line that is no violation if the program panics on purpose.
 const loopPanic = "event=loop_panic"
 
-// logViolationMarkers are words of a program's log that are violations of their own.
+// logViolationMarkers are texts that are a violation if they appear in a program's log.
 var logViolationMarkers = []string{
 	"event=violation",
 	loopPanic,
@@ -30,16 +30,16 @@
 	maxQuotedLogLines = 30
 )
 
-// checkLog judges the log of a process that has ended, and keeps it if the options say so.
+// checkLog checks the log of a process that has ended, and saves it if a log folder is set.
 func (s *Soak) checkLog(coordinator *coordinator, process *process) {
 	log := process.program.Log()
-	for _, words := range logViolationMarkers {
-		at := strings.Index(log, words)
-		if at < 0 || s.options.ExpectPanics && words == loopPanic {
+	for _, marker := range logViolationMarkers {
+		start := strings.Index(log, marker)
+		if start < 0 || s.options.ExpectPanics && marker == loopPanic {
 			continue
 		}
-		quoted := log[at:min(len(log), at+maxQuotedLogBytes)]
-		s.violated(RuleLog, "", "%s says %s", coordinator.name, lastLines(quoted, maxQuotedLogLines))
+		quoted := log[start:min(len(log), start+maxQuotedLogBytes)]
+		s.violated(RuleLog, "", "%s logged %s", coordinator.name, lastLines(quoted, maxQuotedLogLines))
 	}
 	for line := range strings.Lines(log) {
 		if delay, logged := loopDelay(line); logged && delay < minLoopDelay {
@@ -49,7 +49,7 @@
 	s.saveLog(coordinator, process, log)
 }
 
-// loopDelay is by how much a log line says that the event loop was late; a delay that cannot be read counts as none.
+// loopDelay returns the delay of the event loop that a log line states. A delay that cannot be parsed counts as 0.
 func loopDelay(line string) (delay time.Duration, logged bool) {
 	_, value, logged := strings.Cut(strings.TrimSpace(line), "loop_late=")
 	if !logged {
@@ -65,12 +65,12 @@
 	}
 	name := fmt.Sprintf("seed%d-%s-%d.log", s.seed, coordinator.name, process.startedAt.Milliseconds())
 	if err := os.WriteFile(filepath.Join(s.options.LogFolder, name), []byte(log), 0o600); err != nil {
-		s.violated(RuleHarness, "", "log: %v", err)
+		s.violated(RuleHarness, "", "saving the log: %v", err)
 	}
 }
 
-// lastLines are the last lines of a text, at most so many, on one line.
-func lastLines(text string, most int) string {
+// lastLines returns at most limit lines from the end of a text, joined into one line.
+func lastLines(text string, limit int) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return strings.Join(lines[max(0, len(lines)-most):], " / ")
+	return strings.Join(lines[max(0, len(lines)-limit):], " / ")
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// planHash is of all that the seeds below draw. Failures are named by their seeds: a draw more, or in another order, and
-// a seed that is kept with a failure plays something else.
+// planHash is the hash of everything that the seeds in TestSeedsDrawTheSamePlan draw. A failure is recorded by its
+// seed: an additional draw or another order of draws would change the plan of every recorded seed, so that it no longer
+// reproduces the failure.
 const planHash = "f9fe3db3cfac7091"
 
 func TestSeedsDrawTheSamePlan(t *testing.T) {
@@ -25,12 +26,12 @@
 			fmt.Fprintln(hash, allowance, warmUpLimit(allowance))
 		}
 	}
-	if found := fmt.Sprintf("%x", hash.Sum64()); found != planHash {
-		t.Errorf("the plan's hash is %s, want %s", found, planHash)
+	if got := fmt.Sprintf("%x", hash.Sum64()); got != planHash {
+		t.Errorf("hash of the seeds' plans = %s, want %s", got, planHash)
 	}
 }
 
-func writeRequests(out io.Writer, soak *Soak) {
+func writeRequests(w io.Writer, soak *Soak) {
 	client := &client{
 		soak:   soak,
 		name:   fmt.Sprintf("c%d-%d", soak.seed, 3),
@@ -38,26 +39,26 @@
 	}
 	conn := &clientConn{}
 	for range 200 {
-		fmt.Fprintln(out, client.newRequest(conn).wireText())
+		fmt.Fprintln(w, client.newRequest(conn).wireText())
 	}
 }
 
-func writeReplicaDraws(out io.Writer, soak *Soak) {
+func writeReplicaDraws(w io.Writer, soak *Soak) {
 	replica := &replica{soak: soak, random: soak.randomFor("s-4")}
 	for range 200 {
-		fate := replica.drawConnFaults()
-		fmt.Fprintln(out, fate.resetAfter, fate.slowReplies, replica.draw(100), replica.draw(int(meanWork)))
+		faults := replica.drawConnFaults()
+		fmt.Fprintln(w, faults.resetAfter, faults.slowReplies, replica.draw(100), replica.draw(int(meanWork)))
 	}
 }
 
-func writeFaults(out io.Writer, soak *Soak) {
+func writeFaults(w io.Writer, soak *Soak) {
 	for n := range coordinatorCount {
 		soak.coordinators = append(soak.coordinators, &coordinator{name: fmt.Sprint(coordinatorPrefix, n)})
 	}
 	random := soak.randomFor(fmt.Sprint("trouble", 2))
 	for range 200 {
-		fmt.Fprintln(out, drawFault(random).kind)
+		fmt.Fprintln(w, drawFault(random).kind)
 		coordinator := soak.drawCoordinator(random)
-		fmt.Fprintln(out, coordinator.name, drawDuration(random, 5, 10000), drawWallStep(random))
+		fmt.Fprintln(w, coordinator.name, drawDuration(random, 5, 10000), drawWallStep(random))
 	}
 }
