--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// longRunning is the boot of a replica that has run since long before the soak: it is warm.
+// longRunning is the start time of a replica that was warm before the soak began.
 const longRunning time.Duration = -1
 
 const (
-	// resumeWindow is how long after a replica reads again what it reads may have been written long before.
+	// resumeWindow is how long after a replica resumes reading the frames that it reads may have been sent much
+	// earlier.
 	resumeWindow = 50 * time.Millisecond
 
 	defaultBacklog = 128
 
-	restartAttempts = 50 // to listen at the old address again
+	restartAttempts = 50 // to listen on the old address again
 	restartPause    = 20 * time.Millisecond
 )
 
-// replica speaks the frames of the protocol page and notes in the ledger what reached it.
+// replica is a fake replica that speaks the frame protocol and records the attempts that reach it in the ledger.
 type replica struct {
 	soak      *Soak
 	uid       string
 	cell      int
-	coreSlots chan struct{} // a place for each attempt that runs
+	coreSlots chan struct{} // holds an element for each running attempt
 
 	mu             sync.Mutex
 	listener       net.Listener
 	conns          map[net.Conn]bool
-	startedAt      time.Duration // of its process, on the soak's clock; below 0: longRunning
-	startUnixMS    int64         // the same as discovery tells it, in Unix milliseconds; 0: long ago
-	state          endpointState // as discovery has it
-	claimed        bool          // a fault has it
-	hanging        bool          // it reads nothing and answers nothing
+	startedAt      time.Duration // of its process, on the soak's clock, or longRunning
+	startUnixMS    int64         // the same in Unix milliseconds, for discovery; 0 for longRunning
+	state          endpointState // in discovery
+	claimed        bool          // by a fault
+	hanging        bool          // it neither reads nor replies
 	notAccepting   bool          // it accepts no connections
-	readingSince   time.Duration // when it last read again; 0: it always did
-	acceptingSince time.Duration // when it last accepted connections again; 0: it always did
-	resumed        *sync.Cond    // on mu: it no longer hangs, or accepts again
+	readingSince   time.Duration // when it last resumed reading; 0: never interrupted
+	acceptingSince time.Duration // when it last resumed accepting connections; 0: never interrupted
+	resumed        *sync.Cond    // uses mu; signalled when hanging or notAccepting changes
 	random         *rand.Rand
 }
 
-// newReplica starts a replica that discovery does not know yet.
-func newReplica(soak *Soak, uid string, cell int, boot time.Duration) (*replica, error) {
+// newReplica starts a replica. It is not published to discovery yet.
+func newReplica(soak *Soak, uid string, cell int, startedAt time.Duration) (*replica, error) {
 	replica := &replica{
 		soak:      soak,
 		uid:       uid,
 		cell:      cell,
 		coreSlots: make(chan struct{}, replicaCores),
 		conns:     map[net.Conn]bool{},
-		startedAt: boot,
+		startedAt: startedAt,
 		state:     stateReady,
 		random:    soak.randomFor(uid),
 	}
-	if boot >= 0 {
+	if startedAt >= 0 {
 		replica.startUnixMS = time.Now().UnixMilli()
 	}
 	replica.resumed = sync.NewCond(&replica.mu)
@@ -80,7 +81,7 @@
 	return r.listener.Addr().String()
 }
 
-// endpoint is the replica as discovery tells it.
+// endpoint returns the replica as discovery publishes it.
 func (r *replica) endpoint() endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// publishState changes the state that discovery tells of the replica; its process goes on.
+// publishState changes the state of the replica in discovery; its process keeps running.
 func (r *replica) publishState(state endpointState) {
 	r.mu.Lock()
 	r.state = state
@@ -104,7 +105,8 @@
 	r.soak.endpoints.publish(r.endpoint())
 }
 
-// claim has one fault at a time strike a replica that is ready; it tells whether the caller has it now.
+// claim reserves a ready replica for a fault of the caller until release. It returns false if the replica is not ready
+// or is claimed already.
 func (r *replica) claim() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,22 +123,23 @@
 	r.claimed = false
 }
 
-// draw draws below n.
+// draw returns a random number from 0 to n-1.
 func (r *replica) draw(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
 }
 
-// waitWhileHanging waits while the replica hangs; it tells whether it had to, now or a moment ago.
-func (r *replica) waitWhileHanging() (late bool) {
+// waitWhileHanging waits while the replica hangs. It reports whether the replica was hanging, now or within the last
+// resumeWindow.
+func (r *replica) waitWhileHanging() (delayed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.hanging {
-		late = true
+		delayed = true
 		r.resumed.Wait()
 	}
-	return late || r.readingSince > 0 && r.soak.now()-r.readingSince < resumeWindow
+	return delayed || r.readingSince > 0 && r.soak.now()-r.readingSince < resumeWindow
 }
 
 func (r *replica) setHanging(hanging bool) {
@@ -149,8 +152,8 @@
 	r.resumed.Broadcast()
 }
 
-// setAccepting has the replica accept connections or not. While it does not, its backlog is as short as the kernel
-// makes it.
+// setAccepting sets whether the replica accepts connections. While it does not, its listen backlog is set to 0, the
+// shortest that the kernel offers.
 func (r *replica) setAccepting(accepting bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +172,7 @@
 	r.resumed.Broadcast()
 }
 
-// resetAll resets all connections that stand.
+// resetAll resets all open connections.
 func (r *replica) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +181,7 @@
 	}
 }
 
-// stop ends the replica's process: its connections are reset and new ones refused.
+// stop simulates the end of the replica's process: connections are reset and new ones are refused.
 func (r *replica) stop() {
 	r.mu.Lock()
 	listener := r.listener
@@ -190,7 +193,7 @@
 	r.resetAll()
 }
 
-// restart starts a stopped replica again at the same address: cold.
+// restart starts a stopped replica cold at the same address.
 func (r *replica) restart() error {
 	addr := r.addr()
 	var err error
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -11,50 +11,50 @@
 	"time"
 )
 
-// While a replica accepts no connections, its machine drops the last ACK of a handshake for which the backlog has no
-// place: the other end believes that the connection is up and writes, and its machine retransmits, each time after
-// twice as long, until a segment gets through. What arrives so soon after the replica accepts again says nothing of
-// when it was written.
+// While a replica accepts no connections and its backlog is full, the kernel drops the final ACK of handshakes. The
+// client side considers the connection established, writes, and retransmits with exponential backoff until a segment
+// gets through. Therefore, for connections accepted within handshakeRetryTime after the replica resumed accepting, the
+// arrival time of bytes does not show when they were written.
 const (
 	handshakeRetryTime = 3 * time.Second
-	retransmitReadTime = 100 * time.Millisecond // for those bytes to be read once the connection is accepted
+	retransmitReadTime = 100 * time.Millisecond // for these bytes to be read after the accept
 )
 
-// maxResetAfter bounds the bytes after which a connection is reset.
+// maxResetAfter is the maximum number of received bytes after which a connection is reset.
 const maxResetAfter = 3000
 
-// neverReset is the number of bytes of a connection that is not cut.
+// neverReset is the value of resetAfter for a connection that is not reset.
 const neverReset = -1
 
-// connFaults is what the network does to a connection.
+// connFaults are the simulated network faults of a connection.
 type connFaults struct {
-	resetAfter   int           // bytes that come in before it is reset, or unlimited
-	slowReplies  bool          // answers go out a few bytes at a time
-	delayedUntil time.Duration // what is read until then may have been written long before; see handshakeRetries
+	resetAfter   int           // received bytes after which it is reset, or neverReset
+	slowReplies  bool          // replies are written a few bytes at a time
+	delayedUntil time.Duration // bytes read before then may have been written much earlier; see handshakeRetryTime
 }
 
 // replicaConn is a connection from a coordinator.
 type replicaConn struct {
 	net.Conn
 	replica          *replica
-	replicaStartedAt time.Duration // of the replica's process that accepted it
+	replicaStartedAt time.Duration // start of the replica's process that accepted it
 	faults           connFaults
 	writing          sync.Mutex
 }
 
-// accept takes connections until the listener closes.
+// accept accepts connections until the listener is closed.
 func (r *replica) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		admitted := r.register(conn) // holds the next ones up while the replica accepts none
-		go admitted.serve()
+		accepted := r.register(conn) // blocks while the replica accepts no connections
+		go accepted.serve()
 	}
 }
 
-// register notes a connection, once the replica accepts any, and draws its fate.
+// register waits until the replica accepts connections, then registers one and draws its faults.
 func (r *replica) register(conn net.Conn) *replicaConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,26 +62,26 @@
 		r.resumed.Wait()
 	}
 	r.conns[conn] = true
-	fate := r.drawConnFaults()
+	faults := r.drawConnFaults()
 	if now := r.soak.now(); r.acceptingSince > 0 && now-r.acceptingSince < handshakeRetryTime {
-		fate.delayedUntil = now + retransmitReadTime
+		faults.delayedUntil = now + retransmitReadTime
 	}
-	return &replicaConn{Conn: conn, replica: r, replicaStartedAt: r.startedAt, faults: fate}
+	return &replicaConn{Conn: conn, replica: r, replicaStartedAt: r.startedAt, faults: faults}
 }
 
-// drawConnFaults draws one; r.mu is held.
+// drawConnFaults draws the faults of a connection. The caller holds r.mu.
 func (r *replica) drawConnFaults() connFaults {
-	fate := connFaults{resetAfter: neverReset}
+	faults := connFaults{resetAfter: neverReset}
 	switch r.random.IntN(12) {
 	case 0:
-		fate.resetAfter = 1 + r.random.IntN(maxResetAfter)
+		faults.resetAfter = 1 + r.random.IntN(maxResetAfter)
 	case 1:
-		fate.slowReplies = true
+		faults.slowReplies = true
 	}
-	return fate
+	return faults
 }
 
-// serve reads a connection's frames until it ends, is idle for too long, or cannot be read.
+// serve reads frames until the connection ends, is idle for idleTimeout, or a frame is malformed.
 func (c *replicaConn) serve() {
 	defer c.close()
 	in := bufio.NewReader(&limitedConn{c.Conn, c.faults.resetAfter})
@@ -90,11 +90,11 @@
 		if first, err := in.Peek(1); err != nil || len(first) == 0 {
 			return
 		}
-		late := c.waitWhileHanging()
-		if late {
+		delayed := c.waitWhileHanging()
+		if delayed {
 			c.replica.soak.delayedFrames.Add(1)
 		}
-		begun := c.replica.soak.now()
+		firstByteAt := c.replica.soak.now()
 		c.SetReadDeadline(time.Time{})
 		frame, err := readFrame(in)
 		if err != nil {
@@ -104,13 +104,13 @@
 		if !isCall(frame) {
 			continue
 		}
-		late = c.replica.waitWhileHanging() || late
+		delayed = c.replica.waitWhileHanging() || delayed
 		calls, err := parseCall(frame)
 		if err != nil {
 			c.reportMalformed(err)
 			return
 		}
-		c.startAttempts(calls, arrival{firstByteAt: begun, lastByteAt: c.replica.soak.now(), delayed: late})
+		c.startAttempts(calls, arrival{firstByteAt: firstByteAt, lastByteAt: c.replica.soak.now(), delayed: delayed})
 	}
 }
 
@@ -121,12 +121,13 @@
 	delete(c.replica.conns, c.Conn)
 }
 
-// waitWhileHanging waits while the replica hangs; it tells whether the time of the bytes' writing is unknown.
-func (c *replicaConn) waitWhileHanging() (late bool) {
+// waitWhileHanging waits while the replica hangs. It reports whether the next bytes may have been sent much earlier.
+func (c *replicaConn) waitWhileHanging() (delayed bool) {
 	return c.replica.waitWhileHanging() || c.replica.soak.now() < c.faults.delayedUntil
 }
 
-// reportMalformed notes a frame that breaks the protocol; the end of a connection is no violation.
+// reportMalformed records a malformed frame as a violation. It ignores all other errors, such as the end of the
+// connection.
 func (c *replicaConn) reportMalformed(err error) {
 	var malformed *malformedFrameError
 	if errors.As(err, &malformed) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// startAttempts notes the subqueries of a frame, and has each run.
+// startAttempts records an arrival for each subquery of a frame, and runs each in its own goroutine.
 func (c *replicaConn) startAttempts(calls []subqueryCall, frame arrival) {
 	replica := c.replica
 	for _, call := range calls {
@@ -156,19 +157,20 @@
 	}
 }
 
-// What becomes of an attempt, by a draw below 100: each takes the draws below its bound that are left by those before.
+// Upper bounds of a random number from 0 to 99 that selects what happens to an attempt. An attempt at or above the last
+// bound succeeds.
 const (
-	rejectedBelow   = 4 // it never runs
+	rejectedBelow   = 4 // rejected without running
 	failedBelow     = 6
 	unansweredBelow = 8
 	resetBelow      = 9
 )
 
-// runAttempt runs an attempt and answers it, or does something else.
+// runAttempt rejects an attempt, or runs it and then replies, leaves it unanswered or resets the connection.
 func (c *replicaConn) runAttempt(attempt *arrival) {
 	replica := c.replica
-	fate := replica.draw(100)
-	if fate < rejectedBelow {
+	choice := replica.draw(100)
+	if choice < rejectedBelow {
 		c.reply(attempt.subquery, "REJECTED", "")
 		return
 	}
@@ -178,10 +180,10 @@
 	time.Sleep(meanWork/2 + time.Duration(replica.draw(int(meanWork))))
 	replica.waitWhileHanging()
 	switch {
-	case fate < failedBelow:
+	case choice < failedBelow:
 		c.reply(attempt.subquery, "ERROR", "")
-	case fate < unansweredBelow: // nothing is answered
-	case fate < resetBelow:
+	case choice < unansweredBelow: // no reply
+	case choice < resetBelow:
 		reset(c.Conn)
 	default:
 		value := fmt.Sprintf("v<%s.%s.%d>", replica.uid, attempt.subquery, replica.draw(1000))
@@ -196,7 +198,7 @@
 	slowReplyPause    = time.Millisecond
 )
 
-// reply writes a reply, one at a time on a connection.
+// reply writes a reply. Replies on one connection are written one at a time.
 func (c *replicaConn) reply(subquery, outcome, value string) {
 	frame := replyFrame(subquery, outcome, value)
 	c.writing.Lock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection, with a TCP reset if it is a *net.TCPConn.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -222,10 +224,10 @@
 	conn.Close()
 }
 
-// limitedConn is a connection that is reset once so many bytes came in.
+// limitedConn is a connection that is reset after a given number of received bytes.
 type limitedConn struct {
 	net.Conn
-	remaining int // or unlimited
+	remaining int // bytes until the reset, or neverReset
 }
 
 func (c *limitedConn) Read(b []byte) (int, error) {
--- a/internal/soak/replica_frame.go
+++ b/internal/soak/replica_frame.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A frame is its length, four bytes in network order, and its content, whose first byte is its type.
+// A frame consists of the length of its content, as four bytes in network byte order, and the content, whose first byte
+// is the type of the frame.
 const (
 	callFrameType  = 'R'
 	replyFrameType = 'Y'
@@ -18,7 +19,7 @@
 	lengthBytes    = 4
 )
 
-// malformedFrameError says what a coordinator sent against the protocol.
+// malformedFrameError is a violation of the frame protocol by a coordinator.
 type malformedFrameError struct{ detail string }
 
 func (e *malformedFrameError) Error() string { return e.detail }
@@ -27,7 +28,7 @@
 	return &malformedFrameError{fmt.Sprintf(format, args...)}
 }
 
-// readFrame reads a frame's content. An error is a malformedFrameError or the connection's end.
+// readFrame reads a frame and returns its content. The error is a *malformedFrameError or a read error.
 func readFrame(in io.Reader) ([]byte, error) {
 	var size [lengthBytes]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
@@ -35,7 +36,7 @@
 	}
 	length := binary.BigEndian.Uint32(size[:])
 	if length == 0 || length > maxFrameBytes {
-		return nil, malformed("a frame of %d bytes", length)
+		return nil, malformed("invalid frame length %d", length)
 	}
 	frame := make([]byte, length)
 	_, err := io.ReadFull(in, frame)
@@ -44,42 +45,43 @@
 
 func isCall(frame []byte) bool { return frame[0] == callFrameType }
 
-// subqueryCall is one subquery of a call.
+// subqueryCall is a subquery of a call frame.
 type subqueryCall struct {
 	id      string
-	timeout time.Duration // how long the coordinator says that it waits
+	timeout time.Duration // how long the coordinator will wait for the reply
 }
 
-// parseCall reads the subqueries of a call: lines ID SHARD LIST LENGTH, each followed by a text of that length.
+// parseCall parses the subqueries of a call. Each is a line ID SHARD d=MILLISECONDS LENGTH, followed by a text
+// of that length.
 func parseCall(frame []byte) (calls []subqueryCall, err error) {
 	rest := frame[1:]
 	for len(rest) > 0 {
-		call, behind, err := parseSubquery(rest)
+		call, remaining, err := parseSubquery(rest)
 		if err != nil {
 			return nil, malformed("%v in %q", err, frame)
 		}
 		calls = append(calls, call)
-		rest = behind
+		rest = remaining
 	}
 	return calls, nil
 }
 
-// parseSubquery reads the first subquery, and returns what stands behind it.
-func parseSubquery(content []byte) (call subqueryCall, behind []byte, err error) {
+// parseSubquery parses the first subquery and returns the content after it.
+func parseSubquery(content []byte) (call subqueryCall, remaining []byte, err error) {
 	line, rest, ended := bytes.Cut(content, []byte("\n"))
-	words := strings.Fields(string(line))
-	if !ended || len(words) != 4 {
-		return call, nil, malformed("a line that cannot be read: %q", line)
+	fields := strings.Fields(string(line))
+	if !ended || len(fields) != 4 {
+		return call, nil, malformed("malformed subquery line %q", line)
 	}
-	length, err := strconv.Atoi(words[3])
+	length, err := strconv.Atoi(fields[3])
 	if err != nil || length > len(rest) {
-		return call, nil, malformed("a length that cannot be: %q", line)
+		return call, nil, malformed("invalid length in subquery line %q", line)
 	}
-	timeoutMS, err := strconv.Atoi(strings.TrimPrefix(words[2], "d="))
+	timeoutMS, err := strconv.Atoi(strings.TrimPrefix(fields[2], "d="))
 	if err != nil || timeoutMS < 1 {
-		return call, nil, malformed("a time that cannot be: %q", line)
+		return call, nil, malformed("invalid timeout in subquery line %q", line)
 	}
-	call = subqueryCall{id: words[0], timeout: time.Duration(timeoutMS) * time.Millisecond}
+	call = subqueryCall{id: fields[0], timeout: time.Duration(timeoutMS) * time.Millisecond}
 	return call, rest[length:], nil
 }
 
@@ -88,5 +90,5 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(content))), content...)
 }
 
-// subqueryID is a subquery's id on the wire.
+// subqueryID returns the id of a subquery on the wire.
 func subqueryID(query string, shard int) string { return fmt.Sprint(query, ".", shard) }
