--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -88,7 +88,7 @@
 		Settings:  settingsJSON(c.soak.seed),
 		Known:     known,
 		Sockets:   maxSockets,
-		Env:       []string{c.faultPage.Variable()},
+		Env:       []string{c.faultPage.EnvVar()},
 		Args:      []string{"-trace"},
 	})
 	if err != nil {
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -54,8 +54,8 @@
 		step := drawWallStep(random)
 		if random.IntN(3) == 0 {
 			wait := drawDuration(random, 0, 400*time.Millisecond)
-			timer := time.AfterFunc(wait, func() { coordinator.faultPage.Step(step) })
-			defer coordinator.faultPage.Step(0)
+			timer := time.AfterFunc(wait, func() { coordinator.faultPage.SetWallClockOffset(step) })
+			defer coordinator.faultPage.SetWallClockOffset(0)
 			defer timer.Stop()
 		}
 		coordinator.terminate(drawDuration(random, 200*time.Millisecond, 400*time.Millisecond))
@@ -106,9 +106,9 @@
 // stepWallClock steps a coordinator's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
-	coordinator.faultPage.Step(drawWallStep(random))
+	coordinator.faultPage.SetWallClockOffset(drawWallStep(random))
 	time.Sleep(drawDuration(random, 300*time.Millisecond, 3*time.Second))
-	coordinator.faultPage.Step(0)
+	coordinator.faultPage.SetWallClockOffset(0)
 	return coordinator.name
 }
 
