--- a/internal/soak/fault_discovery.go
+++ b/internal/soak/fault_discovery.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// takeAgentDown has a discovery agent answer nothing and learn nothing for a while.
+// takeAgentDown takes a discovery agent down for a while.
 func takeAgentDown(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
 	agent.setDown(true)
-	time.Sleep(between(random, 200*time.Millisecond, 4*time.Second))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 4*time.Second))
 	agent.setDown(false)
 	return coordinator.name
 }
 
-// onAgent does something to a coordinator's discovery agent that is over at once.
-func onAgent(do func(*agent)) strike {
+// agentFault returns an injector of an instantaneous fault of a discovery agent.
+func agentFault(inject func(*agent)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		coordinator := soak.drawCoordinator(random)
-		do(coordinator.agent())
+		inject(coordinator.agent())
 		return coordinator.name
 	}
 }
 
-// sendFullLists has a discovery agent answer its watches with full lists for a while.
+// sendFullLists makes a discovery agent answer watches with full lists for a while.
 func sendFullLists(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	agent := coordinator.agent()
-	agent.setFullLists(true)
-	time.Sleep(between(random, 500*time.Millisecond, 3*time.Second))
-	agent.setFullLists(false)
+	agent.setSendsFullLists(true)
+	time.Sleep(drawDuration(random, 500*time.Millisecond, 3*time.Second))
+	agent.setSendsFullLists(false)
 	return coordinator.name
 }
