--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -138,8 +138,8 @@
 
 // replyReceived handles a replica's reply to an attempt. readAt is the loop time at which it was read.
 func (c *Coordinator) replyReceived(attempt *attemptState, reply *replicaproto.Event, readAt time.Duration) {
-	if reply.Busy >= 0 {
-		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.Busy)
+	if reply.CPUUsage >= 0 {
+		c.scheduler.LoadReported(c.loop.Now(), attempt.replica, reply.CPUUsage)
 	}
 	took := readAt - attempt.SentAt
 	outcome := c.takeReply(attempt, reply, took)
@@ -153,7 +153,7 @@
 func (c *Coordinator) takeReply(
 	attempt *attemptState, reply *replicaproto.Event, took time.Duration,
 ) scheduler.Outcome {
-	switch reply.End {
+	switch reply.Status {
 	case replicaproto.Rejected:
 		return scheduler.Overloaded
 	case replicaproto.OK:
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// silentWatchTime is from when on, after a watch fell silent, what it misses counts as notified: by then the
-	// coordinator has to have given the watch up and polled.
-	silentWatchTime = 6 * time.Second
+	// hungWatchTime is how long after a watch was hung the changes that it missed count as notified: by then the
+	// coordinator must have abandoned the watch and polled.
+	hungWatchTime = 6 * time.Second
 
-	// reloadTime is from when on, after SIGHUP, what the new agent has counts as notified.
+	// reloadTime is how long after SIGHUP the changes known to the new agent count as notified.
 	reloadTime = 4 * time.Second
 )
 
-// agent is the discovery agent on one coordinator's machine.
+// agent is a discovery agent on the machine of one coordinator.
 type agent struct {
 	soak     *Soak
 	listener net.Listener
 	server   *http.Server
 
-	mu            sync.Mutex
-	revision      int           // that it has
-	down          bool          // it answers nothing and learns nothing
-	pending       int           // the revision that it learns of at its return
-	silence       chan struct{} // closed when the calls that are open are to stay without an answer
-	silentAt      time.Duration // when that was last
-	fullLists     bool          // watches are answered with full lists
-	changed       chan struct{} // closed at a new revision, and at its return
-	conns         map[net.Conn]bool
-	notifications []notification
-	countsFrom    time.Duration // notifications count from here on: a reload takes its time
+	mu              sync.Mutex
+	revision        int           // latest revision applied
+	down            bool          // it neither answers calls nor applies revisions
+	pendingRevision int           // revision to apply once it is up again
+	hangOpenCalls   chan struct{} // closed to leave all open calls unanswered
+	hungAt          time.Duration // time of the last hangWatches
+	sendsFullLists  bool          // it answers watches with full lists
+	changed         chan struct{} // closed at a new revision and when the agent is up again
+	conns           map[net.Conn]bool
+	notifications   []notification
+	effectiveFrom   time.Duration // earliest effective time of notifications, to allow for a reload
 }
 
 func newAgent(soak *Soak) (*agent, error) {
@@ -44,14 +44,14 @@
 		return nil, err
 	}
 	agent := &agent{
-		soak:     soak,
-		listener: listener,
-		changed:  make(chan struct{}),
-		silence:  make(chan struct{}),
-		conns:    map[net.Conn]bool{},
-		silentAt: -time.Hour,
+		soak:          soak,
+		listener:      listener,
+		changed:       make(chan struct{}),
+		hangOpenCalls: make(chan struct{}),
+		conns:         map[net.Conn]bool{},
+		hungAt:        -time.Hour,
 	}
-	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve), ConnState: agent.noteConn}
+	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve), ConnState: agent.trackConn}
 	soak.endpoints.subscribe(agent)
 	go agent.server.Serve(listener)
 	return agent, nil
@@ -61,8 +61,8 @@
 
 func (a *agent) close() { a.server.Close() }
 
-// noteConn keeps the open connections, to reset them.
-func (a *agent) noteConn(conn net.Conn, state http.ConnState) {
+// trackConn maintains the set of open connections, for resetWatches.
+func (a *agent) trackConn(conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -72,59 +72,59 @@
 	a.conns[conn] = true
 }
 
-// publish has the agent learn of a revision, at once or when it is back.
+// publish applies a revision, or defers it until the agent is up again.
 func (a *agent) publish(revision int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
-		a.pending = max(a.pending, revision)
+		a.pendingRevision = max(a.pendingRevision, revision)
 		return
 	}
-	a.learn(revision)
+	a.applyRevision(revision)
 }
 
-// learn takes a revision up; a.mu is held.
-func (a *agent) learn(revision int) {
+// applyRevision records the notifications of a newer revision and wakes the open calls. The caller holds a.mu.
+func (a *agent) applyRevision(revision int) {
 	if revision <= a.revision {
 		return
 	}
-	_, changed := a.soak.endpoints.at(revision, a.revision)
+	_, changed := a.soak.endpoints.listAt(revision, a.revision)
 	now := a.soak.now()
-	countsAt := max(now, a.countsFrom)
-	if now < a.silentAt+silentWatchTime {
-		countsAt = max(countsAt, a.silentAt+silentWatchTime)
+	effectiveAt := max(now, a.effectiveFrom)
+	if now < a.hungAt+hungWatchTime {
+		effectiveAt = max(effectiveAt, a.hungAt+hungWatchTime)
 	}
 	for _, endpoint := range changed {
-		a.notifications = append(a.notifications, notification{endpoint.UID, endpoint.State, countsAt})
+		a.notifications = append(a.notifications, notification{endpoint.UID, endpoint.State, effectiveAt})
 	}
 	a.revision = revision
 	a.wakeCalls()
 }
 
-// wakeCalls has the calls that are open look again; a.mu is held.
+// wakeCalls wakes the open calls to check whether they can be answered. The caller holds a.mu.
 func (a *agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// setDown has the agent answer nothing and learn nothing, or return.
+// setDown takes the agent down, so that it neither answers calls nor applies revisions, or brings it up again.
 func (a *agent) setDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = down
 	if !down {
-		a.learn(a.pending)
+		a.applyRevision(a.pendingRevision)
 		a.wakeCalls()
 	}
 }
 
-// silenceWatches leaves all calls that are open without an answer for ever.
-func (a *agent) silenceWatches() {
+// hangWatches leaves all open calls unanswered until the callers close them.
+func (a *agent) hangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silentAt = a.soak.now()
-	close(a.silence)
-	a.silence = make(chan struct{})
+	a.hungAt = a.soak.now()
+	close(a.hangOpenCalls)
+	a.hangOpenCalls = make(chan struct{})
 }
 
 // resetWatches resets all connections.
@@ -136,28 +136,28 @@
 	}
 }
 
-// setFullLists has watches be answered with full lists.
-func (a *agent) setFullLists(full bool) {
+// setSendsFullLists sets whether watches are answered with full lists.
+func (a *agent) setSendsFullLists(full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fullLists = full
+	a.sendsFullLists = full
 }
 
-// startCountingAt has no notification, so far or to come, count before a time.
-func (a *agent) startCountingAt(from time.Duration) {
+// setEffectiveFrom sets the earliest effective time of all notifications, past and future.
+func (a *agent) setEffectiveFrom(from time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.countsFrom = from
+	a.effectiveFrom = from
 	for n := range a.notifications {
-		a.notifications[n].at = max(a.notifications[n].at, from)
+		a.notifications[n].effectiveAt = max(a.notifications[n].effectiveAt, from)
 	}
 }
 
-// endpointCall is a coordinator's call: a watch from a revision on, or a poll of the list as it is.
+// endpointCall is a request from a coordinator: a watch for changes after a revision, or a poll of the current list.
 type endpointCall struct {
 	watch bool
-	from  int           // of a watch: the revision that the coordinator has
-	hold  time.Duration // how long a watch waits for another
+	from  int           // of a watch: the coordinator's revision
+	hold  time.Duration // how long a watch waits for a newer revision
 }
 
 func parseCallParameters(query url.Values) endpointCall {
@@ -166,41 +166,40 @@
 	return endpointCall{watch: err == nil, from: from, hold: time.Duration(holdMS) * time.Millisecond}
 }
 
-// serve answers a call.
 func (a *agent) serve(writer http.ResponseWriter, httpRequest *http.Request) {
 	call := parseCallParameters(httpRequest.URL.Query())
-	if a.await(call, httpRequest.Context().Done()) {
+	if a.waitToAnswer(call, httpRequest.Context().Done()) {
 		json.NewEncoder(writer).Encode(a.answer(call))
 	}
 }
 
-// await waits until a call is to be answered: a poll at once, a watch at a newer revision or when its time is over, and
-// neither while the agent is down. It tells whether to answer; false: the caller has left, or the call was silenced.
-func (a *agent) await(call endpointCall, callerLeft <-chan struct{}) (answers bool) {
-	end := time.After(call.hold)
+// waitToAnswer blocks until a call can be answered: a poll at once, a watch at a newer revision or when its hold time
+// has passed, and neither while the agent is down. It returns false if the caller disconnected or the call was hung.
+func (a *agent) waitToAnswer(call endpointCall, callerGone <-chan struct{}) (shouldAnswer bool) {
+	holdExpired := time.After(call.hold)
 	a.mu.Lock()
-	silence := a.silence
+	hang := a.hangOpenCalls
 	a.mu.Unlock()
 	for {
 		a.mu.Lock()
 		changed := a.changed
 		down := a.down
-		waits := down || call.watch && a.revision <= call.from
+		mustWait := down || call.watch && a.revision <= call.from
 		a.mu.Unlock()
-		if !waits {
+		if !mustWait {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-holdExpired:
 			if !down {
 				return true
 			}
 			<-changed
-		case <-silence:
-			<-callerLeft
+		case <-hang:
+			<-callerGone
 			return false
-		case <-callerLeft:
+		case <-callerGone:
 			return false
 		}
 	}
@@ -208,10 +207,10 @@
 
 func (a *agent) answer(call endpointCall) endpointList {
 	a.mu.Lock()
-	list := endpointList{Revision: a.revision, Full: !call.watch || a.fullLists}
+	list := endpointList{Revision: a.revision, Full: !call.watch || a.sendsFullLists}
 	a.mu.Unlock()
 	since := max(0, min(call.from, list.Revision))
-	all, changed := a.soak.endpoints.at(list.Revision, since)
+	all, changed := a.soak.endpoints.listAt(list.Revision, since)
 	list.Endpoints = changed
 	if list.Full {
 		list.Endpoints = all
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// targetClients is the target of faults that strike all clients.
+// targetClients is the target of faults that affect all clients.
 const targetClients = "clients"
 
-func haveClientsLeave(soak *Soak, random *rand.Rand) string {
-	soak.clientsLeaving.Store(true)
-	time.Sleep(between(random, 200*time.Millisecond, time.Second))
-	soak.clientsLeaving.Store(false)
+func disconnectClients(soak *Soak, random *rand.Rand) string {
+	soak.clientsDisconnecting.Store(true)
+	time.Sleep(drawDuration(random, 200*time.Millisecond, time.Second))
+	soak.clientsDisconnecting.Store(false)
 	return targetClients
 }
 
 func sendBurst(soak *Soak, random *rand.Rand) string {
 	soak.burst.Store(true)
-	time.Sleep(between(random, 300*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 300*time.Millisecond, 1500*time.Millisecond))
 	soak.burst.Store(false)
 	return targetClients
 }
 
-// openIdleConnections opens many connections on which nothing comes, to all coordinators.
+// openIdleConnections opens many connections to random coordinators and sends no request on them.
 func openIdleConnections(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	client := &client{soak: soak, random: random}
@@ -32,7 +32,7 @@
 			idle = append(idle, conn)
 		}
 	}
-	time.Sleep(between(random, 100*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 100*time.Millisecond, 1500*time.Millisecond))
 	for _, conn := range idle {
 		conn.Close()
 	}
--- a/internal/soak/request.go
+++ b/internal/soak/request.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// maxSubqueries bounds the shards that a request asks for.
+// maxSubqueries is the maximum number of shards that a request queries.
 const maxSubqueries = 5
 
-// newRequest draws a request for a connection.
+// newRequest creates a random request to be sent on a connection.
 func (c *client) newRequest(conn *clientConn) *request {
-	c.made++
+	c.requestCount++
 	class := classes[c.random.IntN(len(classes))]
 	request := &request{
-		id:          fmt.Sprintf("%s-%d", c.name, c.made),
+		id:          fmt.Sprintf("%s-%d", c.name, c.requestCount),
 		class:       class,
 		coordinator: conn.coordinator,
 		process:     conn.process,
-		reused:      conn.carried > 0,
+		reused:      conn.requestCount > 0,
 		deadline:    c.drawDeadline(class),
 	}
 	shards := c.random.Perm(shardCount)
@@ -29,7 +29,7 @@
 	return request
 }
 
-// drawDeadline is that of the class for most requests; some have a shorter one of their own.
+// drawDeadline returns the deadline of the class for most requests, and a shorter random one for the others.
 func (c *client) drawDeadline(class *class) time.Duration {
 	switch c.random.IntN(10) {
 	case 0:
@@ -40,8 +40,8 @@
 	return class.deadline
 }
 
-// text is the request as it goes over the wire.
-func (r *request) text() string {
+// wireText returns the request as it is sent over HTTP.
+func (r *request) wireText() string {
 	boost := 1 / float64(len(r.shards))
 	var segments []string
 	for _, shard := range r.shards {
@@ -54,7 +54,7 @@
 	return head + body
 }
 
-// readAnswer reads a response's body.
+// readAnswer reads the body of a response. It parses the body only if the status is 200.
 func readAnswer(response *http.Response) (answer, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
