--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,6 +1,6 @@
 // Package emulator runs a co-ordinator among replicas and clients in virtual time: a discrete-event simulation around
 // the real scheduler.Scheduler. Replicas have cores, a queue, work and faults (replica.go); the co-ordinator has a core
-// of its own, on which its iterations take time (node.go); clients send on an open-loop schedule (fleet.go). A ledger
+// of its own, on which its iterations take time (coordinator.go); clients send on an open-loop schedule (fleet.go). A ledger
 // (ledger.go) checks the rules against what replicas and clients observe.
 //
 // A seed determines a run completely: it is the only source of randomness, and events scheduled for the same time run
