--- /dev/null
+++ b/internal/soak/check_answer.go
@@ -0,0 +1,94 @@
+package soak
+
+import (
+	"net/http"
+	"time"
+)
+
+const (
+	// lostAnswerDelay is how long after the deadline an answer counts as late; after that it counts as lost.
+	lostAnswerDelay = 500 * time.Millisecond
+
+	// acceptsAfterSIGTERM is how long after SIGTERM a process must still answer new requests.
+	acceptsAfterSIGTERM = 700 * time.Millisecond
+
+	// shareSlack is the tolerance for rounding errors of shares.
+	shareSlack = 0.0001
+)
+
+// mayGoUnanswered reports whether the process of a request was killed, or the request was sent too late after SIGTERM.
+func (r *request) mayGoUnanswered() bool {
+	if r.process.killedAt > 0 {
+		return true
+	}
+	terminated := r.process.terminatedAt
+	return terminated > 0 && r.sentAt > terminated+acceptsAfterSIGTERM
+}
+
+// checkAnswer checks that a client that stays connected gets exactly one answer in time, and no bytes after it.
+func (c *checker) checkAnswer(request *request) {
+	if request.disconnectedAt > 0 || request.mayGoUnanswered() {
+		return
+	}
+	end := request.sentAt + request.deadline
+	name := request.coordinator.name
+	c.countCheck(RuleAnswer, name, request.sentAt, end)
+	slack := socketSlack + c.stoppedTime(name, request.sentAt, end+lostAnswerDelay) + measurementSlack
+	switch {
+	case request.closedAt > 0:
+		c.violated(RuleAnswer, request.id,
+			"closed without an answer %v after it was sent to %s (reused %t, SIGTERM at %v, sent at %v)",
+			request.closedAt-request.sentAt, name, request.reused, request.process.terminatedAt, request.sentAt)
+	case len(request.answers) != 1:
+		c.violated(RuleAnswer, request.id, "%d answers from %s", len(request.answers), name)
+	case request.answers[0].receivedAt > end+lostAnswerDelay+slack:
+		c.violated(RuleAnswer, request.id, "answered %v after its deadline by %s", request.answers[0].receivedAt-end, name)
+	case request.trailingBytes > 0:
+		c.violated(RuleAnswer, request.id, "%d bytes after the answer from %s", request.trailingBytes, name)
+	case request.answers[0].receivedAt > end+slack:
+		c.result.Counts[countAnsweredLate]++
+	}
+	for _, answer := range request.answers {
+		c.result.Counts[answer.outcome()]++
+	}
+}
+
+// outcome returns the key in Result.Counts under which an answer is counted.
+func (a answer) outcome() string {
+	switch a.status {
+	case http.StatusOK:
+		return countServed
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return countRefused
+	}
+	return countFailed
+}
+
+// checkAnswerContent checks that a successful answer has enough shards, and only values that replicas returned.
+func (c *checker) checkAnswerContent(request *request) {
+	for _, answer := range request.answers {
+		if answer.status != http.StatusOK {
+			continue
+		}
+		c.countCheck(RuleAnswerContent, request.coordinator.name, request.sentAt, answer.receivedAt)
+		if !answer.hasRequiredShards(request) {
+			c.violated(RuleAnswerContent, request.id, "complete %t with %d of %d shards",
+				answer.complete, len(answer.matches), len(request.shards))
+		}
+		for shard, value := range answer.matches {
+			if !c.ledger.replyValues[subqueryID(request.id, shard)][value] {
+				c.violated(RuleAnswerContent, request.id, "shard %d has %q, which no replica returned", shard, value)
+			}
+		}
+	}
+}
+
+// hasRequiredShards reports whether an answer has the minimum share of its class, and all shards if it is marked
+// complete.
+func (a answer) hasRequiredShards(request *request) bool {
+	share := float64(len(a.matches)) / float64(len(request.shards))
+	if share < request.class.minShare-shareSlack {
+		return false
+	}
+	return !a.complete || len(a.matches) >= len(request.shards)
+}
--- /dev/null
+++ b/internal/soak/check_attempt.go
@@ -0,0 +1,101 @@
+package soak
+
+import "time"
+
+const (
+	// timeoutSlack is how far the timeout that a replica is given may exceed the time left, for the frame's network
+	// delay and for rounding.
+	timeoutSlack = 150 * time.Millisecond
+
+	// disconnectSlack is how long after its client's disconnect an attempt may begin, for the network delay of the close
+	// and of the frame.
+	disconnectSlack = 100 * time.Millisecond
+)
+
+// checkTimeout checks that the timeout given to a replica is within the time that the query has left.
+func (c *checker) checkTimeout(request *request, arrival *arrival) {
+	if arrival.delayed {
+		return
+	}
+	name := request.coordinator.name
+	c.countCheck(RuleTimeout, name, arrival.firstByteAt, arrival.lastByteAt)
+	remaining := request.sentAt + request.deadline - arrival.firstByteAt
+	slack := timeoutSlack + c.stoppedTime(name, request.sentAt, arrival.lastByteAt) + measurementSlack
+	if arrival.timeout > max(0, remaining)+slack {
+		c.violated(RuleTimeout, request.id, "%s was given a timeout of %v with %v left (%s)",
+			arrival.subquery, arrival.timeout, remaining, arrival.replica.uid)
+	}
+}
+
+// checkClientConnected checks that no attempt begins after the client has disconnected.
+func (c *checker) checkClientConnected(request *request, arrival *arrival) {
+	countsAsNotSent := request.disconnectedAt == request.sentAt
+	if request.disconnectedAt == 0 || countsAsNotSent || arrival.delayed {
+		return
+	}
+	name := request.coordinator.name
+	c.countCheck(RuleClientConnected, name, request.disconnectedAt, arrival.firstByteAt)
+	after := arrival.firstByteAt - request.disconnectedAt
+	if after > disconnectSlack+c.stoppedTime(name, request.disconnectedAt, arrival.firstByteAt)+measurementSlack {
+		c.violated(RuleClientConnected, request.id, "%s began at %s %v after its client disconnected",
+			arrival.subquery, arrival.replica.uid, after)
+	}
+}
+
+// checkDrain checks that a replica gets no attempts once drainGrace has passed since the coordinator was notified that
+// the replica is draining or was removed. If the process started after the notification, the grace period begins at its
+// start.
+func (c *checker) checkDrain(request *request, arrival *arrival) {
+	if arrival.delayed {
+		return
+	}
+	notified, draining := drainingSince(c.notifications[request.coordinator], arrival.replica.uid, arrival.firstByteAt)
+	if !draining {
+		return
+	}
+	name := request.coordinator.name
+	since := max(notified, request.process.startedAt)
+	c.countCheck(RuleDrain, name, since, arrival.firstByteAt)
+	slack := socketSlack + c.stoppedTime(name, since, arrival.firstByteAt) + measurementSlack
+	if arrival.firstByteAt > since+drainGrace+slack {
+		c.violated(RuleDrain, request.id, "%s sent %s to %s %v after the notification of its drain or removal",
+			name, arrival.subquery, arrival.replica.uid, arrival.firstByteAt-since)
+	}
+}
+
+// checkAttempts checks the number of attempts of a subquery, and that a non-idempotent subquery runs at most once, and
+// never if its query was rejected.
+func (c *checker) checkAttempts(subquery string, attempts []*arrival) {
+	request := c.requests[attempts[0].query]
+	name := request.coordinator.name
+	from := attempts[0].firstByteAt
+	to := attempts[len(attempts)-1].lastByteAt
+	c.countCheck(RuleNonIdempotent, name, from, to)
+	if len(attempts) > 1 {
+		c.countCheck(RuleMultipleAttempts, name, from, to)
+	}
+	if len(attempts) > maxAttempts {
+		c.violated(RuleAttempts, request.id, "%s has %d attempts", subquery, len(attempts))
+	}
+	if request.class.idempotent {
+		return
+	}
+	ran := countRan(attempts)
+	if ran > 1 {
+		c.violated(RuleNonIdempotent, request.id, "%s ran %d times", subquery, ran)
+	}
+	for _, answer := range request.answers {
+		if ran > 0 && answer.outcome() == countRefused {
+			c.violated(RuleNonIdempotent, request.id, "rejected, but %s ran", subquery)
+		}
+	}
+}
+
+func countRan(attempts []*arrival) (ran int) {
+	for _, attempt := range attempts {
+		if attempt.ran {
+			ran++
+		}
+	}
+	return ran
+}
--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-const clientDialTime = time.Second
+const clientDialTimeout = time.Second
 
 // clientConn is a client's connection to one process of a coordinator.
 type clientConn struct {
 	net.Conn
-	in          *bufio.Reader
-	coordinator *coordinator
-	process     *process
-	carried     int // requests so far
+	in           *bufio.Reader
+	coordinator  *coordinator
+	process      *process
+	requestCount int // requests sent so far
 }
 
-// connection is one that the client kept, or a new one; nil: no coordinator takes any.
-func (c *client) connection() *clientConn {
-	if len(c.kept) > 0 && c.random.IntN(4) > 0 {
-		n := c.random.IntN(len(c.kept))
-		conn := c.kept[n]
-		c.kept = append(c.kept[:n], c.kept[n+1:]...)
+// getConn returns an idle connection or a new one, or nil if no coordinator that it tried accepts connections.
+func (c *client) getConn() *clientConn {
+	if len(c.idleConns) > 0 && c.random.IntN(4) > 0 {
+		n := c.random.IntN(len(c.idleConns))
+		conn := c.idleConns[n]
+		c.idleConns = append(c.idleConns[:n], c.idleConns[n+1:]...)
 		return conn
 	}
 	return c.dial()
 }
 
-// dial opens a connection to a coordinator that takes clients; nil if it meets none.
+// dial opens a connection to a random coordinator, or returns nil if none that it tried accepts connections.
 func (c *client) dial() *clientConn {
 	for range 2 * coordinatorCount {
 		coordinator := c.soak.coordinators[c.random.IntN(coordinatorCount)]
@@ -39,13 +39,13 @@
 	return nil
 }
 
-// dialTo opens a connection to a coordinator; nil if it takes none.
+// dialTo opens a connection to a coordinator, or returns nil if it accepts none.
 func (c *client) dialTo(coordinator *coordinator) *clientConn {
-	process, addr := coordinator.takesClients()
+	process, addr := coordinator.acceptingProcess()
 	if process == nil {
 		return nil
 	}
-	conn, err := net.DialTimeout("tcp", addr, clientDialTime)
+	conn, err := net.DialTimeout("tcp", addr, clientDialTimeout)
 	if err != nil {
 		return nil
 	}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// coordinatorPrefix begins the coordinators' names, and no other target's of a fault.
+	// coordinatorPrefix is the prefix of the coordinators' names. No other target of a fault begins with it.
 	coordinatorPrefix = "n"
 
-	// maxSockets is the coordinators' setting for the sockets that they may hold.
+	// maxSockets is the limit on open sockets in the coordinators' settings.
 	maxSockets = 400
 
-	// revisionsBehind is how old the list is that a process is started with.
-	revisionsBehind = 2
+	// knownListLag is how many revisions the endpoint list that a process starts with is behind its agent.
+	knownListLag = 2
 
-	// shutdownExtra is what a process may take after SIGTERM beyond the longest deadline, and slowWriteTime what its
-	// last answer may take on top, to be written to a client that reads slowly.
-	shutdownExtra = 700 * time.Millisecond
-	slowWriteTime = 3*time.Second + 500*time.Millisecond
+	// shutdownAllowance is how long beyond the longest deadline a process may run after SIGTERM. slowWriteTime is
+	// added to it for writing the last answer to a slow client.
+	shutdownAllowance = 700 * time.Millisecond
+	slowWriteTime     = 3*time.Second + 500*time.Millisecond
 )
 
-// process is one process of a coordinator. Its times are on the soak's clock.
+// process is one run of a coordinator's program. Its times are on the soak's clock.
 type process struct {
-	program      *fake.Program
-	started      time.Duration
-	terminated   time.Duration // SIGTERM; 0: never
-	killed       time.Duration // SIGKILL; 0: never
-	clientsUntil time.Duration // until when new clients are sent to it; 0: without end
+	program             *fake.Program
+	startedAt           time.Duration
+	terminatedAt        time.Duration // time of SIGTERM; 0: not sent
+	killedAt            time.Duration // time of SIGKILL; 0: not sent
+	acceptsClientsUntil time.Duration // clients open no connections after it; 0: no limit
 }
 
-// coordinator is one coordinator in all its processes.
+// coordinator is one coordinator through all its restarts.
 type coordinator struct {
-	soak *Soak
-	name string
-	page *faultbuild.Page
+	soak      *Soak
+	name      string
+	faultPage *faultbuild.Page
 
 	mu        sync.Mutex
-	addr      string     // the same in all processes
-	running   *process   // nil: none
-	processes []*process // so far
-	agents    []*agent   // the last is the one that its configuration names
-	claimed   bool       // a fault ends or starts it
+	addr      string     // the same for all processes
+	running   *process   // nil if none is running
+	processes []*process // all so far
+	agents    []*agent   // all so far; its configuration names the last
+	claimed   bool       // a fault has exclusive control of the process
 }
 
-// newCoordinator starts a coordinator and its discovery agent.
+// newCoordinator starts a discovery agent and a coordinator that uses it.
 func newCoordinator(soak *Soak, index int) (*coordinator, error) {
 	name := fmt.Sprint(coordinatorPrefix, index)
 	page, err := faultbuild.NewPage(filepath.Join(soak.folder, name+".page"))
@@ -66,12 +66,12 @@
 	if err != nil {
 		return nil, err
 	}
-	coordinator := &coordinator{soak: soak, name: name, page: page}
+	coordinator := &coordinator{soak: soak, name: name, faultPage: page}
 	coordinator.addAgent(agent)
 	return coordinator, coordinator.start()
 }
 
-// start starts a process and waits until it serves.
+// start starts a process and waits until it serves requests.
 func (c *coordinator) start() error {
 	known, err := c.knownEndpoints()
 	if err != nil {
@@ -85,16 +85,16 @@
 		Name:      c.name,
 		Listen:    addr,
 		Discovery: c.agent().addr(),
-		Settings:  settings(c.soak.seed),
+		Settings:  settingsJSON(c.soak.seed),
 		Known:     known,
 		Sockets:   maxSockets,
-		Env:       []string{c.page.EnvVar()},
+		Env:       []string{c.faultPage.EnvVar()},
 		Args:      []string{"-trace"},
 	})
 	if err != nil {
 		return err
 	}
-	started := c.soak.now()
+	startedAt := c.soak.now()
 	if err := program.WaitServing(); err != nil {
 		program.Stop()
 		return fmt.Errorf("%s: %w", c.name, err)
@@ -102,23 +102,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = program.Addr
-	c.running = &process{program: program, started: started}
+	c.running = &process{program: program, startedAt: startedAt}
 	c.processes = append(c.processes, c.running)
 	return nil
 }
 
-// knownEndpoints is the list that a process is started with: some revisions behind its agent, as a file on disk is.
+// knownEndpoints returns the endpoint list that a process starts with: a few revisions behind its agent, as a file on
+// disk would be.
 func (c *coordinator) knownEndpoints() (string, error) {
 	agent := c.agent()
 	agent.mu.Lock()
-	revision := max(cells*replicasPerCell, agent.revision-revisionsBehind)
+	revision := max(cells*replicasPerCell, agent.revision-knownListLag)
 	agent.mu.Unlock()
-	all, _ := c.soak.endpoints.at(revision, 0)
+	all, _ := c.soak.endpoints.listAt(revision, 0)
 	known, err := json.Marshal(endpointList{Revision: 1, Full: true, Endpoints: all})
 	return string(known), err
 }
 
-// agent is the discovery agent that its configuration names.
+// agent returns the discovery agent that the configuration names.
 func (c *coordinator) agent() *agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +138,8 @@
 	return slices.Clone(c.agents)
 }
 
-// current is the process that runs; nil: none.
-func (c *coordinator) current() *process {
+// currentProcess returns the running process, or nil.
+func (c *coordinator) currentProcess() *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running
@@ -147,23 +148,24 @@
 func (c *coordinator) wasKilled(process *process) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return process.killed > 0
+	return process.killedAt > 0
 }
 
-// takesClients is the process to which new clients are sent, with its address; nil: none are.
-func (c *coordinator) takesClients() (*process, string) {
+// acceptingProcess returns the process to which clients may open connections, with its address, or nil.
+func (c *coordinator) acceptingProcess() (*process, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running == nil {
 		return nil, ""
 	}
-	if until := c.running.clientsUntil; until > 0 && c.soak.now() > until {
+	if until := c.running.acceptsClientsUntil; until > 0 && c.soak.now() > until {
 		return nil, ""
 	}
 	return c.running, c.addr
 }
 
-// claim has one fault at a time end or start the coordinator; it tells whether the caller has it now.
+// claim gives the caller exclusive control of the process until release. It returns false if another fault has it or no
+// process is running.
 func (c *coordinator) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,27 +182,28 @@
 	c.claimed = false
 }
 
-// terminate ends the process as a planned restart does, and judges its end. New clients are sent to it for a while yet.
+// terminate ends the process with SIGTERM, as a planned restart does, and checks its exit. Clients keep opening
+// connections to it for clientsFor.
 func (c *coordinator) terminate(clientsFor time.Duration) {
 	c.mu.Lock()
 	process := c.running
-	process.terminated = c.soak.now()
-	process.clientsUntil = process.terminated + clientsFor
+	process.terminatedAt = c.soak.now()
+	process.acceptsClientsUntil = process.terminatedAt + clientsFor
 	c.mu.Unlock()
 	process.program.Signal(syscall.SIGTERM)
 	select {
 	case <-process.program.Done():
-	case <-time.After(longestDeadline() + shutdownExtra + slowWriteTime):
-		c.soak.violated(RuleShutdown, "", "%s runs %v after SIGTERM", c.name, c.soak.now()-process.terminated)
+	case <-time.After(longestDeadline() + shutdownAllowance + slowWriteTime):
+		c.soak.violated(RuleShutdown, "", "%s is still running %v after SIGTERM", c.name, c.soak.now()-process.terminatedAt)
 		process.program.Signal(syscall.SIGKILL)
 		<-process.program.Done()
 		c.mu.Lock()
-		process.killed = c.soak.now()
+		process.killedAt = c.soak.now()
 		c.mu.Unlock()
 	}
-	c.noteEnd(process)
-	if state := process.program.State(); process.killed == 0 && !state.Success() {
-		c.soak.violated(RuleCrash, "", "%s ended with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
+	c.recordExit(process)
+	if state := process.program.State(); process.killedAt == 0 && !state.Success() {
+		c.soak.violated(RuleCrash, "", "%s exited with %v: %s", c.name, state, lastLines(process.program.Log(), 20))
 	}
 }
 
@@ -208,37 +211,37 @@
 func (c *coordinator) kill() {
 	c.mu.Lock()
 	process := c.running
-	process.killed = c.soak.now()
-	process.clientsUntil = process.killed
+	process.killedAt = c.soak.now()
+	process.acceptsClientsUntil = process.killedAt
 	c.mu.Unlock()
 	process.program.Signal(syscall.SIGKILL)
 	<-process.program.Done()
-	c.noteEnd(process)
+	c.recordExit(process)
 }
 
-func (c *coordinator) noteEnd(process *process) {
-	c.soak.readLog(c, process)
+func (c *coordinator) recordExit(process *process) {
+	c.soak.checkLog(c, process)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running = nil
 }
 
-// reload moves discovery to another agent: a new configuration, then SIGHUP.
+// reload writes a configuration that names a new discovery agent and sends SIGHUP.
 func (c *coordinator) reload() error {
 	agent, err := newAgent(c.soak)
 	if err != nil {
 		return err
 	}
-	process := c.current()
+	process := c.currentProcess()
 	if err := process.program.Configure(agent.addr()); err != nil {
 		return err
 	}
-	agent.startCountingAt(c.soak.now() + reloadTime)
+	agent.setEffectiveFrom(c.soak.now() + reloadTime)
 	c.addAgent(agent)
 	return process.program.Signal(syscall.SIGHUP)
 }
 
-// close ends whatever still runs.
+// close stops all processes and agents and releases the fault page.
 func (c *coordinator) close() {
 	for _, process := range c.processes {
 		process.program.Stop()
@@ -246,5 +249,5 @@
 	for _, agent := range c.agents {
 		agent.close()
 	}
-	c.page.Close()
+	c.faultPage.Close()
 }
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -11,106 +11,106 @@
 	"time"
 )
 
-// While a replica accepts no connections, its machine drops the last ACK of a handshake for which the backlog has no
-// place: the other end believes that the connection is up and writes, and its machine retransmits, each time after
-// twice as long, until a segment gets through. What arrives so soon after the replica accepts again says nothing of
-// when it was written.
+// While a replica accepts no connections and its backlog is full, the kernel drops the final ACK of handshakes. The
+// client side considers the connection established, writes, and retransmits with exponential backoff until a segment
+// gets through. Therefore, for connections accepted within handshakeRetryTime after the replica resumed accepting, the
+// arrival time of bytes does not show when they were written.
 const (
-	handshakeRetries = 3 * time.Second
-	retransmitTime   = 100 * time.Millisecond // for those bytes to be read once the connection is accepted
+	handshakeRetryTime = 3 * time.Second
+	retransmitReadTime = 100 * time.Millisecond // for these bytes to be read after the accept
 )
 
-// maxCutAfter bounds the bytes after which a connection is reset.
-const maxCutAfter = 3000
+// maxResetAfter is the maximum number of received bytes after which a connection is reset.
+const maxResetAfter = 3000
 
-// unlimited is the number of bytes of a connection that is not cut.
-const unlimited = -1
+// neverReset is the value of resetAfter for a connection that is not reset.
+const neverReset = -1
 
-// connFate is what the network does to a connection.
-type connFate struct {
-	cutAfter    int           // bytes that come in before it is reset, or unlimited
-	slowReplies bool          // answers go out a few bytes at a time
-	lateUntil   time.Duration // what is read until then may have been written long before; see handshakeRetries
+// connFaults are the simulated network faults of a connection.
+type connFaults struct {
+	resetAfter   int           // received bytes after which it is reset, or neverReset
+	slowReplies  bool          // replies are written a few bytes at a time
+	delayedUntil time.Duration // bytes read before then may have been written much earlier; see handshakeRetryTime
 }
 
 // replicaConn is a connection from a coordinator.
 type replicaConn struct {
 	net.Conn
-	replica *replica
-	boot    time.Duration // of the replica's process that accepted it
-	fate    connFate
-	writing sync.Mutex
+	replica          *replica
+	replicaStartedAt time.Duration // start of the replica's process that accepted it
+	faults           connFaults
+	writing          sync.Mutex
 }
 
-// accept takes connections until the listener closes.
+// accept accepts connections until the listener is closed.
 func (r *replica) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		admitted := r.admit(conn) // holds the next ones up while the replica accepts none
-		go admitted.serve()
+		accepted := r.register(conn) // blocks while the replica accepts no connections
+		go accepted.serve()
 	}
 }
 
-// admit notes a connection, once the replica accepts any, and draws its fate.
-func (r *replica) admit(conn net.Conn) *replicaConn {
+// register waits until the replica accepts connections, then registers one and draws its faults.
+func (r *replica) register(conn net.Conn) *replicaConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.notAccepting {
 		r.resumed.Wait()
 	}
 	r.conns[conn] = true
-	fate := r.drawFate()
-	if now := r.soak.now(); r.acceptsAgain > 0 && now-r.acceptsAgain < handshakeRetries {
-		fate.lateUntil = now + retransmitTime
+	faults := r.drawConnFaults()
+	if now := r.soak.now(); r.acceptingSince > 0 && now-r.acceptingSince < handshakeRetryTime {
+		faults.delayedUntil = now + retransmitReadTime
 	}
-	return &replicaConn{Conn: conn, replica: r, boot: r.boot, fate: fate}
+	return &replicaConn{Conn: conn, replica: r, replicaStartedAt: r.startedAt, faults: faults}
 }
 
-// drawFate draws one; r.mu is held.
-func (r *replica) drawFate() connFate {
-	fate := connFate{cutAfter: unlimited}
+// drawConnFaults draws the faults of a connection. The caller holds r.mu.
+func (r *replica) drawConnFaults() connFaults {
+	faults := connFaults{resetAfter: neverReset}
 	switch r.random.IntN(12) {
 	case 0:
-		fate.cutAfter = 1 + r.random.IntN(maxCutAfter)
+		faults.resetAfter = 1 + r.random.IntN(maxResetAfter)
 	case 1:
-		fate.slowReplies = true
+		faults.slowReplies = true
 	}
-	return fate
+	return faults
 }
 
-// serve reads a connection's frames until it ends, is idle for too long, or cannot be read.
+// serve reads frames until the connection ends, is idle for idleTimeout, or a frame is malformed.
 func (c *replicaConn) serve() {
 	defer c.close()
-	in := bufio.NewReader(&cutConn{c.Conn, c.fate.cutAfter})
+	in := bufio.NewReader(&limitedConn{c.Conn, c.faults.resetAfter})
 	for {
-		c.SetReadDeadline(time.Now().Add(idleClose))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		if first, err := in.Peek(1); err != nil || len(first) == 0 {
 			return
 		}
-		late := c.awaitReading()
-		if late {
-			c.replica.soak.lateFrames.Add(1)
+		delayed := c.waitWhileHanging()
+		if delayed {
+			c.replica.soak.delayedFrames.Add(1)
 		}
-		begun := c.replica.soak.now()
+		firstByteAt := c.replica.soak.now()
 		c.SetReadDeadline(time.Time{})
 		frame, err := readFrame(in)
 		if err != nil {
-			c.reportFrame(err)
+			c.reportMalformed(err)
 			return
 		}
 		if !isCall(frame) {
 			continue
 		}
-		late = c.replica.awaitReading() || late
+		delayed = c.replica.waitWhileHanging() || delayed
 		calls, err := parseCall(frame)
 		if err != nil {
-			c.reportFrame(err)
+			c.reportMalformed(err)
 			return
 		}
-		c.take(calls, arrival{begun: begun, complete: c.replica.soak.now(), late: late})
+		c.startAttempts(calls, arrival{firstByteAt: firstByteAt, lastByteAt: c.replica.soak.now(), delayed: delayed})
 	}
 }
 
@@ -121,21 +121,22 @@
 	delete(c.replica.conns, c.Conn)
 }
 
-// awaitReading waits while the replica hangs; it tells whether the time of the bytes' writing is unknown.
-func (c *replicaConn) awaitReading() (late bool) {
-	return c.replica.awaitReading() || c.replica.soak.now() < c.fate.lateUntil
+// waitWhileHanging waits while the replica hangs. It reports whether the next bytes may have been sent much earlier.
+func (c *replicaConn) waitWhileHanging() (delayed bool) {
+	return c.replica.waitWhileHanging() || c.replica.soak.now() < c.faults.delayedUntil
 }
 
-// reportFrame notes a frame that breaks the protocol; the end of a connection is no violation.
-func (c *replicaConn) reportFrame(err error) {
+// reportMalformed records a malformed frame as a violation. It ignores all other errors, such as the end of the
+// connection.
+func (c *replicaConn) reportMalformed(err error) {
 	var malformed *malformedFrameError
 	if errors.As(err, &malformed) {
 		c.replica.soak.violated(RuleFrame, "", "replica %s: %v", c.replica.uid, malformed)
 	}
 }
 
-// take notes the subqueries of a frame, and has each run.
-func (c *replicaConn) take(calls []subqueryCall, frame arrival) {
+// startAttempts records an arrival for each subquery of a frame, and runs each in its own goroutine.
+func (c *replicaConn) startAttempts(calls []subqueryCall, frame arrival) {
 	replica := c.replica
 	for _, call := range calls {
 		query, shard, _ := strings.Cut(call.id, ".")
@@ -144,65 +145,66 @@
 		attempt.subquery = call.id
 		attempt.replica = replica
 		attempt.timeout = call.timeout
-		attempt.boot = c.boot
-		if c.boot >= 0 {
-			attempt.warmUpAllowance = warmUpAllowance(attempt.complete - c.boot)
+		attempt.replicaStartedAt = c.replicaStartedAt
+		if c.replicaStartedAt >= 0 {
+			attempt.warmUpAllowance = warmUpAllowance(attempt.lastByteAt - c.replicaStartedAt)
 		}
 		if n, err := strconv.Atoi(shard); err != nil || n%cells != replica.cell {
 			replica.soak.violated(RulePlacement, query, "%s reached %s of cell %d", call.id, replica.uid, replica.cell)
 		}
 		replica.soak.ledger.addArrival(&attempt)
-		go c.run(&attempt)
+		go c.runAttempt(&attempt)
 	}
 }
 
-// What becomes of an attempt, by a draw below 100: each takes the draws below its bound that are left by those before.
+// Upper bounds of a random number from 0 to 99 that selects what happens to an attempt. An attempt at or above the last
+// bound succeeds.
 const (
-	rejectedBelow = 4 // it never runs
-	failedBelow   = 6
-	silentBelow   = 8
-	resetBelow    = 9
+	rejectedBelow   = 4 // rejected without running
+	failedBelow     = 6
+	unansweredBelow = 8
+	resetBelow      = 9
 )
 
-// run runs an attempt and answers it, or does something else.
-func (c *replicaConn) run(attempt *arrival) {
+// runAttempt rejects an attempt, or runs it and then replies, leaves it unanswered or resets the connection.
+func (c *replicaConn) runAttempt(attempt *arrival) {
 	replica := c.replica
-	fate := replica.draw(100)
-	if fate < rejectedBelow {
+	choice := replica.draw(100)
+	if choice < rejectedBelow {
 		c.reply(attempt.subquery, "REJECTED", "")
 		return
 	}
-	replica.cores <- struct{}{}
-	defer func() { <-replica.cores }()
+	replica.coreSlots <- struct{}{}
+	defer func() { <-replica.coreSlots }()
 	replica.soak.ledger.update(func() { attempt.ran = true })
 	time.Sleep(meanWork/2 + time.Duration(replica.draw(int(meanWork))))
-	replica.awaitReading()
+	replica.waitWhileHanging()
 	switch {
-	case fate < failedBelow:
+	case choice < failedBelow:
 		c.reply(attempt.subquery, "ERROR", "")
-	case fate < silentBelow: // nothing is answered
-	case fate < resetBelow:
+	case choice < unansweredBelow: // no reply
+	case choice < resetBelow:
 		reset(c.Conn)
 	default:
 		value := fmt.Sprintf("v<%s.%s.%d>", replica.uid, attempt.subquery, replica.draw(1000))
-		replica.soak.ledger.addValue(attempt.subquery, value)
+		replica.soak.ledger.addReplyValue(attempt.subquery, value)
 		c.reply(attempt.subquery, "OK", value)
 	}
 }
 
 const (
-	replyWriteTime = 2 * time.Second
-	slowReplyBytes = 7
-	slowReplyPause = time.Millisecond
+	replyWriteTimeout = 2 * time.Second
+	slowReplyBytes    = 7
+	slowReplyPause    = time.Millisecond
 )
 
-// reply writes a reply, one at a time on a connection.
+// reply writes a reply. Replies on one connection are written one at a time.
 func (c *replicaConn) reply(subquery, outcome, value string) {
 	frame := replyFrame(subquery, outcome, value)
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	c.SetWriteDeadline(time.Now().Add(replyWriteTime))
-	if !c.fate.slowReplies {
+	c.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
+	if !c.faults.slowReplies {
 		c.Write(frame)
 		return
 	}
@@ -214,7 +216,7 @@
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection, with a TCP reset if it is a *net.TCPConn.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -222,13 +224,13 @@
 	conn.Close()
 }
 
-// cutConn is a connection that is reset once so many bytes came in.
-type cutConn struct {
+// limitedConn is a connection that is reset after a given number of received bytes.
+type limitedConn struct {
 	net.Conn
-	remaining int // or unlimited
+	remaining int // bytes until the reset, or neverReset
 }
 
-func (c *cutConn) Read(b []byte) (int, error) {
+func (c *limitedConn) Read(b []byte) (int, error) {
 	if c.remaining < 0 {
 		return c.Conn.Read(b)
 	}
