--- a/internal/fake/connfaults.go
+++ b/internal/fake/connfaults.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	faultIntervalMinMS = 10 // between faults, and up to
-	faultIntervalMS    = 60 // so much more
-	streamLimitTime    = 60 * time.Millisecond
-	stallTime          = 80 * time.Millisecond // for which credit is withheld or pings are ignored
-	usualStreamLimit   = 100
-	cutAfterMinBytes   = 30 // a connection that is cut is cut after so many bytes, and up to
-	cutAfterBytes      = 20_000
+	faultIntervalMinMS    = 10                    // shortest time between faults
+	faultIntervalSpreadMS = 60                    // range of the random time added to it
+	streamLimitDuration   = 60 * time.Millisecond // how long a changed stream limit stays in force
+	stallDuration         = 80 * time.Millisecond // how long credit is withheld or pings are ignored
+	normalStreamLimit     = 100
+	cutAfterMinBytes      = 30     // fewest bytes after which a connection is reset
+	cutAfterSpreadBytes   = 20_000 // range of the random number of bytes added to it
 )
 
-// InjectConnectionFaults has replicas misbehave at random moments until stop is closed: connections are reset, cut
-// at random points or closed; GOAWAY comes in two steps, in one, or with an abrupt end; stream limits fall in
-// mid-burst, to zero even, and rise again; flow control stalls; pings have no answer.
+// InjectConnectionFaults injects random connection faults on the replicas until stop is closed: connections are
+// reset, cut after a random number of bytes, or closed; GOAWAY is sent in two steps, in one, or with an abrupt close;
+// the stream limit drops while streams are open, possibly to zero, and is raised again; flow control stalls; pings stay
+// unanswered.
 func InjectConnectionFaults(replicas []*Replica, random *Random, stop <-chan struct{}) {
 	for _, replica := range replicas {
 		replica.cutSomeConnections(random)
 	}
 	for {
-		pause := time.Duration(faultIntervalMinMS+random.IntN(faultIntervalMS)) * time.Millisecond
+		pause := time.Duration(faultIntervalMinMS+random.IntN(faultIntervalSpreadMS)) * time.Millisecond
 		select {
 		case <-stop:
 			for _, replica := range replicas {
@@ -34,7 +35,8 @@
 	}
 }
 
-// cutSomeConnections has one connection in three be cut within some calls, and calls wait in the queue.
+// cutSomeConnections makes one new connection in three be reset after a random number of bytes, and HTTP/2 calls wait
+// in the queue for a random time.
 func (replica *Replica) cutSomeConnections(random *Random) {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
@@ -42,7 +44,7 @@
 		if random.IntN(3) > 0 {
 			return -1
 		}
-		return cutAfterMinBytes + random.IntN(cutAfterBytes)
+		return cutAfterMinBytes + random.IntN(cutAfterSpreadBytes)
 	}
 	replica.QueueTime = func() time.Duration { return time.Duration(random.IntN(3)) * time.Millisecond }
 }
@@ -52,13 +54,13 @@
 	replica.CutAfter = nil
 	replica.QueueTime = nil
 	replica.Mu.Unlock()
-	replica.SetStreamLimit(usualStreamLimit)
+	replica.SetStreamLimit(normalStreamLimit)
 	replica.WithholdCredit(false)
 	replica.IgnorePings(false)
 }
 
 func (replica *Replica) injectConnectionFault(random *Random) {
-	switch random.IntN(9) { // one of the draws does nothing
+	switch random.IntN(9) { // 8: no fault
 	case 0:
 		replica.CloseConnections(true)
 	case 1:
@@ -70,13 +72,13 @@
 	case 4:
 		replica.GoAway(true, true)
 	case 5:
-		replica.SetStreamLimit([]int{0, 1, 3, usualStreamLimit}[random.IntN(4)])
-		time.AfterFunc(streamLimitTime, func() { replica.SetStreamLimit(usualStreamLimit) })
+		replica.SetStreamLimit([]int{0, 1, 3, normalStreamLimit}[random.IntN(4)])
+		time.AfterFunc(streamLimitDuration, func() { replica.SetStreamLimit(normalStreamLimit) })
 	case 6:
 		replica.WithholdCredit(true)
-		time.AfterFunc(stallTime, func() { replica.WithholdCredit(false) })
+		time.AfterFunc(stallDuration, func() { replica.WithholdCredit(false) })
 	case 7:
 		replica.IgnorePings(true)
-		time.AfterFunc(stallTime, func() { replica.IgnorePings(false) })
+		time.AfterFunc(stallDuration, func() { replica.IgnorePings(false) })
 	}
 }
--- a/internal/fake/conns.go
+++ b/internal/fake/conns.go
@@ -11,27 +11,27 @@
 	smallSegmentBytes = 536
 )
 
-// cutConn is a connection that is reset once so many bytes have been received, wherever in a message that is.
+// cutConn is a connection that is reset after a given number of received bytes, possibly in the middle of a message.
 type cutConn struct {
 	net.Conn
-	left int // bytes; below 0: any number
+	remaining int // bytes until the reset; below 0: never reset
 }
 
 func (conn *cutConn) Read(buffer []byte) (int, error) {
-	if conn.left < 0 {
+	if conn.remaining < 0 {
 		return conn.Conn.Read(buffer)
 	}
-	if conn.left == 0 {
+	if conn.remaining == 0 {
 		resetOnClose(conn.Conn)
 		conn.Conn.Close()
 		return 0, net.ErrClosed
 	}
-	n, err := conn.Conn.Read(buffer[:min(len(buffer), conn.left)])
-	conn.left -= n
+	n, err := conn.Conn.Read(buffer[:min(len(buffer), conn.remaining)])
+	conn.remaining -= n
 	return n, err
 }
 
-// countingConn counts the bytes that are read, and reads none while its replica pauses reading.
+// countingConn counts the bytes read and blocks reads while its replica has paused reading.
 type countingConn struct {
 	net.Conn
 	replica *Replica
@@ -44,20 +44,20 @@
 	return n, err
 }
 
-// awaitReading waits while the replica pauses reading.
+// awaitReading blocks while reading is paused.
 func (replica *Replica) awaitReading() {
 	replica.reading.RLock()
 	defer replica.reading.RUnlock()
 }
 
-// PauseReading has the replica read nothing until resume is called, but for what reads that wait already bring.
-// What its connections buffer meanwhile is little if they were made after ShrinkBuffers.
+// PauseReading stops the replica from reading until resume is called; reads that are already blocked on a connection
+// still return data. Connections that were accepted after ShrinkBuffers buffer little in the meantime.
 func (replica *Replica) PauseReading() (resume func()) {
 	replica.reading.Lock()
 	return replica.reading.Unlock
 }
 
-// CloseConnections closes all connections, with a reset or without.
+// CloseConnections closes all connections, with a TCP reset if reset is set.
 func (replica *Replica) CloseConnections(reset bool) {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
@@ -70,7 +70,7 @@
 	replica.Conns = nil
 }
 
-// ShrinkBuffers has the kernel buffer few bytes for connections that are made from now on.
+// ShrinkBuffers makes the kernel buffer few bytes on connections that are accepted from now on.
 func (replica *Replica) ShrinkBuffers() error {
 	raw, err := replica.Listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -79,8 +79,8 @@
 	return ShrinkBuffers(raw)
 }
 
-// ShrinkBuffers has the kernel buffer few bytes on a socket that is to be connected: a small window, and small
-// segments, by which the other end sizes its buffer.
+// ShrinkBuffers makes the kernel buffer few bytes on a socket that is not yet connected. It sets a small receive
+// buffer, and a small maximum segment size, from which the other end derives the size of its send buffer.
 func ShrinkBuffers(raw syscall.RawConn) error {
 	var windowErr, segmentErr error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-const firstRevision = 5 // of a Discovery's list
+const firstRevision = 5 // of a Discovery's endpoint list
 
-// Discovery lists replicas and answers polls and watches at once.
+// Discovery is a fake discovery agent that lists replicas. It answers polls at once, and watches as soon as the list
+// has changed.
 type Discovery struct {
 	Listener net.Listener
 	Server   *http.Server
 
-	Mu       sync.Mutex // guards what follows
+	Mu       sync.Mutex // guards the fields below
 	Revision int
 	Replicas []*Replica
-	changed  chan struct{} // is closed at each change, and replaced
-	watches  int
+	changed  chan struct{} // closed and replaced at each change
+	watches  int           // watches that had to wait for a change
 }
 
-// NewDiscovery starts a discovery at an address; Server.Close ends it.
+// NewDiscovery starts a discovery at an address. The caller stops it with Server.Close.
 func NewDiscovery(address string, replicas ...*Replica) (*Discovery, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -38,11 +39,11 @@
 		changed:  make(chan struct{}),
 	}
 	discovery.Server = &http.Server{Handler: http.HandlerFunc(discovery.serve)}
-	go discovery.Server.Serve(listener) // its error says only that it was closed
+	go discovery.Server.Serve(listener) // the error is always that the server was closed
 	return discovery, nil
 }
 
-// serve answers a poll, or a watch once something has changed or its time is over.
+// serve answers a poll at once, and a watch when the list has changed or the watch's time is over.
 func (discovery *Discovery) serve(response http.ResponseWriter, request *http.Request) {
 	from, err := strconv.Atoi(request.URL.Query().Get("from"))
 	isPoll := err != nil
@@ -60,8 +61,8 @@
 	_, _ = io.WriteString(response, EndpointList(discovery.Revision, isPoll, listed))
 }
 
-// awaitChange waits until there is a later revision, or the watch's time is over. It reports whether the caller still
-// waits.
+// awaitChange waits until there is a revision later than from, or the watch's time is over. It returns false if the
+// client has disconnected.
 func (discovery *Discovery) awaitChange(request *http.Request, from int) bool {
 	discovery.Mu.Lock()
 	changed := discovery.changed
@@ -83,7 +84,7 @@
 	return true
 }
 
-// EndpointList writes a list as discovery gives it; complete says that it names every replica.
+// EndpointList formats an endpoint list as discovery sends it. Complete marks a list that contains every replica.
 func EndpointList(revision int, complete bool, replicas []*Replica) string {
 	var targets []string
 	for _, replica := range replicas {
@@ -94,7 +95,7 @@
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, revision, complete, strings.Join(targets, ","))
 }
 
-// SetState changes a replica's state and notifies all watches.
+// SetState changes a replica's state in a new revision and answers all watches.
 func (discovery *Discovery) SetState(replica *Replica, state string) {
 	discovery.Mu.Lock()
 	defer discovery.Mu.Unlock()
@@ -105,14 +106,14 @@
 	discovery.changed = make(chan struct{})
 }
 
-// Watches returns how many watches were held so far.
+// Watches returns the number of watches so far that had to wait for a change.
 func (discovery *Discovery) Watches() int {
 	discovery.Mu.Lock()
 	defer discovery.Mu.Unlock()
 	return discovery.watches
 }
 
-// FreePort returns an address on loopback that no socket of a datagram network has at the moment; empty if there is
+// FreePort returns a loopback address with a port that is currently unused on a datagram network, or "" if there is
 // none.
 func FreePort(network string) string {
 	conn, err := net.ListenPacket(network, "127.0.0.1:0")
--- a/internal/fake/discovery_agent.go
+++ b/internal/fake/discovery_agent.go
@@ -7,21 +7,21 @@
 	"net/http"
 )
 
-const maxPendingCalls = 100 // of a DiscoveryAgent; the rest stay without an answer
+const maxPendingCalls = 100 // of a DiscoveryAgent; calls beyond that are dropped without an answer
 
-// DiscoveryAgent is a discovery whose test chooses the moment of each answer, and whether there is one.
+// DiscoveryAgent is a fake discovery agent whose test decides when to answer each call, if at all.
 type DiscoveryAgent struct {
 	Listener net.Listener
-	Calls    chan DiscoveryCall // as they come
+	Calls    chan DiscoveryCall // in order of arrival
 }
 
-// DiscoveryCall is one call that waits for its answer.
+// DiscoveryCall is a call that waits for its answer.
 type DiscoveryCall struct {
-	Path string // with its query
+	Path string // including the query string
 	Conn net.Conn
 }
 
-// NewDiscoveryAgent starts an agent on a port of its own; closing its listener ends it.
+// NewDiscoveryAgent starts an agent on a free port. The caller stops it by closing its listener.
 func NewDiscoveryAgent() (*DiscoveryAgent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Respond answers a call with a list, as EndpointList writes it.
+// Respond answers a call with an endpoint list in the format of EndpointList.
 func (call DiscoveryCall) Respond(list string) {
 	fmt.Fprintf(call.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
--- a/internal/fake/frames.go
+++ b/internal/fake/frames.go
@@ -17,10 +17,11 @@
 	callLetter    = 'R'
 	abandonLetter = 'A'
 	replyLetter   = 'Y'
-	callWords     = 4 // id, shard, d=MS, bytes of text
+	callFields    = 4 // id, shard, d=MS, length of the text in bytes
 )
 
-// http2Preface begins an HTTP/2 connection (RFC 9113, 3.4). As the length of a frame it would be beyond any bound.
+// http2Preface begins an HTTP/2 connection (RFC 9113, 3.4). It cannot be mistaken for a frame, because its first four
+// bytes, read as a length, exceed maxFrameBytes.
 const http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
 func beginsHTTP2(in *bufio.Reader) bool {
@@ -33,7 +34,7 @@
 	return err == nil
 }
 
-// serveFrames serves a connection in frames until it ends or brings what cannot be used.
+// serveFrames serves a connection that uses frames until it ends or a malformed frame arrives.
 func (replica *Replica) serveFrames(conn net.Conn, in io.Reader) {
 	for {
 		frame, err := readFrame(in)
@@ -41,12 +42,12 @@
 			return
 		}
 		if frame[0] == abandonLetter {
-			replica.noteAbandoned(string(frame[1:]))
+			replica.recordAbandoned(string(frame[1:]))
 			continue
 		}
 		call, err := parseCall(frame)
 		if err != nil {
-			replica.OnMalformed("replica %s cannot use frame %q: %v", replica.UID, frame, err)
+			replica.OnMalformed("replica %s: malformed frame %q: %v", replica.UID, frame, err)
 			return
 		}
 		call.Conn = conn
@@ -54,7 +55,7 @@
 	}
 }
 
-var errFrameLength = errors.New("a frame of no length, or too long")
+var errBadFrameLength = errors.New("frame length is zero or exceeds the limit")
 
 func readFrame(in io.Reader) ([]byte, error) {
 	var size [4]byte
@@ -63,38 +64,38 @@
 	}
 	length := binary.BigEndian.Uint32(size[:])
 	if length == 0 || length > maxFrameBytes {
-		return nil, errFrameLength
+		return nil, errBadFrameLength
 	}
 	frame := make([]byte, length)
 	_, err := io.ReadFull(in, frame)
 	return frame, err
 }
 
-var errNoCall = errors.New("it is no call")
+var errNotACall = errors.New("not a call")
 
-// parseCall reads a call: its letter, then "ID SHARD d=MS BYTES", a newline and the text.
+// parseCall parses a call: its letter, then "ID SHARD d=MS LENGTH", a newline and the text.
 func parseCall(frame []byte) (Call, error) {
 	line, text, _ := bytes.Cut(frame[1:], []byte("\n"))
-	words := strings.Fields(string(line))
-	if frame[0] != callLetter || len(words) != callWords || words[3] != strconv.Itoa(len(text)) {
-		return Call{}, errNoCall
+	fields := strings.Fields(string(line))
+	if frame[0] != callLetter || len(fields) != callFields || fields[3] != strconv.Itoa(len(text)) {
+		return Call{}, errNotACall
 	}
-	shard, shardErr := strconv.Atoi(words[1])
-	timeLeft, timeErr := strconv.Atoi(strings.TrimPrefix(words[2], "d="))
-	call := Call{ID: words[0], Shard: shard, TimeLeftMS: timeLeft, Text: string(text)}
+	shard, shardErr := strconv.Atoi(fields[1])
+	timeLeft, timeErr := strconv.Atoi(strings.TrimPrefix(fields[2], "d="))
+	call := Call{ID: fields[0], Shard: shard, TimeLeftMS: timeLeft, Text: string(text)}
 	return call, errors.Join(shardErr, timeErr)
 }
 
-func (replica *Replica) replyInFrame(call Call, end, value string) {
-	replica.Write(call.Conn, replyLetter, fmt.Sprintf("%s %s 7 inflight=1\n%s", call.ID, end, value))
+func (replica *Replica) replyInFrame(call Call, status, value string) {
+	replica.Write(call.Conn, replyLetter, fmt.Sprintf("%s %s 7 inflight=1\n%s", call.ID, status, value))
 }
 
-// Write writes a frame.
-func (replica *Replica) Write(conn net.Conn, letter byte, rest string) {
-	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
+// Write writes a frame with the given letter and payload.
+func (replica *Replica) Write(conn net.Conn, letter byte, payload string) {
+	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)))
 	frame = append(frame, letter)
-	frame = append(frame, rest...)
+	frame = append(frame, payload...)
 	replica.writing.Lock()
 	defer replica.writing.Unlock()
-	_, _ = conn.Write(frame) // an error ends the connection, which its reader notices
+	_, _ = conn.Write(frame) // after a write error, the connection's read loop fails and closes it
 }
--- a/internal/fake/http2.go
+++ b/internal/fake/http2.go
@@ -16,30 +16,30 @@
 	maxStreamID       = 1<<31 - 1
 	initialWindow     = 65535 // bytes; RFC 9113, 6.9.2
 	headerTableSize   = 4096  // bytes; RFC 9113, 6.5.2
-	dataFrameBytes    = 16384 // bytes of a DATA frame at the most
+	dataFrameBytes    = 16384 // maximum payload of a DATA frame
 	http2WriteTimeout = time.Second
 )
 
-// http2Conn is a replica's side of an HTTP/2 connection, as docs/http2.md specifies it for replicas. It is made of
-// the library's framer alone and shares no code with the co-ordinator's side.
+// http2Conn is the replica's end of an HTTP/2 connection, as specified in docs/http2.md. It uses only the library's
+// framer and shares no code with the co-ordinator's end.
 type http2Conn struct {
 	replica *Replica
 	conn    net.Conn
 	framer  *http2.Framer
-	decoder *hpack.Decoder // belongs to the goroutine that reads
+	decoder *hpack.Decoder // used only by the reading goroutine
 
-	mu          sync.Mutex // guards what follows, and writing
-	headerBlock bytes.Buffer
-	encoder     *hpack.Encoder
-	streams     map[uint32]*Call
-	lastRun     uint32 // the highest stream that was executed, or will be
-	lastAllowed uint32 // announced with GOAWAY: streams above are not executed
-	sendWindow  int64  // bytes of the connection's window for replies
-	windowOpen  *sync.Cond
-	ended       bool
+	mu           sync.Mutex // guards the fields below, and writes to the connection
+	headerBlock  bytes.Buffer
+	encoder      *hpack.Encoder
+	streams      map[uint32]*Call
+	lastExecuted uint32 // highest stream that was executed, or will be
+	lastAllowed  uint32 // last stream announced with GOAWAY: higher streams are not executed
+	sendWindow   int64  // remaining flow-control window of the connection for replies, in bytes
+	windowOpen   *sync.Cond
+	ended        bool
 }
 
-// serveHTTP2 serves a connection whose preface has been read.
+// serveHTTP2 serves a connection after its preface has been read.
 func (replica *Replica) serveHTTP2(netConn net.Conn, in io.Reader) {
 	conn := &http2Conn{
 		replica:     replica,
@@ -64,13 +64,13 @@
 	conn.write(func() error { return conn.framer.WriteSettings(settings...) })
 	for {
 		frame, err := conn.framer.ReadFrame()
-		if err != nil || !conn.received(frame) {
+		if err != nil || !conn.handleFrame(frame) {
 			return
 		}
 	}
 }
 
-// end wakes who waits for the window.
+// end marks the connection as ended and wakes the replies that wait for the send window.
 func (conn *http2Conn) end() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -78,30 +78,30 @@
 	conn.windowOpen.Broadcast()
 }
 
-// received takes a frame and reports whether the connection goes on.
-func (conn *http2Conn) received(frame http2.Frame) bool {
+// handleFrame handles a frame and reports whether the connection stays open.
+func (conn *http2Conn) handleFrame(frame http2.Frame) bool {
 	switch frame := frame.(type) {
 	case *http2.SettingsFrame:
 		if !frame.IsAck() {
 			conn.write(conn.framer.WriteSettingsAck)
 		}
 	case *http2.PingFrame:
-		conn.receivedPing(frame)
+		conn.handlePing(frame)
 	case *http2.WindowUpdateFrame:
-		conn.receivedWindowUpdate(frame)
+		conn.handleWindowUpdate(frame)
 	case *http2.HeadersFrame:
-		return conn.receivedHeaders(frame)
+		return conn.handleHeaders(frame)
 	case *http2.DataFrame:
-		conn.receivedData(frame)
+		conn.handleData(frame)
 	case *http2.RSTStreamFrame:
-		conn.receivedReset(frame)
+		conn.handleReset(frame)
 	case *http2.GoAwayFrame:
 		return false
 	}
 	return true
 }
 
-func (conn *http2Conn) receivedPing(frame *http2.PingFrame) {
+func (conn *http2Conn) handlePing(frame *http2.PingFrame) {
 	if frame.IsAck() || conn.replica.ignoresPings.Load() {
 		return
 	}
@@ -109,7 +109,7 @@
 	conn.write(func() error { return conn.framer.WritePing(true, data) })
 }
 
-func (conn *http2Conn) receivedWindowUpdate(frame *http2.WindowUpdateFrame) {
+func (conn *http2Conn) handleWindowUpdate(frame *http2.WindowUpdateFrame) {
 	if frame.StreamID != 0 {
 		return
 	}
@@ -119,28 +119,28 @@
 	conn.windowOpen.Broadcast()
 }
 
-// receivedHeaders takes the head of a call and reports whether it can be read.
-func (conn *http2Conn) receivedHeaders(frame *http2.HeadersFrame) bool {
+// handleHeaders handles the headers of a call and reports whether they are valid.
+func (conn *http2Conn) handleHeaders(frame *http2.HeadersFrame) bool {
 	fields, err := conn.decoder.DecodeFull(frame.HeaderBlockFragment())
 	if err != nil || !frame.HeadersEnded() {
-		conn.replica.OnMalformed("replica %s: a head of stream %d that cannot be read: %v",
+		conn.replica.OnMalformed("replica %s: malformed headers on stream %d: %v",
 			conn.replica.UID, frame.StreamID, err)
 		return false
 	}
 	conn.beginCall(frame.StreamID, fields)
 	if frame.StreamEnded() {
-		conn.callComplete(frame.StreamID)
+		conn.queueCall(frame.StreamID)
 	}
 	return true
 }
 
-func (conn *http2Conn) receivedReset(frame *http2.RSTStreamFrame) {
+func (conn *http2Conn) handleReset(frame *http2.RSTStreamFrame) {
 	conn.mu.Lock()
 	call := conn.streams[frame.StreamID]
 	delete(conn.streams, frame.StreamID)
 	conn.mu.Unlock()
 	if call != nil {
-		conn.replica.noteAbandoned(call.ID)
+		conn.replica.recordAbandoned(call.ID)
 	}
 }
 
@@ -148,10 +148,10 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	_ = conn.conn.SetWriteDeadline(time.Now().Add(http2WriteTimeout))
-	_ = do() // an error ends the connection, which its reader notices
+	_ = do() // after a write error, the connection's read loop fails and closes it
 }
 
-// beginCall takes a call's head.
+// beginCall registers a call from its header fields.
 func (conn *http2Conn) beginCall(stream uint32, fields []hpack.HeaderField) {
 	call := &Call{Conn: conn.conn, http2: conn, stream: stream}
 	for _, field := range fields {
@@ -164,7 +164,7 @@
 			call.TimeLeftMS, _ = strconv.Atoi(field.Value)
 		case ":path":
 			if field.Value != "/part" {
-				conn.replica.OnMalformed("replica %s: path %q", conn.replica.UID, field.Value)
+				conn.replica.OnMalformed("replica %s: unexpected path %q", conn.replica.UID, field.Value)
 			}
 		}
 	}
@@ -176,31 +176,31 @@
 	conn.replica.Mu.Unlock()
 }
 
-// receivedData takes a piece of a call's body. Its credit is given back unless the replica withholds credit.
-func (conn *http2Conn) receivedData(frame *http2.DataFrame) {
+// handleData appends to a call's text. It returns the flow-control credit unless the replica withholds credit.
+func (conn *http2Conn) handleData(frame *http2.DataFrame) {
 	conn.mu.Lock()
 	if call := conn.streams[frame.StreamID]; call != nil {
 		call.Text += string(frame.Data())
 	}
 	conn.mu.Unlock()
 	if size := frame.Header().Length; size > 0 && !conn.replica.withholdsCredit.Load() {
-		conn.write(func() error { return conn.giveCredit(frame, size) })
+		conn.write(func() error { return conn.returnCredit(frame, size) })
 	}
 	if frame.StreamEnded() {
-		conn.callComplete(frame.StreamID)
+		conn.queueCall(frame.StreamID)
 	}
 }
 
-func (conn *http2Conn) giveCredit(frame *http2.DataFrame, size uint32) error {
+func (conn *http2Conn) returnCredit(frame *http2.DataFrame, size uint32) error {
 	if err := conn.framer.WriteWindowUpdate(0, size); err != nil || frame.StreamEnded() {
 		return err
 	}
 	return conn.framer.WriteWindowUpdate(frame.StreamID, size)
 }
 
-// callComplete has a call wait in the replica's queue and then executed, unless the replica has said by then that
-// it will not be.
-func (conn *http2Conn) callComplete(stream uint32) {
+// queueCall executes a complete call, after its time in the replica's queue. The call is not executed if by then its
+// stream was reset, or a GOAWAY has excluded it, or the connection has ended.
+func (conn *http2Conn) queueCall(stream uint32) {
 	conn.mu.Lock()
 	call := conn.streams[stream]
 	conn.mu.Unlock()
@@ -223,13 +223,13 @@
 		conn.mu.Unlock()
 		return
 	}
-	conn.lastRun = max(conn.lastRun, stream)
+	conn.lastExecuted = max(conn.lastExecuted, stream)
 	conn.mu.Unlock()
 	conn.replica.execute(*call)
 }
 
-// reply answers a call; end is the word of the frames for how it ended.
-func (conn *http2Conn) reply(stream uint32, end, value string) {
+// reply answers a call. The status is one of the frame protocol: OK, ERROR or REJECTED.
+func (conn *http2Conn) reply(stream uint32, status, value string) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.streams[stream] == nil {
@@ -244,7 +244,7 @@
 	delete(conn.streams, stream)
 	conn.sendWindow -= int64(len(value))
 	_ = conn.conn.SetWriteDeadline(time.Now().Add(http2WriteTimeout))
-	conn.writeReplyHeaders(stream, end, value)
+	conn.writeReplyHeaders(stream, status, value)
 	for len(value) > 0 {
 		size := min(len(value), dataFrameBytes)
 		_ = conn.framer.WriteData(stream, size == len(value), []byte(value[:size]))
@@ -252,17 +252,17 @@
 	}
 }
 
-func (conn *http2Conn) writeReplyHeaders(stream uint32, end, value string) {
-	status, partEnd := "200", "ok"
-	switch end {
+func (conn *http2Conn) writeReplyHeaders(stream uint32, status, value string) {
+	httpStatus, partEnd := "200", "ok"
+	switch status {
 	case "ERROR":
-		status, partEnd = "500", "error"
+		httpStatus, partEnd = "500", "error"
 	case "REJECTED":
-		status, partEnd = "503", "rejected"
+		httpStatus, partEnd = "503", "rejected"
 	}
 	conn.headerBlock.Reset()
 	for _, field := range []hpack.HeaderField{
-		{Name: ":status", Value: status},
+		{Name: ":status", Value: httpStatus},
 		{Name: "part-end", Value: partEnd},
 		{Name: "part-load", Value: "inflight=1"},
 		{Name: "content-length", Value: strconv.Itoa(len(value))},
@@ -277,7 +277,7 @@
 	})
 }
 
-// resetStream ends a stream that was not answered.
+// resetStream resets a stream instead of replying.
 func (conn *http2Conn) resetStream(stream uint32, code http2.ErrCode) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -285,14 +285,14 @@
 	_ = conn.framer.WriteRSTStream(stream, code)
 }
 
-// goAway announces that nothing new is accepted. What waits in the replica's queue and is above what was executed
-// will not be executed.
+// goAway sends GOAWAY with the highest stream executed so far; calls on higher streams, also queued ones, will not be
+// executed. If graceful, it first sends a GOAWAY that allows every stream.
 func (conn *http2Conn) goAway(graceful bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if graceful {
 		_ = conn.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 	}
-	conn.lastAllowed = conn.lastRun
+	conn.lastAllowed = conn.lastExecuted
 	_ = conn.framer.WriteGoAway(conn.lastAllowed, http2.ErrCodeNo, nil)
 }
--- a/internal/fake/http2_control.go
+++ b/internal/fake/http2_control.go
@@ -2,10 +2,9 @@
 
 import "golang.org/x/net/http2"
 
-// This file has what tests do to a replica's HTTP/2 connections.
+// This file has the methods with which tests control a replica's HTTP/2 connections.
 
-// eachHTTP2Conn does something with each HTTP/2 connection.
-func (replica *Replica) eachHTTP2Conn(do func(*http2Conn)) {
+func (replica *Replica) forEachHTTP2Conn(do func(*http2Conn)) {
 	replica.Mu.Lock()
 	conns := append([]*http2Conn{}, replica.http2...)
 	replica.Mu.Unlock()
@@ -14,21 +13,23 @@
 	}
 }
 
-// SetStreamLimit sets how many concurrent streams the replica allows on a connection; below 0: any number.
+// SetStreamLimit sets the maximum number of concurrent streams per connection, also on open connections. A negative
+// limit means unlimited.
 func (replica *Replica) SetStreamLimit(limit int) {
 	replica.Mu.Lock()
 	replica.streamLimit = limit
 	replica.Mu.Unlock()
 	setting := http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(limit)}
-	replica.eachHTTP2Conn(func(conn *http2Conn) {
+	replica.forEachHTTP2Conn(func(conn *http2Conn) {
 		conn.write(func() error { return conn.framer.WriteSettings(setting) })
 	})
 }
 
-// GoAway has the replica accept nothing new on its connections; what waits in its queue is never executed.
-// Graceful, it announces that first; abrupt, the connections are closed at once.
+// GoAway sends GOAWAY on all connections: new calls are not accepted, and queued calls are never executed. If
+// graceful, a first GOAWAY that still allows every stream announces it; if abrupt, the connections are closed right
+// afterwards.
 func (replica *Replica) GoAway(graceful, abrupt bool) {
-	replica.eachHTTP2Conn(func(conn *http2Conn) {
+	replica.forEachHTTP2Conn(func(conn *http2Conn) {
 		conn.goAway(graceful)
 		if abrupt {
 			conn.conn.Close()
@@ -36,15 +37,15 @@
 	})
 }
 
-// IgnorePings has the replica answer no pings from now on, or answer them again.
+// IgnorePings sets whether the replica leaves pings unanswered.
 func (replica *Replica) IgnorePings(ignore bool) { replica.ignoresPings.Store(ignore) }
 
-// WithholdCredit has the replica give back no flow-control credit from now on, or give it again.
+// WithholdCredit sets whether the replica stops returning flow-control credit for data that it receives.
 func (replica *Replica) WithholdCredit(withhold bool) { replica.withholdsCredit.Store(withhold) }
 
-// GrantCredit gives so many bytes of credit on each connection and on each of its streams.
+// GrantCredit enlarges the flow-control window of each connection and each of its streams by the given number of bytes.
 func (replica *Replica) GrantCredit(bytes int) {
-	replica.eachHTTP2Conn(func(conn *http2Conn) {
+	replica.forEachHTTP2Conn(func(conn *http2Conn) {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		_ = conn.framer.WriteWindowUpdate(0, uint32(bytes))
@@ -54,7 +55,7 @@
 	})
 }
 
-// MaxStreams is the largest number of streams that were open on a connection at a time.
+// MaxStreams returns the largest number of streams that have been open on one connection at the same time.
 func (replica *Replica) MaxStreams() int {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// ExecutionLedger records which subqueries were executed, independently of all that a co-ordinator counts.
+// ExecutionLedger records which subqueries the replicas executed, independently of a co-ordinator's own counters.
 type ExecutionLedger struct {
 	mu           sync.Mutex
-	Received     map[string]int            // by subquery id: how often it reached a replica completely, executed or not
-	Executions   map[string]int            // by subquery id: how often it was executed, anywhere
-	ExecutionsAt map[string]map[string]int // by replica and subquery id
+	Received     map[string]int            // by subquery id: complete calls received by any replica, executed or not
+	Executions   map[string]int            // by subquery id: executions on all replicas
+	ExecutionsAt map[string]map[string]int // executions by replica and subquery id
 }
 
-// NewExecutionLedger makes an empty ledger.
+// NewExecutionLedger returns an empty ledger.
 func NewExecutionLedger() *ExecutionLedger {
 	return &ExecutionLedger{
 		Received:     map[string]int{},
@@ -22,15 +22,15 @@
 	}
 }
 
-// NoteReceived records that a subquery has reached a replica.
-func (ledger *ExecutionLedger) NoteReceived(subquery string) {
+// RecordReceived records that a replica has received a subquery completely.
+func (ledger *ExecutionLedger) RecordReceived(subquery string) {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	ledger.Received[subquery]++
 }
 
-// NoteExecuted records that a replica executes a subquery.
-func (ledger *ExecutionLedger) NoteExecuted(uid, subquery string) {
+// RecordExecuted records that a replica executes a subquery. The uid is the replica's.
+func (ledger *ExecutionLedger) RecordExecuted(uid, subquery string) {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	if ledger.ExecutionsAt[uid] == nil {
@@ -40,21 +40,21 @@
 	ledger.ExecutionsAt[uid][subquery]++
 }
 
-// randomStream sets the draws of Random apart from others with the same seed.
+// randomStream is the PCG stream that keeps Random's draws independent of others with the same seed.
 const randomStream = 11
 
-// Random is a source of random numbers that goroutines share.
+// Random is a source of random numbers that is safe for concurrent use.
 type Random struct {
 	mu        sync.Mutex
 	generator *rand.Rand
 }
 
-// NewRandom makes a source from a seed.
+// NewRandom returns a source with the given seed.
 func NewRandom(seed uint64) *Random {
 	return &Random{generator: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// IntN draws a number from 0 up to n, without n.
+// IntN returns a random number in [0, n).
 func (random *Random) IntN(n int) int {
 	random.mu.Lock()
 	defer random.mu.Unlock()
--- a/internal/fake/load.go
+++ b/internal/fake/load.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	loadRandomStream = 1               // sets the draws of a Load apart from others with the same seed
-	responseGrace    = 2 * time.Second // after a query's deadline, for its response
-	connGrace        = time.Second     // after a query's deadline, for a connection to be free
+	loadRandomStream = 1               // PCG stream; keeps a Load's draws independent of others with the same seed
+	responseGrace    = 2 * time.Second // how long past its deadline a query waits for its response
+	connGrace        = time.Second     // how long past its deadline a query waits for a free connection
 	connectTimeout   = time.Second
 )
 
-// LoadResult is what became of one query, as its client saw it.
+// LoadResult is the outcome of one query, as its client saw it.
 type LoadResult struct {
-	Due     time.Duration // when it was to be sent, since the load's start
-	Latency time.Duration // from then to its response
-	Status  int           // HTTP status; 0: no response came
+	Due     time.Duration // scheduled send time, relative to the start of the load
+	Latency time.Duration // from Due to the response
+	Status  int           // HTTP status; 0: no response
 }
 
 // WithinObjective reports whether the query succeeded within a latency objective.
@@ -32,38 +32,39 @@
 	return result.Status == http.StatusOK && result.Latency <= objective
 }
 
-// Load sends queries of one class on an open-loop schedule: evenly spaced, and never slowed down by responses.
+// Load sends queries of one class on an open-loop schedule: evenly spaced, regardless of when responses arrive.
 type Load struct {
 	Addr       string // of the co-ordinator
 	Class      string
-	Name       string        // begins each query's id; loads of one co-ordinator have different names
+	Name       string        // prefix of each query's id; unique among the loads on one co-ordinator
 	Rate       float64       // queries per second
-	Subqueries int           // of each query, of successive shards from a random one on
-	Shards     int           // that there are
+	Subqueries int           // per query, for consecutive shards starting at a random one
+	Shards     int           // total number of shards
 	Deadline   time.Duration // of each query
 	Seed       uint64
-	MaxConns   int // connections; a query that finds none free waits, which counts as its time
-	TextBytes  int // of each query's text; 0: one
+	MaxConns   int // connection limit; the time a query waits for a free connection counts towards its latency
+	TextBytes  int // length of each query's text; 0: one byte
 
-	ExtraResponses atomic.Int64 // connections on which bytes stood behind a response: a query had two
+	// ExtraResponses counts responses that were followed by unexpected bytes, as when a query is answered twice.
+	ExtraResponses atomic.Int64
 
 	idle  chan *clientConn
-	slots chan struct{} // one for each open connection
+	slots chan struct{} // holds one element per open connection
 }
 
 type clientConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Run sends queries for a while and returns all results in order of sending, once they are in. Clients wait for
-// responseGrace beyond the deadline at the most.
+// Run sends queries for the given duration, waits until each has a result, and returns the results in the order in
+// which the queries were scheduled. Clients wait for at most responseGrace past the deadline.
 func (load *Load) Run(duration time.Duration) []LoadResult {
 	random := rand.New(rand.NewPCG(load.Seed, loadRandomStream))
 	load.idle = make(chan *clientConn, load.MaxConns)
 	load.slots = make(chan struct{}, load.MaxConns)
 	results := make([]LoadResult, int(duration.Seconds()*load.Rate))
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	start := time.Now()
 	for n := range results {
 		due := time.Duration(float64(n) / load.Rate * float64(time.Second))
@@ -72,12 +73,12 @@
 			time.Sleep(wait)
 		}
 		firstShard := random.IntN(load.Shards - load.Subqueries + 1)
-		open.Go(func() {
+		pending.Go(func() {
 			results[n].Status = load.send(n, firstShard, start.Add(due))
 			results[n].Latency = time.Since(start) - due
 		})
 	}
-	open.Wait()
+	pending.Wait()
 	load.closeIdle()
 	return results
 }
@@ -93,8 +94,8 @@
 	}
 }
 
-// send sends a query and returns its status, 0 if no response came. An idle connection may have been closed
-// meanwhile; the query goes on the next one then.
+// send sends a query and returns its status, or 0 if there was no response. If an idle connection turns out to have
+// been closed, send retries on the next one.
 func (load *Load) send(n, firstShard int, due time.Time) int {
 	request := load.request(n, firstShard)
 	for {
@@ -120,13 +121,13 @@
 	if _, err := io.WriteString(conn, request); err != nil {
 		return nil, err
 	}
-	return http.ReadResponse(conn.in, nil)
+	return http.ReadResponse(conn.reader, nil)
 }
 
-// readBody reads the rest of a response and keeps the connection, if it stands.
+// readBody reads the rest of a response and returns the connection to the idle ones if it can be reused.
 func (load *Load) readBody(conn *clientConn, response *http.Response) {
 	_, err := io.Copy(io.Discard, response.Body)
-	if conn.in.Buffered() > 0 {
+	if conn.reader.Buffered() > 0 {
 		load.ExtraResponses.Add(1)
 	}
 	if err != nil || response.Close {
@@ -152,14 +153,15 @@
 	<-load.slots
 }
 
-// connection takes an idle connection or opens one; nil if there is none until a time.
-func (load *Load) connection(until time.Time) (conn *clientConn, wasIdle bool) {
+// connection takes an idle connection or opens a new one. It returns nil if none becomes available before the
+// deadline or if connecting fails.
+func (load *Load) connection(deadline time.Time) (conn *clientConn, wasIdle bool) {
 	select {
 	case conn := <-load.idle:
 		return conn, true
 	default:
 	}
-	timeout := time.NewTimer(time.Until(until))
+	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
 	select {
 	case conn := <-load.idle:
@@ -171,12 +173,12 @@
 	}
 }
 
-// connect opens a connection, for which a slot is taken; nil if it fails.
+// connect opens a connection, for which the caller holds a slot. On failure it releases the slot and returns nil.
 func (load *Load) connect() *clientConn {
 	conn, err := net.DialTimeout("tcp", load.Addr, connectTimeout)
 	if err != nil {
 		<-load.slots
 		return nil
 	}
-	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
--- a/internal/fake/program.go
+++ b/internal/fake/program.go
@@ -18,54 +18,55 @@
 )
 
 const (
-	startTimeout    = 10 * time.Second // from a program's start until it serves
-	shutdownTimeout = 5 * time.Second  // from SIGTERM until it is killed
+	startTimeout    = 10 * time.Second // from the start of the process until it serves
+	shutdownTimeout = 5 * time.Second  // from SIGTERM until SIGKILL
 	pollInterval    = 5 * time.Millisecond
 	defaultSockets  = 8192
-	clockTick       = 10 * time.Millisecond // unit of the processor time in /proc/PID/stat, proc(5)
+	clockTick       = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat, see proc(5)
 )
 
-// Program is a co-ordinator that runs as a process of its own.
+// Program is a co-ordinator that runs in its own process.
 type Program struct {
-	Addr string // where it serves clients, once it does
+	Addr string // the address for clients; set once the program serves
 
 	options Options
 	cmd     *exec.Cmd
-	done    chan struct{} // is closed when the process has ended
+	done    chan struct{} // closed when the process has exited
 	dir     string
 	mu      sync.Mutex
 	log     bytes.Buffer
 }
 
-// Write takes what the program logs.
+// Write appends to the program's log. It receives the process's standard error.
 func (program *Program) Write(text []byte) (int, error) {
 	program.mu.Lock()
 	defer program.mu.Unlock()
 	return program.log.Write(text)
 }
 
-// Log is what the program has logged so far.
+// Log returns what the program has logged so far.
 func (program *Program) Log() string {
 	program.mu.Lock()
 	defer program.mu.Unlock()
 	return program.log.String()
 }
 
-// Options say how a program is started. What is empty has a value that suits a test of one co-ordinator.
+// Options configure how a program is started. Name, Listen and Sockets have defaults that suit a test with one
+// co-ordinator.
 type Options struct {
-	Path      string // of the built program
+	Path      string // path of the executable
 	Name      string
-	Listen    string // an address; a free port if empty
-	Discovery string // an address
-	Settings  string // of the deployment, as JSON
-	Known     string // the endpoint list that it is started with, as EndpointList writes it
+	Listen    string // address for clients; empty: a free port on loopback
+	Discovery string // address of the discovery agent
+	Settings  string // settings of the deployment, as JSON
+	Known     string // endpoint list at the start, in the format of EndpointList
 	Sockets   int    // limit on descriptors
 	Env       []string
-	Args      []string // further arguments of serve
+	Args      []string // additional arguments of serve
 }
 
-// StartProgram starts a built program with a discovery and its replicas, and waits until it serves. Settings are the
-// deployment's as JSON, args further arguments of serve.
+// StartProgram starts the executable at path with a discovery and its replicas, and waits until it serves. Settings
+// are those of the deployment, as JSON; args are additional arguments of serve.
 func StartProgram(path, settings string, discovery *Discovery, args ...string) (*Program, error) {
 	return Start(Options{
 		Path:      path,
@@ -89,7 +90,7 @@
 	return program, nil
 }
 
-// Launch starts a program without waiting for anything.
+// Launch starts a program without waiting until it serves.
 func Launch(options Options) (*Program, error) {
 	dir, err := os.MkdirTemp("", "terntray")
 	if err != nil {
@@ -108,7 +109,7 @@
 		return nil, err
 	}
 	go func() {
-		_ = program.cmd.Wait() // see State
+		_ = program.cmd.Wait() // State gives the exit status
 		close(program.done)
 	}()
 	return program, nil
@@ -116,7 +117,8 @@
 
 func (program *Program) configFile() string { return filepath.Join(program.dir, "config.json") }
 
-// Configure writes the program's configuration anew, with discovery at an address; the program reads it at SIGHUP.
+// Configure rewrites the program's configuration with the given address of discovery. A running program rereads it on
+// SIGHUP.
 func (program *Program) Configure(discovery string) error {
 	options := program.options
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
@@ -126,13 +128,13 @@
 	return os.WriteFile(program.configFile(), []byte(text), 0o600)
 }
 
-// WriteHTTP2Config writes an installation file that has replicas of model h2 speak HTTP/2, and returns its name.
+// WriteHTTP2Config writes an installation file that selects HTTP/2 for replicas of model h2, and returns its path.
 func WriteHTTP2Config(folder string) (string, error) {
 	file := filepath.Join(folder, "installation.json")
 	return file, os.WriteFile(file, []byte(`{"replicas":[{"model":"h2","dialect":"http2"}]}`), 0o600)
 }
 
-// WaitServing waits until the program serves. It fails if it ends or startTimeout passes first.
+// WaitServing waits until the program serves. It returns an error if the process exits or startTimeout passes first.
 func (program *Program) WaitServing() error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if program.isServing() {
@@ -142,10 +144,10 @@
 			break
 		}
 	}
-	return errors.New("the program does not serve: " + program.Log())
+	return errors.New("the program did not start serving; its log: " + program.Log())
 }
 
-// isServing reads the program's address from its log and asks whether it is up.
+// isServing takes the program's address from its log and reports whether the program is up.
 func (program *Program) isServing() bool {
 	_, after, found := strings.Cut(program.Log(), "listen=")
 	if !found || !strings.Contains(after, " ") {
@@ -160,10 +162,10 @@
 	return program.cmd.Process.Signal(signal)
 }
 
-// PID is the program's process id.
+// PID returns the program's process id.
 func (program *Program) PID() int { return program.cmd.Process.Pid }
 
-// Ended reports whether the process has ended.
+// Ended reports whether the process has exited.
 func (program *Program) Ended() bool {
 	select {
 	case <-program.done:
@@ -173,10 +175,10 @@
 	}
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (program *Program) Done() <-chan struct{} { return program.done }
 
-// State is how the process has ended; nil before.
+// State returns the exit state of the process, or nil if it is still running.
 func (program *Program) State() *os.ProcessState {
 	if !program.Ended() {
 		return nil
@@ -184,7 +186,7 @@
 	return program.cmd.ProcessState
 }
 
-// Get reads one of the program's pages; where that fails it returns the error's text.
+// Get returns the body of one of the program's pages, or the text of the error if the request fails.
 func (program *Program) Get(path string) string {
 	response, err := http.Get("http://" + program.Addr + path)
 	if err != nil {
@@ -195,7 +197,7 @@
 	return strings.TrimSpace(string(body))
 }
 
-// Counters reads the program's counters.
+// Counters returns the program's counters by name.
 func (program *Program) Counters() map[string]int {
 	counters := map[string]int{}
 	for _, pair := range strings.Fields(program.Get("/counters")) {
@@ -205,9 +207,10 @@
 	return counters
 }
 
-// CPUUsed is the processor time that the process has used so far, in steps of clockTick.
+// CPUUsed returns the CPU time that the process has used so far, with a resolution of clockTick, or 0 if it cannot be
+// read.
 func (program *Program) CPUUsed() time.Duration {
-	const userField, systemField = 11, 12 // behind the command's name, see proc(5)
+	const userField, systemField = 11, 12 // indexes after the command name, see proc(5)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", program.PID()))
 	if err != nil {
 		return 0
@@ -222,19 +225,20 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// CPUTotal is the processor time that the process has used. It waits for the process to end.
+// CPUTotal waits for the process to exit and returns the CPU time that it has used.
 func (program *Program) CPUTotal() time.Duration {
 	<-program.done
 	return program.cmd.ProcessState.UserTime() + program.cmd.ProcessState.SystemTime()
 }
 
-// Descriptors is how many descriptors the process has open.
+// Descriptors returns the number of open file descriptors of the process.
 func (program *Program) Descriptors() int {
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.PID()))
 	return len(open)
 }
 
-// Stop ends the process, by force if it has not ended shutdownTimeout after SIGTERM, and waits for that.
+// Stop sends SIGTERM, and SIGKILL if the process is still running after shutdownTimeout. It waits for the process to
+// exit and removes its configuration.
 func (program *Program) Stop() {
 	_ = program.Signal(syscall.SIGTERM)
 	select {
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -1,9 +1,9 @@
-// Package fake has scripted peers of a co-ordinator on loopback, for tests and proofs: replicas (Replica) that
-// speak frames and HTTP/2, discovery that lists them (Discovery, and DiscoveryAgent where a test chooses each
+// Package fake provides scripted counterparts of a co-ordinator on loopback, for tests and proofs: replicas (Replica)
+// that speak frames and HTTP/2, discovery that lists them (Discovery, and DiscoveryAgent where a test decides on each
 // answer), clients on an open-loop schedule (Load), data for two-phase queries (Shards), and the program itself as
-// a process (Program). Each keeps a ledger of what it saw, by which tests judge. Nothing here is part of the
-// service. Some of it, such as DiscoveryAgent, is reached only by tests of several packages, and so cannot stand in
-// a test file of one.
+// a process (Program). They record what they observe, so that tests can check it. The service does not use this
+// package. Some types, such as DiscoveryAgent, are used only by tests, but of several packages, and therefore cannot be
+// in a test file.
 package fake
 
 import (
@@ -17,54 +17,55 @@
 	"time"
 )
 
-// Call is one subquery as it reached a replica.
+// Call is a subquery as a replica received it.
 type Call struct {
 	ID         string
 	Shard      int
-	TimeLeftMS int // until its answer is no longer awaited, as the replica was told
+	TimeLeftMS int // time until the answer is no longer needed, as sent with the call
 	Text       string
 	Conn       net.Conn
 
-	http2  *http2Conn // nil: it came in a frame
+	http2  *http2Conn // nil if the call arrived in a frame
 	stream uint32
 }
 
-// Replica is a replica whose Behavior decides what becomes of each call.
+// Replica is a fake replica that handles each call as its Behavior says.
 type Replica struct {
 	UID         string
 	Cell        int
 	State       string
 	BootMS      int64 // Unix time of its start in milliseconds
 	Listener    net.Listener
-	TLS         *tls.Config                      // to be set before it is listed
-	OnMalformed func(format string, args ...any) // is called for messages that cannot be used
+	TLS         *tls.Config                      // nil: no TLS; set before discovery lists the replica
+	OnMalformed func(format string, args ...any) // called for each malformed message
 
-	Mu        sync.Mutex // guards what follows
+	Mu        sync.Mutex // guards the fields up to maxStreams
 	Behavior  Behavior
-	Calls     []Call   // the ledger; empty where NoLedger
-	Abandoned []string // ids of subqueries for which nobody waits any more; empty where NoLedger
+	Calls     []Call   // all calls received; empty if NoLedger
+	Abandoned []string // ids of subqueries that the co-ordinator has abandoned; empty if NoLedger
 	Conns     []net.Conn
-	NoLedger  bool // keep no ledger: for many calls
-	// CutAfter draws after how many bytes received a new connection is reset; below 0: never. Nil: none is.
+	NoLedger  bool // do not record calls, to save memory when there are many
+	// CutAfter returns the number of received bytes after which a new connection is reset; below 0: never. Nil: no
+	// connection is reset.
 	CutAfter func() int
-	// QueueTime draws how long a call in HTTP/2 waits before it is executed; nil: it does not wait.
+	// QueueTime returns how long an HTTP/2 call is queued before it is executed. Nil: calls are not queued.
 	QueueTime   func() time.Duration
 	Model       string
 	http2       []*http2Conn
-	streamLimit int // concurrent streams on a connection; below 0: any number
-	maxStreams  int // that were open on a connection at a time
+	streamLimit int // concurrent streams per connection; below 0: unlimited
+	maxStreams  int // largest number of streams open on one connection at the same time
 
-	reading         sync.RWMutex // is locked while the replica reads nothing
+	reading         sync.RWMutex // write-locked while reading is paused
 	bytesReceived   atomic.Int64
 	connsAccepted   atomic.Int64
 	ignoresPings    atomic.Bool
 	withholdsCredit atomic.Bool
 
-	changedAt int // the revision of the list in which it last changed; belongs to Discovery
+	changedAt int // revision of the endpoint list in which it last changed; guarded by Discovery.Mu
 	writing   sync.Mutex
 }
 
-// NewReplica starts a replica on a port of its own; Close ends it.
+// NewReplica starts a replica on a free port. The caller stops it with Close.
 func NewReplica(uid string, cell int, behavior Behavior) (*Replica, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +85,7 @@
 	return replica, nil
 }
 
-// Accept serves the connections of a listener until that is closed.
+// Accept serves connections from a listener until the listener is closed.
 func (replica *Replica) Accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -109,14 +110,14 @@
 	}
 }
 
-// serve serves a connection in the protocol in which it begins.
+// serve serves a connection, detecting its protocol from the first bytes.
 func (replica *Replica) serve(conn net.Conn) {
 	defer conn.Close()
 	replica.Mu.Lock()
 	cutAfter := replica.CutAfter
 	replica.Mu.Unlock()
 	if cutAfter != nil {
-		conn = &cutConn{Conn: conn, left: cutAfter()}
+		conn = &cutConn{Conn: conn, remaining: cutAfter()}
 	}
 	if replica.TLS != nil {
 		conn = tls.Server(conn, replica.TLS)
@@ -131,7 +132,7 @@
 	replica.serveFrames(conn, in)
 }
 
-// execute records a call and has it executed.
+// execute records a call and runs the replica's behavior on it.
 func (replica *Replica) execute(call Call) {
 	replica.Mu.Lock()
 	if !replica.NoLedger {
@@ -142,8 +143,8 @@
 	behavior(replica, call)
 }
 
-// noteAbandoned records that nobody waits for a subquery any more.
-func (replica *Replica) noteAbandoned(id string) {
+// recordAbandoned records that the co-ordinator has abandoned a subquery.
+func (replica *Replica) recordAbandoned(id string) {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
 	if !replica.NoLedger {
@@ -151,35 +152,35 @@
 	}
 }
 
-// Reply answers a call; end is OK, ERROR or REJECTED.
-func (replica *Replica) Reply(call Call, end, value string) {
+// Reply answers a call. The status is OK, ERROR or REJECTED, in both protocols.
+func (replica *Replica) Reply(call Call, status, value string) {
 	if call.http2 != nil {
-		call.http2.reply(call.stream, end, value)
+		call.http2.reply(call.stream, status, value)
 		return
 	}
-	replica.replyInFrame(call, end, value)
+	replica.replyInFrame(call, status, value)
 }
 
-// SetBehavior changes what the replica does with calls from now on.
+// SetBehavior sets the behavior for calls that arrive from now on.
 func (replica *Replica) SetBehavior(behavior Behavior) {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
 	replica.Behavior = behavior
 }
 
-// Received returns the ledger of calls so far.
+// Received returns the calls recorded so far.
 func (replica *Replica) Received() []Call {
 	replica.Mu.Lock()
 	defer replica.Mu.Unlock()
 	return slices.Clone(replica.Calls)
 }
 
-// HasReceived reports whether a call came whose id begins so.
+// HasReceived reports whether a call was recorded whose id has the given prefix.
 func (replica *Replica) HasReceived(idPrefix string) bool {
 	return slices.ContainsFunc(replica.Received(), func(call Call) bool { return strings.HasPrefix(call.ID, idPrefix) })
 }
 
-// Traffic returns how many bytes and connections have come so far.
+// Traffic returns the number of bytes received and connections accepted so far.
 func (replica *Replica) Traffic() (bytes, conns int) {
 	return int(replica.bytesReceived.Load()), int(replica.connsAccepted.Load())
 }
--- a/internal/fake/shards.go
+++ b/internal/fake/shards.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	shardsRandomStream = 5 // sets the draws of Shards apart from others with the same seed
-	lateSummaryTime    = 400 * time.Millisecond
+	shardsRandomStream = 5 // PCG stream; keeps the draws of Shards independent of others with the same seed
+	lateSummaryDelay   = 400 * time.Millisecond
 )
 
 // Record is a scored record of a shard.
@@ -22,20 +22,20 @@
 	Score float64 `json:"score"`
 }
 
-// Shards are the data of a fleet, for two-phase queries: scored records by shard, and each shard's version. A
-// query's text is "score>=X".
+// Shards holds the data of a fleet for two-phase queries: the scored records and the version of each shard. The text of
+// a query is "score>=X".
 type Shards struct {
 	mu      sync.Mutex
 	Records [][]Record
 	version []int
-	// RecordsRead is the work of all replicas so far, in records; a summary reads none but costs one.
+	// RecordsRead is the total work of all replicas, in records read; a summary reads none but counts as one.
 	RecordsRead  int
 	SummaryCalls int
 	AnswerCalls  int
 }
 
-// NewShards draws shards of up to maxRecords records, with scores in steps so that ties are common. Selectivity is
-// the share of shards that hold anything of score 0 or more; the rest hold only what is below.
+// NewShards generates random shards of up to maxRecords records each, with scores in steps of a half so that ties are
+// common. Selectivity is the share of shards whose records have scores of at least 0; all others have negative scores.
 func NewShards(seed uint64, shards, maxRecords int, selectivity float64) *Shards {
 	random := rand.New(rand.NewPCG(seed, shardsRandomStream))
 	data := &Shards{version: make([]int, shards)}
@@ -54,14 +54,14 @@
 	return data
 }
 
-// AdvanceVersion gives a shard a new version of the same data.
+// AdvanceVersion advances a shard's version without changing its records.
 func (shards *Shards) AdvanceVersion(shard int) {
 	shards.mu.Lock()
 	defer shards.mu.Unlock()
 	shards.version[shard]++
 }
 
-// matching returns the records of a shard that a query matches, the best score first.
+// matching returns the records of a shard that match a query, by descending score.
 func (shards *Shards) matching(shard int, minScore float64) []Record {
 	var matching []Record
 	for _, record := range shards.Records[shard] {
@@ -75,15 +75,15 @@
 	return matching
 }
 
-// hit is a record in a client's response.
+// hit is a matching record in the response to a client.
 type hit struct {
 	Segment int     `json:"segment"`
 	ID      string  `json:"id"`
 	Score   float64 `json:"score"`
 }
 
-// ExpectedResponse is the body of the complete response to a query, worked out from all shards, without phases and
-// replicas.
+// ExpectedResponse returns the body of the complete response to a query, computed directly from all queried shards,
+// without phases or replicas.
 func (shards *Shards) ExpectedResponse(queried []int, minScore float64, limit *int) string {
 	shards.mu.Lock()
 	defer shards.mu.Unlock()
@@ -106,58 +106,57 @@
 	return string(body)
 }
 
-// SummaryFault is what is wrong with a replica's summaries.
+// SummaryFault is a fault of a replica in a two-phase query.
 type SummaryFault int
 
-// The faults.
 const (
 	NoFault           SummaryFault = iota
-	LooseBounds                    // bounds that say little
+	LooseBounds                    // bounds so wide that they are of little use
 	NoSummary                      // no reply to the request for a summary
-	LateSummary                    // a reply long after it was asked
-	MalformedSummary               // what cannot be used
-	StaleVersion                   // a summary of the version before
+	LateSummary                    // the summary arrives only after lateSummaryDelay
+	MalformedSummary               // a summary that cannot be parsed or is invalid
+	StaleVersion                   // a summary with the previous version
 	FalseBounds                    // bounds that are too low
-	ResetAfterSummary              // its connection is reset behind the summary
+	ResetAfterSummary              // the connection is reset right after the reply
 	NoAnswer                       // no reply to the request for hits
-	NumSummaryFaults               // how many there are
+	NumSummaryFaults               // the number of values, including NoFault
 )
 
-// twoPhaseCall is the first line of a call of a two-phase query.
+// twoPhaseCall is the first line of the text of a call of a two-phase query.
 type twoPhaseCall struct {
 	Ask     string `json:"ask"`
 	Limit   *int   `json:"best"`
 	Version string `json:"version"`
 }
 
-// Behavior answers calls of two-phase queries. It asks faultOf for the fault of each call and workTime for how long
-// it takes.
+// Behavior returns a behavior that answers calls of two-phase queries. For each call, faultOf returns its fault and
+// workTime the time until the reply.
 func (shards *Shards) Behavior(faultOf func(replica *Replica, call Call, isSummary bool) SummaryFault,
 	workTime func(isSummary bool, records int) time.Duration) Behavior {
 	return func(replica *Replica, call Call) {
 		header, text, _ := strings.Cut(call.Text, "\n")
-		var asked twoPhaseCall
-		if json.Unmarshal([]byte(header), &asked) != nil {
-			replica.OnMalformed("replica %s: a call that is no question: %q", replica.UID, call.Text)
+		var request twoPhaseCall
+		if json.Unmarshal([]byte(header), &request) != nil {
+			replica.OnMalformed("replica %s: not a call of a two-phase query: %q", replica.UID, call.Text)
 			return
 		}
 		var minScore float64
 		_, _ = fmt.Sscanf(text, "score>=%g", &minScore)
-		isSummary := asked.Ask == "summary"
+		isSummary := request.Ask == "summary"
 		fault := faultOf(replica, call, isSummary)
-		value := shards.replyValue(call.Shard, asked, minScore, fault)
+		value := shards.replyValue(call.Shard, request, minScore, fault)
 		time.AfterFunc(workTime(isSummary, len(shards.Records[call.Shard])), func() {
 			replyWithFault(replica, call, value, isSummary, fault)
 		})
 	}
 }
 
-// replyValue counts a call and returns its reply's value.
-func (shards *Shards) replyValue(shard int, asked twoPhaseCall, minScore float64, fault SummaryFault) string {
+// replyValue counts a call and returns the value of its reply.
+func (shards *Shards) replyValue(shard int, request twoPhaseCall, minScore float64, fault SummaryFault) string {
 	shards.mu.Lock()
 	records := shards.matching(shard, minScore)
 	version := shards.version[shard]
-	if asked.Ask == "summary" {
+	if request.Ask == "summary" {
 		shards.RecordsRead++
 		shards.SummaryCalls++
 		shards.mu.Unlock()
@@ -166,8 +165,8 @@
 	shards.RecordsRead += 1 + len(shards.Records[shard])
 	shards.AnswerCalls++
 	shards.mu.Unlock()
-	if asked.Limit != nil {
-		records = records[:min(len(records), *asked.Limit)]
+	if request.Limit != nil {
+		records = records[:min(len(records), *request.Limit)]
 	}
 	if records == nil {
 		records = []Record{}
@@ -176,13 +175,13 @@
 	return string(body)
 }
 
-// replyWithFault replies, if the fault lets it.
+// replyWithFault replies to a call, late or not at all if the fault says so.
 func replyWithFault(replica *Replica, call Call, value string, isSummary bool, fault SummaryFault) {
 	noReply := isSummary && fault == NoSummary || !isSummary && fault == NoAnswer
 	switch {
 	case noReply:
 	case isSummary && fault == LateSummary:
-		time.AfterFunc(lateSummaryTime, func() { replica.Reply(call, "OK", value) })
+		time.AfterFunc(lateSummaryDelay, func() { replica.Reply(call, "OK", value) })
 	default:
 		replica.Reply(call, "OK", value)
 	}
@@ -193,13 +192,13 @@
 
 func versionName(version int) string { return fmt.Sprint("v", version) }
 
-// malformedSummaries are summaries that cannot be used.
+// malformedSummaries are summaries that a co-ordinator must refuse.
 var malformedSummaries = []string{
 	"{", `{"version":"v1"}`, `{"version":"","count":1}`, `{"version":"v","count":-3}`,
 	`{"version":"v","count":1,"upper":1,"lower":2}`, `{"version":"v","count":1,"upper":1e999}`, "[]",
 }
 
-// summaryOf is the summary of matching records, with a fault.
+// summaryOf returns the summary of matching records, altered according to the fault.
 func summaryOf(matching []Record, version int, fault SummaryFault) string {
 	if fault == MalformedSummary {
 		return malformedSummaries[len(matching)%len(malformedSummaries)]
--- a/internal/fake/trace.go
+++ b/internal/fake/trace.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Trace is what a co-ordinator logged under -trace of its attempts: by replica and subquery id, how many there
-// were, and how many of those it takes for never executed.
+// Trace counts the attempts that a co-ordinator logged with -trace, by replica and subquery id: all of them, and those
+// that the co-ordinator considers never executed.
 type Trace struct {
 	Attempts, NeverRan map[string]map[string]int
 }
 
-// neverRanOutcomes are the outcomes, as the trace words them, that say that an attempt was never executed.
+// neverRanOutcomes are the outcomes in the trace that mean that an attempt was never executed.
 var neverRanOutcomes = []string{"turned_away", "unreachable", "moot"}
 
-// ReadTrace reads the log of a program that runs with -trace.
+// ReadTrace parses the log of a program that runs with -trace.
 func ReadTrace(log string) Trace {
 	trace := Trace{Attempts: map[string]map[string]int{}, NeverRan: map[string]map[string]int{}}
 	for line := range strings.Lines(log) {
 		_, rest, found := strings.Cut(line, " attempt_ended=")
-		words := strings.Fields(rest)
-		if !found || len(words) < 3 {
+		fields := strings.Fields(rest)
+		if !found || len(fields) < 3 {
 			continue
 		}
-		attempt := words[0]
+		attempt := fields[0]
 		subquery := attempt[:strings.LastIndexByte(attempt, '.')]
-		uid := strings.TrimPrefix(words[1], "replica=")
-		outcome := strings.TrimPrefix(words[2], "outcome=")
+		uid := strings.TrimPrefix(fields[1], "replica=")
+		outcome := strings.TrimPrefix(fields[2], "outcome=")
 		countAttempt(trace.Attempts, uid, subquery)
 		if slices.Contains(neverRanOutcomes, outcome) {
 			countAttempt(trace.NeverRan, uid, subquery)
@@ -43,18 +43,19 @@
 	counts[uid][subquery]++
 }
 
-// FalseNeverRan counts attempts that were taken for never executed although a ledger shows that they were, and
-// describes them.
+// FalseNeverRan counts and describes the subqueries of which a replica, according to the ledger, executed more attempts
+// than the trace allows, so that at least one was wrongly considered never executed.
 func (trace Trace) FalseNeverRan(ledger *ExecutionLedger) (count int, descriptions []string) {
 	for uid, executions := range ledger.ExecutionsAt {
 		for subquery, executed := range executions {
-			mayHave := trace.Attempts[uid][subquery] - trace.NeverRan[uid][subquery]
-			if executed <= mayHave {
+			mayHaveRun := trace.Attempts[uid][subquery] - trace.NeverRan[uid][subquery]
+			if executed <= mayHaveRun {
 				continue
 			}
 			count++
 			descriptions = append(descriptions,
-				fmt.Sprintf("%s executed %s %d times, %d attempts may have", uid, subquery, executed, mayHave))
+				fmt.Sprintf("%s executed %s %d times, but at most %d attempts may have run",
+					uid, subquery, executed, mayHaveRun))
 		}
 	}
 	return count, descriptions
