--- a/internal/faultbuild/faultbuild_test.go
+++ b/internal/faultbuild/faultbuild_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The patches fit the installed tool chain, and a patch that does not is an error.
-func TestPatchesFit(t *testing.T) {
+// All patches apply to the installed toolchain, and a patch that does not apply is an error.
+func TestPatchesApply(t *testing.T) {
 	module, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
@@ -16,6 +16,6 @@
 	}
 	bad := []Patch{{File: "cmd/terntray/main.go", Old: "no such text"}}
 	if Build(module, "./cmd/terntray", filepath.Join(t.TempDir(), "terntray"), bad) == nil {
-		t.Error("a patch that fits nowhere passes")
+		t.Error("a patch whose text does not occur was accepted")
 	}
 }
--- a/internal/faultbuild/library.go
+++ b/internal/faultbuild/library.go
@@ -1,12 +1,12 @@
 package faultbuild
 
-// libraryPatches are the places at which the program enters the kernel or reads the wall clock. Their files are named
-// from the standard library's root; their texts quote it.
+// libraryPatches patch the places in the standard library where the program makes the system calls that can fail, or
+// reads the wall clock. File names are relative to the root of the standard library.
 var libraryPatches = []Patch{
 	{
 		File: "time/time.go",
 		Old:  "sec, nsec, mono := runtimeNow()\n\tif mono == 0 {",
-		New:  "sec, nsec, mono := steppedNow()\n\tif mono == 0 {",
+		New:  "sec, nsec, mono := offsetNow()\n\tif mono == 0 {",
 	},
 	{
 		File: "internal/poll/hook_unix.go",
@@ -40,20 +40,20 @@
 	},
 }
 
-// libraryAdditions are files that the build has beside those of the standard library, by their path from its root. The
-// indexes that they read are those of Setting.
+// libraryAdditions are files that the build adds to the standard library, by path relative to its root. The indexes that
+// they read are the values of Setting.
 var libraryAdditions = map[string]string{
 	"time/zz_stepped.go": `package time
 
 import "syscall"
 
-func steppedNow() (sec int64, nsec int32, mono int64) {
+func offsetNow() (sec int64, nsec int32, mono int64) {
 	sec, nsec, mono = runtimeNow()
-	step := syscall.FaultStep()
-	if step == 0 {
+	offset := syscall.FaultWallClockOffset()
+	if offset == 0 {
 		return sec, nsec, mono
 	}
-	wall := sec*1e9 + int64(nsec) + step
+	wall := sec*1e9 + int64(nsec) + offset
 	return wall / 1e9, int32(wall % 1e9), mono
 }
 `,
@@ -67,13 +67,13 @@
 const faultPageBytes = 4096
 
 var (
-	faultPage  *[faultPageBytes / 8]int64
-	faultDraws atomic.Uint64
+	faultPage        *[faultPageBytes / 8]int64
+	faultRandomState atomic.Uint64
 )
 
 func init() {
-	path, named := Getenv("` + PageEnvVar + `")
-	if !named {
+	path, isSet := Getenv("` + PageEnvVar + `")
+	if !isSet {
 		return
 	}
 	fd, err := Open(path, O_RDONLY|O_CLOEXEC, 0)
@@ -85,7 +85,7 @@
 		panic("fault page: " + err.Error())
 	}
 	faultPage = (*[faultPageBytes / 8]int64)(unsafe.Pointer(&page[0]))
-	faultDraws.Store(uint64(Getpid()) * 0x9e3779b97f4a7c15)
+	faultRandomState.Store(uint64(Getpid()) * 0x9e3779b97f4a7c15)
 }
 
 func faultSetting(index int) int64 {
@@ -95,66 +95,66 @@
 	return atomic.LoadInt64(&faultPage[index])
 }
 
-func faultDraw() uint64 {
-	x := faultDraws.Add(0x9e3779b97f4a7c15)
+func faultRandom() uint64 {
+	x := faultRandomState.Add(0x9e3779b97f4a7c15)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func faultHits(index int) bool {
+func faultOccurs(index int) bool {
 	rate := faultSetting(index)
-	return rate > 0 && int64(faultDraw()%1e6) < rate
+	return rate > 0 && int64(faultRandom()%1e6) < rate
 }
 
-func faultOf(all ...Errno) error { return all[faultDraw()%uint64(len(all))] }
+func randomErrno(errnos ...Errno) error { return errnos[faultRandom()%uint64(len(errnos))] }
 
-func FaultStep() int64 { return faultSetting(0) }
+func FaultWallClockOffset() int64 { return faultSetting(0) }
 
 func FaultyAccept(fd int) (int, Sockaddr, error) {
-	if faultHits(1) {
-		return -1, nil, faultOf(ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM)
+	if faultOccurs(1) {
+		return -1, nil, randomErrno(ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM)
 	}
 	return Accept(fd)
 }
 
 func FaultyAccept4(fd, flags int) (int, Sockaddr, error) {
-	if faultHits(1) {
-		return -1, nil, faultOf(ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM)
+	if faultOccurs(1) {
+		return -1, nil, randomErrno(ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM)
 	}
 	return Accept4(fd, flags)
 }
 
 func FaultySocket(family, kind, protocol int) (int, error) {
-	if faultHits(2) {
-		return -1, faultOf(ENFILE, EMFILE, ENOBUFS, ENOMEM)
+	if faultOccurs(2) {
+		return -1, randomErrno(ENFILE, EMFILE, ENOBUFS, ENOMEM)
 	}
 	return Socket(family, kind, protocol)
 }
 
 func FaultyConnect(fd int, to Sockaddr) error {
-	if faultHits(3) {
-		return faultOf(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS)
+	if faultOccurs(3) {
+		return randomErrno(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS)
 	}
 	return Connect(fd, to)
 }
 
 func FaultyRead(fd int, p []byte) (int, error) {
-	if faultHits(4) {
+	if faultOccurs(4) {
 		return -1, EINTR
 	}
-	if len(p) > 1 && faultHits(5) {
-		p = p[:1+faultDraw()%uint64(len(p))]
+	if len(p) > 1 && faultOccurs(5) {
+		p = p[:1+faultRandom()%uint64(len(p))]
 	}
 	return Read(fd, p)
 }
 
 func FaultyWrite(fd int, p []byte) (int, error) {
-	if faultHits(4) {
+	if faultOccurs(4) {
 		return -1, EINTR
 	}
-	if len(p) > 1 && faultHits(6) {
-		p = p[:1+faultDraw()%uint64(len(p)-1)]
+	if len(p) > 1 && faultOccurs(6) {
+		p = p[:1+faultRandom()%uint64(len(p)-1)]
 	}
 	return Write(fd, p)
 }
--- a/internal/faultbuild/overlay.go
+++ b/internal/faultbuild/overlay.go
@@ -9,33 +9,33 @@
 	"strings"
 )
 
-// PatchError is a patch that does not fit: the program or the tool chain has changed since it was written.
+// PatchError reports a patch that does not apply: the program or the toolchain has changed since it was written.
 type PatchError struct {
 	Path  string
 	Old   string
-	Found int // how often the text stands there; once is wanted
+	Found int // number of occurrences of Old in the file; it should be 1
 }
 
-// Error says which text was looked for, and how often it stands there.
+// Error implements the error interface.
 func (e *PatchError) Error() string {
-	return fmt.Sprintf("%s: %q occurs %d times: the patch does not fit", e.Path, e.Old, e.Found)
+	return fmt.Sprintf("%s: patch does not apply: %q occurs %d times, want 1", e.Path, e.Old, e.Found)
 }
 
-// patchedTexts are the files that replace others, by the path of those.
-type patchedTexts map[string]string
+// patchedFiles holds the contents of replacement files by the path of the file that each replaces.
+type patchedFiles map[string]string
 
-// applyAll applies the patches to files under a folder; its error holds all that do not fit.
-func (t patchedTexts) applyAll(root string, patches []Patch) error {
+// applyAll applies patches to files under root. Its error joins those of all patches that do not apply.
+func (files patchedFiles) applyAll(root string, patches []Patch) error {
 	var errs []error
 	for _, patch := range patches {
-		errs = append(errs, t.apply(filepath.Join(root, patch.File), patch))
+		errs = append(errs, files.apply(filepath.Join(root, patch.File), patch))
 	}
 	return errors.Join(errs...)
 }
 
-// apply applies a patch on top of those that the file has already had.
-func (t patchedTexts) apply(path string, patch Patch) error {
-	text, patched := t[path]
+// apply applies a patch to a file, after any patches that have already been applied to it.
+func (files patchedFiles) apply(path string, patch Patch) error {
+	text, patched := files[path]
 	if !patched {
 		read, err := os.ReadFile(path)
 		if err != nil {
@@ -46,19 +46,19 @@
 	if found := strings.Count(text, patch.Old); found != 1 {
 		return &PatchError{Path: path, Old: patch.Old, Found: found}
 	}
-	t[path] = strings.Replace(text, patch.Old, patch.New, 1)
+	files[path] = strings.Replace(text, patch.Old, patch.New, 1)
 	return nil
 }
 
-// overlay is what "go build -overlay" reads: by the path of each file the path of the one that replaces it.
+// overlay is the JSON that "go build -overlay" reads. Replace maps the path of a file to the path of its replacement.
 type overlay struct {
 	Replace map[string]string
 }
 
-// write writes the files and the overlay's description into a folder, and returns the latter's path.
-func (t patchedTexts) write(folder string) (string, error) {
+// write writes the replacement files and the overlay's JSON file into a folder, and returns the path of the latter.
+func (files patchedFiles) write(folder string) (string, error) {
 	description := overlay{Replace: map[string]string{}}
-	for path, text := range t {
+	for path, text := range files {
 		replacement := filepath.Join(folder, fmt.Sprintf("%d.go", len(description.Replace)))
 		if err := os.WriteFile(replacement, []byte(text), 0o600); err != nil {
 			return "", err
--- a/internal/faultbuild/page.go
+++ b/internal/faultbuild/page.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// PageEnvVar names the environment variable with the path of a program's page.
+// PageEnvVar is the name of the environment variable with the path of a program's page.
 const PageEnvVar = "TERNTRAY_FAULT_PAGE"
 
 const (
 	pageBytes    = 4096
-	settingBytes = 8 // each is an int64 in the byte order of the machine
+	settingBytes = 8 // a setting is an int64 in native byte order
 )
 
-// Setting is a place in the page. All but WallStep are rates, in calls of a million.
+// Setting is the index of a value in the page. All but WallClockOffset are rates: failures per million calls.
 type Setting int
 
-// The settings, in the order in which the patched library reads them.
+// The settings. The patched library uses their values as indexes, so their order is fixed.
 const (
-	WallClockOffset Setting = iota // nanoseconds by which the wall clock is off; the monotonic clock goes on
+	WallClockOffset Setting = iota // nanoseconds added to the wall clock; the monotonic clock is unchanged
 	AcceptFails                    // ECONNABORTED, ENFILE, ENOBUFS, EINTR, ENOMEM
 	SocketFails                    // ENFILE, EMFILE, ENOBUFS, ENOMEM
 	ConnectFails                   // EADDRNOTAVAIL, ENETUNREACH, ENOBUFS
-	Interrupted                    // reads and writes end with EINTR
+	Interrupted                    // reads and writes return EINTR
 	ShortReads
 	ShortWrites
 )
 
-// Always is the rate at which each call fails.
+// Always is the rate at which every call fails.
 const Always = 1_000_000
 
-// Page tells one process, or several that share it, what is to fail from now on.
+// Page controls which faults occur in the process, or processes, that it is shared with.
 type Page struct {
 	file *os.File
 }
 
-// NewPage makes one in a file, with nothing that fails.
+// NewPage creates a page in a file, with all faults off.
 func NewPage(path string) (*Page, error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -49,19 +49,19 @@
 	return &Page{file}, nil
 }
 
-// EnvVar is the environment's entry that hands the page to a process.
+// EnvVar returns the environment entry, NAME=PATH, that gives a process access to the page.
 func (page *Page) EnvVar() string { return PageEnvVar + "=" + page.file.Name() }
 
-// Set changes a setting at once.
+// Set changes a setting, with immediate effect in the processes that have the page.
 func (page *Page) Set(setting Setting, value int64) error {
 	_, err := page.file.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(value)), int64(setting)*settingBytes)
 	return err
 }
 
-// SetWallClockOffset sets the wall clock off by a span.
+// SetWallClockOffset makes the wall clock differ from the system's by the given time.
 func (page *Page) SetWallClockOffset(by time.Duration) error {
 	return page.Set(WallClockOffset, int64(by))
 }
 
-// Close lets go of the page; processes that have it keep what it says.
+// Close closes the file; the settings stay in force in processes that have the page.
 func (page *Page) Close() error { return page.file.Close() }
--- a/internal/faultbuild/shortage_test.go
+++ b/internal/faultbuild/shortage_test.go
@@ -14,9 +14,9 @@
 	"terntray/internal/faultbuild"
 )
 
-// asked sends one query on a connection of its own and returns the answer's status; 0 if there is none.
-func asked(t *testing.T, addr, id string) int {
-	conn := dialed(t, addr)
+// sendQuery sends one query on a new connection and returns the status of the response, or 0 if there is none.
+func sendQuery(t *testing.T, addr, id string) int {
+	conn := dial(t, addr)
 	defer conn.Close()
 	io.WriteString(conn, request(id))
 	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -26,20 +26,23 @@
 	return r.StatusCode
 }
 
-// A shortage of the own machine (ports, buffers, descriptors, a route) says nothing of a replica: what waits goes out once
-// it is over, and no replica is ejected for it.
-func TestShortageOfTheMachineFailsNoQueryAndEjectsNoReplica(t *testing.T) {
-	for setting, name := range map[faultbuild.Setting]string{faultbuild.ConnectFails: "connect", faultbuild.SocketFails: "socket"} {
-		p, page := started(t)
+// When connect or socket fails for lack of a local resource (ports, buffers, descriptors, a route), the fault is not the
+// replica's: waiting subqueries are sent once the shortage is over, and no replica is ejected.
+func TestLocalResourceShortageFailsNoQueryAndEjectsNoReplica(t *testing.T) {
+	for setting, name := range map[faultbuild.Setting]string{
+		faultbuild.ConnectFails: "connect",
+		faultbuild.SocketFails:  "socket",
+	} {
+		p, page := startProgram(t)
 		page.Set(setting, faultbuild.Always)
 		time.AfterFunc(300*time.Millisecond, func() { page.Set(setting, 0) })
 		answers := make(chan int)
 		for n := range 5 {
-			go func() { answers <- asked(t, p.Addr, fmt.Sprint("q", n)) }()
+			go func() { answers <- sendQuery(t, p.Addr, fmt.Sprint("q", n)) }()
 		}
 		for range 5 {
 			if status := <-answers; status != http.StatusOK {
-				t.Errorf("%s fails for 0.3 s: answered %d", name, status)
+				t.Errorf("%s fails for 0.3 s: status %d, want 200", name, status)
 			}
 		}
 		if log := p.Log(); strings.Contains(log, " ejected: ") {
@@ -48,9 +51,10 @@
 	}
 }
 
-// A connection that the machine has taken before the listener's end is served, also where accept fails for a moment then.
-func TestConnectionIsServedWhereAcceptFailsAtTheListenersEnd(t *testing.T) {
-	p, page := started(t)
+// A connection that the kernel has established before the listener closes is served, even if accept fails for a while
+// at that moment.
+func TestConnectionIsServedIfAcceptFailsDuringShutdown(t *testing.T) {
+	p, page := startProgram(t)
 	p.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	page.Set(faultbuild.AcceptFails, faultbuild.Always)
@@ -65,6 +69,6 @@
 	page.Set(faultbuild.AcceptFails, 0)
 	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || r.StatusCode != http.StatusOK {
-		t.Errorf("%v, %+v", err, r)
+		t.Errorf("want status 200, got error %v, response %+v", err, r)
 	}
 }
--- a/internal/faultbuild/wallclock_test.go
+++ b/internal/faultbuild/wallclock_test.go
@@ -21,19 +21,20 @@
 "lanes":[{"name":"look","aim":2000000,"deadline":30000000,"effect":"pure"}],
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
 
-// started starts the program with faults and one replica that answers everything.
-func started(t *testing.T) (*fake.Program, *faultbuild.Page) {
+// startProgram starts the program, built with faults, with one replica that answers every call.
+func startProgram(t *testing.T) (*fake.Program, *faultbuild.Page) {
 	t.Helper()
-	p, page, _ := startedWith(t, settings, fake.Succeed, 0, 0)
+	p, page, _ := startProgramWith(t, settings, fake.Succeed, 0, 0)
 	return p, page
 }
 
 func request(id string) string {
 	body := `{"segments":[{"segment":3,"boost":1}],"text":"x"}`
-	return fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 5\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+	return fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 5\r\nContent-Length: %d\r\n\r\n%s",
+		id, len(body), body)
 }
 
-func dialed(t *testing.T, addr string) net.Conn {
+func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -44,17 +45,17 @@
 	return conn
 }
 
-// A step of the wall clock moves no end of the shutdown: a request that is half there when the program is told to end is
-// served, and the program is gone in its usual time.
-func TestShutdownKeepsItsTimesWhenTheWallClockIsStepped(t *testing.T) {
+// A step of the wall clock during the shutdown does not change when it ends: a request of which only a part has arrived
+// at SIGTERM is still served, and the program exits neither earlier nor later than usual.
+func TestWallClockStepDoesNotChangeShutdownTimes(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		p, page := started(t)
-		conn := dialed(t, p.Addr)
+		p, page := startProgram(t)
+		conn := dial(t, p.Addr)
 		text := request("q")
 		io.WriteString(conn, text[:30])
 		time.Sleep(50 * time.Millisecond)
 		p.Signal(syscall.SIGTERM)
-		told := time.Now()
+		signaled := time.Now()
 		time.Sleep(15 * time.Millisecond)
 		if err := page.SetWallClockOffset(step); err != nil {
 			t.Fatal(err)
@@ -67,15 +68,15 @@
 		if err != nil || r.StatusCode != http.StatusOK {
 			t.Errorf("clock stepped by %v: %v, %+v", step, err, r)
 		}
-		late := dialed(t, p.Addr) // a connection on which nothing comes
+		silent := dial(t, p.Addr) // a connection on which no request is sent
 		select {
 		case <-p.Done():
 		case <-time.After(3 * time.Second):
-			t.Errorf("clock stepped by %v: not ended 3 s after SIGTERM", step)
+			t.Errorf("clock stepped by %v: still running 3 s after SIGTERM", step)
 		}
-		if took := time.Since(told); took < 500*time.Millisecond {
-			t.Errorf("clock stepped by %v: ended %v after SIGTERM, while clients may come", step, took)
+		if took := time.Since(signaled); took < 500*time.Millisecond {
+			t.Errorf("clock stepped by %v: exited %v after SIGTERM, when clients may still connect", step, took)
 		}
-		late.Close()
+		silent.Close()
 	}
 }
