--- a/cmd/terntray/client_disconnect_test.go
+++ b/cmd/terntray/client_disconnect_test.go
@@ -14,10 +14,10 @@
 )
 
 // Clients that leave while their requests wait: wherever that is, nothing of it reaches a replica 0.3 s later.
-const departedFor = 300 * time.Millisecond
+const stallTime = 300 * time.Millisecond
 
-// departures are ways to send a request and go: what stands behind the request, and whether the end is a reset.
-var departures = map[string]struct {
+// disconnects are ways to send a request and go: what stands behind the request, and whether the end is a reset.
+var disconnects = map[string]struct {
 	behind string
 	reset  bool
 }{
@@ -29,10 +29,10 @@
 	"a reset behind much":     {strings.Repeat("x", 150_000), true},
 }
 
-// goes sends what stands behind a request and leaves.
-func (client *clientConn) goes(way string) {
-	io.WriteString(client.Conn, departures[way].behind)
-	if departures[way].reset {
+// disconnect sends what stands behind a request and leaves.
+func (client *clientConn) disconnect(way string) {
+	io.WriteString(client.Conn, disconnects[way].behind)
+	if disconnects[way].reset {
 		client.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	client.Conn.Close()
@@ -41,7 +41,7 @@
 // expectNothingSent checks that of what clients left nothing came, while what another asks for does.
 func expectNothingSent(t *testing.T, what string, replica *fake.Replica, lives string) {
 	t.Helper()
-	until(t, what+": the other one's part comes", func() bool { return replica.HasReceived(lives) })
+	waitFor(t, what+": the other one's part comes", func() bool { return replica.HasReceived(lives) })
 	time.Sleep(20 * time.Millisecond) // for what would come beside it
 	for _, part := range replica.Received() {
 		if strings.HasPrefix(part.ID, "left") || strings.HasPrefix(part.ID, "more") {
@@ -50,10 +50,10 @@
 	}
 }
 
-// stalls stops the program while something is done, and for a while after it.
-func (program *process) stalls(still time.Duration, do func()) {
+// whileStopped stops the program while something is done, and for a while after it.
+func (program *process) whileStopped(still time.Duration, do func()) {
 	program.cmd.Process.Signal(syscall.SIGSTOP)
-	until(program.t, "the program stands still", func() bool {
+	waitFor(program.t, "the program stands still", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", program.cmd.Process.Pid))
 		return err != nil || strings.Contains(string(stat), ") T ")
 	})
@@ -65,9 +65,9 @@
 // Requests that came during a stall, on connections old and new, and whose clients went during it.
 func TestNothingIsSentForClientsThatLeftDuringAStall(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	n := 0
-	for way := range departures {
+	for way := range disconnects {
 		var old []*clientConn
 		for range 10 {
 			old = append(old, program.connect())
@@ -75,14 +75,14 @@
 		other := program.connect()
 		n++
 		lives := fmt.Sprint("lives", n)
-		program.stalls(departedFor, func() {
+		program.whileStopped(stallTime, func() {
 			for i := range 20 {
 				client := program.connect()
 				if i < len(old) {
 					client = old[i]
 				}
 				client.send(query("look", fmt.Sprint("left", n, "-", i), 10, 3))
-				client.goes(way)
+				client.disconnect(way)
 			}
 			other.send(query("look", lives, 10, 3))
 		})
@@ -93,20 +93,20 @@
 
 // Requests that are held for a replica's cap: what went before gets no answer until their clients have gone.
 func TestNothingIsSentForClientsThatLeftWhileQueued(t *testing.T) {
-	for way := range departures {
+	for way := range disconnects {
 		replica := newReplica(t, "s-a", 0, silent)
-		program, _ := deployed(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":400`, 1), replica)
+		program, _ := startDeployment(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":400`, 1), replica)
 		for n := range 8 { // as many as the replica is sent at first
 			program.connect().send(query("look", fmt.Sprint("first", n), 20, n))
 		}
-		until(t, "the first subqueries are out", func() bool { return len(replica.Received()) == 8 })
+		waitFor(t, "the first subqueries are out", func() bool { return len(replica.Received()) == 8 })
 		c, other := program.connect(), program.connect()
 		c.send(query("look", "left", 20, 9))
-		until(t, "it is taken in", func() bool { return program.counters()["taken"] == 9 })
-		c.goes(way)
-		until(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
+		waitFor(t, "it is taken in", func() bool { return program.counters()["taken"] == 9 })
+		c.disconnect(way)
+		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 		other.send(query("look", "lives", 20, 10))
-		until(t, "the other is taken in", func() bool { return program.counters()["taken"] >= 10 })
+		waitFor(t, "the other is taken in", func() bool { return program.counters()["taken"] >= 10 })
 		for _, part := range replica.Received() {
 			succeed(replica, part)
 		}
@@ -115,20 +115,20 @@
 }
 
 // Requests behind a connection that is coming up.
-func TestNothingIsSentForClientsThatLeftDuringAConnect(t *testing.T) {
-	for way := range departures {
-		late := newLateListener(t)
+func TestNothingIsSentForClientsThatLeftWhileConnecting(t *testing.T) {
+	for way := range disconnects {
+		late := newFullListener(t)
 		replica := newReplica(t, "s-a", 0, succeed)
 		real := replica.Listener
 		replica.Listener = late.listener // told in the list; the replica itself takes connections later
-		program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":8000000`, 1), replica)
+		program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":8000000`, 1), replica)
 		c, other := program.connect(), program.connect()
 		c.send(query("look", "left", 20, 3))
-		until(t, "it waits for the connection", func() bool { return strings.Contains(program.logged(), "query_arrived=left") })
-		c.goes(way)
+		waitFor(t, "it waits for the connection", func() bool { return strings.Contains(program.logText(), "query_arrived=left") })
+		c.disconnect(way)
 		other.send(query("look", "lives", 20, 4))
-		until(t, "the other waits as well", func() bool { return strings.Contains(program.logged(), "query_arrived=lives") })
-		until(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
+		waitFor(t, "the other waits as well", func() bool { return strings.Contains(program.logText(), "query_arrived=lives") })
+		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 		late.open(real.Addr().String())
 		other.expect(map[int]string{4: value(replica, 4)})
 		expectNothingSent(t, way, replica, "lives")
@@ -143,9 +143,9 @@
 	for n := range large {
 		large[n] = n
 	}
-	for way := range departures {
-		for _, later := range []time.Duration{0, 2 * departedFor} {
-			if later > 0 && departures[way].behind != "" {
+	for way := range disconnects {
+		for _, later := range []time.Duration{0, 2 * stallTime} {
+			if later > 0 && disconnects[way].behind != "" {
 				continue // two ways will do
 			}
 			what := fmt.Sprintf("%s, read on %v later", way, later)
@@ -165,14 +165,14 @@
 			goOn := replica.PauseReading()
 			before := program.counters()
 			first.send(queryOf(strings.Repeat("x", 60_000), "look", "large", 20, large...))
-			until(t, what+": its parts are out", func() bool { return program.counters()["legs"]-before["legs"] == len(large) })
+			waitFor(t, what+": its parts are out", func() bool { return program.counters()["legs"]-before["legs"] == len(large) })
 			c.send(query("look", "left", 20, 21))
-			until(t, what+": it is taken in", func() bool { return program.counters()["taken"]-before["taken"] == 2 })
-			c.goes(way)
-			until(t, what+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
+			waitFor(t, what+": it is taken in", func() bool { return program.counters()["taken"]-before["taken"] == 2 })
+			c.disconnect(way)
+			waitFor(t, what+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 			if later == 0 {
 				other.send(query("look", "lives", 20, 22))
-				until(t, what+": the other is taken in", func() bool { return program.counters()["taken"]-before["taken"] >= 3 })
+				waitFor(t, what+": the other is taken in", func() bool { return program.counters()["taken"]-before["taken"] >= 3 })
 			}
 			time.Sleep(later)
 			goOn()
@@ -180,7 +180,7 @@
 				other.expect(map[int]string{22: value(replica, 22)})
 			}
 			asked := 0
-			until(t, what+": the replica serves", func() bool { // it may be taken for one that cannot be reached for a while
+			waitFor(t, what+": the replica serves", func() bool { // it may be taken for one that cannot be reached for a while
 				asked++
 				other.send(query("look", fmt.Sprint("lives", asked), 20, 23))
 				return other.receive().status == 200
@@ -190,14 +190,14 @@
 	}
 }
 
-// lateListener is an address where connections do not come up until it is opened: its queue is full.
-type lateListener struct {
+// fullListener is an address where connections do not come up until it is opened: its queue is full.
+type fullListener struct {
 	t        *testing.T
 	listener net.Listener
 	fill     []net.Conn
 }
 
-func newLateListener(t *testing.T) *lateListener {
+func newFullListener(t *testing.T) *fullListener {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &lateListener{t: t, listener: listener}
+	d := &fullListener{t: t, listener: listener}
 	t.Cleanup(func() {
 		listener.Close()
 		for _, c := range d.fill {
@@ -233,7 +233,7 @@
 }
 
 // open has connections come up; their bytes go on to another address.
-func (d *lateListener) open(to string) {
+func (d *fullListener) open(to string) {
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := d.listener.Accept()
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -17,7 +17,7 @@
 
 func TestPipelinedAndSplitRequestsAreServed(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	body := `{"segments":[{"segment":1,"boost":1}],"text":"x"}`
 	text := query("look", "q1", 10, 2) + fmt.Sprintf("POST /look/more HTTP/1.1\r\nHost: b\r\nReq-Id: q2\r\nReq-Deadline: 9\r\n"+
@@ -32,17 +32,17 @@
 
 func TestClientDisconnectCancelsItsQuery(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(query("look", "q1", 30, 3))
-	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	client.Conn.Close()
-	until(t, "the subquery is given up", func() bool {
+	waitFor(t, "the subquery is given up", func() bool {
 		replica.Mu.Lock()
 		defer replica.Mu.Unlock()
 		return len(replica.Abandoned) == 1 && replica.Abandoned[0] == "q1.3"
 	})
-	until(t, "it is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
+	waitFor(t, "it is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
 	// What the replica says now is of no harm.
 	replica.Reply(replica.Received()[0], "OK", "late")
 	replica.SetBehavior(succeed)
@@ -53,7 +53,7 @@
 
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	good := query("look", "q1", 10, 3)
 	for text, want := range map[string]int{
 		"hello\r\n\r\n": 400,
@@ -85,10 +85,10 @@
 
 func TestDuplicateRequestIDIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	c, other := program.connect(), program.connect()
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	other.send(query("look", "q1", 30, 3))
 	if answer := other.receive(); answer.status != 409 {
 		t.Errorf("the second was answered %d", answer.status)
@@ -99,16 +99,16 @@
 
 func TestQueriesBeyondMaxOpenAreRejected(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":6`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":6`, 1), replica)
 	c, other := program.connect(), program.connect()
 	c.send(query("look", "q1", 30, 1, 2, 3, 4, 5))
-	until(t, "its subqueries arrive", func() bool { return len(replica.Received()) == 5 })
+	waitFor(t, "its subqueries arrive", func() bool { return len(replica.Received()) == 5 })
 	other.send(query("look", "q2", 30, 6))
 	if answer := other.receive(); answer.status != 503 {
 		t.Errorf("answered %d", answer.status)
 	}
 	succeed(replica, replica.Received()[0]) // a subquery that is in makes room
-	until(t, "it is in", func() bool { return program.counters()["legs_ok"] == 1 })
+	waitFor(t, "it is in", func() bool { return program.counters()["legs_ok"] == 1 })
 	replica.SetBehavior(succeed)
 	other.send(query("look", "q3", 30, 7, 8, 9))
 	if answer := other.receive(); answer.status != 200 {
@@ -135,7 +135,7 @@
 // Whatever a bad client does, it has an error or a close within three seconds of its connecting.
 func TestMisbehavingClientsAreDisconnectedInTime(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	good := query("look", "q1", 10, 3)
 	drip := func(client *clientConn) { // a head without an end, byte by byte
 		client.send("POST /look HTTP/1.1\r\nX: ")
@@ -153,7 +153,7 @@
 	})
 	client := program.connect()
 	client.send(query("look", "open", 20, 3))
-	until(t, "the subquery is there", func() bool { return replica.HasReceived("open.3") })
+	waitFor(t, "the subquery is there", func() bool { return replica.HasReceived("open.3") })
 	ended := make(chan string)
 	for name, does := range map[string]func(*clientConn){
 		"silence":            func(*clientConn) {},
@@ -162,11 +162,11 @@
 		"half after a whole": func(client *clientConn) { client.send(good); client.receive(); client.send(good[:20]) },
 		"a body of 60 MB": func(client *clientConn) {
 			client.send("POST /look HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
-			client.pour(60e6)
+			client.sendFiller(60e6)
 		},
 		"chunks without end": func(client *clientConn) {
 			client.send("POST /look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff")
-			client.pour(60e6)
+			client.sendFiller(60e6)
 		},
 		"another one's id":    func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
 		"too many conditions": func(client *clientConn) { client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
@@ -194,8 +194,8 @@
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// pour sends so many bytes, or as many as are taken.
-func (client *clientConn) pour(n int) {
+// sendFiller sends so many bytes, or as many as are taken.
+func (client *clientConn) sendFiller(n int) {
 	some := []byte(strings.Repeat("y", 1<<16))
 	for ; n > 0; n -= len(some) {
 		if _, err := client.Conn.Write(some); err != nil {
@@ -205,7 +205,7 @@
 }
 
 // Hundreds that say nothing leave room for usual clients, who keep their connections.
-func TestSilentCrowdDoesNotLockOutClients(t *testing.T) {
+func TestManySilentConnectionsDoNotLockOutClients(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	discovery := newDiscovery(t, "127.0.0.1:0", replica)
 	program := start(t, configure(t, discovery.Listener.Addr().String(), 256, settings, replica))
@@ -228,7 +228,7 @@
 }
 
 // Clients hold no more than a third of the descriptors: those that asked once and stay have to leave room for others.
-func TestIdleClientsThatHaveAskedAreEvicted(t *testing.T) {
+func TestIdleClientsAreEvictedAfterTheirRequests(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	discovery := newDiscovery(t, "127.0.0.1:0", replica)
 	program := start(t, configure(t, discovery.Listener.Addr().String(), 96, settings, replica))
@@ -243,7 +243,7 @@
 			open.Add(-1)
 		}()
 		asked := time.Now()
-		until(t, "so few stay that there is room", func() bool { return open.Load() < 96/3-4 })
+		waitFor(t, "so few stay that there is room", func() bool { return open.Load() < 96/3-4 })
 		if waited := time.Since(asked); waited > time.Second {
 			t.Fatalf("there was room only after %v", waited)
 		}
@@ -254,13 +254,13 @@
 }
 
 // What one client does not read holds up nobody else.
-func TestClientThatReadsNothingBlocksNoOther(t *testing.T) {
+func TestClientThatDoesNotReadBlocksNoOther(t *testing.T) {
 	var asked atomic.Int32
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		asked.Add(1)
 		replica.Reply(call, "OK", strings.Repeat("v", 60000))
 	})
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
@@ -270,7 +270,7 @@
 			}
 		}
 	}()
-	until(t, "its answers pile up", func() bool { return asked.Load() >= 5 })
+	waitFor(t, "its answers pile up", func() bool { return asked.Load() >= 5 })
 	other := program.connect()
 	for n := range 5 {
 		other.send(query("look", fmt.Sprint("d", n), 10, 3))
@@ -283,7 +283,7 @@
 // What clients and replicas open and drop is given back, however they do it.
 func TestDescriptorsAreReleased(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	descriptors := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.cmd.Process.Pid))
 		if err != nil {
@@ -316,13 +316,13 @@
 			replica.Mu.Unlock()
 		}
 	}
-	until(t, "all descriptors but a connection to the replica are back", func() bool { return descriptors() <= before+1 })
+	waitFor(t, "all descriptors but a connection to the replica are back", func() bool { return descriptors() <= before+1 })
 }
 
 // A request that comes a byte a millisecond has an end as well: something lies unread at any look at its connection.
 func TestRequestByteByByteTimesOut(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	for name, begin := range map[string]string{
 		"a head": "POST /look HTTP/1.1\r\nX: ",
 		"a body": "POST /look HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline: 9\r\nContent-Length: 60000\r\n\r\n",
--- a/cmd/terntray/deadline_test.go
+++ b/cmd/terntray/deadline_test.go
@@ -63,14 +63,14 @@
 		replica.Listener.Close()
 		replica.Listener, replica.Model = l, model
 		slow := strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":2500000`, 1)
-		program, _ := deployedWith(t, slow, allHTTP2, 1024, replica)
+		program, _ := startDeploymentWith(t, slow, allHTTP2, 1024, replica)
 		client := program.connect()
 		sent := time.Now()
 		client.send(query("look", "q1", deadline.Seconds(), 3))
 		time.Sleep(500 * time.Millisecond)
 		accept()
 		go replica.Accept(l)
-		until(t, "the call arrives", func() bool { return replica.HasReceived("q1") })
+		waitFor(t, "the call arrives", func() bool { return replica.HasReceived("q1") })
 		left := deadline - time.Since(sent)
 		told := time.Duration(replica.Received()[0].TimeLeftMS) * time.Millisecond
 		if told > left+slack {
--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -15,7 +15,7 @@
 // Where the form has no place for a reference, a request with one is refused, and nothing of it runs.
 func TestIdempotencyKeyThatCannotBeForwardedIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, strings.Replace(settings, `"side_effect"`, `"token"`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"side_effect"`, `"token"`, 1), replica)
 	client := program.connect()
 	for n, track := range []string{"claim", "look", "claim"} {
 		text := query(track, fmt.Sprint("q", n), 10, 3)
@@ -37,7 +37,7 @@
 // A sound request is served whatever it is cut into: in chunks of a byte it takes far more than its body.
 func TestRequestInVerySmallChunksIsServed(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	body := fmt.Sprintf(`{"segments":[{"segment":3,"boost":1}],"text":%q}`, strings.Repeat("t", 20_000))
 	var chunks strings.Builder
 	for _, b := range []byte(body) {
@@ -55,14 +55,14 @@
 
 // A watch that falls silent is opened anew, and what it missed is kept, within the second that it may take before
 // that counts as told; the same for a SIGHUP that moves discovery while it is silent.
-func TestDrainMissedByASilentWatchIsLearnedInTime(t *testing.T) {
+func TestDrainMissedBySilentWatchIsAppliedInTime(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newAgent(t), newAgent(t)
 		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch waits for 1 s
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
-		program := newProgram(t, env)
-		(<-old.Calls).Respond(listing(5, true, []*fake.Replica{a, b}))
+		program := startListening(t, env)
+		(<-old.Calls).Respond(endpointList(5, true, []*fake.Replica{a, b}))
 		<-old.Calls // the watch, which gets no answer
 		silent := time.Now()
 		a.State = "draining"
@@ -82,8 +82,8 @@
 		if strings.Contains(call.Path, "from") {
 			t.Errorf("moved %t: %s asks for no whole list", moved, call.Path)
 		}
-		call.Respond(listing(7, true, []*fake.Replica{a, b}))
-		until(t, "the list is told", func() bool { return strings.Contains(program.logged(), "rev=7 ") })
+		call.Respond(endpointList(7, true, []*fake.Replica{a, b}))
+		waitFor(t, "the list is told", func() bool { return strings.Contains(program.logText(), "rev=7 ") })
 		client := program.connect()
 		for n := range 6 {
 			client.send(query("look", fmt.Sprint("q", n), 10, n))
@@ -101,8 +101,8 @@
 func TestSilentWatchIsRestartedWhereListsArePolled(t *testing.T) {
 	a, agent := newReplica(t, "s-a", 0, succeed), newAgent(t)
 	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch waits for 1 s
-	newProgram(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
-	(<-agent.Calls).Respond(listing(5, true, []*fake.Replica{a}))
+	startListening(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
+	(<-agent.Calls).Respond(endpointList(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
 		t.Fatalf("%s is no watch that waits for 1 s", call.Path)
 	}
@@ -123,9 +123,9 @@
 
 // Wherever its connection is cut, a non-idempotent subquery runs once at the most, and where it may have run no
 // answer says that trying again is harmless.
-func TestNonIdempotentSubqueryRunsOnceWhereverItsConnectionBreaks(t *testing.T) {
+func TestNonIdempotentSubqueryRunsAtMostOnceIfItsConnectionBreaks(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
-	program, _ := deployed(t, settings, a, b)
+	program, _ := startDeployment(t, settings, a, b)
 	frame := 5 + len("q00.3 3 d=9999 6\nof q00")
 	cuts := []int{0, 1, 4, 5, 12, 20}
 	for n := range 9 {
@@ -160,12 +160,12 @@
 // Told to end while it stands still, with requests on old and new connections behind it: all are answered.
 func TestRequestsDuringShutdownAreAnswered(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	var all []*clientConn
 	for range 6 {
 		all = append(all, program.connect())
 	}
-	program.stalls(100*time.Millisecond, func() {
+	program.whileStopped(100*time.Millisecond, func() {
 		for range 6 {
 			all = append(all, program.connect())
 		}
@@ -180,7 +180,7 @@
 	for n, c := range all {
 		c.expect(map[int]string{n % 6: value(replica, n%6)})
 	}
-	program.ends(t)
+	program.expectExit(t)
 }
 
 // An answer whose rest was lost on its way and comes a little later is as good as any; non-idempotent subqueries
@@ -188,12 +188,12 @@
 func TestReplyInPiecesIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, nil)
 	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
-		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
+		text := frameOf(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
 		io.WriteString(call.Conn, text[:len(text)/2])
 		time.Sleep(220 * time.Millisecond) // as long as machines wait before they send again
 		io.WriteString(call.Conn, text[len(text)/2:])
 	})
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
@@ -202,12 +202,12 @@
 // The same after a rest that is longer than a whole answer may take.
 func TestReplyInPiecesOnAnIdleConnectionIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
 	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
-		text := framed(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
+		text := frameOf(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
 		io.WriteString(call.Conn, text[:len(text)/2])
 		time.Sleep(20 * time.Millisecond)
 		io.WriteString(call.Conn, text[len(text)/2:])
@@ -231,7 +231,7 @@
 			}
 		}()
 	})
-	program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
 	client := program.connect()
 	began := time.Now()
 	client.send(query("claim", "q1", 10, 3))
@@ -246,7 +246,7 @@
 // A class with a second step, which the protocol has not, gets no answer that passes for whole; the others are served.
 func TestClassWithASecondPhaseIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status != 501 || answer.last || replica.HasReceived("q1") {
@@ -259,13 +259,13 @@
 // However many requests wait for an answer, the next is heard and answered at once: it does not lie in the
 // machine's queue until one of those ends, nor behind a client that has its answer and rests. With 36 descriptors
 // there are eight places.
-func TestRequestBehindWaitingOnesIsAnsweredAtOnce(t *testing.T) {
+func TestRequestIsAnsweredAtOnceWhileOthersWait(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
 	for n := range 8 { // all but one may wait
 		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
-	until(t, "they wait", func() bool { return strings.Count(program.logged(), "query_arrived=waits") >= 7 })
+	waitFor(t, "they wait", func() bool { return strings.Count(program.logText(), "query_arrived=waits") >= 7 })
 	for n := range 9 {
 		client := program.connect()
 		began := time.Now()
--- a/cmd/terntray/endpoint_list_test.go
+++ b/cmd/terntray/endpoint_list_test.go
@@ -11,11 +11,11 @@
 	"terntray/internal/fake"
 )
 
-func TestDrainByAWatchEventIsKept(t *testing.T) {
+func TestDrainFromWatchUpdateIsApplied(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
-	program, r := deployed(t, settings, a, b)
+	program, r := startDeployment(t, settings, a, b)
 	r.SetState(a, "draining")
-	until(t, "the change is told", func() bool { return strings.Contains(program.logged(), "rev=6 ") })
+	waitFor(t, "the change is told", func() bool { return strings.Contains(program.logText(), "rev=6 ") })
 	client := program.connect()
 	for n := range 6 {
 		client.send(query("look", fmt.Sprint("q", n), 10, n))
@@ -26,14 +26,14 @@
 	}
 	r.SetState(b, "gone")
 	r.SetState(a, "ready")
-	until(t, "the next change is told", func() bool { return strings.Contains(program.logged(), "rev=8 ") })
+	waitFor(t, "the next change is told", func() bool { return strings.Contains(program.logText(), "rev=8 ") })
 	client.send(query("look", "r", 10, 1))
 	client.expect(map[int]string{1: value(a, 1)})
 }
 
 func TestReplicaIsReachedAtItsNewAddress(t *testing.T) {
 	a, moved := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-a", 0, succeed)
-	program, r := deployed(t, settings, a)
+	program, r := startDeployment(t, settings, a)
 	client := program.connect()
 	client.send(query("look", "q1", 10, 1))
 	client.expect(map[int]string{1: value(a, 1)})
@@ -41,7 +41,7 @@
 	r.Replicas = []*fake.Replica{moved}
 	r.Mu.Unlock()
 	r.SetState(moved, "ready")
-	until(t, "the change is told", func() bool { return strings.Contains(program.logged(), "rev=6 ") })
+	waitFor(t, "the change is told", func() bool { return strings.Contains(program.logText(), "rev=6 ") })
 	client.send(query("look", "q2", 10, 2))
 	client.expect(map[int]string{2: value(moved, 2)})
 	if len(a.Received()) != 1 || len(moved.Received()) != 1 {
@@ -51,18 +51,18 @@
 
 // Discovery that breaks off is asked again, and a list that begins anew at a lower revision is taken, whether
 // changes come unasked or to those who ask.
-func TestDiscoveryIsFollowedAcrossItsRestart(t *testing.T) {
+func TestDiscoveryRestartIsFollowed(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
-		program, r := deployed(t, strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1), a)
+		program, r := startDeployment(t, strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1), a)
 		at := r.Listener.Addr().String()
 		r.Server.Close()
-		until(t, "the failure is noticed", func() bool { return program.counters()["list_failures"] > 0 })
+		waitFor(t, "the failure is noticed", func() bool { return program.counters()["list_failures"] > 0 })
 		again := newDiscovery(t, at, b)
 		again.Mu.Lock()
 		again.Revision = 2
 		again.Mu.Unlock()
-		until(t, "a watch stands again", func() bool { return again.Watches() > 0 })
+		waitFor(t, "a watch stands again", func() bool { return again.Watches() > 0 })
 		client := program.connect()
 		client.send(query("look", "q1", 10, 3))
 		client.expect(map[int]string{3: value(b, 3)})
@@ -71,7 +71,7 @@
 
 // SIGHUP moves the list to the address that the file then names, whatever the environment said at the start. A file
 // that cannot be used changes nothing and is read again; nobody's connection is touched.
-func TestReloadFollowsTheListAtItsNewAddress(t *testing.T) {
+func TestReloadSwitchesToTheNewDiscoveryAddress(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newDiscovery(t, "127.0.0.1:0", a), newDiscovery(t, "127.0.0.1:0", b)
@@ -79,7 +79,7 @@
 		set := strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1)
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a)
 		program := start(t, append(env, "ROUTER_DISCOVERY="+old.Listener.Addr().String()))
-		until(t, "a watch stands", func() bool { return old.Watches() > 0 })
+		waitFor(t, "a watch stands", func() bool { return old.Watches() > 0 })
 		client := program.connect()
 		client.send(query("look", "q1", 10, 3))
 		client.expect(map[int]string{3: value(a, 3)})
@@ -87,16 +87,16 @@
 		sound, _ := os.ReadFile(file)
 		os.WriteFile(file, sound[:len(sound)/2], 0o600)
 		program.cmd.Process.Signal(syscall.SIGHUP)
-		until(t, "the file is found bad", func() bool { return strings.Contains(program.logged(), "event=reload_failed") })
+		waitFor(t, "the file is found bad", func() bool { return strings.Contains(program.logText(), "event=reload_failed") })
 		client.send(query("look", "q2", 10, 3))
 		client.expect(map[int]string{3: value(a, 3)})
 		moved := strings.Replace(string(sound), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)
 		os.WriteFile(file, []byte(moved), 0o600)
-		until(t, "the watch has moved", func() bool { return next.Watches() > 0 })
+		waitFor(t, "the watch has moved", func() bool { return next.Watches() > 0 })
 		old.Server.Close()
 		for n := range 3 { // with the same address no watch begins anew
 			program.cmd.Process.Signal(syscall.SIGHUP)
-			until(t, "it is read again", func() bool { return program.counters()["reloads"] == n+2 })
+			waitFor(t, "it is read again", func() bool { return program.counters()["reloads"] == n+2 })
 		}
 		client.send(query("look", "q3", 10, 3))
 		client.expect(map[int]string{3: value(b, 3)})
--- a/cmd/terntray/harness_test.go
+++ b/cmd/terntray/harness_test.go
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -45,7 +45,7 @@
 }
 
 // The scripted peers, ended with their test.
-var succeed, silent, reset, listing = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
+var succeed, silent, reset, endpointList = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
 
 func newReplica(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
 	s, err := fake.NewReplica(uid, cell, act)
@@ -94,7 +94,7 @@
 	return program.log.Write(b)
 }
 
-func (program *process) logged() string {
+func (program *process) logText() string {
 	program.Mu.Lock()
 	defer program.Mu.Unlock()
 	return program.log.String()
@@ -112,7 +112,7 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		discovery, sockets, listing(1, true, known), settings)
+		discovery, sockets, endpointList(1, true, known), settings)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -121,13 +121,13 @@
 
 // start starts the program and waits until it serves.
 func start(t *testing.T, env []string, args ...string) *process {
-	program := newProgram(t, env, args...)
-	until(t, "GET /up", func() bool { return program.get("/up") == "200 up" })
+	program := startListening(t, env, args...)
+	waitFor(t, "GET /up", func() bool { return program.get("/up") == "200 up" })
 	return program
 }
 
-// newProgram starts it and waits until it can be connected to.
-func newProgram(t *testing.T, env []string, args ...string) *process {
+// startListening starts it and waits until it can be connected to.
+func startListening(t *testing.T, env []string, args ...string) *process {
 	p := &process{t: t, cmd: command(env, append([]string{"serve", "-trace"}, args...)...), done: make(chan struct{})}
 	p.cmd.Stderr = p
 	if err := p.cmd.Start(); err != nil {
@@ -140,23 +140,23 @@
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		<-p.done
-		if log := p.logged(); t.Failed() || strings.Contains(log, "DATA RACE") || strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=violation") {
+		if log := p.logText(); t.Failed() || strings.Contains(log, "DATA RACE") || strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=violation") {
 			t.Errorf("the program's log:\n%s", log)
 		}
 	})
-	until(t, "the program serves", func() bool {
-		_, after, ok := strings.Cut(p.logged(), "listen=")
+	waitFor(t, "the program serves", func() bool {
+		_, after, ok := strings.Cut(p.logText(), "listen=")
 		p.addr, _, _ = strings.Cut(after, " ")
 		return ok && p.addr != ""
 	})
 	return p
 }
 
-// deployed starts the program among replicas and discovery.
-func deployed(t *testing.T, settings string, replicas ...*fake.Replica) (*process, *fake.Discovery) {
+// startDeployment starts the program among replicas and discovery.
+func startDeployment(t *testing.T, settings string, replicas ...*fake.Replica) (*process, *fake.Discovery) {
 	discovery := newDiscovery(t, "127.0.0.1:0", replicas...)
 	program := start(t, configure(t, discovery.Listener.Addr().String(), 1024, settings, replicas...))
-	until(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
+	waitFor(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
 	return program, discovery
 }
 
@@ -218,8 +218,8 @@
 
 func (client *clientConn) send(text string) { io.WriteString(client.Conn, text) }
 
-// answer is a response; matches holds the values by shard.
-type answer struct {
+// response is a response; matches holds the values by shard.
+type response struct {
 	status  int
 	last    bool
 	body    string
@@ -230,7 +230,7 @@
 	}
 }
 
-func (a *answer) values() map[int]string {
+func (a *response) values() map[int]string {
 	all := map[int]string{}
 	for _, m := range a.Matches {
 		all[m.Segment] = m.Payload
@@ -238,15 +238,15 @@
 	return all
 }
 
-func (client *clientConn) receive() *answer {
+func (client *clientConn) receive() *response {
 	client.t.Helper()
 	r, err := http.ReadResponse(client.in, nil)
 	if err != nil {
 		client.t.Errorf("no answer: %v", err)
-		return &answer{}
+		return &response{}
 	}
 	body, err := io.ReadAll(r.Body)
-	a := &answer{status: r.StatusCode, last: r.Close, body: string(body)}
+	a := &response{status: r.StatusCode, last: r.Close, body: string(body)}
 	if err != nil || r.Header.Get("Content-Type") == "application/json" && json.Unmarshal(body, a) != nil {
 		client.t.Errorf("an answer of %q: %v", body, err)
 	}
--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -28,22 +28,22 @@
 	return replica
 }
 
-// deployedWith starts the program with a configuration file.
-func deployedWith(t *testing.T, settings, file string, sockets int, replicas ...*fake.Replica) (*process, *fake.Discovery) {
+// startDeploymentWith starts the program with a configuration file.
+func startDeploymentWith(t *testing.T, settings, file string, sockets int, replicas ...*fake.Replica) (*process, *fake.Discovery) {
 	discovery := newDiscovery(t, "127.0.0.1:0", replicas...)
 	name := filepath.Join(t.TempDir(), "installation.json")
 	if err := os.WriteFile(name, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	program := start(t, configure(t, discovery.Listener.Addr().String(), sockets, settings, replicas...), "-installation", name)
-	until(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
+	waitFor(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
 	return program, discovery
 }
 
-// wide lets a query have many subqueries out.
-var wide = strings.Replace(strings.Replace(settings, `"ranges":24`, `"ranges":100`, 1), `"maxOpen":40`, `"maxOpen":4000`, 1)
+// manySubqueries lets a query have many subqueries out.
+var manySubqueries = strings.Replace(strings.Replace(settings, `"ranges":24`, `"ranges":100`, 1), `"maxOpen":40`, `"maxOpen":4000`, 1)
 
-func shards(n int) (all []int) {
+func firstShards(n int) (all []int) {
 	for replica := range n {
 		all = append(all, replica)
 	}
@@ -52,17 +52,17 @@
 
 // A replica that ends abruptly, with no notice or between GOAWAY and the end, may have run what was out:
 // non-idempotent subqueries do not go again, idempotent ones do.
-func TestReplicaThatEndsAbruptly(t *testing.T) {
+func TestReplicaDisconnectsAbruptly(t *testing.T) {
 	for name, ends := range map[string]func(*fake.Replica){
 		"no notice": func(replica *fake.Replica) { replica.CloseConnections(true) },
 		"goaway":    func(replica *fake.Replica) { replica.GoAway(true, true) },
 	} {
 		replica := newHTTP2Replica(t, "s-a", 0, silent)
-		program, _ := deployedWith(t, settings, allHTTP2, 1024, replica)
+		program, _ := startDeploymentWith(t, settings, allHTTP2, 1024, replica)
 		claim, look := program.connect(), program.connect()
 		claim.send(query("claim", "q1", 5, 3))
 		look.send(query("look", "q2", 5, 4))
-		until(t, "both are out", func() bool { return replica.HasReceived("q1") && replica.HasReceived("q2") })
+		waitFor(t, "both are out", func() bool { return replica.HasReceived("q1") && replica.HasReceived("q2") })
 		replica.SetBehavior(succeed)
 		ends(replica)
 		look.expect(map[int]string{4: value(replica, 4)})
@@ -91,7 +91,7 @@
 		}
 		succeed(replica, call)
 	})
-	program, _ := deployedWith(t, settings, allHTTP2, 1024, replica)
+	program, _ := startDeploymentWith(t, settings, allHTTP2, 1024, replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 5, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
@@ -99,7 +99,7 @@
 	replica.QueueTime = func() time.Duration { return time.Hour }
 	replica.Mu.Unlock()
 	client.send(query("claim", "q2", 5, 5))
-	until(t, "it waits in the replica", func() bool { return replica.MaxStreams() > 0 && program.counters()["legs"] == 3 })
+	waitFor(t, "it waits in the replica", func() bool { return replica.MaxStreams() > 0 && program.counters()["legs"] == 3 })
 	time.Sleep(20 * time.Millisecond)
 	replica.Mu.Lock()
 	replica.QueueTime = nil
@@ -111,8 +111,8 @@
 	}
 }
 
-// hinted makes a request whose subqueries are said to be little work.
-func hinted(id string, shards []int) string {
+// cheapQuery makes a request whose subqueries are said to be little work.
+func cheapQuery(id string, shards []int) string {
 	var segments []string
 	for _, replica := range shards {
 		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%.6f,"work":1000}`, replica, 1/float64(len(shards))))
@@ -123,18 +123,18 @@
 
 // A limit lowered from 100 to 3 and to 0 under as many subqueries out as the module sends, then raised: none is
 // refused, none lost, and no more than the limit were begun after it.
-func TestStreamLimitLoweredInMidBurst(t *testing.T) {
+func TestStreamLimitLoweredDuringBurst(t *testing.T) {
 	replica := newHTTP2Replica(t, "s-a", 0, succeed)
 	replica.SetStreamLimit(100)
-	program, _ := deployedWith(t, wide, allHTTP2, 1024, replica)
+	program, _ := startDeploymentWith(t, manySubqueries, allHTTP2, 1024, replica)
 	client := program.connect()
 	for n := range 40 { // the cap grows with each reply
-		client.send(hinted(fmt.Sprint("w", n), []int{n}))
+		client.send(cheapQuery(fmt.Sprint("w", n), []int{n}))
 		client.receive()
 	}
 	replica.SetBehavior(silent)
-	client.send(hinted("q1", shards(60)))
-	until(t, "many are out", func() bool { return len(replica.Received()) >= 40+25 })
+	client.send(cheapQuery("q1", firstShards(60)))
+	waitFor(t, "many are out", func() bool { return len(replica.Received()) >= 40+25 })
 	replica.SetStreamLimit(3)
 	replica.SetBehavior(fake.After(time.Millisecond, succeed))
 	for _, part := range replica.Received()[40:] {
@@ -153,15 +153,15 @@
 }
 
 // Subqueries that wait for the replica's limit when discovery tells of its drain never leave.
-func TestDrainWhileSubqueriesWaitForAStream(t *testing.T) {
+func TestDrainWithdrawsSubqueriesWaitingForAStream(t *testing.T) {
 	replica := newHTTP2Replica(t, "s-a", 0, silent)
 	replica.SetStreamLimit(2)
-	program, r := deployedWith(t, wide, allHTTP2, 1024, replica)
+	program, r := startDeploymentWith(t, manySubqueries, allHTTP2, 1024, replica)
 	client := program.connect()
-	client.send(query("look", "q1", 2, shards(8)...))
-	until(t, "two are out", func() bool { return len(replica.Received()) == 2 })
+	client.send(query("look", "q1", 2, firstShards(8)...))
+	waitFor(t, "two are out", func() bool { return len(replica.Received()) == 2 })
 	r.SetState(replica, "draining")
-	until(t, "the drain is told", func() bool { return program.counters()["legs_turned_away"] > 0 })
+	waitFor(t, "the drain is told", func() bool { return program.counters()["legs_turned_away"] > 0 })
 	for _, part := range replica.Received() {
 		succeed(replica, part)
 	}
@@ -175,7 +175,7 @@
 // however little.
 func TestLargeBodiesDoNotStarveSmallSubqueries(t *testing.T) {
 	replica := newHTTP2Replica(t, "s-a", 0, succeed)
-	program, _ := deployedWith(t, wide, allHTTP2, 1024, replica)
+	program, _ := startDeploymentWith(t, manySubqueries, allHTTP2, 1024, replica)
 	large, small := program.connect(), program.connect()
 	large.send(query("look", "q0", 20, 0))
 	large.expect(map[int]string{0: value(replica, 0)})
@@ -183,7 +183,7 @@
 	text := strings.Repeat("x", 60<<10)
 	body := fmt.Sprintf(`{"segments":[{"segment":1,"boost":0.5},{"segment":2,"boost":0.5}],"text":%q}`, text)
 	large.send(fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	until(t, "the large ones are begun", func() bool { return replica.MaxStreams() >= 2 || len(replica.Received()) >= 2 })
+	waitFor(t, "the large ones are begun", func() bool { return replica.MaxStreams() >= 2 || len(replica.Received()) >= 2 })
 	began := time.Now()
 	small.send(query("look", "q2", 20, 5))
 	time.Sleep(50 * time.Millisecond)
@@ -201,13 +201,13 @@
 
 // A silent connection is found by a ping within the connect time-out, and its idempotent attempt goes on another; a
 // replica that is slow answers the ping and keeps its attempt.
-func TestPingTellsAVanishedMachineFromASlowReplica(t *testing.T) {
+func TestPingDistinguishesSilentConnectionFromSlowReplica(t *testing.T) {
 	replica := newHTTP2Replica(t, "s-a", 0, silent)
 	quick := strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":200000`, 1)
-	program, _ := deployedWith(t, quick, allHTTP2, 1024, replica)
+	program, _ := startDeploymentWith(t, quick, allHTTP2, 1024, replica)
 	client := program.connect()
 	client.send(query("look", "q1", 20, 3))
-	until(t, "it is out", func() bool { return replica.HasReceived("q1") })
+	waitFor(t, "it is out", func() bool { return replica.HasReceived("q1") })
 	time.Sleep(300 * time.Millisecond)
 	if counters := program.counters(); counters["silent"]+counters["dropped"] > 0 {
 		t.Errorf("a slow replica passes for a silent connection: %v", counters)
@@ -224,7 +224,7 @@
 // A replica comes back with the other protocol at the same address.
 func TestReplicaRestartsWithAnotherProtocol(t *testing.T) {
 	replica := newHTTP2Replica(t, "s-a", 0, succeed)
-	program, r := deployedWith(t, settings, allHTTP2, 1024, replica)
+	program, r := startDeploymentWith(t, settings, allHTTP2, 1024, replica)
 	client := program.connect()
 	for n, model := range []string{"h2", "frames", "h2"} {
 		r.Mu.Lock()
@@ -232,7 +232,7 @@
 		r.Mu.Unlock()
 		replica.CloseConnections(true)
 		r.SetState(replica, "ready")
-		until(t, "the list is followed", func() bool { return strings.Count(program.logged(), "event=endpoint_list ") > n })
+		waitFor(t, "the list is followed", func() bool { return strings.Count(program.logText(), "event=endpoint_list ") > n })
 		time.Sleep(20 * time.Millisecond)
 		client.send(query("claim", fmt.Sprint("q", n), 10, 3))
 		client.expect(map[int]string{3: value(replica, 3)})
@@ -249,11 +249,11 @@
 			replica.Model = model
 			all = append(all, replica)
 		}
-		program, _ := deployedWith(t, strings.Replace(wide, `"cells":1`, `"cells":8`, 1), allHTTP2, 256, all...)
+		program, _ := startDeploymentWith(t, strings.Replace(manySubqueries, `"cells":1`, `"cells":8`, 1), allHTTP2, 256, all...)
 		var clients []*clientConn
 		for n := range 12 {
 			client := program.connect()
-			client.send(query("look", fmt.Sprint("q", n), 20, shards(60)...))
+			client.send(query("look", fmt.Sprint("q", n), 20, firstShards(60)...))
 			clients = append(clients, client)
 		}
 		for _, c := range clients {
@@ -267,13 +267,13 @@
 	}
 }
 
-// handedOver is a listener of connections whose TLS handshake is done. Its test closes ended.
-type handedOver struct {
+// connListener is a listener of connections whose TLS handshake is done. Its test closes ended.
+type connListener struct {
 	conns chan net.Conn
 	ended chan struct{}
 }
 
-func (h handedOver) Accept() (net.Conn, error) {
+func (h connListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -282,12 +282,12 @@
 	}
 }
 
-func (h handedOver) Close() error   { return nil }
-func (h handedOver) Addr() net.Addr { return &net.TCPAddr{} }
+func (h connListener) Close() error   { return nil }
+func (h connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // The library's own server, written by others, serves subqueries by the mapping, over TLS that asks for a
 // certificate; a replica that does not take h2 is told of; a bad new file leaves the old in force.
-func TestTLSWithTheLibrarysServer(t *testing.T) {
+func TestTLSWithStandardLibraryServer(t *testing.T) {
 	folder := t.TempDir()
 	if err := config.MakeCertificates(folder, []string{"127.0.0.1"}, time.Hour); err != nil {
 		t.Fatal(err)
@@ -308,7 +308,7 @@
 	offered := atomic.Pointer[[]string]{}
 	offered.Store(&[]string{"h2"})
 	box := &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert}
-	served := handedOver{make(chan net.Conn), make(chan struct{})}
+	served := connListener{make(chan net.Conn), make(chan struct{})}
 	library := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		w.Header().Set("part-end", "ok")
@@ -342,7 +342,7 @@
 	replica := newReplica(t, "s-a", 0, silent)
 	replica.Listener.Close()
 	replica.Listener, replica.Model = listener, "h2"
-	program, _ := deployedWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
+	program, _ := startDeploymentWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
 "tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`, in("ca.pem"), in("client.pem"), in("client.key")), 1024, replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
@@ -353,18 +353,18 @@
 	good, _ := os.ReadFile(in("client.pem"))
 	os.WriteFile(in("client.pem"), []byte("half a fi"), 0o600)
 	program.cmd.Process.Signal(syscall.SIGHUP)
-	until(t, "the bad file is told of", func() bool { return strings.Contains(program.logged(), "event=tls_reload_failed") })
+	waitFor(t, "the bad file is told of", func() bool { return strings.Contains(program.logText(), "event=tls_reload_failed") })
 	client.send(query("claim", "q2", 10, 4))
 	client.expect(map[int]string{4: "/part 4 of q2"})
 	os.WriteFile(in("client.pem"), good, 0o600)
 	program.cmd.Process.Signal(syscall.SIGHUP)
-	until(t, "the good file is taken", func() bool { return strings.Contains(program.logged(), `event=tls_reloaded entries=["boxes"]`) })
+	waitFor(t, "the good file is taken", func() bool { return strings.Contains(program.logText(), `event=tls_reloaded entries=["boxes"]`) })
 	offered.Store(&[]string{})
-	p2, _ := deployedWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
+	p2, _ := startDeploymentWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
 "tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`, in("ca.pem"), in("client.pem"), in("client.key")), 1024, replica)
 	client = p2.connect()
 	client.send(query("claim", "q3", 1, 3))
-	if client.receive(); !strings.Contains(p2.logged(), "by ALPN, not h2") || p2.counters()["tls_failed"] == 0 {
+	if client.receive(); !strings.Contains(p2.logText(), "by ALPN, not h2") || p2.counters()["tls_failed"] == 0 {
 		t.Errorf("a replica that does not take h2: %v", p2.counters())
 	}
 }
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -19,7 +19,7 @@
 
 func TestQuerySucceedsWithTheReplicasValues(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(query("look", "q1", 10, 3, 9))
 	client.expect(map[int]string{3: value(replica, 3), 9: value(replica, 9)})
@@ -37,7 +37,7 @@
 // A log that nobody reads holds up nothing.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	stuck := make(chan struct{})
-	l := newAsyncWriter(writer(func(b []byte) { <-stuck }))
+	l := newAsyncWriter(writerFunc(func(b []byte) { <-stuck }))
 	for range 2 * maxPendingLines {
 		l.Write([]byte("line\n"))
 	}
@@ -48,11 +48,11 @@
 	l.Close()
 }
 
-type writer func([]byte)
+type writerFunc func([]byte)
 
-func (w writer) Write(b []byte) (int, error) { w(b); return len(b), nil }
+func (w writerFunc) Write(b []byte) (int, error) { w(b); return len(b), nil }
 
-func (program *process) ends(t *testing.T) {
+func (program *process) expectExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-program.done:
@@ -66,22 +66,22 @@
 
 func TestShutdownAnswersOpenAndLateQueries(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	c, idle := program.connect(), program.connect()
 	idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
 	if answer := idle.receive(); answer.last {
 		t.Error("the connection was ended with its first answer")
 	}
 	c.send(query("look", "q1", 30, 3))
-	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	program.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := idle.in.ReadByte(); err == nil {
 		t.Error("an idle connection stays open")
 	}
 	other := program.connect()
 	other.send(query("look", "q2", 30, 4))
-	until(t, "its subquery arrives", func() bool { return replica.HasReceived("q2") })
-	until(t, "no further connection is taken", func() bool {
+	waitFor(t, "its subquery arrives", func() bool { return replica.HasReceived("q2") })
+	waitFor(t, "no further connection is taken", func() bool {
 		conn, err := net.Dial("tcp", program.addr)
 		if err == nil {
 			conn.Close()
@@ -96,8 +96,8 @@
 			t.Errorf("answered %d, last %t", answer.status, answer.last)
 		}
 	}
-	program.ends(t)
-	if log := program.logged(); !strings.Contains(log, "event=ended taken=2 fulfilled=2") {
+	program.expectExit(t)
+	if log := program.logText(); !strings.Contains(log, "event=ended taken=2 fulfilled=2") {
 		t.Error("no counters at the end")
 	}
 }
@@ -107,7 +107,7 @@
 func TestResponseReadSlowlyAcrossTheShutdownArrivesComplete(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { replica.Reply(call, "OK", strings.Repeat("v", 60_000)) })
-		program, _ := deployed(t, settings, replica)
+		program, _ := startDeployment(t, settings, replica)
 		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.ShrinkBuffers(raw) }}
 		conn, err := narrow.Dial("tcp", program.addr)
 		if err != nil {
@@ -121,11 +121,11 @@
 			shards[n] = n
 		}
 		c.send(query("look", "q", 10, shards...))
-		until(t, "the answer is made", func() bool { return program.counters()["fulfilled"] == 1 })
+		waitFor(t, "the answer is made", func() bool { return program.counters()["fulfilled"] == 1 })
 		program.cmd.Process.Signal(syscall.SIGTERM)
-		until(t, "it is told to end", func() bool { return strings.Contains(program.logged(), "event=shutting_down") })
+		waitFor(t, "it is told to end", func() bool { return strings.Contains(program.logText(), "event=shutting_down") })
 		if !reads {
-			program.ends(t)
+			program.expectExit(t)
 			continue
 		}
 		for range 5 { // a first bit of it, then the rest after the listener's end
@@ -135,14 +135,14 @@
 		if answer := c.receive(); answer.status != 200 || len(answer.values()) != len(shards) {
 			t.Errorf("answered %d with %d values", answer.status, len(answer.values()))
 		}
-		program.ends(t)
+		program.expectExit(t)
 	}
 }
 
 // Bytes that come behind a last request must not have its answer cut off by a reset.
-func TestLastResponseArrivesCompleteWhateverIsSentBehind(t *testing.T) {
+func TestLastResponseArrivesCompleteDespiteTrailingBytes(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	for range 20 {
 		client := program.connect()
 		client.send(strings.Replace(query("look", "q1", 10, 3), "Host: b", "Host: b\r\nConnection: close", 1) + strings.Repeat("x", 9000))
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestStartErrorsNameTheirCause(t *testing.T) {
+func TestStartupErrorsNameTheirCause(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/terntray/migration_test.go
+++ b/cmd/terntray/migration_test.go
@@ -20,12 +20,12 @@
 			t.Fatalf("%s: answered %q", id, got)
 		}
 	}
-	old, _ := deployed(t, settings, a, b)
+	old, _ := startDeployment(t, settings, a, b)
 	ask(old, "old")
 	if line := old.get("/counters"); strings.Contains(line, "watched=") || strings.Contains(line, "stranger") {
 		t.Errorf("step 1, the new build with the old files counts %s", line)
 	}
-	watching, _ := deployedWith(t, settings, `{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
+	watching, _ := startDeploymentWith(t, settings, `{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
 	ask(watching, "watching")
 	if n := watching.counters(); n["watched"] != 1 || n["watched_legs"] < 1 || n["would_time_out_otherwise"] < 1 {
 		t.Errorf("step 2 counts %v", n)
@@ -35,10 +35,10 @@
 	file := func(listen, other string) string {
 		return fmt.Sprintf(`{"peers":{"listen":%q,"others":[%q]}}`, listen, other)
 	}
-	first, _ := deployedWith(t, told, file(one, two), 1024, a, b)
-	second, _ := deployedWith(t, told, file(two, one), 1024, a, b)
+	first, _ := startDeploymentWith(t, told, file(one, two), 1024, a, b)
+	second, _ := startDeploymentWith(t, told, file(two, one), 1024, a, b)
 	ask(first, "told")
-	until(t, "step 4, the other hears of the attempt and of its end", func() bool { return second.counters()["peer_messages"] >= 2 })
+	waitFor(t, "step 4, the other hears of the attempt and of its end", func() bool { return second.counters()["peer_messages"] >= 2 })
 	stranger, err := net.Dial("udp4", two)
 	if err != nil {
 		t.Fatal(err)
@@ -47,19 +47,19 @@
 	if _, err := stranger.Write([]byte("who am I")); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a stranger's message is counted", func() bool { return second.counters()["stranger_peer_messages"] == 1 })
+	waitFor(t, "a stranger's message is counted", func() bool { return second.counters()["stranger_peer_messages"] == 1 })
 	if n := second.counters(); n["bad_peer_messages"] != 0 {
 		t.Errorf("step 4 counts %v", n)
 	}
 	// half of the way back: the setting without its file starts, sends none and says so, in a line that names it
-	half, _ := deployedWith(t, told, `{}`, 1024, a, b)
+	half, _ := startDeploymentWith(t, told, `{}`, 1024, a, b)
 	ask(half, "half")
-	if !strings.Contains(half.logged(), `event=unsupported_setting setting=bounds.peers value="true" effective="false"`) {
-		t.Errorf("without others it says %s", half.logged())
+	if !strings.Contains(half.logText(), `event=unsupported_setting setting=bounds.peers value="true" effective="false"`) {
+		t.Errorf("without others it says %s", half.logText())
 	}
 	if line := half.get("/counters"); strings.Contains(line, "stranger") { // it has no socket for messages
 		t.Errorf("without others it counts %s", line)
 	}
-	back, _ := deployedWith(t, settings, `{}`, 1024, a, b)
+	back, _ := startDeploymentWith(t, settings, `{}`, 1024, a, b)
 	ask(back, "back")
 }
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -17,7 +17,7 @@
 // goes to another replica, a non-idempotent one nowhere.
 func TestConnectionResetIsRetriedForIdempotentQueries(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, reset), newReplica(t, "s-b", 0, reset)
-	program, _ := deployed(t, settings, a, b)
+	program, _ := startDeployment(t, settings, a, b)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status < 500 || answer.status == 503 {
@@ -31,10 +31,10 @@
 	}
 }
 
-func TestUnreachableReplicaNeverRanANonIdempotentSubquery(t *testing.T) {
+func TestNonIdempotentSubqueryIsRetriedIfItsReplicaIsUnreachable(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 	b.Listener.Close()
-	program, _ := deployed(t, settings, a, b)
+	program, _ := startDeployment(t, settings, a, b)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 0, 1, 2, 3))
 	client.expect(map[int]string{0: value(a, 0), 1: value(a, 1), 2: value(a, 2), 3: value(a, 3)})
@@ -46,13 +46,13 @@
 // A replica that takes subqueries and says nothing costs its own subqueries time, and no other's.
 func TestSilentReplicaDelaysNoOtherQuery(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, silent), newReplica(t, "s-b", 0, succeed)
-	program, _ := deployed(t, settings, a, b)
+	program, _ := startDeployment(t, settings, a, b)
 	for n := range 8 {
 		client := program.connect()
 		client.send(query("look", fmt.Sprint("q", n), 20, n, n+8))
 		client.expect(map[int]string{n: value(b, n), n + 8: value(b, n+8)})
 	}
-	until(t, "the replica is told that subqueries are given up", func() bool {
+	waitFor(t, "the replica is told that subqueries are given up", func() bool {
 		a.Mu.Lock()
 		defer a.Mu.Unlock()
 		return len(a.Abandoned) > 0
@@ -61,15 +61,15 @@
 
 // Replies that cannot be used end their connection and reach no client; what they answer may have run. The replica
 // is no worse for it: a non-idempotent subquery that comes next goes there at once.
-func TestMalformedRepliesCloseTheirConnectionAlone(t *testing.T) {
+func TestMalformedRepliesCloseOnlyTheirConnection(t *testing.T) {
 	for name, frame := range map[string]string{
-		"a refusal":          framed("Nwhat is this"),
-		"an unknown end":     framed("Yq1.3 FINE 0 -\nx"),
-		"no end":             framed("Yq1.3  0 -\nx"),
-		"an unknown letter":  framed("Q"),
-		"an unknown id":      framed("Yq9.3 OK 0 -\nx"),
-		"no line":            framed("Y"),
-		"no number":          framed("Yq1.3 OK nan -\nx"),
+		"a refusal":          frameOf("Nwhat is this"),
+		"an unknown end":     frameOf("Yq1.3 FINE 0 -\nx"),
+		"no end":             frameOf("Yq1.3  0 -\nx"),
+		"an unknown letter":  frameOf("Q"),
+		"an unknown id":      frameOf("Yq9.3 OK 0 -\nx"),
+		"no line":            frameOf("Y"),
+		"no number":          frameOf("Yq1.3 OK nan -\nx"),
 		"too short":          "\x00\x00\x00\x03Yq1.3 OK 0 -\nx",
 		"no length":          "\x00\x00\x00\x00Yq1.3 OK 0 -\nx",
 		"too long":           "\x00\x00\x00\x20Yq1.3 OK 0 -\nx",
@@ -78,7 +78,7 @@
 		"noise":              "tL\xdc\x7f\xe8\r\n",
 	} {
 		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { io.WriteString(call.Conn, frame) })
-		program, _ := deployed(t, settings, replica)
+		program, _ := startDeployment(t, settings, replica)
 		client := program.connect()
 		client.send(query("claim", "q1", 10, 3))
 		if answer := client.receive(); answer.status != 500 {
@@ -88,7 +88,7 @@
 			t.Errorf("%s: counters %v", name, counters)
 		}
 		if name == "a refusal" { // the log is written behind the answer
-			until(t, "the replica's words are in the log", func() bool { return strings.Contains(program.logged(), "what is this") })
+			waitFor(t, "the replica's words are in the log", func() bool { return strings.Contains(program.logText(), "what is this") })
 		}
 		replica.SetBehavior(succeed)
 		client.send(query("claim", "q2", 10, 3))
@@ -96,12 +96,12 @@
 	}
 }
 
-func framed(rest string) string {
+func frameOf(rest string) string {
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(rest)))) + rest
 }
 
 // What comes right behind a sound answer is no answer to anything, and ends nothing that is sent later.
-func TestBytesBehindAReplyAreDropped(t *testing.T) {
+func TestBytesAfterAReplyAreDropped(t *testing.T) {
 	for name, behind := range map[string]string{"a copy": "", "noise": "tL\xdc\x7f\xe8\r\n"} {
 		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 			succeed(replica, call)
@@ -109,7 +109,7 @@
 				succeed(replica, call)
 			}
 		})
-		program, _ := deployed(t, settings, replica)
+		program, _ := startDeployment(t, settings, replica)
 		client := program.connect()
 		for n := range 20 {
 			client.send(query("claim", fmt.Sprint("q", n), 10, 3))
@@ -125,12 +125,12 @@
 // Subqueries that may not run twice share no connection, so that a reply to another cannot cost them their answer.
 func TestNonIdempotentSubqueriesAreNotHedged(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	c, other := program.connect(), program.connect()
 	c.send(query("claim", "q1", 10, 3, 4))
-	until(t, "they are sent", func() bool { return len(replica.Received()) == 2 })
+	waitFor(t, "they are sent", func() bool { return len(replica.Received()) == 2 })
 	other.send(query("look", "q2", 10, 5, 6))
-	until(t, "the others are sent", func() bool { return len(replica.Received()) == 4 })
+	waitFor(t, "the others are sent", func() bool { return len(replica.Received()) == 4 })
 	on := map[net.Conn][]string{}
 	for _, part := range replica.Received() {
 		on[part.Conn] = append(on[part.Conn], part.ID)
@@ -149,12 +149,12 @@
 }
 
 // No subquery waits behind a connection that has all that it carries; no more are opened than that takes.
-func TestConnectionsCarryAsManyAttemptsAsSet(t *testing.T) {
+func TestConnectionsCarryTheConfiguredNumberOfAttempts(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(query("look", "q1", 30, 0, 1, 2, 3, 4, 5, 6))
-	until(t, "all subqueries arrive", func() bool { return len(replica.Received()) == 7 })
+	waitFor(t, "all subqueries arrive", func() bool { return len(replica.Received()) == 7 })
 	on := map[net.Conn]int{}
 	for _, part := range replica.Received() {
 		on[part.Conn]++
@@ -175,11 +175,11 @@
 
 func TestIdleConnectionsAreNotUsedOnceTheyMayBeClosed(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, strings.Replace(settings, `"idleClose":30000000`, `"idleClose":200000`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"idleClose":30000000`, `"idleClose":200000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
-	until(t, "the connection is given back", func() bool {
+	waitFor(t, "the connection is given back", func() bool {
 		one := make([]byte, 1)
 		replica.Mu.Lock()
 		conn := replica.Conns[0]
@@ -197,10 +197,10 @@
 // What was written to a process that has since started anew is not waited for.
 func TestRestartedReplicaIsReachedByNewConnections(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, r := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
+	program, r := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 20, 3))
-	until(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
+	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	replica.SetBehavior(succeed)
 	r.Mu.Lock()
 	replica.BootMS = time.Now().Add(time.Second).UnixMilli()
@@ -216,7 +216,7 @@
 // next one opens a connection of its own, and the old one is closed.
 func TestSilentConnectionIsNotUsedAgain(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := deployed(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
+	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 0.2, 3))
 	if answer := client.receive(); answer.status != 500 {
@@ -229,14 +229,14 @@
 	if len(calls) != 2 || calls[0].Conn == calls[1].Conn {
 		t.Errorf("%d subqueries came, the second on the silent connection", len(calls))
 	}
-	until(t, "the silent connection is closed", func() bool {
+	waitFor(t, "the silent connection is closed", func() bool {
 		_, err := calls[0].Conn.Write(nil)
 		return err != nil
 	})
 }
 
 // A connection that drops under a replica that lives costs its subqueries some time, not their query.
-func TestBrokenConnectionOfALivingReplicaFailsNoIdempotentQuery(t *testing.T) {
+func TestConnectionLossFailsNoIdempotentQuery(t *testing.T) {
 	var drops atomic.Int32
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		if drops.Add(1) == 1 {
@@ -246,7 +246,7 @@
 		}
 		succeed(replica, call)
 	})
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(query("look", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
--- a/cmd/terntray/twophase_test.go
+++ b/cmd/terntray/twophase_test.go
@@ -31,10 +31,10 @@
 	return newReplica(t, "s-a", 0, act), newReplica(t, "s-b", 0, act)
 }
 
-func honest(*fake.Replica, fake.Call, bool) fake.SummaryFault { return fake.NoFault }
+func noFault(*fake.Replica, fake.Call, bool) fake.SummaryFault { return fake.NoFault }
 
-// whole checks that an answer is the one that all blocks would have given.
-func (client *clientConn) whole(data *fake.Shards, best int, shards ...int) {
+// expectBest checks that an answer is the one that all blocks would have given.
+func (client *clientConn) expectBest(data *fake.Shards, best int, shards ...int) {
 	client.t.Helper()
 	a := client.receive()
 	if want := data.ExpectedResponse(shards, 0, &best); a.status != http.StatusOK || strings.TrimSpace(a.body) != want {
@@ -44,7 +44,7 @@
 
 // Blocks that are silent in the first phase and answer in the second, that differ, lie or die: the answer is whole and
 // right, or there is none.
-func TestTwoPhaseAnswerIsCompleteWhateverSummariesAre(t *testing.T) {
+func TestTwoPhaseAnswerIsCompleteDespiteFaultySummaries(t *testing.T) {
 	for name, mood := range map[string]fake.SummaryFault{"honest": fake.NoFault, "silent": fake.NoSummary, "malformed": fake.MalformedSummary,
 		"loose": fake.LooseBounds, "stale": fake.StaleVersion, "dying behind its summary": fake.ResetAfterSummary, "late": fake.LateSummary} {
 		data := fake.NewShards(3, 24, 6, 0.4)
@@ -54,11 +54,11 @@
 			}
 			return fake.NoFault
 		})
-		program, _ := deployedWith(t, wide, twoPhaseConfig, 1024, a, b)
+		program, _ := startDeploymentWith(t, manySubqueries, twoPhaseConfig, 1024, a, b)
 		for n := range 3 {
 			client := program.connect()
 			client.send(twoPhaseQuery(fmt.Sprint("q", n), 20, 3, 0, 1, 2, 3, 4, 5, 6, 7, 8))
-			client.whole(data, 3, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+			client.expectBest(data, 3, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 		}
 		if counters := program.counters(); counters["questions"] != 3 || counters["two_phases"] < 1 {
 			t.Errorf("%s: counters %v", name, counters)
@@ -80,7 +80,7 @@
 		}
 		return fake.NoFault
 	})
-	program, _ := deployedWith(t, wide, twoPhaseConfig, 1024, a, b)
+	program, _ := startDeploymentWith(t, manySubqueries, twoPhaseConfig, 1024, a, b)
 	refused := 0
 	for n := range 6 {
 		client := program.connect()
@@ -105,12 +105,12 @@
 // Nothing wanted, nothing that matches, more wanted than matches: whole answers, empty where they are.
 func TestTwoPhaseEdgeCases(t *testing.T) {
 	data := fake.NewShards(3, 24, 6, 0) // nothing of score 0 or more anywhere
-	a, b := newDataReplicas(t, data, honest)
-	program, _ := deployedWith(t, wide, twoPhaseConfig, 1024, a, b)
+	a, b := newDataReplicas(t, data, noFault)
+	program, _ := startDeploymentWith(t, manySubqueries, twoPhaseConfig, 1024, a, b)
 	client := program.connect()
 	for n, best := range []int{0, 1, 50} {
 		client.send(twoPhaseQuery(fmt.Sprint("q", n), 20, best, 0, 1, 2, 3, 4, 5))
-		client.whole(data, best, 0, 1, 2, 3, 4, 5)
+		client.expectBest(data, best, 0, 1, 2, 3, 4, 5)
 	}
 	if data.AnswerCalls != 0 {
 		t.Errorf("%d shards were fetched from although none can matter", data.AnswerCalls)
@@ -125,9 +125,9 @@
 }
 
 // Off, a two-phase query is passed over as ever: its text goes unchanged.
-func TestTwoPhaseIsOffWithoutConfiguration(t *testing.T) {
+func TestTwoPhaseIsOffByDefault(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := deployed(t, settings, replica)
+	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	client.send(twoPhaseQuery("q1", 10, 3, 5))
 	client.expect(map[int]string{5: value(replica, 5)})
@@ -137,18 +137,18 @@
 }
 
 // A first phase that takes nearly all of the time: the second is not begun, and the refusal comes at once.
-func TestFetchPhaseIsNotBegunTooLate(t *testing.T) {
+func TestFetchPhaseIsNotStartedTooLate(t *testing.T) {
 	data := fake.NewShards(3, 24, 6, 1)
 	slow := fake.NoFault
-	act := data.Behavior(honest, func(summary bool, _ int) time.Duration {
+	act := data.Behavior(noFault, func(summary bool, _ int) time.Duration {
 		if !summary || slow == fake.NoFault {
 			return 150 * time.Millisecond
 		}
 		return time.Hour // no summary
 	})
 	a, b := newReplica(t, "s-a", 0, act), newReplica(t, "s-b", 0, act)
-	short := strings.Replace(wide, `"aim":2000000`, `"aim":1000000`, 1)
-	program, _ := deployedWith(t, short, twoPhaseConfig, 1024, a, b)
+	short := strings.Replace(manySubqueries, `"aim":2000000`, `"aim":1000000`, 1)
+	program, _ := startDeploymentWith(t, short, twoPhaseConfig, 1024, a, b)
 	client := program.connect()
 	for n := range 12 { // the second phase takes 150 ms, as is learned
 		client.send(twoPhaseQuery(fmt.Sprint("w", n), 5, 2, 0, 1, 2, 3, 4))
@@ -167,26 +167,26 @@
 // what is open is answered whole, nothing goes on for who has left.
 func TestFaultsBetweenThePhases(t *testing.T) {
 	data := fake.NewShards(3, 24, 6, 1)
-	act := data.Behavior(honest, func(summary bool, _ int) time.Duration {
+	act := data.Behavior(noFault, func(summary bool, _ int) time.Duration {
 		if summary {
 			return 300 * time.Millisecond
 		}
 		return time.Millisecond
 	})
 	a, b := newReplica(t, "s-a", 0, act), newReplica(t, "s-b", 0, act)
-	program, r := deployedWith(t, wide, twoPhaseConfig, 1024, a, b)
+	program, r := startDeploymentWith(t, manySubqueries, twoPhaseConfig, 1024, a, b)
 	stays, leaves := program.connect(), program.connect()
 	stays.send(twoPhaseQuery("q1", 20, 3, 0, 1, 2, 3, 4))
 	leaves.send(twoPhaseQuery("q2", 20, 3, 0, 1, 2, 3, 4))
-	until(t, "summaries are asked", func() bool { return a.HasReceived("q1.") || b.HasReceived("q1.") })
-	until(t, "both are", func() bool { return a.HasReceived("q2.") || b.HasReceived("q2.") })
+	waitFor(t, "summaries are asked", func() bool { return a.HasReceived("q1.") || b.HasReceived("q1.") })
+	waitFor(t, "both are", func() bool { return a.HasReceived("q2.") || b.HasReceived("q2.") })
 	leaves.Conn.Close()
 	r.SetState(a, "draining")
 	program.cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(20 * time.Millisecond)
 	program.cmd.Process.Signal(syscall.SIGTERM)
-	stays.whole(data, 3, 0, 1, 2, 3, 4)
-	program.ends(t)
+	stays.expectBest(data, 3, 0, 1, 2, 3, 4)
+	program.expectExit(t)
 	for _, replica := range []*fake.Replica{a, b} {
 		for _, call := range replica.Received() {
 			var asked struct{ Ask string }
--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Stage is how far a call has come on its connection.
+// Stage is how far a call has progressed on its connection.
 type Stage int
 
-// The stages of a call. A call can have run only if it is Written: of one that is not whole a replica runs nothing.
+// The stages of a call. Only a Written call can have run: replicas do not run partly received calls.
 const (
-	Waiting  Stage = iota // no byte of it was written: it can still be withdrawn
+	Waiting  Stage = iota // no byte was written; the call can still be withdrawn
 	Begun                 // some bytes may have been written
-	Written               // its last byte was handed to the operating system
-	Withheld              // Permit refused it as its first byte was about to be written; no byte of it ever is
+	Written               // the last byte was handed to the operating system
+	Withheld              // refused by Permit or too late when its first byte was due; no byte is ever written
 )
 
-// Call is one attempt as it is put on a connection. Only the Session changes Stage and Stream; the rest stays.
+// Call is one attempt as it is written to a connection. Only the Session changes Stage and Stream; the other fields are
+// constant.
 type Call struct {
-	Attempt    uint64 // names it in events
+	Attempt    uint64 // identifies the call in events
 	Group      uint64 // calls of one group may share a message
 	SubqueryID string // on the wire
 	Shard      int
 	Text       []byte
 
-	// Deadline is when the reply stops being awaited, as time since the process' start. Replicas are told what is left
-	// of it when the call's first byte is written.
+	// Deadline is when the caller stops waiting for the reply, as time since process start. The replica is told how much
+	// time remains until then when the call's first byte is written.
 	Deadline time.Duration
-	// Permit is asked when the first byte is about to be written, under the connection's mutex. What it refuses is
-	// never written. Nil permits everything that has MinTimeLeft.
+	// Permit is called when the first byte is about to be written, with the connection's mutex held. If it returns false,
+	// the call is never written. A nil Permit allows every call that has at least MinTimeLeft.
 	Permit func(now time.Duration) bool
 
 	Stage  Stage
-	Stream uint32 // where the protocol has streams; 0: none yet
+	Stream uint32 // the stream ID in protocols with streams; 0: none yet
 }
 
-// MinTimeLeft is the least time until its deadline with which a call is of use: replicas are told whole milliseconds.
+// MinTimeLeft is the least time until its deadline with which a call is sent: replicas are told whole milliseconds.
 const MinTimeLeft = time.Millisecond
 
-// Begin tells whether the first byte of a call may be written now and, if so, how many milliseconds the replica is told
-// that its reply is awaited. The call's stage is changed accordingly.
+// Begin reports whether the first byte of a call may be written now. It returns the milliseconds left, which the replica
+// is told, and sets the call's stage.
 func (call *Call) Begin(now time.Duration) (waitMS int64, permitted bool) {
 	waitMS = (call.Deadline - now).Milliseconds()
 	if call.Permit != nil && !call.Permit(now) || waitMS < MinTimeLeft.Milliseconds() {
@@ -47,11 +48,11 @@
 	return waitMS, true
 }
 
-// Revocable tells whether no byte of a call was written and none is about to be.
+// Revocable reports whether no byte of a call has been written or is part of the current output.
 func (call *Call) Revocable() bool { return call.Stage == Waiting || call.Stage == Withheld }
 
-// CallEnd is where the last byte of a call stands in an output.
+// CallEnd is the position of a call's last byte in an output.
 type CallEnd struct {
 	Call   *Call
-	Offset int // bytes of the output up to and including the call's last
+	Offset int // size of the output up to and including the call's last byte
 }
--- a/internal/replicaproto/event.go
+++ b/internal/replicaproto/event.go
@@ -1,46 +1,46 @@
 package replicaproto
 
-// Kind is what an Event says.
+// Kind is the kind of an Event.
 type Kind int
 
 // The kinds of events.
 const (
-	Reply        Kind = iota // Attempt or SubqueryID, End, Value and Busy say what it is
-	NeverRan                 // the attempt ended, and Evidence says why it cannot have run
+	Reply        Kind = iota // a reply; Attempt or SubqueryID, Status, Value and CPUUsage describe it
+	NeverRan                 // the attempt ended and cannot have run; Evidence says why
 	MayHaveRun               // the attempt ended without a reply and may have run
-	CallLimit                // the replica takes MaxCalls at a time from now on
-	GoingAway                // the replica takes nothing new on this connection
+	CallLimit                // the replica accepts at most MaxCalls concurrent calls from now on
+	GoingAway                // the replica accepts no new calls on this connection
 	PingAnswered             // the replica answered a ping
 	Ready                    // calls may be written
 )
 
-// ReplyStatus is how a replica says that a subquery ended.
+// ReplyStatus is the result of a subquery as its replica reports it.
 type ReplyStatus int
 
-// The ends of a subquery.
+// The statuses of a reply.
 const (
 	OK       ReplyStatus = iota
-	Error                // it may have run
-	Rejected             // it never ran; the protocol defines the word for that
+	Error                // the subquery may have run
+	Rejected             // the subquery never ran; each protocol has its own encoding of this status
 )
 
-// Evidence is what proves that a call never ran, other than that it was not written whole (Stage).
+// Evidence is what proves that a fully written call never ran.
 type Evidence string
 
 // The kinds of evidence.
 const (
-	AboveLastStreamID Evidence = "above the last stream that the replica took" // RFC 9113, 6.8
-	RefusedStream     Evidence = "the replica refused the stream"              // RFC 9113, 8.7
+	AboveLastStreamID Evidence = "the stream ID is above the last one in the replica's GOAWAY" // RFC 9113, 6.8
+	RefusedStream     Evidence = "the replica refused the stream"                              // RFC 9113, 8.7
 )
 
-// Event is something that came on a connection.
+// Event is something that was received on a connection.
 type Event struct {
 	Kind       Kind
-	Attempt    uint64 // 0: replies name subqueries, and SubqueryID says which
+	Attempt    uint64 // 0: the protocol's replies name subqueries; see SubqueryID
 	SubqueryID string
 	Status     ReplyStatus
 	Value      []byte
-	CPUUsage   float64 // of a reply: the share of the replica's cores in use; below 0: it tells none
+	CPUUsage   float64 // of a reply: the fraction of the replica's cores in use; below 0: not reported
 	Evidence   Evidence
 	MaxCalls   int
 	Detail     string // for the log
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -1,5 +1,5 @@
-// Package frames is the protocol of frames (docs/sockets.md): a call has a length, a letter and a line for each of its
-// subqueries; replies come in any order and name their subquery.
+// Package frames implements the frames protocol (docs/sockets.md): a call has a length, a letter and a line for each of
+// its subqueries; replies arrive in any order and name their subquery.
 package frames
 
 import (
@@ -12,56 +12,55 @@
 
 // Session is the state machine of one connection.
 type Session struct {
-	maxCalls   int // of one group in a frame
-	replies    wire.ReplyReader
-	queue      []message
-	outputEnds []replicaproto.CallEnd // of the calls in the last output, in order
+	maxCalls int // per frame; all of one group
+	replies  wire.ReplyReader
+	queue    []message
+	callEnds []replicaproto.CallEnd // of the calls in the last output, in order
 }
 
-// message is what waits to be written: a call, or that a subquery is abandoned.
+// message is a queued message: a call, or the notice that a subquery is abandoned.
 type message struct {
 	call      *replicaproto.Call // nil: abandoned is set
-	abandoned string             // the subquery's id
+	abandoned string             // the subquery's ID
 }
 
-// New makes a session that puts up to maxCalls of one group into a frame. The sizes of values, which tell how much to
-// expect of a reply, may be nil.
+// New returns a session that writes up to maxCalls calls of one group in a frame. The value sizes, against which replies
+// are checked, may be nil.
 func New(maxCalls int, sizes *wire.ValueSizes) *Session {
 	return &Session{maxCalls: max(1, maxCalls), replies: wire.ReplyReader{Sizes: sizes}}
 }
 
 var _ replicaproto.Session = (*Session)(nil)
 
-// Queue has a call wait to be written.
+// Queue appends a call to the calls that wait to be written.
 func (session *Session) Queue(call *replicaproto.Call) {
 	session.queue = append(session.queue, message{call: call})
 }
 
-// Withdraw takes back a call of which no byte was written.
+// Withdraw removes a call of which no byte was written and reports whether it could.
 func (session *Session) Withdraw(call *replicaproto.Call) bool {
 	if !call.Revocable() {
 		return false
 	}
-	isCall := func(waiting message) bool { return waiting.call == call }
+	isCall := func(queued message) bool { return queued.call == call }
 	session.queue = slices.DeleteFunc(session.queue, isCall)
 	return true
 }
 
-// Abandon has the replica told that a subquery is abandoned.
+// Abandon queues a message that tells the replica that a subquery is abandoned.
 func (session *Session) Abandon(call *replicaproto.Call) {
 	session.queue = append(session.queue, message{abandoned: call.SubqueryID})
 }
 
-// Ping does nothing: the protocol has none.
+// Ping does nothing: the protocol has no pings.
 func (session *Session) Ping() {}
 
 // AnnounceClose does nothing: the protocol has no message for it.
 func (session *Session) AnnounceClose() {}
 
-// Output appends the messages that wait, up to about maxBytes if that is above 0. What is beyond can still be
-// withdrawn.
+// Output appends queued messages, up to about maxBytes if that is above 0. Calls beyond that can still be withdrawn.
 func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 	start := len(buffer)
 	for len(session.queue) > 0 && (maxBytes <= 0 || len(buffer)-start < maxBytes) {
 		first := session.queue[0]
@@ -77,17 +76,17 @@
 		buffer = wire.AppendCall(buffer, subqueries...)
 		for _, call := range begun {
 			end := replicaproto.CallEnd{Call: call, Offset: len(buffer) - start}
-			session.outputEnds = append(session.outputEnds, end)
+			session.callEnds = append(session.callEnds, end)
 		}
 	}
 	if len(session.queue) == 0 {
-		session.queue = nil // gives its memory back
+		session.queue = nil // releases its memory
 	}
 	return buffer
 }
 
-// nextFrame takes the calls of the next frame off the queue: those of the first one's group, up to maxCalls. What is
-// not permitted any more is left out.
+// nextFrame removes the calls of the next frame from the queue: up to maxCalls of the first call's group. Calls that are
+// no longer permitted are dropped.
 func (session *Session) nextFrame(now time.Duration) (subqueries []wire.SubqueryCall, begun []*replicaproto.Call) {
 	group := session.queue[0].call.Group
 	for len(session.queue) > 0 && len(subqueries) < session.maxCalls {
@@ -108,9 +107,9 @@
 	return subqueries, begun
 }
 
-// Wrote tells how many bytes of the last output were taken. If none were, its calls can still be withdrawn.
+// Wrote records how many bytes of the last output were accepted. If none were, its calls can still be withdrawn.
 func (session *Session) Wrote(bytes int) {
-	for _, end := range session.outputEnds {
+	for _, end := range session.callEnds {
 		switch {
 		case end.Offset <= bytes:
 			end.Call.Stage = replicaproto.Written
@@ -118,23 +117,23 @@
 			end.Call.Stage = replicaproto.Waiting
 		}
 	}
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 }
 
-// ReadBuffer gives space for what is read next.
+// ReadBuffer returns space for the next read.
 func (session *Session) ReadBuffer() []byte { return session.replies.Free() }
 
-// Filled tells how many bytes were read into it.
+// Filled records how many bytes were read into the read buffer.
 func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
 
-// endOf maps the statuses of replies on the wire.
-var endOf = map[wire.ReplyStatus]replicaproto.ReplyStatus{
+// replyStatusOf maps the statuses on the wire to those of events.
+var replyStatusOf = map[wire.ReplyStatus]replicaproto.ReplyStatus{
 	wire.ReplyOK:       replicaproto.OK,
 	wire.ReplyError:    replicaproto.Error,
 	wire.ReplyRejected: replicaproto.Rejected,
 }
 
-// Next gives the next reply.
+// Next returns the next reply.
 func (session *Session) Next() (event replicaproto.Event, ok bool, err error) {
 	reply, err := session.replies.Next()
 	if reply == nil || err != nil {
@@ -143,12 +142,12 @@
 	event = replicaproto.Event{
 		Kind:       replicaproto.Reply,
 		SubqueryID: reply.ID,
-		Status:     endOf[reply.Status],
+		Status:     replyStatusOf[reply.Status],
 		Value:      reply.Value,
 		CPUUsage:   reply.Busy,
 	}
 	return event, true, nil
 }
 
-// HasPartialMessage tells whether a frame has begun to come that is not whole.
+// HasPartialMessage reports whether an incomplete frame has been received.
 func (session *Session) HasPartialMessage() bool { return session.replies.Buffered() > 0 }
--- a/internal/replicaproto/frames/session_test.go
+++ b/internal/replicaproto/frames/session_test.go
@@ -8,17 +8,17 @@
 	"terntray/internal/wire"
 )
 
-// newCall makes a call that has a second left.
+// newCall returns a call with a deadline one second after process start.
 func newCall(subquery string, text []byte) *replicaproto.Call {
 	return &replicaproto.Call{Group: 1, SubqueryID: subquery, Text: text, Deadline: time.Second}
 }
 
-// A write of several calls is taken only in part. Those whose last byte was taken may have run; the others never did.
-// If no byte was taken all can be withdrawn.
-func TestCallsThatWereNotWrittenWholeNeverRan(t *testing.T) {
+// A write of several calls is accepted only in part. Only calls whose last byte was accepted may have run. If no byte
+// was accepted, all calls can be withdrawn.
+func TestOnlyFullyWrittenCallsMayHaveRun(t *testing.T) {
 	text := []byte("text")
 	size := len(wire.AppendCall(nil, wire.SubqueryCall{ID: "q.0", WaitMS: 1000, Text: text}))
-	for taken, want := range map[int]int{0: 0, size - 1: 0, size: 1, 2*size + 3: 2, 3 * size: 3} {
+	for accepted, want := range map[int]int{0: 0, size - 1: 0, size: 1, 2*size + 3: 2, 3 * size: 3} {
 		session := New(1, nil)
 		var calls []*replicaproto.Call
 		for shard := range 3 {
@@ -28,48 +28,48 @@
 			session.Queue(call)
 		}
 		if output := session.Output(nil, 0, 0); len(output) != 3*size {
-			t.Fatalf("%d bytes", len(output))
+			t.Fatalf("the output has %d bytes", len(output))
 		}
-		session.Wrote(taken)
+		session.Wrote(accepted)
 		written := 0
 		for _, call := range calls {
 			if call.Stage == replicaproto.Written {
 				written++
 			}
-			if withdrawn := session.Withdraw(call); withdrawn != (taken == 0) {
-				t.Errorf("%d bytes taken: withdrawn %t", taken, withdrawn)
+			if withdrawn := session.Withdraw(call); withdrawn != (accepted == 0) {
+				t.Errorf("%d bytes accepted: withdrawn %t", accepted, withdrawn)
 			}
 		}
 		if written != want {
-			t.Errorf("%d bytes taken: %d calls are written, want %d", taken, written, want)
+			t.Errorf("%d bytes accepted: %d calls written, want %d", accepted, written, want)
 		}
 	}
 }
 
-// A call that is withdrawn before its write leaves the frame that it would have shared. One that is abandoned after its
-// write has a frame of its own that says so.
-func TestCallThatWasNotBegunIsWithdrawn(t *testing.T) {
+// A call that is withdrawn before it is written is left out of the frame that it would have shared. Abandoning a call
+// after it was written sends an abandon frame.
+func TestUnwrittenCallCanBeWithdrawn(t *testing.T) {
 	session := New(4, nil)
 	withdrawn, written := newCall("q.1", nil), newCall("q.2", nil)
 	session.Queue(withdrawn)
 	session.Queue(written)
 	if !session.Withdraw(withdrawn) {
-		t.Error("it is not withdrawn")
+		t.Error("the unwritten call was not withdrawn")
 	}
 	want := wire.AppendCall(nil, wire.SubqueryCall{ID: "q.2", WaitMS: 1000})
 	if output := session.Output(nil, 0, 0); string(output) != string(want) {
-		t.Errorf("%q", output)
+		t.Errorf("unexpected output %q", output)
 	}
 	session.Wrote(len(want))
 	session.Abandon(written)
 	if output := session.Output(nil, 0, 0); string(output) != string(wire.AppendAbandon(nil, "q.2")) {
-		t.Errorf("the replica is not told that it is abandoned: %q", output)
+		t.Errorf("output after Abandon: %q", output)
 	}
 }
 
-// A replica reads nothing, so that calls wait behind a write that is not taken. What is not part of that write can
-// still be withdrawn, or it would go out long after its client has left.
-func TestCallsBeyondOneWriteCanBeWithdrawn(t *testing.T) {
+// The replica does not read, so calls wait behind a blocked write. Calls that are not part of that write must remain
+// withdrawable, or they would be sent long after their client has disconnected.
+func TestCallsBeyondTheCurrentWriteCanBeWithdrawn(t *testing.T) {
 	session := New(1, nil)
 	var calls []*replicaproto.Call
 	for shard := range 3 {
@@ -81,9 +81,9 @@
 	size := len(session.Output(nil, 90, 0))
 	session.Wrote(size)
 	if session.Withdraw(calls[0]) || !session.Withdraw(calls[1]) {
-		t.Errorf("of a write of %d bytes: stages %v, %v", size, calls[0].Stage, calls[1].Stage)
+		t.Errorf("after a write of %d bytes: stages %v, %v", size, calls[0].Stage, calls[1].Stage)
 	}
 	if rest := session.Output(nil, 90, 0); len(rest) != size {
-		t.Errorf("then %d bytes", len(rest))
+		t.Errorf("the next output has %d bytes", len(rest))
 	}
 }
--- a/internal/replicaproto/http2/errors_test.go
+++ b/internal/replicaproto/http2/errors_test.go
@@ -9,7 +9,7 @@
 )
 
 // A replica breaks the rules of the connection, or floods it. Our GOAWAY names the error that RFC 9113 has for it.
-func TestErrorsOfTheConnection(t *testing.T) {
+func TestConnectionErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		send func(replica *fakeReplica)
 		code http2.ErrCode
@@ -18,7 +18,7 @@
 			replica.framer.WriteData(9, true, []byte("x"))
 		}, http2.ErrCodeProtocol},
 		"an even stream": {func(replica *fakeReplica) {
-			replica.head(2, true, ":status", "200")
+			replica.writeHeaders(2, true, ":status", "200")
 		}, http2.ErrCodeProtocol},
 		"a push": {func(replica *fakeReplica) {
 			replica.framer.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, EndHeaders: true})
@@ -72,23 +72,23 @@
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
 		"a flood of empty frames": {func(replica *fakeReplica) {
-			replica.head(1, false, ":status", "200")
+			replica.writeHeaders(1, false, ":status", "200")
 			for range 2 * maxIdleFrames {
 				replica.framer.WriteData(1, false, nil)
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
 		"more than its window": {func(replica *fakeReplica) {
-			replica.session.receiveWindow.left = 10 // as if it had used it up
+			replica.session.receiveWindow.available = 10 // as if it had used it up
 			replica.framer.WriteData(1, false, make([]byte, 11))
 		}, http2.ErrCodeFlowControl},
 	} {
 		replica := newFakeReplica(t)
-		replica.call(0, 1)
-		replica.frames()
+		replica.queueCall(0, 1)
+		replica.sentFrames()
 		test.send(replica)
 		replica.feed()
 		replica.session.AnnounceClose()
-		got := replica.frames()
+		got := replica.sentFrames()
 		want := fmt.Sprint("goaway ", test.code)
 		if replica.err == nil || len(got) == 0 || got[len(got)-1] != want {
 			t.Errorf("%s: error %v, last frames %q, want %q", name, replica.err, got, want)
--- a/internal/replicaproto/http2/fakereplica_test.go
+++ b/internal/replicaproto/http2/fakereplica_test.go
@@ -70,7 +70,7 @@
 	replica.toSession.Reset()
 }
 
-func (replica *fakeReplica) call(shard, size int) *replicaproto.Call {
+func (replica *fakeReplica) queueCall(shard, size int) *replicaproto.Call {
 	call := &replicaproto.Call{
 		Attempt:    uint64(len(replica.calls) + 1),
 		SubqueryID: fmt.Sprint("q.", shard),
@@ -83,8 +83,8 @@
 	return call
 }
 
-// frames reads the frames that the session wrote, as words.
-func (replica *fakeReplica) frames() (all []string) {
+// sentFrames reads the sentFrames that the session wrote, as words.
+func (replica *fakeReplica) sentFrames() (all []string) {
 	replica.collectOutput()
 	for replica.fromSession.Len() > 0 {
 		f, err := replica.framer.ReadFrame()
@@ -113,7 +113,7 @@
 	return all
 }
 
-func (replica *fakeReplica) head(stream uint32, ends bool, fields ...string) {
+func (replica *fakeReplica) writeHeaders(stream uint32, ends bool, fields ...string) {
 	replica.block.Reset()
 	for n := 0; n < len(fields); n += 2 {
 		replica.encoder.WriteField(hpack.HeaderField{Name: fields[n], Value: fields[n+1]})
@@ -124,17 +124,17 @@
 }
 
 func (replica *fakeReplica) respond(stream uint32, value string) {
-	replica.head(stream, false, ":status", "200", headerEnd, endOK)
+	replica.writeHeaders(stream, false, ":status", "200", headerEnd, endOK)
 	replica.framer.WriteData(stream, true, []byte(value))
 }
 
-// otherEvents are the words of expect for events that concern no call.
-var otherEvents = map[replicaproto.Kind]string{
+// connEventNames are the words of expect for events that concern no call.
+var connEventNames = map[replicaproto.Kind]string{
 	replicaproto.GoingAway: "going away", replicaproto.PingAnswered: "alive", replicaproto.Ready: "ready",
 }
 
-// expect feeds what was written and checks the events since the last look.
-func (replica *fakeReplica) expect(want ...string) {
+// expectEvents feeds what was written and checks the events since the last look.
+func (replica *fakeReplica) expectEvents(want ...string) {
 	replica.t.Helper()
 	replica.feed()
 	var got []string
@@ -149,7 +149,7 @@
 		case replicaproto.CallLimit:
 			got = append(got, fmt.Sprintf("room %d", e.MaxCalls))
 		default:
-			got = append(got, otherEvents[e.Kind])
+			got = append(got, connEventNames[e.Kind])
 		}
 	}
 	if replica.events = nil; !slices.Equal(got, want) {
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -203,8 +203,8 @@
 		if stream.id <= session.lastAccepted {
 			continue
 		}
-		session.forget(stream)
-		if stream.responded {
+		session.removeStream(stream)
+		if stream.headersReceived {
 			session.emit(mayHaveRunEvent(stream, ""))
 		} else {
 			session.emit(neverRanEvent(stream, replicaproto.AboveLastStreamID))
@@ -219,8 +219,8 @@
 	if stream == nil { // its response was complete, or we have reset it
 		return session.checkWasOpened(frame.StreamID)
 	}
-	session.forget(stream)
-	if frame.ErrCode == http2.ErrCodeRefusedStream && !stream.responded {
+	session.removeStream(stream)
+	if frame.ErrCode == http2.ErrCodeRefusedStream && !stream.headersReceived {
 		session.emit(neverRanEvent(stream, replicaproto.RefusedStream))
 	} else {
 		session.emit(mayHaveRunEvent(stream, frame.ErrCode.String()))
@@ -237,10 +237,10 @@
 		err = session.endStream(ofStream)
 	}
 	if err != nil {
-		return session.connectionFailed(err)
+		return session.recordConnectionError(err)
 	}
-	if session.idleFrames > maxIdleFrames || len(session.control) > maxControl {
-		return session.connectionFailed(http2.ConnectionError(http2.ErrCodeEnhanceYourCalm))
+	if session.idleFrames > maxIdleFrames || len(session.control) > maxPendingControl {
+		return session.recordConnectionError(http2.ConnectionError(http2.ErrCodeEnhanceYourCalm))
 	}
 	return nil
 }
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// connectionFailed notes the code that our last message names.
-func (session *Session) connectionFailed(err error) error {
+// recordConnectionError notes the code that our last message names.
+func (session *Session) recordConnectionError(err error) error {
 	session.closeCode = http2.ErrCodeProtocol
 	var ofConnection http2.ConnectionError
 	if errors.As(err, &ofConnection) {
--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -23,8 +23,8 @@
 	endRejected = "rejected"
 )
 
-// requestHead is the header list of a call.
-func requestHead(scheme, authority string, call *replicaproto.Call, waitMS int64) []hpack.HeaderField {
+// requestHeaders is the header list of a call.
+func requestHeaders(scheme, authority string, call *replicaproto.Call, waitMS int64) []hpack.HeaderField {
 	return []hpack.HeaderField{
 		{Name: ":method", Value: http.MethodPost},
 		{Name: ":scheme", Value: scheme},
@@ -39,9 +39,9 @@
 	}
 }
 
-// endOf reads how a response says that its subquery ended. Only status and header together say that it ran well, or
+// replyStatusOf reads how a response says that its subquery ended. Only status and header together say that it ran well, or
 // never; anything else is an error after which it may have run.
-func endOf(status int, end string) replicaproto.ReplyStatus {
+func replyStatusOf(status int, end string) replicaproto.ReplyStatus {
 	isRejectedStatus := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
 	case status == http.StatusOK && end == endOK:
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -14,7 +14,7 @@
 type outbound struct {
 	output      []byte // that frames are being written to
 	outputStart int    // where the session's own output begins in it
-	outputEnds  []replicaproto.CallEnd
+	callEnds    []replicaproto.CallEnd
 	control     []byte // control frames that wait to be written
 	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer // that the encoder writes to
@@ -24,12 +24,12 @@
 // in turn, a frame of each. A large call would otherwise keep small ones of other clients waiting. Nothing is begun
 // before the replica's settings have come, as its limit is not known.
 func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 	session.outputStart = len(buffer)
 	session.output = append(buffer, session.control...)
 	session.control = session.control[:0]
-	for session.mayBegin() && session.outputSize() < maxBytes {
-		session.beginNext(now)
+	for session.canBeginCall() && session.outputSize() < maxBytes {
+		session.beginNextCall(now)
 	}
 	session.writeBodies(maxBytes)
 	output := session.output
@@ -40,9 +40,9 @@
 // outputSize is the bytes of the output so far.
 func (session *Session) outputSize() int { return len(session.output) - session.outputStart }
 
-// mayBegin tells whether the first call that waits can begin. A stream on which nothing can be sent would only take a
+// canBeginCall tells whether the first call that waits can begin. A stream on which nothing can be sent would only take a
 // place.
-func (session *Session) mayBegin() bool {
+func (session *Session) canBeginCall() bool {
 	if len(session.queue) == 0 || !session.settings.received || session.closeAnnounced || session.goingAway {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return canSend && int64(len(session.streams)) < session.settings.maxStreams && session.lastStreamID < maxStreamID
 }
 
-// beginNext opens a stream for the first call that waits, unless that is not permitted any more.
-func (session *Session) beginNext(now time.Duration) {
+// beginNextCall opens a stream for the first call that waits, unless that is not permitted any more.
+func (session *Session) beginNextCall(now time.Duration) {
 	call := session.queue[0]
 	session.queue = session.queue[1:]
 	waitMS, permitted := call.Begin(now)
@@ -63,14 +63,14 @@
 		call:          call,
 		body:          call.Text,
 		sendWindow:    session.settings.streamWindow,
-		receiveWindow: receiveWindow{left: initialWindow},
+		receiveWindow: receiveWindow{available: initialWindow},
 		contentLength: -1,
 	}
 	call.Stream = opened.id
 	session.streams[opened.id] = opened
-	session.writeHead(opened, waitMS)
+	session.writeHeaders(opened, waitMS)
 	if len(opened.body) == 0 {
-		session.noteLastByte(opened)
+		session.recordCallEnd(opened)
 		return
 	}
 	if size := session.sendable(opened); size == len(opened.body) { // a small body goes with its head
@@ -95,14 +95,14 @@
 	return session.lastStreamID
 }
 
-// writeHead writes a call's header list, in as many frames as it needs.
-func (session *Session) writeHead(stream *stream, waitMS int64) {
+// writeHeaders writes a call's header list, in as many frames as it needs.
+func (session *Session) writeHeaders(stream *stream, waitMS int64) {
 	session.headerBlock.Reset()
-	for _, field := range requestHead(session.scheme, session.authority, stream.call, waitMS) {
+	for _, field := range requestHeaders(session.scheme, session.authority, stream.call, waitMS) {
 		must(session.encoder.WriteField(field))
 	}
 	block := session.headerBlock.Bytes()
-	fragment, rest := cut(block, session.settings.maxFrameSize)
+	fragment, rest := splitAt(block, session.settings.maxFrameSize)
 	must(session.framer.WriteHeaders(http2.HeadersFrameParam{
 		StreamID:      stream.id,
 		BlockFragment: fragment,
@@ -110,13 +110,13 @@
 		EndStream:     len(stream.body) == 0,
 	}))
 	for len(rest) > 0 {
-		fragment, rest = cut(rest, session.settings.maxFrameSize)
+		fragment, rest = splitAt(rest, session.settings.maxFrameSize)
 		must(session.framer.WriteContinuation(stream.id, len(rest) == 0, fragment))
 	}
 }
 
-// cut divides bytes after so many of them.
-func cut(all []byte, size int) (first, rest []byte) {
+// splitAt divides bytes after so many of them.
+func splitAt(all []byte, size int) (first, rest []byte) {
 	size = min(size, len(all))
 	return all[:size], all[size:]
 }
@@ -148,7 +148,7 @@
 
 // writeBody writes so many bytes of a stream's body.
 func (session *Session) writeBody(stream *stream, size int) {
-	fragment, rest := cut(stream.body, size)
+	fragment, rest := splitAt(stream.body, size)
 	isLast := len(rest) == 0
 	must(session.framer.WriteData(stream.id, isLast, fragment))
 	stream.body = rest
@@ -156,25 +156,25 @@
 	session.sendWindow -= int64(size)
 	if isLast {
 		session.stopSending(stream)
-		session.noteLastByte(stream)
+		session.recordCallEnd(stream)
 	}
 }
 
-// noteLastByte notes where a call's last byte stands in the output.
-func (session *Session) noteLastByte(stream *stream) {
+// recordCallEnd notes where a call's last byte stands in the output.
+func (session *Session) recordCallEnd(stream *stream) {
 	stream.sent = true
 	end := replicaproto.CallEnd{Call: stream.call, Offset: session.outputSize()}
-	session.outputEnds = append(session.outputEnds, end)
+	session.callEnds = append(session.callEnds, end)
 }
 
 // Wrote tells how many bytes of the last output were taken.
 func (session *Session) Wrote(taken int) {
-	for _, end := range session.outputEnds {
+	for _, end := range session.callEnds {
 		if end.Offset <= taken {
 			end.Call.Stage = replicaproto.Written
 		}
 	}
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 }
 
 // writeControl has control frames written in the next output, after those that wait.
--- a/internal/replicaproto/http2/response.go
+++ b/internal/replicaproto/http2/response.go
@@ -16,23 +16,23 @@
 
 // headerList gathers the fields of a header list that is coming: of an interim response, a response or its trailers.
 type headerList struct {
-	stream     uint32
-	open       bool // more of it has to come
-	endsStream bool
-	blockSize  int  // compressed bytes so far
-	listSize   int  // bytes of the fields so far, as the limit counts them
-	malformed  bool // RFC 9113, 8.2 and 8.3; or too large
-	hasFields  bool // a field that is no pseudo-field has come
+	stream           uint32
+	open             bool // more of it has to come
+	endsStream       bool
+	blockSize        int  // compressed bytes so far
+	listSize         int  // bytes of the fields so far, as the limit counts them
+	malformed        bool // RFC 9113, 8.2 and 8.3; or too large
+	hasRegularFields bool // a field that is no pseudo-field has come
 
 	status        string
 	end           string  // the mapping's headerEnd
-	busy          float64 // the load report; below 0: none
+	cpuUsage      float64 // the load report; below 0: none
 	contentLength int64   // below 0: none
 }
 
 // begin starts the header list of a stream.
 func (list *headerList) begin(stream uint32, endsStream bool) {
-	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, busy: -1}
+	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, cpuUsage: -1}
 }
 
 // add takes one field.
@@ -43,13 +43,13 @@
 		return
 	}
 	if strings.HasPrefix(field.Name, ":") {
-		if field.Name != ":status" || list.hasFields || list.status != "" {
+		if field.Name != ":status" || list.hasRegularFields || list.status != "" {
 			list.malformed = true
 		}
 		list.status = field.Value
 		return
 	}
-	list.hasFields = true
+	list.hasRegularFields = true
 	if !isValidName(field.Name) || !isValidValue(field.Value) {
 		list.malformed = true
 	}
@@ -73,7 +73,7 @@
 		}
 		list.end = field.Value
 	case headerLoad:
-		list.busy = wire.LoadReported(field.Value, "=")
+		list.cpuUsage = wire.LoadReported(field.Value, "=")
 	}
 }
 
@@ -114,7 +114,7 @@
 	switch {
 	case stream == nil:
 		return session.checkWasOpened(list.stream)
-	case stream.responded:
+	case stream.headersReceived:
 		return session.onTrailers(stream)
 	}
 	return session.onResponse(stream)
@@ -126,8 +126,8 @@
 	if list.malformed || !list.endsStream || list.status != "" {
 		return malformedResponse(stream)
 	}
-	if list.busy >= 0 {
-		stream.busy = list.busy
+	if list.cpuUsage >= 0 {
+		stream.cpuUsage = list.cpuUsage
 	}
 	return session.onResponseEnd(stream)
 }
@@ -149,10 +149,10 @@
 		return nil
 	}
 	session.idleFrames = 0
-	stream.responded = true
-	stream.end = endOf(status, list.end)
+	stream.headersReceived = true
+	stream.replyStatus = replyStatusOf(status, list.end)
 	stream.contentLength = list.contentLength
-	stream.busy = list.busy
+	stream.cpuUsage = list.cpuUsage
 	if list.endsStream {
 		return session.onResponseEnd(stream)
 	}
@@ -167,18 +167,18 @@
 // that are over.
 func (session *Session) onData(frame *http2.DataFrame) error {
 	size := int64(frame.Header().Length) // padding included (RFC 9113, 6.1)
-	if !session.receiveWindow.take(size) {
+	if !session.receiveWindow.receive(size) {
 		return http2.ConnectionError(http2.ErrCodeFlowControl)
 	}
-	session.sendWindowUpdate(0, session.receiveWindow.giveBack(size, connWindow/2))
+	session.sendWindowUpdate(0, session.receiveWindow.replenish(size, connWindow/2))
 	stream := session.streams[frame.StreamID]
 	if stream == nil {
 		return session.checkWasOpened(frame.StreamID)
 	}
-	if !stream.responded {
+	if !stream.headersReceived {
 		return malformedResponse(stream)
 	}
-	if !stream.receiveWindow.take(size) {
+	if !stream.receiveWindow.receive(size) {
 		return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeFlowControl}
 	}
 	if len(frame.Data()) > 0 {
@@ -191,7 +191,7 @@
 	if frame.StreamEnded() {
 		return session.onResponseEnd(stream)
 	}
-	session.sendWindowUpdate(stream.id, stream.receiveWindow.giveBack(size, initialWindow/2))
+	session.sendWindowUpdate(stream.id, stream.receiveWindow.replenish(size, initialWindow/2))
 	return nil
 }
 
@@ -204,7 +204,7 @@
 	if !stream.sent { // the replica needs no more of the call
 		session.reset(stream, http2.ErrCodeNo)
 	}
-	session.forget(stream)
+	session.removeStream(stream)
 	session.emit(replyEvent(stream))
 	return nil
 }
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -32,8 +32,8 @@
 	maxHeaderBlock  = 32 << 10  // compressed bytes of one, CONTINUATION frames included
 	headerTableSize = 4096      // bytes of either side's compression table
 
-	maxControl    = 16 << 10 // bytes of control frames that wait to be written; beyond, the replica floods us
-	maxIdleFrames = 1000     // frames in a row that bring nothing; beyond, the replica floods us
+	maxPendingControl = 16 << 10 // bytes of control frames that wait to be written; beyond, the replica floods us
+	maxIdleFrames     = 1000     // frames in a row that bring nothing; beyond, the replica floods us
 )
 
 // Session is the state machine of one connection.
@@ -76,7 +76,7 @@
 		streams:       map[uint32]*stream{},
 		settings:      replicaSettings{maxStreams: maxWindow, maxFrameSize: maxFrameSize, streamWindow: initialWindow},
 		sendWindow:    initialWindow,
-		receiveWindow: receiveWindow{left: connWindow},
+		receiveWindow: receiveWindow{available: connWindow},
 	}
 	session.framer = http2.NewFramer(outputWriter{session}, &session.frameInput)
 	session.framer.SetMaxReadFrameSize(maxFrameSize)
@@ -132,12 +132,12 @@
 
 // reset ends a stream from this side.
 func (session *Session) reset(stream *stream, code http2.ErrCode) {
-	session.forget(stream)
+	session.removeStream(stream)
 	session.writeControl(func() error { return session.framer.WriteRSTStream(stream.id, code) })
 }
 
-// forget lets go of a stream that is over.
-func (session *Session) forget(stream *stream) {
+// removeStream lets go of a stream that is over.
+func (session *Session) removeStream(stream *stream) {
 	delete(session.streams, stream.id)
 	session.stopSending(stream)
 }
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -14,40 +14,40 @@
 )
 
 // A call and its response, with interim responses, padding, trailers and frames of unknown types.
-func TestCallAndAnswer(t *testing.T) {
+func TestCallAndResponse(t *testing.T) {
 	replica := newFakeReplica(t)
-	replica.expect("ready")
-	c := replica.call(3, 4)
+	replica.expectEvents("ready")
+	c := replica.queueCall(3, 4)
 	want := []string{"settings", "window 0 458753", "settings", "head 1 /part", "data 1 4 true"}
-	if got := replica.frames(); !slices.Equal(got, want) {
+	if got := replica.sentFrames(); !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
 	if c.Stage != replicaproto.Written || c.Stream != 1 {
 		t.Errorf("%+v", c)
 	}
-	replica.head(1, true, ":status", "103", "link", "x")
-	replica.expect("may 1") // an interim head cannot be the last
-	replica.call(4, 4)
-	replica.frames()
-	replica.head(3, false, ":status", "100")
-	replica.head(3, false, ":status", "200", headerEnd, endOK, "content-length", "5", headerLoad, "util=0.5")
+	replica.writeHeaders(1, true, ":status", "103", "link", "x")
+	replica.expectEvents("may 1") // an interim head cannot be the last
+	replica.queueCall(4, 4)
+	replica.sentFrames()
+	replica.writeHeaders(3, false, ":status", "100")
+	replica.writeHeaders(3, false, ":status", "200", headerEnd, endOK, "content-length", "5", headerLoad, "util=0.5")
 	replica.framer.WriteDataPadded(3, false, []byte("va"), []byte{0, 0, 0})
 	replica.framer.WriteRawFrame(0x77, 0, 3, []byte("unknown"))
 	replica.framer.WriteData(3, false, []byte("lue"))
-	replica.head(3, true, headerLoad, "inflight=1,cpu=0.25")
+	replica.writeHeaders(3, true, headerLoad, "inflight=1,cpu=0.25")
 	replica.framer.WriteRSTStream(3, http2.ErrCodeNo)
 	replica.feed()
 	if e := replica.events; len(e) != 1 || e[0].CPUUsage != 0.25 {
 		t.Errorf("load reports in head and trailers: events %+v", e)
 	}
-	replica.expect("answered 2 0 value")
+	replica.expectEvents("answered 2 0 value")
 	if replica.err != nil || len(replica.session.streams) > 0 {
 		t.Errorf("error %v, streams %v", replica.err, replica.session.streams)
 	}
 }
 
 // Only the words of the mapping say that a subquery ran well, or never. Anything else is an error.
-func TestEndsOfTheMapping(t *testing.T) {
+func TestReplyStatusMapping(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n, fields := range [][]string{
 		{":status", "200"},
@@ -58,16 +58,16 @@
 		{":status", "204", headerEnd, endOK},
 		{":status", "200", headerEnd, endError},
 	} {
-		replica.call(n, 1)
-		replica.frames()
-		replica.head(uint32(2*n+1), true, fields...)
+		replica.queueCall(n, 1)
+		replica.sentFrames()
+		replica.writeHeaders(uint32(2*n+1), true, fields...)
 	}
-	replica.expect("ready", "answered 1 1 ", "answered 2 1 ", "answered 3 2 ", "answered 4 2 ", "answered 5 1 ",
+	replica.expectEvents("ready", "answered 1 1 ", "answered 2 1 ", "answered 3 2 ", "answered 4 2 ", "answered 5 1 ",
 		"answered 6 1 ", "answered 7 1 ")
 }
 
 // A replica sends malformed responses. Each costs its own stream, whose call may have run, and nothing else.
-func TestMalformedAnswersCostTheirOwnStream(t *testing.T) {
+func TestMalformedResponseResetsOnlyItsStream(t *testing.T) {
 	replica := newFakeReplica(t)
 	bad := [][]string{
 		{"x", "y"},
@@ -86,40 +86,40 @@
 	}
 	want := []string{"ready"}
 	for n, fields := range bad {
-		replica.call(n, 1)
-		replica.frames()
-		replica.head(uint32(2*n+1), true, fields...)
+		replica.queueCall(n, 1)
+		replica.sentFrames()
+		replica.writeHeaders(uint32(2*n+1), true, fields...)
 		want = append(want, fmt.Sprint("may ", n+1))
 	}
-	replica.expect(want...)
-	if got := strings.Join(replica.frames(), ","); strings.Count(got, "reset") != len(bad) || replica.err != nil {
+	replica.expectEvents(want...)
+	if got := strings.Join(replica.sentFrames(), ","); strings.Count(got, "reset") != len(bad) || replica.err != nil {
 		t.Errorf("%s, error %v", got, replica.err)
 	}
 }
 
 // A replica lowers its limit on streams under open ones, to nothing. The calls that are not begun are held back and can
 // be withdrawn, until it raises the limit.
-func TestLimitOnStreams(t *testing.T) {
+func TestStreamLimit(t *testing.T) {
 	replica := newFakeReplica(t, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 2})
 	for n := range 5 {
-		replica.call(n, 1)
+		replica.queueCall(n, 1)
 	}
-	replica.frames()
+	replica.sentFrames()
 	if got := len(replica.session.streams); got != 2 {
 		t.Fatalf("%d streams", got)
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0})
 	replica.respond(1, "a")
 	replica.respond(3, "b")
-	replica.expect("room 2", "ready", "room 0", "answered 1 0 a", "answered 2 0 b")
-	replica.frames()
+	replica.expectEvents("room 2", "ready", "room 0", "answered 1 0 a", "answered 2 0 b")
+	replica.sentFrames()
 	session, calls := replica.session, replica.calls
 	if !session.Withdraw(calls[3]) || session.Withdraw(calls[0]) || len(session.streams) != 0 {
 		t.Error("what was not begun cannot be withdrawn, or what was can")
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 9})
-	replica.expect("room 9")
-	replica.frames()
+	replica.expectEvents("room 9")
+	replica.sentFrames()
 	if calls[2].Stream != 5 || calls[4].Stream != 7 || calls[3].Stage != replicaproto.Waiting {
 		t.Errorf("streams %d, %d", calls[2].Stream, calls[4].Stream)
 	}
@@ -127,30 +127,30 @@
 
 // A replica shrinks its windows below zero under open streams, and opens them again by a little. Large calls take
 // turns, and small ones do not wait for them.
-func TestWindowsAndTurns(t *testing.T) {
+func TestFlowControlAndRoundRobin(t *testing.T) {
 	replica := newFakeReplica(t)
-	large := []*replicaproto.Call{replica.call(0, 60000), replica.call(1, 60000)}
-	replica.frames()
-	small := replica.call(2, 100)
-	if replica.frames(); small.Stage == replicaproto.Written || large[0].Stage == replicaproto.Written {
+	large := []*replicaproto.Call{replica.queueCall(0, 60000), replica.queueCall(1, 60000)}
+	replica.sentFrames()
+	small := replica.queueCall(2, 100)
+	if replica.sentFrames(); small.Stage == replicaproto.Written || large[0].Stage == replicaproto.Written {
 		t.Fatal("more was sent than the connection's window")
 	}
 	replica.framer.WriteWindowUpdate(0, 200)
 	replica.feed()
-	if replica.frames(); small.Stage != replicaproto.Written {
+	if replica.sentFrames(); small.Stage != replicaproto.Written {
 		t.Error("the small one waits behind the large ones")
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000})
 	replica.framer.WriteWindowUpdate(0, 1<<20)
 	replica.feed()
-	if got := replica.frames(); len(got) != 1 || replica.session.streams[1].sendWindow >= 0 {
+	if got := replica.sentFrames(); len(got) != 1 || replica.session.streams[1].sendWindow >= 0 {
 		t.Errorf("%q sent with a window of %d", got, replica.session.streams[1].sendWindow)
 	}
 	replica.framer.WriteWindowUpdate(1, 70000)
 	replica.framer.WriteWindowUpdate(3, 70000)
 	replica.feed()
 	var turns []string
-	for _, f := range replica.frames() {
+	for _, f := range replica.sentFrames() {
 		turns = append(turns, strings.Fields(f)[1])
 	}
 	if !strings.Contains(strings.Join(turns, ""), "1313") && !strings.Contains(strings.Join(turns, ""), "3131") {
@@ -165,87 +165,87 @@
 func TestGoAwayInTwoSteps(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n := range 4 {
-		replica.call(n, 1)
+		replica.queueCall(n, 1)
 	}
-	replica.frames()
+	replica.sentFrames()
 	replica.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
-	replica.expect("ready", "going away")
-	held := replica.call(9, 1)
-	replica.frames()
+	replica.expectEvents("ready", "going away")
+	held := replica.queueCall(9, 1)
+	replica.sentFrames()
 	replica.framer.WriteGoAway(3, http2.ErrCodeNo, nil)
 	replica.respond(1, "a")
 	replica.framer.WriteRSTStream(3, http2.ErrCodeInternal)
 	aboveLast := string(replicaproto.AboveLastStreamID)
-	replica.expect("never 3 "+aboveLast, "never 4 "+aboveLast, "answered 1 0 a", "may 2")
+	replica.expectEvents("never 3 "+aboveLast, "never 4 "+aboveLast, "answered 1 0 a", "may 2")
 	if held.Stage != replicaproto.Waiting {
 		t.Error("a stream was begun after GOAWAY")
 	}
 }
 
 // A replica resets streams. A refused one never ran, unless its response had begun; any other may have.
-func TestResets(t *testing.T) {
+func TestStreamResets(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n := range 3 {
-		replica.call(n, 1)
+		replica.queueCall(n, 1)
 	}
-	replica.frames()
-	replica.head(3, false, ":status", "200", headerEnd, endOK)
+	replica.sentFrames()
+	replica.writeHeaders(3, false, ":status", "200", headerEnd, endOK)
 	for _, id := range []uint32{1, 3} {
 		replica.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 	}
 	replica.framer.WriteRSTStream(5, http2.ErrCodeCancel)
-	replica.expect("ready", "never 1 "+string(replicaproto.RefusedStream), "may 2", "may 3")
+	replica.expectEvents("ready", "never 1 "+string(replicaproto.RefusedStream), "may 2", "may 3")
 }
 
 // The window is given back for responses, also of streams that are over, or the connection would stall in the end. A
 // response that is too large ends its stream.
-func TestCreditIsGivenBack(t *testing.T) {
+func TestFlowControlWindowIsReplenished(t *testing.T) {
 	replica := newFakeReplica(t)
-	c := replica.call(0, 1)
-	replica.frames()
+	c := replica.queueCall(0, 1)
+	replica.sentFrames()
 	replica.session.Abandon(c)
-	if got := replica.frames(); !slices.Equal(got, []string{"reset 1 CANCEL"}) {
+	if got := replica.sentFrames(); !slices.Equal(got, []string{"reset 1 CANCEL"}) {
 		t.Errorf("%q", got)
 	}
-	replica.head(1, false, ":status", "200")
+	replica.writeHeaders(1, false, ":status", "200")
 	for range connWindow/2/maxFrameSize + 1 {
 		replica.framer.WriteData(1, false, make([]byte, maxFrameSize))
 	}
-	replica.expect("ready")
-	if got := replica.frames(); len(got) != 1 || !strings.HasPrefix(got[0], "window 0") {
+	replica.expectEvents("ready")
+	if got := replica.sentFrames(); len(got) != 1 || !strings.HasPrefix(got[0], "window 0") {
 		t.Errorf("%q", got)
 	}
-	replica.call(1, 1)
-	replica.frames()
-	replica.head(3, false, ":status", "200", headerEnd, endOK)
+	replica.queueCall(1, 1)
+	replica.sentFrames()
+	replica.writeHeaders(3, false, ":status", "200", headerEnd, endOK)
 	for range maxValue/maxFrameSize + 1 {
 		replica.framer.WriteData(3, false, make([]byte, maxFrameSize))
 		replica.feed()
 	}
-	if replica.expect("may 2"); replica.err != nil {
+	if replica.expectEvents("may 2"); replica.err != nil {
 		t.Error(replica.err)
 	}
 }
 
 // The ids of streams are used up on a connection that has lasted long. It takes nothing new then.
-func TestStreamIDsUsedUp(t *testing.T) {
+func TestStreamIDExhaustion(t *testing.T) {
 	replica := newFakeReplica(t)
 	replica.session.lastStreamID = maxStreamID - 2
-	a, b := replica.call(0, 1), replica.call(1, 1)
+	a, b := replica.queueCall(0, 1), replica.queueCall(1, 1)
 	replica.collectOutput()
 	if a.Stage != replicaproto.Written || b.Stage != replicaproto.Waiting {
 		t.Errorf("stages %d %d", a.Stage, b.Stage)
 	}
-	replica.expect("ready")
+	replica.expectEvents("ready")
 	replica.framer.WritePing(true, [8]byte{})
-	replica.expect("going away", "alive")
+	replica.expectEvents("going away", "alive")
 }
 
 // The operating system takes a write but for its last byte. The call that this belongs to is not written whole.
-func TestCutOutputIsNotWritten(t *testing.T) {
+func TestPartialWriteLeavesCallUnwritten(t *testing.T) {
 	replica := newFakeReplica(t)
-	replica.frames()
-	a, b := replica.call(0, 10), replica.call(1, 10)
+	replica.sentFrames()
+	a, b := replica.queueCall(0, 10), replica.queueCall(1, 10)
 	out := replica.session.Output(nil, 1<<20, 0)
 	replica.session.Wrote(len(out) - 1)
 	if a.Stage != replicaproto.Written || b.Stage != replicaproto.Begun {
@@ -265,7 +265,7 @@
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 3},
 		http2.Setting{ID: http2.SettingHeaderTableSize, Val: 0})
 	replica.framer.WriteWindowUpdate(1, 5)
-	replica.head(1, true, ":status", "200", headerEnd, endOK)
+	replica.writeHeaders(1, true, ":status", "200", headerEnd, endOK)
 	replica.framer.WritePing(false, [8]byte{1})
 	f.Add(replica.toSession.Bytes(), uint8(9))
 	f.Fuzz(func(t *testing.T, b []byte, calls uint8) {
@@ -301,7 +301,7 @@
 			}
 			session.Wrote(len(session.Output(nil, 1<<20, 0)))
 			streams, sending, control := len(session.streams), len(session.sending), len(session.control)
-			if streams > 16 || sending > streams || control > maxControl {
+			if streams > 16 || sending > streams || control > maxPendingControl {
 				t.Fatalf("%d streams, %d sending, %d bytes of control", streams, sending, control)
 			}
 		}
--- a/internal/replicaproto/protocol.go
+++ b/internal/replicaproto/protocol.go
@@ -1,10 +1,10 @@
-// Package replicaproto is what connections to replicas have in common, whatever protocol they speak. A Session is the
-// state machine of one connection: it is given calls to make and bytes that came, and gives bytes to write and events
-// that tell what came of each call. It has no socket, no clock and no goroutine. The packages below this one implement
-// it, one for each Protocol.
+// Package replicaproto defines what connections to replicas have in common, whatever protocol they use. A Session is
+// the state machine of one connection: its input is the calls to make and the bytes received, its output the bytes to
+// write and the events that report what became of each call. It has no socket, clock or goroutine. The subpackages
+// implement it, one for each Protocol.
 package replicaproto
 
-// Protocol names a protocol, as the configuration does.
+// Protocol is the name of a protocol in the configuration.
 type Protocol string
 
 // The protocols.
@@ -13,26 +13,26 @@
 	HTTP2  Protocol = "http2"  // docs/http2.md
 )
 
-// Traits are the properties of a protocol that a choice of connections may rest on.
+// Traits are the properties of a protocol on which the use of its connections depends.
 type Traits struct {
-	// Multiplexed says that many attempts share a few connections, and that each ends by itself.
+	// Multiplexed: many attempts share a few connections and end independently of each other.
 	Multiplexed bool
-	// RepliesNameAttempts says that a reply names its attempt; else it names its subquery.
+	// RepliesNameAttempts: a reply identifies its attempt; otherwise it identifies its subquery.
 	RepliesNameAttempts bool
-	// Pings says that a replica answers pings whatever else it is doing.
+	// Pings: a replica answers pings even while it is busy with calls.
 	Pings bool
-	// LimitsStreams says that a replica may state how many attempts it takes at a time on a connection, and that an
-	// abandoned attempt frees its place.
+	// LimitsStreams: a replica may limit the number of concurrent attempts on a connection, and an abandoned attempt no
+	// longer counts toward the limit.
 	LimitsStreams bool
-	// AnnouncesReady says that a replica states when calls may go (Ready); else they may as soon as it is connected.
+	// AnnouncesReady: calls may be written only after the replica's Ready; otherwise as soon as the connection is up.
 	AnnouncesReady bool
-	// AnnouncesClose says that a connection ends with a message to the replica.
+	// AnnouncesClose: a message to the replica precedes the close of a connection.
 	AnnouncesClose bool
-	// RepliesToInput says that what comes may need an answer at once, or make room for output.
+	// RepliesToInput: received bytes may require an immediate response or unblock pending output.
 	RepliesToInput bool
 }
 
-// TraitsOf gives a protocol's traits.
+// TraitsOf returns the traits of a protocol.
 func TraitsOf(protocol Protocol) Traits {
 	if protocol == HTTP2 {
 		return Traits{
