--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -22,11 +22,11 @@
 	Shard      int
 	Text       []byte
 
-	// Deadline is when the caller stops waiting for the reply, as time since process start. The replica is told how much
-	// time remains until then when the call's first byte is written.
+	// Deadline is when the caller stops waiting for the reply, as time since process start. The replica is told how
+	// much time remains until then when the call's first byte is written.
 	Deadline time.Duration
-	// Permit is called when the first byte is about to be written, with the connection's mutex held. If it returns false,
-	// the call is never written. A nil Permit allows every call that has at least MinTimeLeft.
+	// Permit is called when the first byte is about to be written, with the connection's mutex held. If it returns
+	// false, the call is never written. A nil Permit allows every call that has at least MinTimeLeft.
 	Permit func(now time.Duration) bool
 
 	Stage  Stage
@@ -36,8 +36,8 @@
 // MinTimeLeft is the least time until its deadline with which a call is sent: replicas are told whole milliseconds.
 const MinTimeLeft = time.Millisecond
 
-// Begin reports whether the first byte of a call may be written now. It returns the milliseconds left, which the replica
-// is told, and sets the call's stage.
+// Begin reports whether the first byte of a call may be written now. It returns the milliseconds left, which the
+// replica is told, and sets the call's stage.
 func (call *Call) Begin(now time.Duration) (waitMS int64, permitted bool) {
 	waitMS = (call.Deadline - now).Milliseconds()
 	if call.Permit != nil && !call.Permit(now) || waitMS < MinTimeLeft.Milliseconds() {
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -24,8 +24,8 @@
 	abandoned string             // the subquery's ID
 }
 
-// New returns a session that writes up to maxCalls calls of one group in a frame. The value sizes, against which replies
-// are checked, may be nil.
+// New returns a session that writes up to maxCalls calls of one group in a frame. The value sizes, against which
+// replies are checked, may be nil.
 func New(maxCalls int, sizes *wire.ValueSizes) *Session {
 	return &Session{maxCalls: max(1, maxCalls), replies: wire.ReplyReader{Sizes: sizes}}
 }
@@ -85,8 +85,8 @@
 	return buffer
 }
 
-// nextFrame removes the calls of the next frame from the queue: up to maxCalls of the first call's group. Calls that are
-// no longer permitted are dropped.
+// nextFrame removes the calls of the next frame from the queue: up to maxCalls of the first call's group. Calls that
+// are no longer permitted are dropped.
 func (session *Session) nextFrame(now time.Duration) (subqueries []wire.SubqueryCall, begun []*replicaproto.Call) {
 	group := session.queue[0].call.Group
 	for len(session.queue) > 0 && len(subqueries) < session.maxCalls {
--- a/internal/replicaproto/http2/errors_test.go
+++ b/internal/replicaproto/http2/errors_test.go
@@ -8,77 +8,77 @@
 	"golang.org/x/net/http2"
 )
 
-// A replica breaks the rules of the connection, or floods it. Our GOAWAY names the error that RFC 9113 has for it.
+// A replica violates the protocol or floods the connection. Our GOAWAY carries the error code that RFC 9113 prescribes.
 func TestConnectionErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		send func(replica *fakeReplica)
 		code http2.ErrCode
 	}{
-		"no stream": {func(replica *fakeReplica) {
+		"data on an idle stream": {func(replica *fakeReplica) {
 			replica.framer.WriteData(9, true, []byte("x"))
 		}, http2.ErrCodeProtocol},
-		"an even stream": {func(replica *fakeReplica) {
+		"response on an even stream ID": {func(replica *fakeReplica) {
 			replica.writeHeaders(2, true, ":status", "200")
 		}, http2.ErrCodeProtocol},
-		"a push": {func(replica *fakeReplica) {
+		"push": {func(replica *fakeReplica) {
 			replica.framer.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, EndHeaders: true})
 		}, http2.ErrCodeProtocol},
-		"pushes on": {func(replica *fakeReplica) {
+		"push enabled": {func(replica *fakeReplica) {
 			replica.framer.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 1})
 		}, http2.ErrCodeProtocol},
-		"a window too large": {func(replica *fakeReplica) {
+		"window update overflow": {func(replica *fakeReplica) {
 			replica.framer.WriteWindowUpdate(0, maxWindow)
 		}, http2.ErrCodeFlowControl},
-		"a window of settings too large": {func(replica *fakeReplica) {
+		"initial window too large": {func(replica *fakeReplica) {
 			replica.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 31})
 		}, http2.ErrCodeFlowControl},
-		"a window grown by nothing": {func(replica *fakeReplica) {
+		"window update of 0": {func(replica *fakeReplica) {
 			replica.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4))
 		}, http2.ErrCodeProtocol},
-		"a huge frame": {func(replica *fakeReplica) {
+		"frame too large": {func(replica *fakeReplica) {
 			replica.framer.WriteRawFrame(http2.FrameData, 0, 1, make([]byte, maxFrameSize+1))
 		}, http2.ErrCodeFrameSize},
-		"a continuation of nothing": {func(replica *fakeReplica) {
+		"continuation without headers": {func(replica *fakeReplica) {
 			replica.framer.WriteContinuation(1, true, nil)
 		}, http2.ErrCodeProtocol},
-		"a head that is broken into": {func(replica *fakeReplica) {
+		"headers interrupted by another frame": {func(replica *fakeReplica) {
 			replica.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
 			replica.framer.WritePing(false, [8]byte{})
 		}, http2.ErrCodeProtocol},
-		"garbage in a head": {func(replica *fakeReplica) {
+		"invalid header compression": {func(replica *fakeReplica) {
 			replica.framer.WriteHeaders(http2.HeadersFrameParam{
 				StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true,
 			})
 		}, http2.ErrCodeCompression},
-		"a head without end": {func(replica *fakeReplica) {
+		"endless headers": {func(replica *fakeReplica) {
 			replica.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
 			for range 4 {
 				replica.framer.WriteContinuation(1, false, bytes.Repeat([]byte{0x88}, maxFrameSize-1))
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
-		"a flood of settings": {func(replica *fakeReplica) {
+		"settings flood": {func(replica *fakeReplica) {
 			for range 2 * maxIdleFrames {
 				replica.framer.WriteSettings()
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
-		"a flood of pings": {func(replica *fakeReplica) {
+		"ping flood": {func(replica *fakeReplica) {
 			for range 2 * maxIdleFrames {
 				replica.framer.WritePing(false, [8]byte{})
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
-		"a flood of resets": {func(replica *fakeReplica) {
+		"reset flood": {func(replica *fakeReplica) {
 			for range 2 * maxIdleFrames {
 				replica.framer.WriteRSTStream(1, http2.ErrCodeCancel)
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
-		"a flood of empty frames": {func(replica *fakeReplica) {
+		"flood of empty data frames": {func(replica *fakeReplica) {
 			replica.writeHeaders(1, false, ":status", "200")
 			for range 2 * maxIdleFrames {
 				replica.framer.WriteData(1, false, nil)
 			}
 		}, http2.ErrCodeEnhanceYourCalm},
-		"more than its window": {func(replica *fakeReplica) {
-			replica.session.receiveWindow.available = 10 // as if it had used it up
+		"data beyond the window": {func(replica *fakeReplica) {
+			replica.session.receiveWindow.available = 10 // as if the rest had been used
 			replica.framer.WriteData(1, false, make([]byte, 11))
 		}, http2.ErrCodeFlowControl},
 	} {
@@ -98,6 +98,6 @@
 	replica.framer = http2.NewFramer(&replica.toSession, &replica.fromSession)
 	replica.framer.WritePing(false, [8]byte{})
 	if replica.feed(); replica.err == nil {
-		t.Error("a first frame that is no settings passes")
+		t.Error("a first frame other than SETTINGS was accepted")
 	}
 }
--- a/internal/replicaproto/http2/fakereplica_test.go
+++ b/internal/replicaproto/http2/fakereplica_test.go
@@ -14,12 +14,12 @@
 	"terntray/internal/replicaproto"
 )
 
-// fakeReplica is the replica that a session talks to, made of the library's framer alone.
+// fakeReplica is the replica at the other end of a session. It uses the library's framer directly.
 type fakeReplica struct {
 	t           *testing.T
 	session     *Session
-	fromSession bytes.Buffer // what the session has written
-	toSession   bytes.Buffer // what goes to it
+	fromSession bytes.Buffer // bytes that the session wrote
+	toSession   bytes.Buffer // bytes for the session to read
 	framer      *http2.Framer
 	decoder     *hpack.Decoder
 	block       bytes.Buffer
@@ -43,7 +43,7 @@
 	return replica
 }
 
-// collectOutput has the session write all that it has now.
+// collectOutput collects all pending output of the session.
 func (replica *fakeReplica) collectOutput() {
 	for {
 		b := replica.session.Output(nil, 1<<20, 0)
@@ -54,7 +54,7 @@
 	}
 }
 
-// feed gives the session what was written to it, one byte after the other, and takes its events.
+// feed passes the bytes for the session to it one at a time and collects its events.
 func (replica *fakeReplica) feed() {
 	for _, b := range replica.toSession.Bytes() {
 		replica.session.ReadBuffer()[0] = b
@@ -97,7 +97,7 @@
 			if err != nil {
 				replica.t.Fatal(err)
 			}
-			all = append(all, fmt.Sprint("head ", f.StreamID, " ", fields[3].Value))
+			all = append(all, fmt.Sprint("headers ", f.StreamID, " ", fields[3].Value))
 		case *http2.DataFrame:
 			all = append(all, fmt.Sprintf("data %d %d %t", f.StreamID, len(f.Data()), f.StreamEnded()))
 		case *http2.RSTStreamFrame:
@@ -128,12 +128,12 @@
 	replica.framer.WriteData(stream, true, []byte(value))
 }
 
-// connEventNames are the words of expect for events that concern no call.
+// connEventNames are the names that expectEvents uses for events that concern no call.
 var connEventNames = map[replicaproto.Kind]string{
-	replicaproto.GoingAway: "going away", replicaproto.PingAnswered: "alive", replicaproto.Ready: "ready",
+	replicaproto.GoingAway: "going away", replicaproto.PingAnswered: "ping answered", replicaproto.Ready: "ready",
 }
 
-// expectEvents feeds what was written and checks the events since the last look.
+// expectEvents feeds the session and checks the events since the last check.
 func (replica *fakeReplica) expectEvents(want ...string) {
 	replica.t.Helper()
 	replica.feed()
@@ -141,13 +141,13 @@
 	for _, e := range replica.events {
 		switch e.Kind {
 		case replicaproto.Reply:
-			got = append(got, fmt.Sprintf("answered %d %d %s", e.Attempt, e.Status, e.Value))
+			got = append(got, fmt.Sprintf("reply %d %d %s", e.Attempt, e.Status, e.Value))
 		case replicaproto.NeverRan:
-			got = append(got, fmt.Sprintf("never %d %s", e.Attempt, e.Evidence))
+			got = append(got, fmt.Sprintf("never ran %d %s", e.Attempt, e.Evidence))
 		case replicaproto.MayHaveRun:
-			got = append(got, fmt.Sprintf("may %d", e.Attempt))
+			got = append(got, fmt.Sprintf("may have run %d", e.Attempt))
 		case replicaproto.CallLimit:
-			got = append(got, fmt.Sprintf("room %d", e.MaxCalls))
+			got = append(got, fmt.Sprintf("call limit %d", e.MaxCalls))
 		default:
 			got = append(got, connEventNames[e.Kind])
 		}
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -15,20 +15,20 @@
 	"terntray/internal/wire"
 )
 
-// frameHeaderSize is the bytes of a frame before its payload (RFC 9113, 4.1).
+// frameHeaderSize is the size of a frame's header in bytes (RFC 9113, 4.1).
 const frameHeaderSize = 9
 
-// inbound is what is read.
+// inbound is the state of reading.
 type inbound struct {
 	input      wire.Buffer
 	frameInput bytes.Reader // the frame that is being read
 	decoder    *hpack.Decoder
-	headers    headerList           // that is being read
-	events     []replicaproto.Event // that Next has yet to give
-	idleFrames int                  // frames in a row that brought nothing
+	headers    headerList           // the header list that is being received
+	events     []replicaproto.Event // that Next has not returned yet
+	idleFrames int                  // consecutive frames without progress
 }
 
-// Next gives the next event.
+// Next returns the next event.
 func (session *Session) Next() (event replicaproto.Event, ok bool, err error) {
 	for {
 		if len(session.events) > 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// nextFrame cuts the next frame out of what was read; nil where it is not whole.
+// nextFrame removes the next frame from the input; it returns nil if the frame is incomplete.
 func (session *Session) nextFrame() (http2.Frame, error) {
 	input := session.input.Bytes()
 	if len(input) < frameHeaderSize {
@@ -69,20 +69,20 @@
 	return frame, err
 }
 
-// onFrame takes a frame.
+// onFrame handles a frame.
 func (session *Session) onFrame(frame http2.Frame) error {
 	_, isSettings := frame.(*http2.SettingsFrame)
 	if !session.settings.received && !isSettings {
-		return http2.ConnectionError(http2.ErrCodeProtocol) // the replica's preface is its settings (RFC 9113, 3.4)
+		return http2.ConnectionError(http2.ErrCodeProtocol) // the first frame must be SETTINGS (RFC 9113, 3.4)
 	}
-	session.idleFrames++ // reset by those that bring something
+	session.idleFrames++ // reset to 0 on progress
 	switch frame := frame.(type) {
 	case *http2.SettingsFrame:
 		return session.onSettings(frame)
 	case *http2.HeadersFrame:
 		session.headers.begin(frame.StreamID, frame.StreamEnded())
 		return session.onHeaderBlock(frame.HeaderBlockFragment(), frame.HeadersEnded())
-	case *http2.ContinuationFrame: // the framer checks that it continues the header list
+	case *http2.ContinuationFrame: // the framer checks that it belongs to the open header list
 		return session.onHeaderBlock(frame.HeaderBlockFragment(), frame.HeadersEnded())
 	case *http2.DataFrame:
 		return session.onData(frame)
@@ -97,7 +97,7 @@
 	case *http2.PushPromiseFrame:
 		return http2.ConnectionError(http2.ErrCodeProtocol) // our settings refuse pushes (RFC 9113, 8.4)
 	}
-	return nil // priorities and unknown types are ignored (RFC 9113, 5.5)
+	return nil // PRIORITY and unknown types are ignored (RFC 9113, 5.5)
 }
 
 func (session *Session) onPing(frame *http2.PingFrame) {
@@ -109,7 +109,7 @@
 	session.writeControl(func() error { return session.framer.WritePing(true, data) })
 }
 
-// onSettings takes the replica's settings, or its acknowledgement of ours.
+// onSettings handles the replica's settings or its acknowledgement of ours.
 func (session *Session) onSettings(frame *http2.SettingsFrame) error {
 	if frame.IsAck() {
 		if !session.settings.received {
@@ -144,7 +144,7 @@
 	case http2.SettingInitialWindowSize:
 		return session.changeInitialWindow(int64(setting.Val))
 	case http2.SettingMaxFrameSize:
-		// Larger frames would keep other calls waiting.
+		// Larger frames would delay other calls.
 		session.settings.maxFrameSize = int(min(setting.Val, maxFrameSize))
 	case http2.SettingHeaderTableSize:
 		session.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, headerTableSize))
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// changeInitialWindow changes the window of new streams, and those of open ones by the same difference. They may
-// fall below zero (RFC 9113, 6.9.2).
+// changeInitialWindow sets the window of new streams and changes those of open streams by the difference. Windows may
+// become negative (RFC 9113, 6.9.2).
 func (session *Session) changeInitialWindow(size int64) error {
 	change := size - session.settings.streamWindow
 	session.settings.streamWindow = size
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// onWindowUpdate takes how much more the replica takes, on the connection or a stream.
+// onWindowUpdate increases the send window of the connection or a stream.
 func (session *Session) onWindowUpdate(frame *http2.WindowUpdateFrame) error {
 	increment := int64(frame.Increment)
 	if frame.StreamID == 0 {
@@ -187,9 +187,8 @@
 	return nil
 }
 
-// onGoAway takes the replica's message that it takes no new stream. Streams above its last one never ran, except
-// one that has had its response already, which contradicts the message. A later message may name a lower stream
-// (RFC 9113, 6.8).
+// onGoAway handles the replica's GOAWAY. Streams above its last stream ID never ran, except those whose response had
+// begun, which contradicts the GOAWAY. Another GOAWAY may lower the last stream ID (RFC 9113, 6.8).
 func (session *Session) onGoAway(frame *http2.GoAwayFrame) {
 	if session.goingAway && frame.LastStreamID >= session.lastAccepted {
 		return
@@ -212,11 +211,11 @@
 	}
 }
 
-// onReset takes the replica's end of a stream. A refused one never ran (RFC 9113, 8.7), unless it has had its
-// response.
+// onReset handles the replica's reset of a stream. A refused stream never ran (RFC 9113, 8.7), unless its response had
+// begun.
 func (session *Session) onReset(frame *http2.RSTStreamFrame) error {
 	stream := session.streams[frame.StreamID]
-	if stream == nil { // its response was complete, or we have reset it
+	if stream == nil { // its response was complete, or we reset it
 		return session.checkWasOpened(frame.StreamID)
 	}
 	session.removeStream(stream)
@@ -228,13 +227,13 @@
 	return nil
 }
 
-// handleError ends the stream that an error is about, if it is about one alone; otherwise it returns the error that
-// ends the connection. So it does for floods of frames that bring nothing, or that need answers faster than they
-// are written.
+// handleError ends the stream that a stream error concerns. For any other error it returns the error that ends the
+// connection, and likewise if the replica floods the connection: with frames that make no progress, or with frames that
+// require responses faster than those can be written.
 func (session *Session) handleError(err error) error {
-	var ofStream http2.StreamError
-	if errors.As(err, &ofStream) {
-		err = session.endStream(ofStream)
+	var streamError http2.StreamError
+	if errors.As(err, &streamError) {
+		err = session.endStream(streamError)
 	}
 	if err != nil {
 		return session.recordConnectionError(err)
@@ -245,7 +244,7 @@
 	return nil
 }
 
-// endStream resets the stream that an error is about.
+// endStream resets the stream that an error concerns.
 func (session *Session) endStream(cause http2.StreamError) error {
 	stream := session.streams[cause.StreamID]
 	if stream == nil {
@@ -256,12 +255,12 @@
 	return nil
 }
 
-// recordConnectionError notes the code that our last message names.
+// recordConnectionError sets the error code of our GOAWAY and returns the error with the framer's detail.
 func (session *Session) recordConnectionError(err error) error {
 	session.closeCode = http2.ErrCodeProtocol
-	var ofConnection http2.ConnectionError
-	if errors.As(err, &ofConnection) {
-		session.closeCode = http2.ErrCode(ofConnection)
+	var connectionError http2.ConnectionError
+	if errors.As(err, &connectionError) {
+		session.closeCode = http2.ErrCode(connectionError)
 	}
 	if detail := session.framer.ErrorDetail(); detail != nil {
 		return fmt.Errorf("%w: %w", err, detail)
@@ -269,17 +268,17 @@
 	return err
 }
 
-// checkWasOpened allows what comes for a stream that is over; for one that was never opened it is an error of the
-// connection (RFC 9113, 5.1).
+// checkWasOpened returns nil for a stream that we have opened, even if it has ended, and otherwise a connection error
+// (RFC 9113, 5.1).
 func (session *Session) checkWasOpened(id uint32) error {
-	isOurs := id%2 == 1
-	if !isOurs || id > session.lastStreamID {
+	isClientInitiated := id%2 == 1
+	if !isClientInitiated || id > session.lastStreamID {
 		return http2.ConnectionError(http2.ErrCodeProtocol)
 	}
 	return nil
 }
 
-// streamsInOrder lists the open streams by their ids.
+// streamsInOrder returns the open streams, sorted by ID.
 func (session *Session) streamsInOrder() []*stream {
 	byID := func(a, b *stream) int { return cmp.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Values(session.streams), byID)
--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -9,13 +9,13 @@
 	"terntray/internal/replicaproto"
 )
 
-// The mapping of a call to a request and its response, as docs/http2.md states it. The names on the wire are given.
+// The mapping of a call to a request and its response (docs/http2.md). The names on the wire are fixed.
 const (
 	callPath       = "/part"
 	headerSubquery = "part-id"
 	headerShard    = "part-shard"
-	headerWait     = "part-wait-ms" // how many milliseconds the reply is awaited
-	headerEnd      = "part-end"     // of a response: one of the ends below
+	headerWait     = "part-wait-ms" // milliseconds for which the reply is awaited
+	headerEnd      = "part-end"     // of a response: one of the values below
 	headerLoad     = "part-load"    // the load report
 
 	endOK       = "ok"
@@ -23,7 +23,7 @@
 	endRejected = "rejected"
 )
 
-// requestHeaders is the header list of a call.
+// requestHeaders returns the header list of a call.
 func requestHeaders(scheme, authority string, call *replicaproto.Call, waitMS int64) []hpack.HeaderField {
 	return []hpack.HeaderField{
 		{Name: ":method", Value: http.MethodPost},
@@ -34,13 +34,13 @@
 		{Name: "content-length", Value: strconv.Itoa(len(call.Text))},
 		{Name: headerShard, Value: strconv.Itoa(call.Shard)},
 		{Name: headerWait, Value: strconv.FormatInt(waitMS, 10)},
-		// An id is never sent again, so it would only push others out of the compression table.
+		// An ID is never sent again; in the compression table it would only evict other entries.
 		{Name: headerSubquery, Value: call.SubqueryID, Sensitive: true},
 	}
 }
 
-// replyStatusOf reads how a response says that its subquery ended. Only status and header together say that it ran well, or
-// never; anything else is an error after which it may have run.
+// replyStatusOf returns the reply status of a response. OK and Rejected require a matching pair of HTTP status and end
+// header; anything else is an error, after which the subquery may have run.
 func replyStatusOf(status int, end string) replicaproto.ReplyStatus {
 	isRejectedStatus := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -10,19 +10,19 @@
 	"terntray/internal/replicaproto"
 )
 
-// outbound is what is written.
+// outbound is the state of writing.
 type outbound struct {
-	output      []byte // that frames are being written to
-	outputStart int    // where the session's own output begins in it
+	output      []byte // that frames are appended to
+	outputStart int    // where this session's output begins in it
 	callEnds    []replicaproto.CallEnd
 	control     []byte // control frames that wait to be written
 	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer // that the encoder writes to
 }
 
-// Output appends what is to be written now: control frames, then new streams as the replica's limit allows, then bodies
-// in turn, a frame of each. A large call would otherwise keep small ones of other clients waiting. Nothing is begun
-// before the replica's settings have come, as its limit is not known.
+// Output appends control frames, then new streams up to the replica's limit, then one frame of each body in turn, so
+// that a large call does not delay other clients' small ones. No stream is opened before the replica's settings are
+// received, because its limit is not known yet.
 func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
 	session.callEnds = session.callEnds[:0]
 	session.outputStart = len(buffer)
@@ -37,11 +37,11 @@
 	return output
 }
 
-// outputSize is the bytes of the output so far.
+// outputSize returns the size of the output so far, in bytes.
 func (session *Session) outputSize() int { return len(session.output) - session.outputStart }
 
-// canBeginCall tells whether the first call that waits can begin. A stream on which nothing can be sent would only take a
-// place.
+// canBeginCall reports whether a stream can be opened for the first queued call. While no body can be sent, none is
+// opened: it would only count toward the replica's limit.
 func (session *Session) canBeginCall() bool {
 	if len(session.queue) == 0 || !session.settings.received || session.closeAnnounced || session.goingAway {
 		return false
@@ -50,7 +50,7 @@
 	return canSend && int64(len(session.streams)) < session.settings.maxStreams && session.lastStreamID < maxStreamID
 }
 
-// beginNextCall opens a stream for the first call that waits, unless that is not permitted any more.
+// beginNextCall opens a stream for the first queued call, or drops the call if it is no longer permitted.
 func (session *Session) beginNextCall(now time.Duration) {
 	call := session.queue[0]
 	session.queue = session.queue[1:]
@@ -73,14 +73,14 @@
 		session.recordCallEnd(opened)
 		return
 	}
-	if size := session.sendable(opened); size == len(opened.body) { // a small body goes with its head
+	if size := session.sendable(opened); size == len(opened.body) { // a small body follows its headers at once
 		session.writeBody(opened, size)
 	} else {
 		session.sending = append(session.sending, opened)
 	}
 }
 
-// nextStreamID gives the id of a new stream. After the last one the connection takes nothing new.
+// nextStreamID returns the ID of a new stream. With the last possible ID, the connection stops accepting calls.
 func (session *Session) nextStreamID() uint32 {
 	if session.lastStreamID == 0 {
 		session.lastStreamID = 1
@@ -90,12 +90,12 @@
 	if session.lastStreamID == maxStreamID {
 		session.goingAway = true
 		session.lastAccepted = maxStreamID
-		session.emit(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: "the stream ids are used up"})
+		session.emit(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: "the connection has used all stream IDs"})
 	}
 	return session.lastStreamID
 }
 
-// writeHeaders writes a call's header list, in as many frames as it needs.
+// writeHeaders writes a call's header list, in several frames if necessary.
 func (session *Session) writeHeaders(stream *stream, waitMS int64) {
 	session.headerBlock.Reset()
 	for _, field := range requestHeaders(session.scheme, session.authority, stream.call, waitMS) {
@@ -115,21 +115,21 @@
 	}
 }
 
-// splitAt divides bytes after so many of them.
+// splitAt splits a slice after size bytes, or at its end if it is shorter.
 func splitAt(all []byte, size int) (first, rest []byte) {
 	size = min(size, len(all))
 	return all[:size], all[size:]
 }
 
-// writeBodies writes a frame of each body in turn, until the output is large enough or none can go on.
+// writeBodies writes one frame of each body in turn, until the output is large enough or no body can be sent.
 func (session *Session) writeBodies(maxBytes int) {
-	blocked := 0 // bodies in a row of which nothing can be sent
+	blocked := 0 // consecutive bodies of which nothing can be sent
 	for blocked < len(session.sending) && session.outputSize() < maxBytes {
 		if session.sendWindow <= 0 || session.closeAnnounced {
 			return
 		}
 		next := session.sending[0]
-		session.sending = append(session.sending[1:], next) // its next turn is after all others'
+		session.sending = append(session.sending[1:], next) // round robin
 		size := session.sendable(next)
 		if size <= 0 {
 			blocked++
@@ -140,13 +140,13 @@
 	}
 }
 
-// sendable is how many bytes of a stream's body can be sent in one frame now; it may be below 0.
+// sendable returns how many bytes of a stream's body can be sent in one frame now; it may be negative.
 func (session *Session) sendable(stream *stream) int {
 	window := min(session.sendWindow, stream.sendWindow)
 	return int(min(int64(len(stream.body)), window, int64(session.settings.maxFrameSize)))
 }
 
-// writeBody writes so many bytes of a stream's body.
+// writeBody writes the next size bytes of a stream's body.
 func (session *Session) writeBody(stream *stream, size int) {
 	fragment, rest := splitAt(stream.body, size)
 	isLast := len(rest) == 0
@@ -160,24 +160,24 @@
 	}
 }
 
-// recordCallEnd notes where a call's last byte stands in the output.
+// recordCallEnd records the position of a call's last byte in the output.
 func (session *Session) recordCallEnd(stream *stream) {
 	stream.sent = true
 	end := replicaproto.CallEnd{Call: stream.call, Offset: session.outputSize()}
 	session.callEnds = append(session.callEnds, end)
 }
 
-// Wrote tells how many bytes of the last output were taken.
-func (session *Session) Wrote(taken int) {
+// Wrote records how many bytes of the last output were accepted.
+func (session *Session) Wrote(accepted int) {
 	for _, end := range session.callEnds {
-		if end.Offset <= taken {
+		if end.Offset <= accepted {
 			end.Call.Stage = replicaproto.Written
 		}
 	}
 	session.callEnds = session.callEnds[:0]
 }
 
-// writeControl has control frames written in the next output, after those that wait.
+// writeControl queues the control frames that write writes for the next output.
 func (session *Session) writeControl(write func() error) {
 	session.output = session.control
 	must(write())
@@ -185,14 +185,14 @@
 	session.output = nil
 }
 
-// sendWindowUpdate lets the replica send more, on a stream or, with 0, the connection.
+// sendWindowUpdate queues a WINDOW_UPDATE for a stream, or for the connection if stream is 0.
 func (session *Session) sendWindowUpdate(stream uint32, increment int64) {
 	if increment > 0 {
 		session.writeControl(func() error { return session.framer.WriteWindowUpdate(stream, uint32(increment)) })
 	}
 }
 
-// must panics on an error of writing a frame. Writing is to memory, so it is a frame that this package made wrongly.
+// must panics if a frame could not be written. Frames are written to memory, so the frame itself must be invalid.
 func must(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/replicaproto/http2/response.go
+++ b/internal/replicaproto/http2/response.go
@@ -11,21 +11,22 @@
 	"terntray/internal/wire"
 )
 
-// fieldOverhead is how many bytes a field counts in a header list beside its own (RFC 7541, 4.1).
+// fieldOverhead is the number of bytes that each field adds to a header list's size (RFC 7541, 4.1).
 const fieldOverhead = 32
 
-// headerList gathers the fields of a header list that is coming: of an interim response, a response or its trailers.
+// headerList collects the fields of the header list that is being received: of an interim response, a response or its
+// trailers.
 type headerList struct {
 	stream           uint32
-	open             bool // more of it has to come
+	open             bool // it is incomplete
 	endsStream       bool
 	blockSize        int  // compressed bytes so far
-	listSize         int  // bytes of the fields so far, as the limit counts them
-	malformed        bool // RFC 9113, 8.2 and 8.3; or too large
-	hasRegularFields bool // a field that is no pseudo-field has come
+	listSize         int  // bytes of the fields so far, with their overhead
+	malformed        bool // by RFC 9113, 8.2 and 8.3, or too large
+	hasRegularFields bool // a field other than a pseudo-header was received
 
 	status        string
-	end           string  // the mapping's headerEnd
+	end           string  // the value of headerEnd
 	cpuUsage      float64 // the load report; below 0: none
 	contentLength int64   // below 0: none
 }
@@ -35,7 +36,7 @@
 	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, cpuUsage: -1}
 }
 
-// add takes one field.
+// add adds one field.
 func (list *headerList) add(field hpack.HeaderField) {
 	list.listSize += len(field.Name) + len(field.Value) + fieldOverhead
 	if list.listSize > maxHeaderList {
@@ -56,7 +57,7 @@
 	list.interpret(field)
 }
 
-// interpret takes what a field says.
+// interpret validates and stores the fields that have a meaning here.
 func (list *headerList) interpret(field hpack.HeaderField) {
 	switch field.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
@@ -77,7 +78,7 @@
 	}
 }
 
-// isValidName tells whether a field's name holds only what it may (RFC 9113, 8.2.1).
+// isValidName reports whether a field's name contains only allowed characters (RFC 9113, 8.2.1).
 func isValidName(name string) bool {
 	return name != "" && !strings.ContainsFunc(name, isInvalidInName)
 }
@@ -87,13 +88,13 @@
 	return char <= ' ' || char >= 0x7f || isUpper || char == ':'
 }
 
-// isValidValue tells the same of its value.
+// isValidValue reports whether a field's value contains only allowed characters (RFC 9113, 8.2.1).
 func isValidValue(value string) bool {
 	return !strings.ContainsAny(value, "\x00\r\n") && value == strings.Trim(value, " \t")
 }
 
-// onHeaderBlock takes a fragment of a header list. All are decoded, also those of streams that are over, as the state
-// of the compression depends on it.
+// onHeaderBlock handles a fragment of a header list. Fragments of ended streams are decoded too, because the
+// compression state depends on them.
 func (session *Session) onHeaderBlock(fragment []byte, isLast bool) error {
 	list := &session.headers
 	list.blockSize += len(fragment)
@@ -120,7 +121,7 @@
 	return session.onResponse(stream)
 }
 
-// onTrailers takes what follows a response's body. They end the stream and have no pseudo-fields (RFC 9113, 8.1).
+// onTrailers handles a response's trailers. They must end the stream and have no pseudo-headers (RFC 9113, 8.1).
 func (session *Session) onTrailers(stream *stream) error {
 	list := &session.headers
 	if list.malformed || !list.endsStream || list.status != "" {
@@ -132,7 +133,7 @@
 	return session.onResponseEnd(stream)
 }
 
-// onResponse takes the header list of a response, or of an interim one, of which nothing is needed.
+// onResponse handles the header list of a response. Interim responses are ignored.
 func (session *Session) onResponse(stream *stream) error {
 	list := &session.headers
 	if list.malformed || len(list.status) != 3 {
@@ -163,8 +164,7 @@
 	return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeProtocol}
 }
 
-// onData takes a piece of a response's body. What it took of the connection's window is given back also for streams
-// that are over.
+// onData handles a part of a response's body. The connection's window is replenished for data on ended streams too.
 func (session *Session) onData(frame *http2.DataFrame) error {
 	size := int64(frame.Header().Length) // padding included (RFC 9113, 6.1)
 	if !session.receiveWindow.receive(size) {
@@ -195,13 +195,13 @@
 	return nil
 }
 
-// onResponseEnd ends a stream whose response is complete.
+// onResponseEnd handles the end of a response and reports the reply.
 func (session *Session) onResponseEnd(stream *stream) error {
 	if stream.contentLength >= 0 && stream.contentLength != int64(len(stream.value)) {
 		return malformedResponse(stream) // RFC 9113, 8.1.1
 	}
 	session.idleFrames = 0
-	if !stream.sent { // the replica needs no more of the call
+	if !stream.sent { // the rest of the call is not needed
 		session.reset(stream, http2.ErrCodeNo)
 	}
 	session.removeStream(stream)
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -1,12 +1,12 @@
-// Package http2 is the protocol of replicas that speak HTTP/2 (RFC 9113, with the header compression of RFC 7541): one
-// stream for each call. docs/http2.md has the mapping, and what proves that a call never ran.
+// Package http2 implements the protocol of replicas that speak HTTP/2 (RFC 9113, with the header compression of RFC
+// 7541): one stream for each call. docs/http2.md describes the mapping and what proves that a call never ran.
 //
-// Frames and header compression are those of golang.org/x/net. Its transport is not used, as it repeats requests by
-// itself and hides which streams ran. A Session does all that a client has to: settings and their acknowledgement, the
-// replica's limits on streams, frames and headers, flow control both ways, pings, GOAWAY and resets. Pushes are
-// refused, unknown frames ignored, and floods end the connection.
+// Frames and header compression use golang.org/x/net. Its transport is not used, because it retries requests by itself
+// and hides which streams ran. A Session implements all of a client's duties: settings and their acknowledgement, the
+// replica's limits on streams, frames and headers, flow control in both directions, pings, GOAWAY and resets. Pushes
+// are refused, unknown frames are ignored, and floods end the connection.
 //
-// session.go has the state, output.go what is written, frames_in.go and response.go what is read.
+// session.go holds the state, output.go what is written, frames_in.go and response.go what is read.
 package http2
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	initialWindow = 65535     // bytes of either side's flow-control windows at first (RFC 9113, 6.9.2)
-	maxWindow     = 1<<31 - 1 // bytes of any window (RFC 9113, 6.9.1)
-	connWindow    = 512 << 10 // bytes of the connection's window that we open: several of the largest replies
+	initialWindow = 65535     // bytes; initial flow-control window of either side (RFC 9113, 6.9.2)
+	maxWindow     = 1<<31 - 1 // bytes; limit of any window (RFC 9113, 6.9.1)
+	connWindow    = 512 << 10 // bytes; the receive window of a connection: several of the largest replies
 	maxStreamID   = 1<<31 - 1
 
-	maxFrameSize    = 16384     // bytes of a payload, ours and the replica's: what any side takes (RFC 9113, 6.5.2)
-	maxValue        = 128 << 10 // bytes of a reply; a longer one fits into no response to a client
-	maxHeaderList   = 16 << 10  // bytes of a header list, stated in our settings
-	maxHeaderBlock  = 32 << 10  // compressed bytes of one, CONTINUATION frames included
+	maxFrameSize    = 16384     // bytes of payload in either direction; every peer accepts this size (RFC 9113, 6.5.2)
+	maxValue        = 128 << 10 // bytes of a reply; longer ones do not fit into a response to a client
+	maxHeaderList   = 16 << 10  // bytes of a header list, announced in our settings
+	maxHeaderBlock  = 32 << 10  // bytes of a compressed header list, CONTINUATION frames included
 	headerTableSize = 4096      // bytes of either side's compression table
 
-	maxPendingControl = 16 << 10 // bytes of control frames that wait to be written; beyond, the replica floods us
-	maxIdleFrames     = 1000     // frames in a row that bring nothing; beyond, the replica floods us
+	maxPendingControl = 16 << 10 // bytes of queued control frames; more are treated as a flood
+	maxIdleFrames     = 1000     // consecutive frames without progress; more are treated as a flood
 )
 
 // Session is the state machine of one connection.
@@ -46,29 +46,29 @@
 	outbound
 
 	queue        []*replicaproto.Call // not begun, in order
-	streams      map[uint32]*stream   // open ones, by id
-	sending      []*stream            // with body left, the next one first
+	streams      map[uint32]*stream   // open streams by ID
+	sending      []*stream            // streams with unsent body, the next to send first
 	lastStreamID uint32               // odd; 0: none yet
 
 	settings       replicaSettings
 	sendWindow     int64 // of the connection
 	receiveWindow  receiveWindow
 	pingsSent      uint64
-	goingAway      bool   // the replica takes no new stream
-	lastAccepted   uint32 // the highest stream that it takes then
+	goingAway      bool   // no new stream may be opened
+	lastAccepted   uint32 // the last stream ID of the replica's GOAWAY
 	closeAnnounced bool
 	closeCode      http2.ErrCode // of our GOAWAY
 }
 
-// replicaSettings are the replica's settings (RFC 9113, 6.5.2); until they come, the protocol's defaults.
+// replicaSettings are the replica's settings (RFC 9113, 6.5.2), or the protocol's defaults until they are received.
 type replicaSettings struct {
 	received     bool
-	maxStreams   int64 // that it takes at a time
-	maxFrameSize int   // bytes of a payload that we send: at most our own maxFrameSize
-	streamWindow int64 // bytes that it takes at first on a new stream
+	maxStreams   int64 // concurrent streams that the replica accepts
+	maxFrameSize int   // bytes of payload that we send: at most our own maxFrameSize
+	streamWindow int64 // bytes; initial window of a new stream
 }
 
-// New makes a session. The scheme is http or https, the authority the replica's address.
+// New returns a session. The scheme is http or https, the authority is the replica's address.
 func New(scheme, authority string) *Session {
 	session := &Session{
 		scheme:        scheme,
@@ -89,7 +89,7 @@
 	return session
 }
 
-// writePreface writes our settings, and opens the connection's window.
+// writePreface writes our settings and raises the connection's window to connWindow.
 func (session *Session) writePreface() error {
 	return errors.Join(
 		session.framer.WriteSettings(
@@ -102,7 +102,7 @@
 
 var _ replicaproto.Session = (*Session)(nil)
 
-// outputWriter lets the framer write to a session's output.
+// outputWriter is the framer's writer; it appends to a session's output.
 type outputWriter struct{ session *Session }
 
 func (writer outputWriter) Write(bytes []byte) (int, error) {
@@ -110,15 +110,15 @@
 	return len(bytes), nil
 }
 
-// Queue has a call wait to be written.
+// Queue appends a call to the calls that wait to be written.
 func (session *Session) Queue(call *replicaproto.Call) { session.queue = append(session.queue, call) }
 
-// Withdraw takes back a call of which no byte was written.
+// Withdraw removes a call of which no byte was written and reports whether it could.
 func (session *Session) Withdraw(call *replicaproto.Call) bool {
 	if !call.Revocable() {
 		return false
 	}
-	isCall := func(waiting *replicaproto.Call) bool { return waiting == call }
+	isCall := func(queued *replicaproto.Call) bool { return queued == call }
 	session.queue = slices.DeleteFunc(session.queue, isCall)
 	return true
 }
@@ -130,25 +130,25 @@
 	}
 }
 
-// reset ends a stream from this side.
+// reset removes a stream and queues a RST_STREAM for it.
 func (session *Session) reset(stream *stream, code http2.ErrCode) {
 	session.removeStream(stream)
 	session.writeControl(func() error { return session.framer.WriteRSTStream(stream.id, code) })
 }
 
-// removeStream lets go of a stream that is over.
+// removeStream removes an ended stream.
 func (session *Session) removeStream(stream *stream) {
 	delete(session.streams, stream.id)
 	session.stopSending(stream)
 }
 
-// stopSending takes a stream out of those with body left.
-func (session *Session) stopSending(gone *stream) {
-	isGone := func(sending *stream) bool { return sending == gone }
-	session.sending = slices.DeleteFunc(session.sending, isGone)
+// stopSending removes a stream from those with unsent body.
+func (session *Session) stopSending(removed *stream) {
+	isRemoved := func(sending *stream) bool { return sending == removed }
+	session.sending = slices.DeleteFunc(session.sending, isRemoved)
 }
 
-// Ping asks the replica for a sign of life.
+// Ping queues a ping.
 func (session *Session) Ping() {
 	session.pingsSent++
 	var data [8]byte
@@ -156,7 +156,7 @@
 	session.writeControl(func() error { return session.framer.WritePing(false, data) })
 }
 
-// AnnounceClose has the replica told that the connection is about to be closed.
+// AnnounceClose queues a GOAWAY; no stream is opened and no body is sent after it.
 func (session *Session) AnnounceClose() {
 	if session.closeAnnounced {
 		return
@@ -165,18 +165,18 @@
 	session.writeControl(func() error { return session.framer.WriteGoAway(0, session.closeCode, nil) })
 }
 
-// ReadBuffer gives space for what is read next.
+// ReadBuffer returns space for the next read.
 func (session *Session) ReadBuffer() []byte { return session.input.Free() }
 
-// Filled tells how many bytes were read into it.
+// Filled records how many bytes were read into the read buffer.
 func (session *Session) Filled(size int) { session.input.Filled(size) }
 
-// HasPartialMessage tells whether a frame, or a header list of several, has begun to come that is not whole.
+// HasPartialMessage reports whether an incomplete frame or header list has been received.
 func (session *Session) HasPartialMessage() bool {
 	return session.input.Buffered() > 0 || session.headers.open
 }
 
-// emit has an event given by Next.
+// emit queues an event for Next.
 func (session *Session) emit(event replicaproto.Event) {
 	session.events = append(session.events, event)
 }
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -13,20 +13,21 @@
 	"terntray/internal/replicaproto"
 )
 
-// A call and its response, with interim responses, padding, trailers and frames of unknown types.
+// A call and its response, with interim responses, padding, trailers and frames of unknown types. An interim response
+// that ends its stream is malformed.
 func TestCallAndResponse(t *testing.T) {
 	replica := newFakeReplica(t)
 	replica.expectEvents("ready")
 	c := replica.queueCall(3, 4)
-	want := []string{"settings", "window 0 458753", "settings", "head 1 /part", "data 1 4 true"}
+	want := []string{"settings", "window 0 458753", "settings", "headers 1 /part", "data 1 4 true"}
 	if got := replica.sentFrames(); !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("the session sent %q", got)
 	}
 	if c.Stage != replicaproto.Written || c.Stream != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("call %+v", c)
 	}
 	replica.writeHeaders(1, true, ":status", "103", "link", "x")
-	replica.expectEvents("may 1") // an interim head cannot be the last
+	replica.expectEvents("may have run 1") // an interim response must not end the stream
 	replica.queueCall(4, 4)
 	replica.sentFrames()
 	replica.writeHeaders(3, false, ":status", "100")
@@ -38,15 +39,16 @@
 	replica.framer.WriteRSTStream(3, http2.ErrCodeNo)
 	replica.feed()
 	if e := replica.events; len(e) != 1 || e[0].CPUUsage != 0.25 {
-		t.Errorf("load reports in head and trailers: events %+v", e)
+		t.Errorf("load reports in headers and trailers: events %+v", e)
 	}
-	replica.expectEvents("answered 2 0 value")
+	replica.expectEvents("reply 2 0 value")
 	if replica.err != nil || len(replica.session.streams) > 0 {
 		t.Errorf("error %v, streams %v", replica.err, replica.session.streams)
 	}
 }
 
-// Only the words of the mapping say that a subquery ran well, or never. Anything else is an error.
+// Only the statuses and end headers of the mapping mean that a subquery succeeded or never ran. Any other combination
+// is an error.
 func TestReplyStatusMapping(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n, fields := range [][]string{
@@ -62,11 +64,11 @@
 		replica.sentFrames()
 		replica.writeHeaders(uint32(2*n+1), true, fields...)
 	}
-	replica.expectEvents("ready", "answered 1 1 ", "answered 2 1 ", "answered 3 2 ", "answered 4 2 ", "answered 5 1 ",
-		"answered 6 1 ", "answered 7 1 ")
+	replica.expectEvents("ready", "reply 1 1 ", "reply 2 1 ", "reply 3 2 ", "reply 4 2 ", "reply 5 1 ",
+		"reply 6 1 ", "reply 7 1 ")
 }
 
-// A replica sends malformed responses. Each costs its own stream, whose call may have run, and nothing else.
+// A replica sends malformed responses. Each resets its own stream, whose call may have run, and affects nothing else.
 func TestMalformedResponseResetsOnlyItsStream(t *testing.T) {
 	replica := newFakeReplica(t)
 	bad := [][]string{
@@ -89,7 +91,7 @@
 		replica.queueCall(n, 1)
 		replica.sentFrames()
 		replica.writeHeaders(uint32(2*n+1), true, fields...)
-		want = append(want, fmt.Sprint("may ", n+1))
+		want = append(want, fmt.Sprint("may have run ", n+1))
 	}
 	replica.expectEvents(want...)
 	if got := strings.Join(replica.sentFrames(), ","); strings.Count(got, "reset") != len(bad) || replica.err != nil {
@@ -97,8 +99,8 @@
 	}
 }
 
-// A replica lowers its limit on streams under open ones, to nothing. The calls that are not begun are held back and can
-// be withdrawn, until it raises the limit.
+// A replica lowers its stream limit to 0 while streams are open. Calls that were not begun wait until it raises the
+// limit and can be withdrawn.
 func TestStreamLimit(t *testing.T) {
 	replica := newFakeReplica(t, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 2})
 	for n := range 5 {
@@ -106,45 +108,45 @@
 	}
 	replica.sentFrames()
 	if got := len(replica.session.streams); got != 2 {
-		t.Fatalf("%d streams", got)
+		t.Fatalf("%d streams with a limit of 2", got)
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0})
 	replica.respond(1, "a")
 	replica.respond(3, "b")
-	replica.expectEvents("room 2", "ready", "room 0", "answered 1 0 a", "answered 2 0 b")
+	replica.expectEvents("call limit 2", "ready", "call limit 0", "reply 1 0 a", "reply 2 0 b")
 	replica.sentFrames()
 	session, calls := replica.session, replica.calls
 	if !session.Withdraw(calls[3]) || session.Withdraw(calls[0]) || len(session.streams) != 0 {
-		t.Error("what was not begun cannot be withdrawn, or what was can")
+		t.Error("a waiting call cannot be withdrawn, or a written one can, or a stream is open")
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 9})
-	replica.expectEvents("room 9")
+	replica.expectEvents("call limit 9")
 	replica.sentFrames()
 	if calls[2].Stream != 5 || calls[4].Stream != 7 || calls[3].Stage != replicaproto.Waiting {
-		t.Errorf("streams %d, %d", calls[2].Stream, calls[4].Stream)
+		t.Errorf("the waiting calls have streams %d and %d", calls[2].Stream, calls[4].Stream)
 	}
 }
 
-// A replica shrinks its windows below zero under open streams, and opens them again by a little. Large calls take
-// turns, and small ones do not wait for them.
+// A replica shrinks the windows of open streams below zero and then raises them. Large calls are sent in turn, and
+// small ones do not wait for them.
 func TestFlowControlAndRoundRobin(t *testing.T) {
 	replica := newFakeReplica(t)
 	large := []*replicaproto.Call{replica.queueCall(0, 60000), replica.queueCall(1, 60000)}
 	replica.sentFrames()
 	small := replica.queueCall(2, 100)
 	if replica.sentFrames(); small.Stage == replicaproto.Written || large[0].Stage == replicaproto.Written {
-		t.Fatal("more was sent than the connection's window")
+		t.Fatal("more was sent than the connection's window allows")
 	}
 	replica.framer.WriteWindowUpdate(0, 200)
 	replica.feed()
 	if replica.sentFrames(); small.Stage != replicaproto.Written {
-		t.Error("the small one waits behind the large ones")
+		t.Error("the small call waits behind the large ones")
 	}
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000})
 	replica.framer.WriteWindowUpdate(0, 1<<20)
 	replica.feed()
 	if got := replica.sentFrames(); len(got) != 1 || replica.session.streams[1].sendWindow >= 0 {
-		t.Errorf("%q sent with a window of %d", got, replica.session.streams[1].sendWindow)
+		t.Errorf("the session sent %q; the window is %d", got, replica.session.streams[1].sendWindow)
 	}
 	replica.framer.WriteWindowUpdate(1, 70000)
 	replica.framer.WriteWindowUpdate(3, 70000)
@@ -154,14 +156,15 @@
 		turns = append(turns, strings.Fields(f)[1])
 	}
 	if !strings.Contains(strings.Join(turns, ""), "1313") && !strings.Contains(strings.Join(turns, ""), "3131") {
-		t.Errorf("turns %v", turns)
+		t.Errorf("the large calls are not sent in turn: streams %v", turns)
 	}
 	if large[0].Stage != replicaproto.Written || large[1].Stage != replicaproto.Written {
-		t.Error("not all was sent in the end")
+		t.Error("the large calls were not sent completely")
 	}
 }
 
-// A replica sends GOAWAY in two steps. Streams above the last never ran, those below go on, and none is begun after it.
+// A replica sends GOAWAY twice, first with the highest stream ID, then with the actual last one. Streams above it never
+// ran, those below continue, and no stream is opened after the first GOAWAY.
 func TestGoAwayInTwoSteps(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n := range 4 {
@@ -170,19 +173,19 @@
 	replica.sentFrames()
 	replica.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 	replica.expectEvents("ready", "going away")
-	held := replica.queueCall(9, 1)
+	waiting := replica.queueCall(9, 1)
 	replica.sentFrames()
 	replica.framer.WriteGoAway(3, http2.ErrCodeNo, nil)
 	replica.respond(1, "a")
 	replica.framer.WriteRSTStream(3, http2.ErrCodeInternal)
 	aboveLast := string(replicaproto.AboveLastStreamID)
-	replica.expectEvents("never 3 "+aboveLast, "never 4 "+aboveLast, "answered 1 0 a", "may 2")
-	if held.Stage != replicaproto.Waiting {
-		t.Error("a stream was begun after GOAWAY")
+	replica.expectEvents("never ran 3 "+aboveLast, "never ran 4 "+aboveLast, "reply 1 0 a", "may have run 2")
+	if waiting.Stage != replicaproto.Waiting {
+		t.Error("a stream was opened after GOAWAY")
 	}
 }
 
-// A replica resets streams. A refused one never ran, unless its response had begun; any other may have.
+// A replica resets streams. A refused stream never ran, unless its response had begun; any other may have run.
 func TestStreamResets(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n := range 3 {
@@ -194,18 +197,18 @@
 		replica.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 	}
 	replica.framer.WriteRSTStream(5, http2.ErrCodeCancel)
-	replica.expectEvents("ready", "never 1 "+string(replicaproto.RefusedStream), "may 2", "may 3")
+	replica.expectEvents("ready", "never ran 1 "+string(replicaproto.RefusedStream), "may have run 2", "may have run 3")
 }
 
-// The window is given back for responses, also of streams that are over, or the connection would stall in the end. A
-// response that is too large ends its stream.
+// The connection's window is replenished for all response data, including that of ended streams; otherwise the
+// connection would eventually stall. A response that is too large ends its stream.
 func TestFlowControlWindowIsReplenished(t *testing.T) {
 	replica := newFakeReplica(t)
 	c := replica.queueCall(0, 1)
 	replica.sentFrames()
 	replica.session.Abandon(c)
 	if got := replica.sentFrames(); !slices.Equal(got, []string{"reset 1 CANCEL"}) {
-		t.Errorf("%q", got)
+		t.Errorf("after Abandon the session sent %q", got)
 	}
 	replica.writeHeaders(1, false, ":status", "200")
 	for range connWindow/2/maxFrameSize + 1 {
@@ -213,7 +216,7 @@
 	}
 	replica.expectEvents("ready")
 	if got := replica.sentFrames(); len(got) != 1 || !strings.HasPrefix(got[0], "window 0") {
-		t.Errorf("%q", got)
+		t.Errorf("after data on an ended stream the session sent %q", got)
 	}
 	replica.queueCall(1, 1)
 	replica.sentFrames()
@@ -222,12 +225,12 @@
 		replica.framer.WriteData(3, false, make([]byte, maxFrameSize))
 		replica.feed()
 	}
-	if replica.expectEvents("may 2"); replica.err != nil {
+	if replica.expectEvents("may have run 2"); replica.err != nil {
 		t.Error(replica.err)
 	}
 }
 
-// The ids of streams are used up on a connection that has lasted long. It takes nothing new then.
+// A long-lived connection has used all stream IDs. It accepts no new calls then.
 func TestStreamIDExhaustion(t *testing.T) {
 	replica := newFakeReplica(t)
 	replica.session.lastStreamID = maxStreamID - 2
@@ -238,10 +241,10 @@
 	}
 	replica.expectEvents("ready")
 	replica.framer.WritePing(true, [8]byte{})
-	replica.expectEvents("going away", "alive")
+	replica.expectEvents("going away", "ping answered")
 }
 
-// The operating system takes a write but for its last byte. The call that this belongs to is not written whole.
+// The operating system accepts all but the last byte of a write. The call that this byte belongs to is not Written.
 func TestPartialWriteLeavesCallUnwritten(t *testing.T) {
 	replica := newFakeReplica(t)
 	replica.sentFrames()
@@ -253,7 +256,7 @@
 	}
 }
 
-// Whatever comes, a session does not panic, ends each call once at the most, and keeps its tables bounded.
+// Whatever input it reads, a session does not panic, ends each call at most once, and keeps its tables bounded.
 func FuzzSession(f *testing.F) {
 	replica := newFakeReplica(&testing.T{})
 	replica.framer.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 2})
@@ -302,7 +305,7 @@
 			session.Wrote(len(session.Output(nil, 1<<20, 0)))
 			streams, sending, control := len(session.streams), len(session.sending), len(session.control)
 			if streams > 16 || sending > streams || control > maxPendingControl {
-				t.Fatalf("%d streams, %d sending, %d bytes of control", streams, sending, control)
+				t.Fatalf("%d streams, %d sending, %d bytes of control frames", streams, sending, control)
 			}
 		}
 	})
--- a/internal/replicaproto/http2/stream.go
+++ b/internal/replicaproto/http2/stream.go
@@ -8,32 +8,32 @@
 type stream struct {
 	id            uint32
 	call          *replicaproto.Call
-	body          []byte // not yet sent
-	sent          bool   // its last byte is in an output
-	sendWindow    int64  // bytes that the replica takes; below 0 after it has made its windows smaller
+	body          []byte // the part that is not in an output yet
+	sent          bool   // the call's last byte is in an output
+	sendWindow    int64  // bytes that the replica accepts; negative after it has shrunk its windows
 	receiveWindow receiveWindow
 
-	headersReceived bool // the header list of its response has come
+	headersReceived bool // the response's header list has been received
 	replyStatus     replicaproto.ReplyStatus
-	contentLength   int64 // as that says; below 0: it does not
+	contentLength   int64 // as the header list states it; below 0: not stated
 	value           []byte
-	cpuUsage        float64 // the load report of the header list or the trailers; below 0: none
+	cpuUsage        float64 // the load report in the header list or the trailers; below 0: none
 }
 
-// receiveWindow is how much the replica may send ahead, on a connection or a stream (RFC 9113, 5.2).
+// receiveWindow is the flow-control window for what the replica sends, on a connection or a stream (RFC 9113, 5.2).
 type receiveWindow struct {
-	available int64 // bytes that it may send
-	consumed  int64 // bytes that have come and are not given back yet
+	available int64 // bytes that the replica may still send
+	consumed  int64 // bytes received and not yet returned with a WINDOW_UPDATE
 }
 
-// receive notes bytes that came, and tells whether they were within the window.
+// receive subtracts received bytes from the window and reports whether they were within it.
 func (window *receiveWindow) receive(size int64) bool {
 	window.available -= size
 	return window.available >= 0
 }
 
-// replenish notes bytes that were consumed. It returns how many bytes to give back to the replica: all, once there are
-// as many as the threshold, else 0.
+// replenish records consumed bytes. Once they reach the threshold, it returns all of them to the window and returns
+// their number, the increment for a WINDOW_UPDATE; until then it returns 0.
 func (window *receiveWindow) replenish(size, threshold int64) int64 {
 	window.consumed += size
 	if window.consumed < threshold {
--- a/internal/replicaproto/session.go
+++ b/internal/replicaproto/session.go
@@ -12,13 +12,13 @@
 	Abandon(call *Call)
 	// Ping queues a ping; a PingAnswered event reports the answer. It does nothing in protocols without pings.
 	Ping()
-	// AnnounceClose queues the message that the connection is about to be closed, if the protocol has one. Output writes
-	// that message and nothing after it.
+	// AnnounceClose queues the message that the connection is about to be closed, if the protocol has one. Output
+	// writes that message and nothing after it.
 	AnnounceClose()
 
-	// Output appends up to about maxBytes of pending output to a buffer. It calls the Permit of each call that it begins
-	// and drops those that are refused. Wrote must be called before the next Output. The time now is relative to process
-	// start.
+	// Output appends up to about maxBytes of pending output to a buffer. It calls the Permit of each call that it
+	// begins and drops those that are refused. Wrote must be called before the next Output. The time now is relative to
+	// process start.
 	Output(buffer []byte, maxBytes int, now time.Duration) []byte
 	// Wrote records how many bytes of the last output the operating system accepted. After a partial write the
 	// connection must be closed.
@@ -28,8 +28,8 @@
 	ReadBuffer() []byte
 	// Filled records how many bytes were read into the space that ReadBuffer returned.
 	Filled(bytes int)
-	// Next returns the next event. If it returns neither an event nor an error, more input is needed. After an error the
-	// connection is unusable, and Output returns its last message.
+	// Next returns the next event. If it returns neither an event nor an error, more input is needed. After an error
+	// the connection is unusable, and Output returns its last message.
 	Next() (event Event, ok bool, err error)
 	// HasPartialMessage reports whether an incomplete message has been received.
 	HasPartialMessage() bool
