--- a/internal/replicaproto/http2/fakereplica_test.go
+++ b/internal/replicaproto/http2/fakereplica_test.go
@@ -83,7 +83,7 @@
 	return call
 }
 
-// sentFrames reads the sentFrames that the session wrote, as words.
+// sentFrames describes each frame that the session wrote since the last call.
 func (replica *fakeReplica) sentFrames() (all []string) {
 	replica.collectOutput()
 	for replica.fromSession.Len() > 0 {
