--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -121,7 +121,7 @@
 }
 
 // ReadBuffer returns space for the next read.
-func (session *Session) ReadBuffer() []byte { return session.replies.Free() }
+func (session *Session) ReadBuffer() []byte { return session.replies.FreeSpace() }
 
 // Filled records how many bytes were read into the read buffer.
 func (session *Session) Filled(bytes int) { session.replies.Filled(bytes) }
@@ -144,7 +144,7 @@
 		SubqueryID: reply.ID,
 		Status:     replyStatusOf[reply.Status],
 		Value:      reply.Value,
-		CPUUsage:   reply.Busy,
+		CPUUsage:   reply.CPUUsage,
 	}
 	return event, true, nil
 }
--- a/internal/replicaproto/http2/response.go
+++ b/internal/replicaproto/http2/response.go
@@ -74,7 +74,7 @@
 		}
 		list.end = field.Value
 	case headerLoad:
-		list.cpuUsage = wire.LoadReported(field.Value, "=")
+		list.cpuUsage = wire.ParseLoadReport(field.Value, "=")
 	}
 }
 
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -166,7 +166,7 @@
 }
 
 // ReadBuffer returns space for the next read.
-func (session *Session) ReadBuffer() []byte { return session.input.Free() }
+func (session *Session) ReadBuffer() []byte { return session.input.FreeSpace() }
 
 // Filled records how many bytes were read into the read buffer.
 func (session *Session) Filled(size int) { session.input.Filled(size) }
