--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Simhost runs schedulers behind the simulator's wire, on standard input and output.
+// Simhost runs schedulers for the simulator, which it talks to over standard input and output.
 package main
 
 import (
--- a/cmd/terntray-settings/main.go
+++ b/cmd/terntray-settings/main.go
@@ -1,6 +1,6 @@
-// Terntray-settings renders and checks the installation file, a deployment's own configuration, and makes certificates
-// for trials with TLS. It is a program of its own so that the service carries neither the template language nor the
-// schema's checker.
+// Terntray-settings renders and checks the installation file, a deployment's own configuration, and creates
+// certificates for trials with TLS. It is a separate program so that the service includes neither the template language
+// nor the schema validator.
 package main
 
 import (
@@ -18,7 +18,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "terntray-settings",
-		Short:         "The installation file of terntray",
+		Short:         "Render and check the installation file of terntray",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -34,7 +34,7 @@
 	var variables []string
 	command := &cobra.Command{
 		Use:   "render FILE.jsonnet",
-		Short: "Render a template, check it, and write what serve reads",
+		Short: "Render and validate a template and write the installation file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			text, err := render(args[0], variables)
@@ -48,7 +48,7 @@
 			return replaceFile(output, text)
 		},
 	}
-	command.Flags().StringVarP(&output, "out", "o", "", "the file to write, in one go; else standard output")
+	command.Flags().StringVarP(&output, "out", "o", "", "file to replace atomically (default: standard output)")
 	addVariablesFlag(command, &variables)
 	return command
 }
@@ -57,7 +57,7 @@
 	var variables []string
 	command := &cobra.Command{
 		Use:   "check FILE.jsonnet",
-		Short: "Render a template and say what is wrong with it, certificates included",
+		Short: "Render and validate a template, including the certificates that it names",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if err := checkTemplate(args[0], variables); err != nil {
@@ -76,18 +76,18 @@
 	var validity time.Duration
 	command := &cobra.Command{
 		Use:   "certs DIR",
-		Short: "Make a CA and certificates for trying things out on loopback",
+		Short: "Create a CA and certificates for trials on loopback",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return config.MakeCertificates(args[0], hosts, validity)
 		},
 	}
 	command.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"},
-		"names and addresses of the replica's certificate")
-	command.Flags().DurationVar(&validity, "lasts", defaultValidity, "until the certificates run out")
+		"host names and IP addresses in the replica's certificate")
+	command.Flags().DurationVar(&validity, "lasts", defaultValidity, "validity period of the certificates")
 	return command
 }
 
 func addVariablesFlag(command *cobra.Command, variables *[]string) {
-	command.Flags().StringArrayVar(variables, "var", nil, "NAME=VALUE, for std.extVar(NAME)")
+	command.Flags().StringArrayVar(variables, "var", nil, "NAME=VALUE, the value of std.extVar(NAME)")
 }
--- a/cmd/terntray-settings/render.go
+++ b/cmd/terntray-settings/render.go
@@ -16,8 +16,8 @@
 // schemaName names the schema in error messages.
 const schemaName = "installation.json"
 
-// render renders a template and checks the result by the schema, then by what its sections mean together. Errors name
-// the file and the line or field.
+// render renders a template and checks the result against the schema, then for consistency between its sections. Errors
+// name the file and the line or field.
 func render(file string, variables []string) ([]byte, error) {
 	text, err := evaluate(file, variables)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// evaluate evaluates a Jsonnet template with external variables, each as NAME=VALUE.
+// evaluate evaluates a Jsonnet template with external variables, each given as NAME=VALUE.
 func evaluate(file string, variables []string) (string, error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(file)}})
@@ -60,7 +60,7 @@
 	return vm.EvaluateFile(file) // its errors name file and line
 }
 
-// checkSchema checks a rendered file; its errors name the path, what was found and what is wanted.
+// checkSchema checks a rendered file against the schema. Errors name the path, what was found and what is expected.
 func checkSchema(text string) error {
 	schema, err := compileSchema()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return compiler.Compile(schemaName)
 }
 
-// replaceFile replaces a file's content by a rename, so that a reader sees the old or the new content and never a part.
+// replaceFile replaces a file atomically by a rename, so that a reader sees either the old or the new content.
 func replaceFile(file string, text []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -10,7 +10,7 @@
 	"terntray/internal/replicaproto"
 )
 
-func TestTemplateOfTheRepositoryRenders(t *testing.T) {
+func TestRepositoryTemplateRenders(t *testing.T) {
 	text, err := render("../../deploy/terntray.jsonnet", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	if protocol, _ := parsed.ProtocolOf("zone-h2-large", "10.0.0.1:1"); protocol != replicaproto.HTTP2 {
-		t.Errorf("a model of the template speaks %s", protocol)
+		t.Errorf("the model zone-h2-large uses protocol %s", protocol)
 	}
 }
 
-// An error names the file with the line, or with the field, what was found there and what is wanted.
+// An error names the file with the line, or with the field and what was found there.
 func TestTemplateErrorsNameFileAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\n  replicas: [\n": "bad.jsonnet:3",
--- a/cmd/terntray/asyncwriter.go
+++ b/cmd/terntray/asyncwriter.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxPendingLines = 4096        // lines; further ones are dropped and counted while so many wait
-	flushTimeout    = time.Second // for the pending lines when the writer is closed
+	maxPendingLines = 4096        // further lines are dropped and counted
+	flushTimeout    = time.Second // for writing the pending lines on Close
 )
 
-// asyncWriter writes log lines from a goroutine of its own, so that logging never blocks the service. Without it, a
-// reader of the log that stops reading would fill the pipe and hold up the event loop at its next line. In a flood it
-// drops lines instead and logs how many.
+// asyncWriter writes log lines from a separate goroutine, so that logging never blocks the service. Otherwise a reader
+// of the log that stops reading would fill the pipe and block the event loop at its next line. When too many lines are
+// pending, further ones are dropped and their number is logged.
 type asyncWriter struct {
 	pending chan []byte
-	dropped atomic.Int64  // since the last line that said so
+	dropped atomic.Int64  // since the last line that reported it
 	done    chan struct{} // closed once all pending lines are written
 }
 
@@ -30,7 +30,7 @@
 func (writer *asyncWriter) run(output io.Writer) {
 	defer close(writer.done)
 	for line := range writer.pending {
-		_, _ = output.Write(line) // there is nowhere to report an error to
+		_, _ = output.Write(line) // there is nowhere to report an error
 		if dropped := writer.dropped.Swap(0); dropped > 0 {
 			fmt.Fprintf(output, "event=lines_dropped n=%d\n", dropped)
 		}
@@ -47,7 +47,7 @@
 	return len(line), nil
 }
 
-// Close waits for the pending lines, for flushTimeout at the most. Nothing may be written after it.
+// Close writes the pending lines, waiting up to flushTimeout. Write must not be called after it.
 func (writer *asyncWriter) Close() {
 	close(writer.pending)
 	select {
--- a/cmd/terntray/commands.go
+++ b/cmd/terntray/commands.go
@@ -14,7 +14,7 @@
 
 const release = "0.1"
 
-// check is the command that validates the configuration. It opens no socket.
+// check implements the command that validates the configuration. It opens no socket.
 func check(flags *flag.FlagSet, args []string) error {
 	configFile := configFlag(flags)
 	parse(flags, args)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// version is the command that prints the release, the tool chain and, where the build recorded it, the revision.
+// version implements the command that prints the release, the Go version and, if the build recorded it, the revision.
 func version(flags *flag.FlagSet, args []string) error {
 	parse(flags, args)
 	fmt.Print("terntray ", release, " ", runtime.Version())
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// buildRevision is the version control revision that the build recorded; empty if it recorded none.
+// buildRevision returns the version control revision that the build recorded, or an empty string.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -57,7 +57,7 @@
 // configFlag declares the flag that names the installation file.
 func configFlag(flags *flag.FlagSet) *string {
 	return flags.String("installation", "",
-		"the deployment's own configuration, as terntray-settings renders it; empty: none")
+		"installation file, as rendered by terntray-settings (default: none)")
 }
 
 // readDeployment reads the platform file, which the environment names, and the installation file.
@@ -70,11 +70,11 @@
 	return deployment, err
 }
 
-// parse parses a command's flags. Anything else on the command line ends the process.
+// parse parses a command's flags. It exits with exitUsage if there are other arguments.
 func parse(flags *flag.FlagSet, args []string) {
-	_ = flags.Parse(args) // ExitOnError: it does not return an error
+	_ = flags.Parse(args) // never fails: the flag set uses ExitOnError
 	if flags.NArg() > 0 {
-		fmt.Fprintf(flags.Output(), "unexpected: %q\n", flags.Args())
+		fmt.Fprintf(flags.Output(), "unexpected arguments: %q\n", flags.Args())
 		flags.Usage()
 		os.Exit(exitUsage)
 	}
--- a/cmd/terntray/main.go
+++ b/cmd/terntray/main.go
@@ -15,10 +15,10 @@
 
 const usage = `usage: terntray COMMAND [FLAGS]
 
-  serve     serve clients until told to end (SIGTERM, SIGINT)
-  check     read the configuration, say what is wrong with it, and end
+  serve     serve queries until SIGTERM or SIGINT
+  check     validate the configuration and exit
   version   print the version
-  help      print this
+  help      print this help
 
 terntray COMMAND -h lists a command's flags.
 `
@@ -49,7 +49,7 @@
 	}
 }
 
-// failUsage prints the usage and ends the process.
+// failUsage prints the usage and exits with exitUsage.
 func failUsage() {
 	fmt.Fprint(os.Stderr, usage)
 	os.Exit(exitUsage)
--- a/cmd/terntray/serve.go
+++ b/cmd/terntray/serve.go
@@ -14,19 +14,19 @@
 	"terntray/coordinator"
 )
 
-// memoryShare is the share of the machine's memory limit that the garbage collector keeps the heap to; the rest is for
-// stacks, the runtime and the kernel's buffers.
+// memoryShare is the fraction of the deployment's memory limit to which the garbage collector limits the heap. The rest
+// is for stacks, the runtime and the kernel's buffers.
 const memoryShare = 0.7
 
-// serve is the command that runs the co-ordinator. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP has the
-// configuration read again.
+// serve implements the command that runs the co-ordinator. SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads
+// the configuration.
 func serve(flags *flag.FlagSet, args []string) error {
 	trace := flags.Bool("trace", false, "log a line for each query and attempt")
 	configFile := configFlag(flags)
 	parse(flags, args)
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // before anything else, as an unhandled one ends the process
-	signal.Ignore(syscall.SIGPIPE)         // the end of the log's reader is no reason to end
+	signal.Notify(hangups, syscall.SIGHUP) // first of all, because an unhandled SIGHUP ends the process
+	signal.Ignore(syscall.SIGPIPE)         // keep serving if the reader of the log goes away
 	deployment, err := readDeployment(*configFile)
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 	return service.Serve(ctx)
 }
 
-// applyLimits sets the runtime's limits on memory and processors to those of the deployment.
+// applyLimits sets the runtime's memory limit and GOMAXPROCS from the deployment's limits.
 func applyLimits(limits coordinator.Limits) {
 	if limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(limits.MemoryMB) * memoryShare * (1 << 20)))
