--- a/cmd/terntray/client_disconnect_test.go
+++ b/cmd/terntray/client_disconnect_test.go
@@ -13,56 +13,59 @@
 	"terntray/internal/fake"
 )
 
-// Clients that leave while their requests wait: wherever that is, nothing of it reaches a replica 0.3 s later.
+// stallTime is how long requests are held up after their clients have disconnected. No attempt may be sent 0.3 s after
+// its client has disconnected, wherever its request waits.
 const stallTime = 300 * time.Millisecond
 
-// disconnects are ways to send a request and go: what stands behind the request, and whether the end is a reset.
+// disconnects are ways for a client to disconnect: what it sends after its request, and whether it resets the
+// connection.
 var disconnects = map[string]struct {
-	behind string
-	reset  bool
+	trailing string
+	reset    bool
 }{
-	"an end":                  {"", false},
-	"a reset":                 {"", true},
-	"an end behind half more": {query("look", "more", 10, 3)[:60], false},
-	"an end behind requests":  {strings.Repeat(query("look", "more", 10, 3), 30), false},
-	"an end behind very much": {strings.Repeat(query("look", "more", 10, 3), 2000), false},
-	"a reset behind much":     {strings.Repeat("x", 150_000), true},
+	"close":                             {"", false},
+	"reset":                             {"", true},
+	"close after half a request":        {query("look", "more", 10, 3)[:60], false},
+	"close after more requests":         {strings.Repeat(query("look", "more", 10, 3), 30), false},
+	"close after a great many requests": {strings.Repeat(query("look", "more", 10, 3), 2000), false},
+	"reset after much data":             {strings.Repeat("x", 150_000), true},
 }
 
-// disconnect sends what stands behind a request and leaves.
+// disconnect sends the trailing bytes and disconnects.
 func (client *clientConn) disconnect(way string) {
-	io.WriteString(client.Conn, disconnects[way].behind)
+	io.WriteString(client.Conn, disconnects[way].trailing)
 	if disconnects[way].reset {
 		client.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	client.Conn.Close()
 }
 
-// expectNothingSent checks that of what clients left nothing came, while what another asks for does.
-func expectNothingSent(t *testing.T, what string, replica *fake.Replica, lives string) {
+// expectNothingSent checks that a replica received the connected client's subquery and none of the clients that
+// disconnected.
+func expectNothingSent(t *testing.T, what string, replica *fake.Replica, connectedID string) {
 	t.Helper()
-	waitFor(t, what+": the other one's part comes", func() bool { return replica.HasReceived(lives) })
-	time.Sleep(20 * time.Millisecond) // for what would come beside it
-	for _, part := range replica.Received() {
-		if strings.HasPrefix(part.ID, "left") || strings.HasPrefix(part.ID, "more") {
-			t.Errorf("%s: %s was forwarded", what, part.ID)
+	waitFor(t, what+": the connected client's subquery arrives", func() bool { return replica.HasReceived(connectedID) })
+	time.Sleep(20 * time.Millisecond) // for others to arrive
+	for _, call := range replica.Received() {
+		if strings.HasPrefix(call.ID, "left") || strings.HasPrefix(call.ID, "more") {
+			t.Errorf("%s: %s was forwarded", what, call.ID)
 		}
 	}
 }
 
-// whileStopped stops the program while something is done, and for a while after it.
-func (program *process) whileStopped(still time.Duration, do func()) {
+// whileStopped calls do while the program is stopped, and resumes the program some time after it.
+func (program *process) whileStopped(resumeAfter time.Duration, do func()) {
 	program.cmd.Process.Signal(syscall.SIGSTOP)
-	waitFor(program.t, "the program stands still", func() bool {
+	waitFor(program.t, "the program is stopped", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", program.cmd.Process.Pid))
 		return err != nil || strings.Contains(string(stat), ") T ")
 	})
 	do()
-	time.Sleep(still)
+	time.Sleep(resumeAfter)
 	program.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Requests that came during a stall, on connections old and new, and whose clients went during it.
+// During a stall, requests arrive on old and new connections and their clients disconnect.
 func TestNothingIsSentForClientsThatLeftDuringAStall(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
@@ -74,7 +77,7 @@
 		}
 		other := program.connect()
 		n++
-		lives := fmt.Sprint("lives", n)
+		connectedID := fmt.Sprint("lives", n)
 		program.whileStopped(stallTime, func() {
 			for i := range 20 {
 				client := program.connect()
@@ -84,60 +87,60 @@
 				client.send(query("look", fmt.Sprint("left", n, "-", i), 10, 3))
 				client.disconnect(way)
 			}
-			other.send(query("look", lives, 10, 3))
+			other.send(query("look", connectedID, 10, 3))
 		})
 		other.expect(map[int]string{3: value(replica, 3)})
-		expectNothingSent(t, way, replica, lives)
+		expectNothingSent(t, way, replica, connectedID)
 	}
 }
 
-// Requests that are held for a replica's cap: what went before gets no answer until their clients have gone.
+// Requests wait for a replica's concurrency limit, which earlier ones fill, until their clients have disconnected.
 func TestNothingIsSentForClientsThatLeftWhileQueued(t *testing.T) {
 	for way := range disconnects {
 		replica := newReplica(t, "s-a", 0, silent)
 		program, _ := startDeployment(t, strings.Replace(settings, `"maxOpen":40`, `"maxOpen":400`, 1), replica)
-		for n := range 8 { // as many as the replica is sent at first
+		for n := range 8 { // the initial concurrency limit
 			program.connect().send(query("look", fmt.Sprint("first", n), 20, n))
 		}
-		waitFor(t, "the first subqueries are out", func() bool { return len(replica.Received()) == 8 })
+		waitFor(t, "the first subqueries arrive", func() bool { return len(replica.Received()) == 8 })
 		c, other := program.connect(), program.connect()
 		c.send(query("look", "left", 20, 9))
-		waitFor(t, "it is taken in", func() bool { return program.counters()["taken"] == 9 })
+		waitFor(t, "the request is accepted", func() bool { return program.counters()["taken"] == 9 })
 		c.disconnect(way)
 		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 		other.send(query("look", "lives", 20, 10))
-		waitFor(t, "the other is taken in", func() bool { return program.counters()["taken"] >= 10 })
-		for _, part := range replica.Received() {
-			succeed(replica, part)
+		waitFor(t, "the other request is accepted", func() bool { return program.counters()["taken"] >= 10 })
+		for _, call := range replica.Received() {
+			succeed(replica, call)
 		}
 		expectNothingSent(t, way, replica, "lives")
 	}
 }
 
-// Requests behind a connection that is coming up.
+// Requests wait for a connection to come up.
 func TestNothingIsSentForClientsThatLeftWhileConnecting(t *testing.T) {
 	for way := range disconnects {
-		late := newFullListener(t)
+		full := newFullListener(t)
 		replica := newReplica(t, "s-a", 0, succeed)
 		real := replica.Listener
-		replica.Listener = late.listener // told in the list; the replica itself takes connections later
+		replica.Listener = full.listener // its address is in the list; the replica itself listens elsewhere
 		program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":8000000`, 1), replica)
 		c, other := program.connect(), program.connect()
 		c.send(query("look", "left", 20, 3))
-		waitFor(t, "it waits for the connection", func() bool { return strings.Contains(program.logText(), "query_arrived=left") })
+		waitFor(t, "the request waits for the connection", func() bool { return strings.Contains(program.logText(), "query_arrived=left") })
 		c.disconnect(way)
 		other.send(query("look", "lives", 20, 4))
-		waitFor(t, "the other waits as well", func() bool { return strings.Contains(program.logText(), "query_arrived=lives") })
+		waitFor(t, "the other request waits too", func() bool { return strings.Contains(program.logText(), "query_arrived=lives") })
 		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
-		late.open(real.Addr().String())
+		full.open(real.Addr().String())
 		other.expect(map[int]string{4: value(replica, 4)})
 		expectNothingSent(t, way, replica, "lives")
 		replica.Listener = real
 	}
 }
 
-// Requests behind a connection that takes nothing, be it that the replica reads on at once or only after the write has
-// been given up. Far more is written there before than the machines hold for a connection.
+// Requests wait behind a blocked write, which is far larger than the socket buffers. The replica resumes reading at
+// once, or only after the write has timed out.
 func TestNothingIsSentForClientsThatLeftBehindAStalledWrite(t *testing.T) {
 	large := make([]int, 20)
 	for n := range large {
@@ -145,42 +148,42 @@
 	}
 	for way := range disconnects {
 		for _, later := range []time.Duration{0, 2 * stallTime} {
-			if later > 0 && disconnects[way].behind != "" {
-				continue // two ways will do
+			if later > 0 && disconnects[way].trailing != "" {
+				continue // two ways are enough here
 			}
-			what := fmt.Sprintf("%s, read on %v later", way, later)
-			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed)) // no jitter of this machine stands out
+			what := fmt.Sprintf("%s, reading resumed after %v", way, later)
+			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed)) // so that this machine's jitter is small in comparison
 			if err := replica.ShrinkBuffers(); err != nil {
 				t.Fatal(err)
 			}
-			wide := strings.Replace(settings, `"multiplex":4`, `"multiplex":100`, 1)
-			// few descriptors: all connections to the replica stand full
-			program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, wide, replica))
+			manyPerConn := strings.Replace(settings, `"multiplex":4`, `"multiplex":100`, 1)
+			// few descriptors, so that all connections to the replica are blocked
+			program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, manyPerConn, replica))
 			first := program.connect()
-			for n := range 2 * len(large) { // at most as many subqueries may be out there as have been answered, and some
+			for n := range 2 * len(large) { // the concurrency limit grows with the replies
 				first.send(query("look", fmt.Sprint("first", n), 20, 20))
 				first.expect(map[int]string{20: value(replica, 20)})
 			}
 			c, other := program.connect(), program.connect()
-			goOn := replica.PauseReading()
+			resume := replica.PauseReading()
 			before := program.counters()
-			first.send(queryOf(strings.Repeat("x", 60_000), "look", "large", 20, large...))
-			waitFor(t, what+": its parts are out", func() bool { return program.counters()["legs"]-before["legs"] == len(large) })
+			first.send(queryWithText(strings.Repeat("x", 60_000), "look", "large", 20, large...))
+			waitFor(t, what+": its subqueries are sent", func() bool { return program.counters()["legs"]-before["legs"] == len(large) })
 			c.send(query("look", "left", 20, 21))
-			waitFor(t, what+": it is taken in", func() bool { return program.counters()["taken"]-before["taken"] == 2 })
+			waitFor(t, what+": the request is accepted", func() bool { return program.counters()["taken"]-before["taken"] == 2 })
 			c.disconnect(way)
 			waitFor(t, what+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 			if later == 0 {
 				other.send(query("look", "lives", 20, 22))
-				waitFor(t, what+": the other is taken in", func() bool { return program.counters()["taken"]-before["taken"] >= 3 })
+				waitFor(t, what+": the other request is accepted", func() bool { return program.counters()["taken"]-before["taken"] >= 3 })
 			}
 			time.Sleep(later)
-			goOn()
+			resume()
 			if later == 0 {
 				other.expect(map[int]string{22: value(replica, 22)})
 			}
 			asked := 0
-			waitFor(t, what+": the replica serves", func() bool { // it may be taken for one that cannot be reached for a while
+			waitFor(t, what+": the replica serves", func() bool { // it may be considered unreachable for a while
 				asked++
 				other.send(query("look", fmt.Sprint("lives", asked), 20, 23))
 				return other.receive().status == 200
@@ -190,7 +193,7 @@
 	}
 }
 
-// fullListener is an address where connections do not come up until it is opened: its queue is full.
+// fullListener is a listener whose backlog is full, so that connections do not come up until it is opened.
 type fullListener struct {
 	t        *testing.T
 	listener net.Listener
@@ -214,43 +217,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &fullListener{t: t, listener: listener}
+	full := &fullListener{t: t, listener: listener}
 	t.Cleanup(func() {
 		listener.Close()
-		for _, c := range d.fill {
+		for _, c := range full.fill {
 			c.Close()
 		}
 	})
 	for {
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 100*time.Millisecond)
 		if err != nil {
-			return d // the queue is full
+			return full // the backlog is full
 		}
-		if d.fill = append(d.fill, conn); len(d.fill) > 20 {
-			t.Skip("this machine's queues cannot be filled")
+		if full.fill = append(full.fill, conn); len(full.fill) > 20 {
+			t.Skip("the listen backlog cannot be filled on this system")
 		}
 	}
 }
 
-// open has connections come up; their bytes go on to another address.
-func (d *fullListener) open(to string) {
+// open accepts connections and forwards them to another address.
+func (full *fullListener) open(address string) {
 	go func() {
 		for n := 0; ; n++ {
-			conn, err := d.listener.Accept()
+			conn, err := full.listener.Accept()
 			if err != nil {
 				return
 			}
-			if n < len(d.fill) {
+			if n < len(full.fill) {
 				conn.Close()
 				continue
 			}
-			far, err := net.Dial("tcp", to)
+			target, err := net.Dial("tcp", address)
 			if err != nil {
 				conn.Close()
 				return
 			}
-			go func() { io.Copy(far, conn); far.Close() }()
-			go func() { io.Copy(conn, far); conn.Close() }()
+			go func() { io.Copy(target, conn); target.Close() }()
+			go func() { io.Copy(conn, target); conn.Close() }()
 		}
 	}()
 }
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -37,13 +37,13 @@
 	client.send(query("look", "q1", 30, 3))
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	client.Conn.Close()
-	waitFor(t, "the subquery is given up", func() bool {
+	waitFor(t, "the subquery is abandoned", func() bool {
 		replica.Mu.Lock()
 		defer replica.Mu.Unlock()
 		return len(replica.Abandoned) == 1 && replica.Abandoned[0] == "q1.3"
 	})
-	waitFor(t, "it is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
-	// What the replica says now is of no harm.
+	waitFor(t, "the disconnect is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
+	// A late reply must have no effect.
 	replica.Reply(replica.Received()[0], "OK", "late")
 	replica.SetBehavior(succeed)
 	other := program.connect()
@@ -72,7 +72,7 @@
 		client := program.connect()
 		client.send(text)
 		if answer := client.receive(); answer.status != want || len(strings.TrimSpace(answer.body)) == 0 {
-			t.Errorf("%.60q was answered %d %q, want %d", text, answer.status, answer.body, want)
+			t.Errorf("%.60q: status %d %q, want %d", text, answer.status, answer.body, want)
 		}
 	}
 	if counters := program.counters(); counters["bad"] != 12 || counters["taken"] != 0 || len(replica.Received()) > 0 {
@@ -91,7 +91,7 @@
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	other.send(query("look", "q1", 30, 3))
 	if answer := other.receive(); answer.status != 409 {
-		t.Errorf("the second was answered %d", answer.status)
+		t.Errorf("the second request: status %d", answer.status)
 	}
 	succeed(replica, replica.Received()[0])
 	c.expect(map[int]string{3: value(replica, 3)})
@@ -105,21 +105,21 @@
 	waitFor(t, "its subqueries arrive", func() bool { return len(replica.Received()) == 5 })
 	other.send(query("look", "q2", 30, 6))
 	if answer := other.receive(); answer.status != 503 {
-		t.Errorf("answered %d", answer.status)
+		t.Errorf("status %d", answer.status)
 	}
-	succeed(replica, replica.Received()[0]) // a subquery that is in makes room
-	waitFor(t, "it is in", func() bool { return program.counters()["legs_ok"] == 1 })
+	succeed(replica, replica.Received()[0]) // a reply frees a place
+	waitFor(t, "the reply is counted", func() bool { return program.counters()["legs_ok"] == 1 })
 	replica.SetBehavior(succeed)
 	other.send(query("look", "q3", 30, 7, 8, 9))
 	if answer := other.receive(); answer.status != 200 {
-		t.Errorf("answered %d", answer.status)
+		t.Errorf("status %d", answer.status)
 	}
 	if counters := program.counters(); counters["full"] != 1 || counters["turned_back"] != 1 || counters["taken"] != 3 || counters["open"] != 1 {
 		t.Errorf("counters %v", counters)
 	}
 }
 
-// When there are more clients than descriptors for them, those that are idle make room.
+// When clients need more descriptors than there are, idle connections are closed to make room for new ones.
 func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	discovery := newDiscovery(t, "127.0.0.1:0", replica)
@@ -132,12 +132,12 @@
 	}
 }
 
-// Whatever a bad client does, it has an error or a close within three seconds of its connecting.
+// A misbehaving client gets an error or is disconnected within three seconds of connecting.
 func TestMisbehavingClientsAreDisconnectedInTime(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
 	good := query("look", "q1", 10, 3)
-	drip := func(client *clientConn) { // a head without an end, byte by byte
+	drip := func(client *clientConn) { // endless request headers, byte by byte
 		client.send("POST /look HTTP/1.1\r\nX: ")
 		for n := 0; n < 200; n++ {
 			if _, err := io.WriteString(client.Conn, "y"); err != nil {
@@ -153,48 +153,48 @@
 	})
 	client := program.connect()
 	client.send(query("look", "open", 20, 3))
-	waitFor(t, "the subquery is there", func() bool { return replica.HasReceived("open.3") })
+	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("open.3") })
 	ended := make(chan string)
-	for name, does := range map[string]func(*clientConn){
-		"silence":            func(*clientConn) {},
-		"half a request":     func(client *clientConn) { client.send(good[:len(good)-9]) },
-		"drops":              drip,
-		"half after a whole": func(client *clientConn) { client.send(good); client.receive(); client.send(good[:20]) },
+	for name, misbehave := range map[string]func(*clientConn){
+		"silence":                             func(*clientConn) {},
+		"half a request":                      func(client *clientConn) { client.send(good[:len(good)-9]) },
+		"headers byte by byte":                drip,
+		"half a request after a complete one": func(client *clientConn) { client.send(good); client.receive(); client.send(good[:20]) },
 		"a body of 60 MB": func(client *clientConn) {
 			client.send("POST /look HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
 			client.sendFiller(60e6)
 		},
-		"chunks without end": func(client *clientConn) {
+		"endless chunks": func(client *clientConn) {
 			client.send("POST /look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff")
 			client.sendFiller(60e6)
 		},
-		"another one's id":    func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
-		"too many conditions": func(client *clientConn) { client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
+		"a duplicate id":   func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
+		"too many headers": func(client *clientConn) { client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
 	} {
 		go func() {
 			client := program.connect()
 			client.Conn.SetDeadline(time.Now().Add(3 * time.Second))
-			does(client)
+			misbehave(client)
 			if _, err := io.Copy(io.Discard, client.in); errors.Is(err, os.ErrDeadlineExceeded) {
-				name += " is not ended"
+				name += " is not disconnected"
 			}
 			ended <- name
 		}()
 	}
 	for range 8 {
-		if name := <-ended; strings.Contains(name, "not ended") {
+		if name := <-ended; strings.Contains(name, "not disconnected") {
 			t.Error(name)
 		}
 	}
-	for _, part := range replica.Received() {
-		if part.ID == "open.3" {
-			succeed(replica, part)
+	for _, call := range replica.Received() {
+		if call.ID == "open.3" {
+			succeed(replica, call)
 		}
 	}
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// sendFiller sends so many bytes, or as many as are taken.
+// sendFiller sends n bytes, or as many as the program accepts.
 func (client *clientConn) sendFiller(n int) {
 	some := []byte(strings.Repeat("y", 1<<16))
 	for ; n > 0; n -= len(some) {
@@ -204,7 +204,8 @@
 	}
 }
 
-// Hundreds that say nothing leave room for usual clients, who keep their connections.
+// Hundreds of connections that send nothing do not keep other clients out, and clients with earlier requests keep their
+// connections.
 func TestManySilentConnectionsDoNotLockOutClients(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	discovery := newDiscovery(t, "127.0.0.1:0", replica)
@@ -227,7 +228,8 @@
 	}
 }
 
-// Clients hold no more than a third of the descriptors: those that asked once and stay have to leave room for others.
+// Clients may use at most a third of the descriptors: idle connections with earlier requests are closed to make room
+// for new ones.
 func TestIdleClientsAreEvictedAfterTheirRequests(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	discovery := newDiscovery(t, "127.0.0.1:0", replica)
@@ -243,17 +245,17 @@
 			open.Add(-1)
 		}()
 		asked := time.Now()
-		waitFor(t, "so few stay that there is room", func() bool { return open.Load() < 96/3-4 })
+		waitFor(t, "there is room for new connections", func() bool { return open.Load() < 96/3-4 })
 		if waited := time.Since(asked); waited > time.Second {
 			t.Fatalf("there was room only after %v", waited)
 		}
 	}
 	if n := open.Load(); n < 10 {
-		t.Errorf("only %d may stay", n)
+		t.Errorf("only %d connections are kept", n)
 	}
 }
 
-// What one client does not read holds up nobody else.
+// Responses that one client does not read must not delay other clients.
 func TestClientThatDoesNotReadBlocksNoOther(t *testing.T) {
 	var asked atomic.Int32
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
@@ -270,24 +272,24 @@
 			}
 		}
 	}()
-	waitFor(t, "its answers pile up", func() bool { return asked.Load() >= 5 })
+	waitFor(t, "its responses pile up", func() bool { return asked.Load() >= 5 })
 	other := program.connect()
 	for n := range 5 {
 		other.send(query("look", fmt.Sprint("d", n), 10, 3))
 		if answer := other.receive(); answer.status != 200 {
-			t.Errorf("answered %d", answer.status)
+			t.Errorf("status %d", answer.status)
 		}
 	}
 }
 
-// What clients and replicas open and drop is given back, however they do it.
+// The descriptors of connections are released however clients and replicas close them.
 func TestDescriptorsAreReleased(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
 	descriptors := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.cmd.Process.Pid))
 		if err != nil {
-			t.Skip("the descriptors of a process cannot be seen here")
+			t.Skip("the descriptors of a process cannot be listed on this system")
 		}
 		return len(all)
 	}
@@ -296,14 +298,14 @@
 	for n := range 60 {
 		client := program.connect()
 		switch n % 4 {
-		case 0: // leaves with its answer
+		case 0: // disconnects after the response
 			client.send(query("look", fmt.Sprint("q", n), 10, 3))
 			client.receive()
-		case 1: // leaves without it
+		case 1: // disconnects before the response
 			client.send(query("look", fmt.Sprint("q", n), 10, 3))
-		case 2: // leaves in the midst of a request
+		case 2: // disconnects within a request
 			client.send(query("look", fmt.Sprint("q", n), 10, 3)[:n])
-		case 3: // sends what is no request
+		case 3: // sends an invalid request
 			client.send("?\r\n\r\n")
 			client.receive()
 		}
@@ -316,16 +318,16 @@
 			replica.Mu.Unlock()
 		}
 	}
-	waitFor(t, "all descriptors but a connection to the replica are back", func() bool { return descriptors() <= before+1 })
+	waitFor(t, "all descriptors but one connection to the replica are released", func() bool { return descriptors() <= before+1 })
 }
 
-// A request that comes a byte a millisecond has an end as well: something lies unread at any look at its connection.
+// A request of which a byte arrives every millisecond times out too, although its connection always has unread input.
 func TestRequestByteByByteTimesOut(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
 	for name, begin := range map[string]string{
-		"a head": "POST /look HTTP/1.1\r\nX: ",
-		"a body": "POST /look HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline: 9\r\nContent-Length: 60000\r\n\r\n",
+		"headers": "POST /look HTTP/1.1\r\nX: ",
+		"body":    "POST /look HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline: 9\r\nContent-Length: 60000\r\n\r\n",
 	} {
 		client := program.connect()
 		client.send(begin)
@@ -340,7 +342,7 @@
 		}()
 		client.Conn.SetReadDeadline(began.Add(3 * time.Second))
 		if _, err := client.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s that drips has neither an error nor an end after 3 s", name)
+			t.Errorf("%s byte by byte: neither an error nor a close after 3 s", name)
 		}
 		client.Conn.Close()
 	}
--- a/cmd/terntray/deadline_test.go
+++ b/cmd/terntray/deadline_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// fullBacklog listens on a port where the machine takes up two connections and leaves all others waiting until
-// accept is called: their clients try again after a second.
+// fullBacklog listens with a backlog that holds two connections and is full. Further connections come up only after
+// accept is called, when their SYN is retransmitted after a second.
 func fullBacklog(t *testing.T) (listener net.Listener, accept func()) {
 	t.Helper()
 	var relisten error
@@ -39,29 +39,29 @@
 	}
 	return listener, func() {
 		for _, conn := range fillers {
-			taken, err := listener.Accept()
+			accepted, err := listener.Accept()
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			taken.Close()
+			accepted.Close()
 			conn.Close()
 		}
 	}
 }
 
-// What a replica is told of the time left is what is left as the call is written, not as it was decided: a
-// connection may take a second to come up.
+// The time left that a replica is told must be that at which the call is written, not at which the attempt was decided:
+// a connection may take a second to come up.
 func TestDeadlineSentIsWhatIsLeftWhenTheConnectionIsUp(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
 		slack    = 150 * time.Millisecond
 	)
 	for _, model := range []string{"m", "h2"} {
-		l, accept := fullBacklog(t)
+		listener, accept := fullBacklog(t)
 		replica := newReplica(t, "s-a", 0, silent)
 		replica.Listener.Close()
-		replica.Listener, replica.Model = l, model
+		replica.Listener, replica.Model = listener, model
 		slow := strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":2500000`, 1)
 		program, _ := startDeploymentWith(t, slow, allHTTP2, 1024, replica)
 		client := program.connect()
@@ -69,16 +69,16 @@
 		client.send(query("look", "q1", deadline.Seconds(), 3))
 		time.Sleep(500 * time.Millisecond)
 		accept()
-		go replica.Accept(l)
+		go replica.Accept(listener)
 		waitFor(t, "the call arrives", func() bool { return replica.HasReceived("q1") })
 		left := deadline - time.Since(sent)
 		told := time.Duration(replica.Received()[0].TimeLeftMS) * time.Millisecond
 		if told > left+slack {
-			t.Errorf("%s: told %v with %v left", model, told, left)
+			t.Errorf("%s: the replica was told %v with %v left", model, told, left)
 		}
 		if time.Since(sent) < 900*time.Millisecond {
-			t.Errorf("%s: the connection came up after %v: nothing was delayed", model, time.Since(sent))
+			t.Errorf("%s: the connection came up after %v, without the delay", model, time.Since(sent))
 		}
-		l.Close()
+		listener.Close()
 	}
 }
--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -12,13 +12,14 @@
 	"terntray/internal/fake"
 )
 
-// Where the form has no place for a reference, a request with one is refused, and nothing of it runs.
+// The protocol cannot forward idempotency keys: a request of a keyed class that has one is refused, and none of its
+// subqueries runs.
 func TestIdempotencyKeyThatCannotBeForwardedIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, strings.Replace(settings, `"side_effect"`, `"token"`, 1), replica)
 	client := program.connect()
-	for n, track := range []string{"claim", "look", "claim"} {
-		text := query(track, fmt.Sprint("q", n), 10, 3)
+	for n, class := range []string{"claim", "look", "claim"} {
+		text := query(class, fmt.Sprint("q", n), 10, 3)
 		if n < 2 {
 			text = strings.Replace(text, "Host: b", "Host: b\r\nIdempotency-Key: ed84f3c1", 1)
 		}
@@ -26,15 +27,15 @@
 		if n > 0 {
 			client.expect(map[int]string{3: value(replica, 3)})
 		} else if answer := client.receive(); answer.status != 501 || answer.last {
-			t.Errorf("answered %d, last %t", answer.status, answer.last)
+			t.Errorf("status %d, last %t", answer.status, answer.last)
 		}
 	}
 	if replica.HasReceived("q0") {
-		t.Error("its subquery was sent without the reference")
+		t.Error("a subquery was sent without its idempotency key")
 	}
 }
 
-// A sound request is served whatever it is cut into: in chunks of a byte it takes far more than its body.
+// A valid request is served even in chunks of one byte, which take far more space than its body.
 func TestRequestInVerySmallChunksIsServed(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
@@ -47,43 +48,44 @@
 		client := program.connect()
 		text := fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q%d\r\nReq-Deadline: 9\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", n, chunks.String())
 		client.send(text[:100_000])
-		time.Sleep(20 * time.Millisecond) // that it is read in two goes; it is served either way
+		time.Sleep(20 * time.Millisecond) // so that it is read in two parts; it is served either way
 		client.send(text[100_000:])
 		client.expect(map[int]string{3: value(replica, 3)})
 	}
 }
 
-// A watch that falls silent is opened anew, and what it missed is kept, within the second that it may take before
-// that counts as told; the same for a SIGHUP that moves discovery while it is silent.
+// A watch that gets no response is replaced by a request for the whole list, so that a drain that it missed is applied
+// within the second after the watch's end that is allowed for this. The same holds if SIGHUP changes the discovery
+// address meanwhile.
 func TestDrainMissedBySilentWatchIsAppliedInTime(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newAgent(t), newAgent(t)
-		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch waits for 1 s
+		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch lasts 1 s
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
 		program := startListening(t, env)
 		(<-old.Calls).Respond(endpointList(5, true, []*fake.Replica{a, b}))
-		<-old.Calls // the watch, which gets no answer
-		silent := time.Now()
+		<-old.Calls // the watch, which gets no response
+		watchOpened := time.Now()
 		a.State = "draining"
-		from, within := old, 2*time.Second
+		agent, within := old, 2*time.Second
 		if moved {
 			file := strings.TrimPrefix(env[0], "ROUTER_CONFIG=")
 			text, _ := os.ReadFile(file)
 			os.WriteFile(file, []byte(strings.Replace(string(text), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)), 0o600)
 			program.cmd.Process.Signal(syscall.SIGHUP)
-			<-next.Calls // the first call there gets none either
-			from, within = next, 1500*time.Millisecond
+			<-next.Calls // the first request there gets no response either
+			agent, within = next, 1500*time.Millisecond
 		}
-		call := <-from.Calls
-		if took := time.Since(silent); took > within+500*time.Millisecond {
-			t.Errorf("moved %t: it is asked again after %v", moved, took)
+		call := <-agent.Calls
+		if took := time.Since(watchOpened); took > within+500*time.Millisecond {
+			t.Errorf("moved %t: the list was requested only after %v", moved, took)
 		}
 		if strings.Contains(call.Path, "from") {
-			t.Errorf("moved %t: %s asks for no whole list", moved, call.Path)
+			t.Errorf("moved %t: %s does not request the whole list", moved, call.Path)
 		}
 		call.Respond(endpointList(7, true, []*fake.Replica{a, b}))
-		waitFor(t, "the list is told", func() bool { return strings.Contains(program.logText(), "rev=7 ") })
+		waitFor(t, "the list is applied", func() bool { return strings.Contains(program.logText(), "rev=7 ") })
 		client := program.connect()
 		for n := range 6 {
 			client.send(query("look", fmt.Sprint("q", n), 10, n))
@@ -96,33 +98,33 @@
 	}
 }
 
-// The same where lists come to those who ask only: a watch that has fallen silent is asked anew before what it
-// missed counts as told, 2 s after its wait is over.
+// The same if lists are sent only on request: a watch that gets no response is replaced by a request for the whole list
+// within 2 s of the end of the watch, when the changes that it missed have to be applied.
 func TestSilentWatchIsRestartedWhereListsArePolled(t *testing.T) {
 	a, agent := newReplica(t, "s-a", 0, succeed), newAgent(t)
-	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch waits for 1 s
+	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch lasts 1 s
 	startListening(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
 	(<-agent.Calls).Respond(endpointList(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
-		t.Fatalf("%s is no watch that waits for 1 s", call.Path)
+		t.Fatalf("%s is not a watch of 1 s", call.Path)
 	}
-	silent := time.Now()
-	if call := <-agent.Calls; time.Since(silent) > 3*time.Second || strings.Contains(call.Path, "from") {
-		t.Errorf("%s comes after %v", call.Path, time.Since(silent))
+	watchOpened := time.Now()
+	if call := <-agent.Calls; time.Since(watchOpened) > 3*time.Second || strings.Contains(call.Path, "from") {
+		t.Errorf("%s was requested after %v", call.Path, time.Since(watchOpened))
 	}
 }
 
 func newAgent(t *testing.T) *fake.DiscoveryAgent {
-	a, err := fake.NewDiscoveryAgent()
+	agent, err := fake.NewDiscoveryAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Listener.Close() })
-	return a
+	t.Cleanup(func() { agent.Listener.Close() })
+	return agent
 }
 
-// Wherever its connection is cut, a non-idempotent subquery runs once at the most, and where it may have run no
-// answer says that trying again is harmless.
+// Whatever byte its connection breaks at, a non-idempotent subquery runs at most once. If it may have run, the response
+// is not a 503, which would tell the client that a retry is safe.
 func TestNonIdempotentSubqueryRunsAtMostOnceIfItsConnectionBreaks(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 	program, _ := startDeployment(t, settings, a, b)
@@ -144,20 +146,20 @@
 		answer := client.receive()
 		ran := 0
 		for _, replica := range []*fake.Replica{a, b} {
-			for _, part := range replica.Received() {
-				if part.ID == id+".3" {
+			for _, call := range replica.Received() {
+				if call.ID == id+".3" {
 					ran++
 				}
 			}
 		}
 		if ran > 1 || ran > 0 && answer.status == 503 || answer.status == 200 && ran != 1 {
-			t.Errorf("cut after %d bytes: run %d times, answered %d", n, ran, answer.status)
+			t.Errorf("cut after %d bytes: run %d times, status %d", n, ran, answer.status)
 		}
 		client.Conn.Close()
 	}
 }
 
-// Told to end while it stands still, with requests on old and new connections behind it: all are answered.
+// SIGTERM arrives during a stall, together with requests on old and new connections. All are answered.
 func TestRequestsDuringShutdownAreAnswered(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
@@ -183,14 +185,13 @@
 	program.expectExit(t)
 }
 
-// An answer whose rest was lost on its way and comes a little later is as good as any; non-idempotent subqueries
-// depend on it.
+// A reply whose second half is delayed, as by a lost packet, is accepted; a non-idempotent subquery cannot be retried.
 func TestReplyInPiecesIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, nil)
 	replica.SetBehavior(func(replica *fake.Replica, call fake.Call) {
 		text := frameOf(fmt.Sprintf("Y%s OK 7 -\n%s", call.ID, value(replica, call.Shard)))
 		io.WriteString(call.Conn, text[:len(text)/2])
-		time.Sleep(220 * time.Millisecond) // as long as machines wait before they send again
+		time.Sleep(220 * time.Millisecond) // a TCP retransmission timeout
 		io.WriteString(call.Conn, text[len(text)/2:])
 	})
 	program, _ := startDeployment(t, settings, replica)
@@ -199,7 +200,7 @@
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// The same after a rest that is longer than a whole answer may take.
+// The same on a connection that was idle for longer than a whole reply may take.
 func TestReplyInPiecesOnAnIdleConnectionIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
@@ -212,13 +213,14 @@
 		time.Sleep(20 * time.Millisecond)
 		io.WriteString(call.Conn, text[len(text)/2:])
 	})
-	time.Sleep(600 * time.Millisecond) // four times what a piece may take are 0.4 s
+	time.Sleep(600 * time.Millisecond) // a whole reply may take 0.4 s, four times the limit for a part
 	client.send(query("claim", "q2", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// An answer that goes on and on, a byte at a time, ends its connection within a bound: nothing waits behind it for
-// a whole deadline. A subquery that may run again is answered elsewhere, one that may not is given up for good.
+// A reply that arrives byte by byte without end closes its connection within a bounded time, so that no attempt behind
+// it waits for its whole deadline. An idempotent subquery would
+// be retried elsewhere; the non-idempotent one here fails.
 func TestEndlessReplyClosesItsConnection(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		go func() {
@@ -236,42 +238,41 @@
 	began := time.Now()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status != 500 || time.Since(began) > 5*time.Second {
-		t.Errorf("answered %d after %v", answer.status, time.Since(began))
+		t.Errorf("status %d after %v", answer.status, time.Since(began))
 	}
 	if counters := program.counters(); counters["legs_spoilt"] != 1 || counters["spoilt"] != 1 {
 		t.Errorf("counters %v", counters)
 	}
 }
 
-// A class with a second step, which the protocol has not, gets no answer that passes for whole; the others are served.
+// The protocol has no fetch phase: queries of a class that requires one are refused, other classes are served.
 func TestClassWithASecondPhaseIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status != 501 || answer.last || replica.HasReceived("q1") {
-		t.Errorf("answered %d, last %t", answer.status, answer.last)
+		t.Errorf("status %d, last %t", answer.status, answer.last)
 	}
 	client.send(query("look", "q2", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// However many requests wait for an answer, the next is heard and answered at once: it does not lie in the
-// machine's queue until one of those ends, nor behind a client that has its answer and rests. With 36 descriptors
-// there are eight places.
+// However many requests are waiting for a response, the next one is answered at once. It does not stay in the listen
+// backlog until one of them ends, nor wait for an idle client. With 36 descriptors there are eight client connections.
 func TestRequestIsAnsweredAtOnceWhileOthersWait(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
-	for n := range 8 { // all but one may wait
+	for n := range 8 { // one place stays free
 		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
-	waitFor(t, "they wait", func() bool { return strings.Count(program.logText(), "query_arrived=waits") >= 7 })
+	waitFor(t, "the queries are waiting", func() bool { return strings.Count(program.logText(), "query_arrived=waits") >= 7 })
 	for n := range 9 {
 		client := program.connect()
 		began := time.Now()
 		client.send(query("look", fmt.Sprint("q", n), 0.5, 9))
 		if answer := client.receive(); answer.status != 503 || time.Since(began) > time.Second {
-			t.Errorf("%d: answered %d after %v", n, answer.status, time.Since(began))
+			t.Errorf("request %d: status %d after %v", n, answer.status, time.Since(began))
 		}
 	}
 	if counters := program.counters(); counters["taken"] != 17 || counters["full"] != 10 {
--- a/cmd/terntray/harness_test.go
+++ b/cmd/terntray/harness_test.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	awaitTimeout = 20 * time.Second // for anything awaited: a busy machine may be slow
+	awaitTimeout = 20 * time.Second // for any awaited condition; a busy machine may be slow
 	mainVariable = "TERNTRAY_TEST_MAIN"
 )
 
-// TestMain lets the test binary stand in for the program, so that the race detector watches it too.
+// TestMain lets the test binary run as the program, so that the race detector covers the program too.
 func TestMain(m *testing.M) {
 	if os.Getenv(mainVariable) != "" {
 		main()
@@ -39,34 +39,34 @@
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// The scripted peers, ended with their test.
+// Short names for helpers of package fake.
 var succeed, silent, reset, endpointList = fake.Succeed, fake.Silent, fake.ResetConnection, fake.EndpointList
 
 func newReplica(t *testing.T, uid string, cell int, act func(*fake.Replica, fake.Call)) *fake.Replica {
-	s, err := fake.NewReplica(uid, cell, act)
+	replica, err := fake.NewReplica(uid, cell, act)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.OnMalformed = t.Errorf
-	t.Cleanup(func() { s.Listener.Close() })
-	return s
+	replica.OnMalformed = t.Errorf
+	t.Cleanup(func() { replica.Listener.Close() })
+	return replica
 }
 
-func newDiscovery(t *testing.T, at string, replicas ...*fake.Replica) *fake.Discovery {
-	r, err := fake.NewDiscovery(at, replicas...)
+func newDiscovery(t *testing.T, address string, replicas ...*fake.Replica) *fake.Discovery {
+	discovery, err := fake.NewDiscovery(address, replicas...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Server.Close() })
-	return r
+	t.Cleanup(func() { discovery.Server.Close() })
+	return discovery
 }
 
-// settings describe a deployment of one cell, one shard a number, with three classes.
+// settings describe a deployment of one cell and 24 shards, with three classes.
 const settings = `{"balancers":1,"bounds":{"connectTimeout":1000000,"idleClose":30000000,"maxAttempts":3,
 "maxOpen":40,"mayCancel":true,"multiplex":4,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":1,"callCost":0,"cells":1,"classFetch":[0,0,0],"classNeed":[1.0,1.0,1.0],
@@ -76,7 +76,7 @@
 {"name":"some","aim":2000000,"deadline":30000000,"effect":"pure"}],
 "orgs":[],"tariffs":{},"zone":0,"zones":["west","east"]}`
 
-// process is the co-ordinator under test.
+// process is a running co-ordinator under test.
 type process struct {
 	t    *testing.T
 	cmd  *exec.Cmd
@@ -100,14 +100,14 @@
 	return program.log.String()
 }
 
-// command makes the program's command line, with the environment that it names.
+// command returns a command that runs the program with additional environment variables.
 func command(env []string, args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(append(os.Environ(), mainVariable+"=1"), env...)
 	return cmd
 }
 
-// configure writes a configuration and returns the variables that name it.
+// configure writes a platform file and returns the environment variables for it.
 func configure(t *testing.T, discovery string, sockets int, settings string, known ...*fake.Replica) []string {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
@@ -119,14 +119,14 @@
 	return []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME="}
 }
 
-// start starts the program and waits until it serves.
+// start starts the program and waits until it is ready.
 func start(t *testing.T, env []string, args ...string) *process {
 	program := startListening(t, env, args...)
 	waitFor(t, "GET /up", func() bool { return program.get("/up") == "200 up" })
 	return program
 }
 
-// startListening starts it and waits until it can be connected to.
+// startListening starts the program and waits until it listens.
 func startListening(t *testing.T, env []string, args ...string) *process {
 	p := &process{t: t, cmd: command(env, append([]string{"serve", "-trace"}, args...)...), done: make(chan struct{})}
 	p.cmd.Stderr = p
@@ -144,7 +144,7 @@
 			t.Errorf("the program's log:\n%s", log)
 		}
 	})
-	waitFor(t, "the program serves", func() bool {
+	waitFor(t, "the program listens", func() bool {
 		_, after, ok := strings.Cut(p.logText(), "listen=")
 		p.addr, _, _ = strings.Cut(after, " ")
 		return ok && p.addr != ""
@@ -152,11 +152,11 @@
 	return p
 }
 
-// startDeployment starts the program among replicas and discovery.
+// startDeployment starts the program with discovery and replicas.
 func startDeployment(t *testing.T, settings string, replicas ...*fake.Replica) (*process, *fake.Discovery) {
 	discovery := newDiscovery(t, "127.0.0.1:0", replicas...)
 	program := start(t, configure(t, discovery.Listener.Addr().String(), 1024, settings, replicas...))
-	waitFor(t, "a watch stands", func() bool { return discovery.Watches() > 0 })
+	waitFor(t, "a watch is open", func() bool { return discovery.Watches() > 0 })
 	return program, discovery
 }
 
@@ -170,7 +170,7 @@
 	return fmt.Sprint(r.StatusCode, " ", strings.TrimSpace(string(body)))
 }
 
-// counters reads what the program has counted.
+// counters reads the program's counters and checks that the outcomes of queries add up.
 func (program *process) counters() map[string]int {
 	all := map[string]int{}
 	for _, pair := range strings.Fields(program.get("/counters"))[1:] {
@@ -178,7 +178,7 @@
 		all[name], _ = strconv.Atoi(n)
 	}
 	if sum := all["fulfilled"] + all["turned_back"] + all["scrapped"] + all["left"] + all["open"]; sum != all["taken"] {
-		program.t.Errorf("taken does not add up: %v", all)
+		program.t.Errorf("the outcomes of queries do not add up to taken: %v", all)
 	}
 	return all
 }
@@ -200,28 +200,28 @@
 	return &clientConn{program.t, conn, bufio.NewReader(conn)}
 }
 
-// query makes a request for some shards.
-func query(track, id string, within float64, shards ...int) string {
-	return queryOf("of "+id, track, id, within, shards...)
+// query returns a request for some shards, with a deadline in seconds.
+func query(class, id string, deadline float64, shards ...int) string {
+	return queryWithText("of "+id, class, id, deadline, shards...)
 }
 
-// queryOf makes one whose subqueries carry a text.
-func queryOf(text, track, id string, within float64, shards ...int) string {
+// queryWithText returns a request whose subqueries have the given text.
+func queryWithText(text, class, id string, deadline float64, shards ...int) string {
 	var segments []string
-	for _, replica := range shards {
-		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, replica, 1/float64(len(shards))))
+	for _, shard := range shards {
+		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, shard, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, strings.Join(segments, ","), text)
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		track, id, within, len(body), body)
+		class, id, deadline, len(body), body)
 }
 
 func (client *clientConn) send(text string) { io.WriteString(client.Conn, text) }
 
-// response is a response; matches holds the values by shard.
+// response is the program's response to a request.
 type response struct {
 	status  int
-	last    bool
+	last    bool // the program closes the connection after it
 	body    string
 	AllIn   bool `json:"all_in"`
 	Matches []struct {
@@ -242,21 +242,21 @@
 	client.t.Helper()
 	r, err := http.ReadResponse(client.in, nil)
 	if err != nil {
-		client.t.Errorf("no answer: %v", err)
+		client.t.Errorf("no response: %v", err)
 		return &response{}
 	}
 	body, err := io.ReadAll(r.Body)
 	a := &response{status: r.StatusCode, last: r.Close, body: string(body)}
 	if err != nil || r.Header.Get("Content-Type") == "application/json" && json.Unmarshal(body, a) != nil {
-		client.t.Errorf("an answer of %q: %v", body, err)
+		client.t.Errorf("unusable response body %q: %v", body, err)
 	}
 	return a
 }
 
-// expect checks that an answer is whole and has exactly these values.
+// expect checks that the next response is complete and has exactly the given values by shard.
 func (client *clientConn) expect(values map[int]string) {
 	client.t.Helper()
 	if a := client.receive(); a.status != http.StatusOK || !a.AllIn || !maps.Equal(a.values(), values) {
-		client.t.Errorf("answer %d %s, want %v", a.status, a.body, values)
+		client.t.Errorf("status %d %s, want %v", a.status, a.body, values)
 	}
 }
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -13,15 +13,14 @@
 	"terntray/internal/fake"
 )
 
-// A connection that breaks once a subquery is written may have let it run; a subquery that is no non-idempotent one
-// goes to another replica, a non-idempotent one nowhere.
-func TestConnectionResetIsRetriedForIdempotentQueries(t *testing.T) {
+// A connection breaks after a non-idempotent subquery was written: it may have run and must not be retried.
+func TestConnectionResetIsNotRetriedForNonIdempotentQueries(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, reset), newReplica(t, "s-b", 0, reset)
 	program, _ := startDeployment(t, settings, a, b)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status < 500 || answer.status == 503 {
-		t.Errorf("a non-idempotent query that may have run was answered %d", answer.status)
+		t.Errorf("a non-idempotent query that may have run: status %d", answer.status)
 	}
 	if n := len(a.Received()) + len(b.Received()); n != 1 {
 		t.Errorf("its subquery was sent %d times", n)
@@ -39,11 +38,11 @@
 	client.send(query("claim", "q1", 10, 0, 1, 2, 3))
 	client.expect(map[int]string{0: value(a, 0), 1: value(a, 1), 2: value(a, 2), 3: value(a, 3)})
 	if counters := program.counters(); counters["legs_unreachable"] == 0 || counters["refused"] == 0 {
-		t.Errorf("nothing was sent to the replica that is down: %v", counters)
+		t.Errorf("no attempt was made to the unreachable replica: %v", counters)
 	}
 }
 
-// A replica that takes subqueries and says nothing costs its own subqueries time, and no other's.
+// A replica that accepts subqueries and never replies delays only queries with subqueries there.
 func TestSilentReplicaDelaysNoOtherQuery(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, silent), newReplica(t, "s-b", 0, succeed)
 	program, _ := startDeployment(t, settings, a, b)
@@ -52,43 +51,43 @@
 		client.send(query("look", fmt.Sprint("q", n), 20, n, n+8))
 		client.expect(map[int]string{n: value(b, n), n + 8: value(b, n+8)})
 	}
-	waitFor(t, "the replica is told that subqueries are given up", func() bool {
+	waitFor(t, "the replica is told that subqueries are abandoned", func() bool {
 		a.Mu.Lock()
 		defer a.Mu.Unlock()
 		return len(a.Abandoned) > 0
 	})
 }
 
-// Replies that cannot be used end their connection and reach no client; what they answer may have run. The replica
-// is no worse for it: a non-idempotent subquery that comes next goes there at once.
+// A malformed reply closes its connection and reaches no client; its subquery may have run. The replica stays in use:
+// the next non-idempotent subquery is sent to it at once.
 func TestMalformedRepliesCloseOnlyTheirConnection(t *testing.T) {
 	for name, frame := range map[string]string{
-		"a refusal":          frameOf("Nwhat is this"),
-		"an unknown end":     frameOf("Yq1.3 FINE 0 -\nx"),
-		"no end":             frameOf("Yq1.3  0 -\nx"),
-		"an unknown letter":  frameOf("Q"),
-		"an unknown id":      frameOf("Yq9.3 OK 0 -\nx"),
-		"no line":            frameOf("Y"),
-		"no number":          frameOf("Yq1.3 OK nan -\nx"),
-		"too short":          "\x00\x00\x00\x03Yq1.3 OK 0 -\nx",
-		"no length":          "\x00\x00\x00\x00Yq1.3 OK 0 -\nx",
-		"too long":           "\x00\x00\x00\x20Yq1.3 OK 0 -\nx",
-		"a line without end": "\x00\x00\x20\x00Yq1.3 OK " + strings.Repeat("7", 5000),
-		"a huge value":       "\xb2\xd0\x5e\x00Yq1.3 OK 0 -\n" + strings.Repeat("x", 100000),
-		"noise":              "tL\xdc\x7f\xe8\r\n",
+		"a refusal":        frameOf("Nwhat is this"),
+		"unknown status":   frameOf("Yq1.3 FINE 0 -\nx"),
+		"no status":        frameOf("Yq1.3  0 -\nx"),
+		"unknown letter":   frameOf("Q"),
+		"unknown id":       frameOf("Yq9.3 OK 0 -\nx"),
+		"no line":          frameOf("Y"),
+		"invalid score":    frameOf("Yq1.3 OK nan -\nx"),
+		"length too small": "\x00\x00\x00\x03Yq1.3 OK 0 -\nx",
+		"zero length":      "\x00\x00\x00\x00Yq1.3 OK 0 -\nx",
+		"length too large": "\x00\x00\x00\x20Yq1.3 OK 0 -\nx",
+		"endless line":     "\x00\x00\x20\x00Yq1.3 OK " + strings.Repeat("7", 5000),
+		"huge value":       "\xb2\xd0\x5e\x00Yq1.3 OK 0 -\n" + strings.Repeat("x", 100000),
+		"noise":            "tL\xdc\x7f\xe8\r\n",
 	} {
 		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { io.WriteString(call.Conn, frame) })
 		program, _ := startDeployment(t, settings, replica)
 		client := program.connect()
 		client.send(query("claim", "q1", 10, 3))
 		if answer := client.receive(); answer.status != 500 {
-			t.Errorf("%s: answer %d", name, answer.status)
+			t.Errorf("%s: status %d", name, answer.status)
 		}
 		if counters := program.counters(); counters["legs_spoilt"] != 1 || counters["spoilt"] != 1 || counters["dropped"] != 0 {
 			t.Errorf("%s: counters %v", name, counters)
 		}
-		if name == "a refusal" { // the log is written behind the answer
-			waitFor(t, "the replica's words are in the log", func() bool { return strings.Contains(program.logText(), "what is this") })
+		if name == "a refusal" { // the log line is written after the response
+			waitFor(t, "the replica's message is in the log", func() bool { return strings.Contains(program.logText(), "what is this") })
 		}
 		replica.SetBehavior(succeed)
 		client.send(query("claim", "q2", 10, 3))
@@ -100,12 +99,12 @@
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(rest)))) + rest
 }
 
-// What comes right behind a sound answer is no answer to anything, and ends nothing that is sent later.
+// Bytes that follow a valid reply are not taken as a reply, and do not end attempts that are sent later.
 func TestBytesAfterAReplyAreDropped(t *testing.T) {
-	for name, behind := range map[string]string{"a copy": "", "noise": "tL\xdc\x7f\xe8\r\n"} {
+	for name, extra := range map[string]string{"duplicate": "", "noise": "tL\xdc\x7f\xe8\r\n"} {
 		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 			succeed(replica, call)
-			if io.WriteString(call.Conn, behind); behind == "" {
+			if io.WriteString(call.Conn, extra); extra == "" {
 				succeed(replica, call)
 			}
 		})
@@ -114,7 +113,7 @@
 		for n := range 20 {
 			client.send(query("claim", fmt.Sprint("q", n), 10, 3))
 			client.expect(map[int]string{3: value(replica, 3)})
-			time.Sleep(5 * time.Millisecond) // it is written apart from the answer; an attempt that has gone meanwhile may be lost to it
+			time.Sleep(5 * time.Millisecond) // for the extra bytes to arrive; an attempt sent before them may be lost
 		}
 		if counters := program.counters(); counters["legs"] != 20 || counters["legs_unreachable"] > 0 {
 			t.Errorf("%s: counters %v", name, counters)
@@ -122,33 +121,34 @@
 	}
 }
 
-// Subqueries that may not run twice share no connection, so that a reply to another cannot cost them their answer.
-func TestNonIdempotentSubqueriesAreNotHedged(t *testing.T) {
+// Non-idempotent subqueries share no connection, so that a malformed reply to another one cannot lose their replies.
+func TestNonIdempotentSubqueriesShareNoConnection(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program, _ := startDeployment(t, settings, replica)
 	c, other := program.connect(), program.connect()
 	c.send(query("claim", "q1", 10, 3, 4))
-	waitFor(t, "they are sent", func() bool { return len(replica.Received()) == 2 })
+	waitFor(t, "both non-idempotent subqueries arrive", func() bool { return len(replica.Received()) == 2 })
 	other.send(query("look", "q2", 10, 5, 6))
-	waitFor(t, "the others are sent", func() bool { return len(replica.Received()) == 4 })
+	waitFor(t, "all subqueries arrive", func() bool { return len(replica.Received()) == 4 })
 	on := map[net.Conn][]string{}
-	for _, part := range replica.Received() {
-		on[part.Conn] = append(on[part.Conn], part.ID)
+	for _, call := range replica.Received() {
+		on[call.Conn] = append(on[call.Conn], call.ID)
 	}
 	if len(on) != 3 {
 		t.Errorf("subqueries by connection: %v", on)
 	}
-	for _, part := range replica.Received() {
-		if part.ID == "q2.5" {
-			io.WriteString(part.Conn, "noise")
-		} else if strings.HasPrefix(part.ID, "q1") {
-			succeed(replica, part)
+	for _, call := range replica.Received() {
+		if call.ID == "q2.5" {
+			io.WriteString(call.Conn, "noise")
+		} else if strings.HasPrefix(call.ID, "q1") {
+			succeed(replica, call)
 		}
 	}
 	c.expect(map[int]string{3: value(replica, 3), 4: value(replica, 4)})
 }
 
-// No subquery waits behind a connection that has all that it carries; no more are opened than that takes.
+// When a connection carries its limit of attempts, another one is opened, so that no subquery waits. No more
+// connections are opened than necessary.
 func TestConnectionsCarryTheConfiguredNumberOfAttempts(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program, _ := startDeployment(t, settings, replica)
@@ -156,19 +156,19 @@
 	client.send(query("look", "q1", 30, 0, 1, 2, 3, 4, 5, 6))
 	waitFor(t, "all subqueries arrive", func() bool { return len(replica.Received()) == 7 })
 	on := map[net.Conn]int{}
-	for _, part := range replica.Received() {
-		on[part.Conn]++
+	for _, call := range replica.Received() {
+		on[call.Conn]++
 	}
 	if len(on) != 2 {
-		t.Errorf("subqueries on connections: %v", on)
+		t.Errorf("subqueries by connection: %v", on)
 	}
 	for conn, n := range on {
 		if n > 4 {
 			t.Errorf("%d subqueries on %v", n, conn.RemoteAddr())
 		}
 	}
-	for _, part := range replica.Received() {
-		succeed(replica, part)
+	for _, call := range replica.Received() {
+		succeed(replica, call)
 	}
 	client.receive()
 }
@@ -179,7 +179,7 @@
 	client := program.connect()
 	client.send(query("look", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
-	waitFor(t, "the connection is given back", func() bool {
+	waitFor(t, "the idle connection is closed", func() bool {
 		one := make([]byte, 1)
 		replica.Mu.Lock()
 		conn := replica.Conns[0]
@@ -194,40 +194,40 @@
 	}
 }
 
-// What was written to a process that has since started anew is not waited for.
+// An attempt that was sent to an earlier incarnation of a replica is retried without waiting for a reply.
 func TestRestartedReplicaIsReachedByNewConnections(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, r := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
+	program, discovery := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 20, 3))
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	replica.SetBehavior(succeed)
-	r.Mu.Lock()
+	discovery.Mu.Lock()
 	replica.BootMS = time.Now().Add(time.Second).UnixMilli()
-	r.Mu.Unlock()
-	r.SetState(replica, "ready")
+	discovery.Mu.Unlock()
+	discovery.SetState(replica, "ready")
 	client.expect(map[int]string{3: value(replica, 3)})
 	if counters := program.counters(); counters["legs_reset"] != 1 || counters["opened"] != 2 {
 		t.Errorf("counters %v", counters)
 	}
 }
 
-// A machine that vanished leaves its connections open and silent. Once an attempt there was given up unheard, the
-// next one opens a connection of its own, and the old one is closed.
+// A machine that disappears leaves its connections open and silent. After an attempt there ended without a reply, the
+// next attempt opens a new connection, and the old one is closed.
 func TestSilentConnectionIsNotUsedAgain(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 0.2, 3))
 	if answer := client.receive(); answer.status != 500 {
-		t.Errorf("answered %d", answer.status)
+		t.Errorf("status %d", answer.status)
 	}
 	replica.SetBehavior(succeed)
 	client.send(query("look", "q2", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
 	calls := replica.Received()
 	if len(calls) != 2 || calls[0].Conn == calls[1].Conn {
-		t.Errorf("%d subqueries came, the second on the silent connection", len(calls))
+		t.Errorf("%d subqueries arrived, or the second on the silent connection", len(calls))
 	}
 	waitFor(t, "the silent connection is closed", func() bool {
 		_, err := calls[0].Conn.Write(nil)
@@ -235,12 +235,12 @@
 	})
 }
 
-// A connection that drops under a replica that lives costs its subqueries some time, not their query.
+// The loss of a connection to a healthy replica delays its idempotent subqueries but does not fail their query.
 func TestConnectionLossFailsNoIdempotentQuery(t *testing.T) {
 	var drops atomic.Int32
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		if drops.Add(1) == 1 {
-			time.Sleep(20 * time.Millisecond) // sooner it would pass for an idle connection
+			time.Sleep(20 * time.Millisecond) // sooner it would be taken for the close of an idle connection
 			reset(replica, call)
 			return
 		}
