--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -43,7 +43,8 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := render(file, nil); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bad.jsonnet") {
+		if _, err := render(file, nil); err == nil || !strings.Contains(err.Error(), want) ||
+			!strings.Contains(err.Error(), "bad.jsonnet") {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
--- a/cmd/terntray/client_disconnect_test.go
+++ b/cmd/terntray/client_disconnect_test.go
@@ -44,7 +44,9 @@
 // disconnected.
 func expectNothingSent(t *testing.T, what string, replica *fake.Replica, connectedID string) {
 	t.Helper()
-	waitFor(t, what+": the connected client's subquery arrives", func() bool { return replica.HasReceived(connectedID) })
+	waitFor(t, what+": the connected client's subquery arrives", func() bool {
+		return replica.HasReceived(connectedID)
+	})
 	time.Sleep(20 * time.Millisecond) // for others to arrive
 	for _, call := range replica.Received() {
 		if strings.HasPrefix(call.ID, "left") || strings.HasPrefix(call.ID, "more") {
@@ -124,13 +126,18 @@
 		replica := newReplica(t, "s-a", 0, succeed)
 		real := replica.Listener
 		replica.Listener = full.listener // its address is in the list; the replica itself listens elsewhere
-		program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":8000000`, 1), replica)
+		program, _ := startDeployment(t,
+			strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":8000000`, 1), replica)
 		c, other := program.connect(), program.connect()
 		c.send(query("look", "left", 20, 3))
-		waitFor(t, "the request waits for the connection", func() bool { return strings.Contains(program.logText(), "query_arrived=left") })
+		waitFor(t, "the request waits for the connection", func() bool {
+			return strings.Contains(program.logText(), "query_arrived=left")
+		})
 		c.disconnect(way)
 		other.send(query("look", "lives", 20, 4))
-		waitFor(t, "the other request waits too", func() bool { return strings.Contains(program.logText(), "query_arrived=lives") })
+		waitFor(t, "the other request waits too", func() bool {
+			return strings.Contains(program.logText(), "query_arrived=lives")
+		})
 		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 		full.open(real.Addr().String())
 		other.expect(map[int]string{4: value(replica, 4)})
@@ -152,13 +159,15 @@
 				continue // two ways are enough here
 			}
 			what := fmt.Sprintf("%s, reading resumed after %v", way, later)
-			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed)) // so that this machine's jitter is small in comparison
+			// so that this machine's jitter is small in comparison
+			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed))
 			if err := replica.ShrinkBuffers(); err != nil {
 				t.Fatal(err)
 			}
 			manyPerConn := strings.Replace(settings, `"multiplex":4`, `"multiplex":100`, 1)
 			// few descriptors, so that all connections to the replica are blocked
-			program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, manyPerConn, replica))
+			program := start(t, configure(
+				t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, manyPerConn, replica))
 			first := program.connect()
 			for n := range 2 * len(large) { // the concurrency limit grows with the replies
 				first.send(query("look", fmt.Sprint("first", n), 20, 20))
@@ -168,14 +177,20 @@
 			resume := replica.PauseReading()
 			before := program.counters()
 			first.send(queryWithText(strings.Repeat("x", 60_000), "look", "large", 20, large...))
-			waitFor(t, what+": its subqueries are sent", func() bool { return program.counters()["legs"]-before["legs"] == len(large) })
+			waitFor(t, what+": its subqueries are sent", func() bool {
+				return program.counters()["legs"]-before["legs"] == len(large)
+			})
 			c.send(query("look", "left", 20, 21))
-			waitFor(t, what+": the request is accepted", func() bool { return program.counters()["taken"]-before["taken"] == 2 })
+			waitFor(t, what+": the request is accepted", func() bool {
+				return program.counters()["taken"]-before["taken"] == 2
+			})
 			c.disconnect(way)
 			waitFor(t, what+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
 			if later == 0 {
 				other.send(query("look", "lives", 20, 22))
-				waitFor(t, what+": the other request is accepted", func() bool { return program.counters()["taken"]-before["taken"] >= 3 })
+				waitFor(t, what+": the other request is accepted", func() bool {
+					return program.counters()["taken"]-before["taken"] >= 3
+				})
 			}
 			time.Sleep(later)
 			resume()
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -20,8 +20,9 @@
 	program, _ := startDeployment(t, settings, replica)
 	client := program.connect()
 	body := `{"segments":[{"segment":1,"boost":1}],"text":"x"}`
-	text := query("look", "q1", 10, 2) + fmt.Sprintf("POST /look/more HTTP/1.1\r\nHost: b\r\nReq-Id: q2\r\nReq-Deadline: 9\r\n"+
-		"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body) + query("look", "q3", 10, 5)
+	text := query("look", "q1", 10, 2) + fmt.Sprintf(
+		"POST /look/more HTTP/1.1\r\nHost: b\r\nReq-Id: q2\r\nReq-Deadline: 9\r\n"+
+			"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body) + query("look", "q3", 10, 5)
 	for at := 0; at < len(text); at += 37 {
 		client.send(text[at:min(len(text), at+37)])
 	}
@@ -42,7 +43,10 @@
 		defer replica.Mu.Unlock()
 		return len(replica.Abandoned) == 1 && replica.Abandoned[0] == "q1.3"
 	})
-	waitFor(t, "the disconnect is counted", func() bool { counters := program.counters(); return counters["left"] == 1 && counters["open"] == 0 })
+	waitFor(t, "the disconnect is counted", func() bool {
+		counters := program.counters()
+		return counters["left"] == 1 && counters["open"] == 0
+	})
 	// A late reply must have no effect.
 	replica.Reply(replica.Received()[0], "OK", "late")
 	replica.SetBehavior(succeed)
@@ -114,7 +118,8 @@
 	if answer := other.receive(); answer.status != 200 {
 		t.Errorf("status %d", answer.status)
 	}
-	if counters := program.counters(); counters["full"] != 1 || counters["turned_back"] != 1 || counters["taken"] != 3 || counters["open"] != 1 {
+	if counters := program.counters(); counters["full"] != 1 || counters["turned_back"] != 1 ||
+		counters["taken"] != 3 || counters["open"] != 1 {
 		t.Errorf("counters %v", counters)
 	}
 }
@@ -156,10 +161,14 @@
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("open.3") })
 	ended := make(chan string)
 	for name, misbehave := range map[string]func(*clientConn){
-		"silence":                             func(*clientConn) {},
-		"half a request":                      func(client *clientConn) { client.send(good[:len(good)-9]) },
-		"headers byte by byte":                drip,
-		"half a request after a complete one": func(client *clientConn) { client.send(good); client.receive(); client.send(good[:20]) },
+		"silence":              func(*clientConn) {},
+		"half a request":       func(client *clientConn) { client.send(good[:len(good)-9]) },
+		"headers byte by byte": drip,
+		"half a request after a complete one": func(client *clientConn) {
+			client.send(good)
+			client.receive()
+			client.send(good[:20])
+		},
 		"a body of 60 MB": func(client *clientConn) {
 			client.send("POST /look HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
 			client.sendFiller(60e6)
@@ -168,8 +177,10 @@
 			client.send("POST /look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff")
 			client.sendFiller(60e6)
 		},
-		"a duplicate id":   func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
-		"too many headers": func(client *clientConn) { client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000)) },
+		"a duplicate id": func(client *clientConn) { client.send(query("look", "open", 10, 3)) },
+		"too many headers": func(client *clientConn) {
+			client.send("POST /look HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 9000))
+		},
 	} {
 		go func() {
 			client := program.connect()
@@ -318,7 +329,9 @@
 			replica.Mu.Unlock()
 		}
 	}
-	waitFor(t, "all descriptors but one connection to the replica are released", func() bool { return descriptors() <= before+1 })
+	waitFor(t, "all descriptors but one connection to the replica are released", func() bool {
+		return descriptors() <= before+1
+	})
 }
 
 // A request of which a byte arrives every millisecond times out too, although its connection always has unread input.
--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -46,7 +46,9 @@
 	}
 	for n := range 3 {
 		client := program.connect()
-		text := fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q%d\r\nReq-Deadline: 9\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", n, chunks.String())
+		text := fmt.Sprintf(
+			"POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q%d\r\nReq-Deadline: 9\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n",
+			n, chunks.String())
 		client.send(text[:100_000])
 		time.Sleep(20 * time.Millisecond) // so that it is read in two parts; it is served either way
 		client.send(text[100_000:])
@@ -61,7 +63,8 @@
 	for _, moved := range []bool{false, true} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newAgent(t), newAgent(t)
-		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1) // a watch lasts 1 s
+		// a watch lasts 1 s
+		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1)
 		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
 		program := startListening(t, env)
 		(<-old.Calls).Respond(endpointList(5, true, []*fake.Replica{a, b}))
@@ -72,7 +75,8 @@
 		if moved {
 			file := strings.TrimPrefix(env[0], "ROUTER_CONFIG=")
 			text, _ := os.ReadFile(file)
-			os.WriteFile(file, []byte(strings.Replace(string(text), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)), 0o600)
+			os.WriteFile(file, []byte(strings.Replace(
+				string(text), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)), 0o600)
 			program.cmd.Process.Signal(syscall.SIGHUP)
 			<-next.Calls // the first request there gets no response either
 			agent, within = next, 1500*time.Millisecond
@@ -102,7 +106,8 @@
 // within 2 s of the end of the watch, when the changes that it missed have to be applied.
 func TestSilentWatchIsRestartedWhereListsArePolled(t *testing.T) {
 	a, agent := newReplica(t, "s-a", 0, succeed), newAgent(t)
-	set := strings.Replace(settings, `"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1) // a watch lasts 1 s
+	set := strings.Replace(settings, // a watch lasts 1 s
+		`"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1)
 	startListening(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
 	(<-agent.Calls).Respond(endpointList(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
@@ -203,7 +208,8 @@
 // The same on a connection that was idle for longer than a whole reply may take.
 func TestReplyInPiecesOnAnIdleConnectionIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	program, _ := startDeployment(t,
+		strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
@@ -219,8 +225,7 @@
 }
 
 // A reply that arrives byte by byte without end closes its connection within a bounded time, so that no attempt behind
-// it waits for its whole deadline. An idempotent subquery would
-// be retried elsewhere; the non-idempotent one here fails.
+// it waits for its whole deadline. An idempotent subquery would be retried elsewhere; the non-idempotent one here fails.
 func TestEndlessReplyClosesItsConnection(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		go func() {
@@ -233,7 +238,8 @@
 			}
 		}()
 	})
-	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
+	program, _ := startDeployment(t,
+		strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":100000`, 1), replica)
 	client := program.connect()
 	began := time.Now()
 	client.send(query("claim", "q1", 10, 3))
@@ -248,7 +254,8 @@
 // The protocol has no fetch phase: queries of a class that requires one are refused, other classes are served.
 func TestClassWithASecondPhaseIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := startDeployment(t, strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
+	program, _ := startDeployment(t,
+		strings.Replace(settings, `"classFetch":[0,0,0]`, `"classFetch":[0,2,0]`, 1), replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	if answer := client.receive(); answer.status != 501 || answer.last || replica.HasReceived("q1") {
@@ -262,11 +269,14 @@
 // backlog until one of them ends, nor wait for an idle client. With 36 descriptors there are eight client connections.
 func TestRequestIsAnsweredAtOnceWhileOthersWait(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program := start(t, configure(t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
+	program := start(t, configure(
+		t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
 	for n := range 8 { // one place stays free
 		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
-	waitFor(t, "the queries are waiting", func() bool { return strings.Count(program.logText(), "query_arrived=waits") >= 7 })
+	waitFor(t, "the queries are waiting", func() bool {
+		return strings.Count(program.logText(), "query_arrived=waits") >= 7
+	})
 	for n := range 9 {
 		client := program.connect()
 		began := time.Now()
--- a/cmd/terntray/endpoint_list_test.go
+++ b/cmd/terntray/endpoint_list_test.go
@@ -87,7 +87,9 @@
 		valid, _ := os.ReadFile(file)
 		os.WriteFile(file, valid[:len(valid)/2], 0o600)
 		program.cmd.Process.Signal(syscall.SIGHUP)
-		waitFor(t, "the bad file is reported", func() bool { return strings.Contains(program.logText(), "event=reload_failed") })
+		waitFor(t, "the bad file is reported", func() bool {
+			return strings.Contains(program.logText(), "event=reload_failed")
+		})
 		client.send(query("look", "q2", 10, 3))
 		client.expect(map[int]string{3: value(a, 3)})
 		moved := strings.Replace(string(valid), old.Listener.Addr().String(), next.Listener.Addr().String(), 1)
--- a/cmd/terntray/harness_test.go
+++ b/cmd/terntray/harness_test.go
@@ -140,7 +140,8 @@
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		<-p.done
-		if log := p.logText(); t.Failed() || strings.Contains(log, "DATA RACE") || strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=violation") {
+		if log := p.logText(); t.Failed() || strings.Contains(log, "DATA RACE") ||
+			strings.Contains(log, "event=loop_panic") || strings.Contains(log, "event=violation") {
 			t.Errorf("the program's log:\n%s", log)
 		}
 	})
@@ -212,7 +213,8 @@
 		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%v}`, shard, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, strings.Join(segments, ","), text)
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
+	return fmt.Sprintf(
+		"POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
 		class, id, deadline, len(body), body)
 }
 
--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -29,19 +29,22 @@
 }
 
 // startDeploymentWith starts the program with an installation file.
-func startDeploymentWith(t *testing.T, settings, installation string, sockets int, replicas ...*fake.Replica) (*process, *fake.Discovery) {
+func startDeploymentWith(t *testing.T, settings, installation string, sockets int, replicas ...*fake.Replica,
+) (*process, *fake.Discovery) {
 	discovery := newDiscovery(t, "127.0.0.1:0", replicas...)
 	name := filepath.Join(t.TempDir(), "installation.json")
 	if err := os.WriteFile(name, []byte(installation), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	program := start(t, configure(t, discovery.Listener.Addr().String(), sockets, settings, replicas...), "-installation", name)
+	program := start(t, configure(t, discovery.Listener.Addr().String(), sockets, settings, replicas...),
+		"-installation", name)
 	waitFor(t, "a watch is open", func() bool { return discovery.Watches() > 0 })
 	return program, discovery
 }
 
 // manySubqueries are settings that allow queries with many subqueries.
-var manySubqueries = strings.Replace(strings.Replace(settings, `"ranges":24`, `"ranges":100`, 1), `"maxOpen":40`, `"maxOpen":4000`, 1)
+var manySubqueries = strings.Replace(
+	strings.Replace(settings, `"ranges":24`, `"ranges":100`, 1), `"maxOpen":40`, `"maxOpen":4000`, 1)
 
 func firstShards(n int) (all []int) {
 	for shard := range n {
@@ -62,7 +65,9 @@
 		claim, look := program.connect(), program.connect()
 		claim.send(query("claim", "q1", 5, 3))
 		look.send(query("look", "q2", 5, 4))
-		waitFor(t, "both subqueries arrive", func() bool { return replica.HasReceived("q1") && replica.HasReceived("q2") })
+		waitFor(t, "both subqueries arrive", func() bool {
+			return replica.HasReceived("q1") && replica.HasReceived("q2")
+		})
 		replica.SetBehavior(succeed)
 		disconnect(replica)
 		look.expect(map[int]string{4: value(replica, 4)})
@@ -99,7 +104,9 @@
 	replica.QueueTime = func() time.Duration { return time.Hour }
 	replica.Mu.Unlock()
 	client.send(query("claim", "q2", 5, 5))
-	waitFor(t, "the subquery is queued in the replica", func() bool { return replica.MaxStreams() > 0 && program.counters()["legs"] == 3 })
+	waitFor(t, "the subquery is queued in the replica", func() bool {
+		return replica.MaxStreams() > 0 && program.counters()["legs"] == 3
+	})
 	time.Sleep(20 * time.Millisecond)
 	replica.Mu.Lock()
 	replica.QueueTime = nil
@@ -115,10 +122,13 @@
 func cheapQuery(id string, shards []int) string {
 	var segments []string
 	for _, shard := range shards {
-		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%.6f,"work":1000}`, shard, 1/float64(len(shards))))
+		segments = append(segments,
+			fmt.Sprintf(`{"segment":%d,"boost":%.6f,"work":1000}`, shard, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":"x"}`, strings.Join(segments, ","))
-	return fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+	return fmt.Sprintf(
+		"POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s",
+		id, len(body), body)
 }
 
 // A replica lowers its stream limit from 100 to 3 and then 0 while it has as many subqueries as the co-ordinator sends,
@@ -147,7 +157,8 @@
 	if got := client.receive(); got.status != http.StatusOK || len(got.Matches) != 60 {
 		t.Errorf("status %d with %d subqueries", got.status, len(got.Matches))
 	}
-	if counters := program.counters(); counters["legs_turned_away"]+counters["legs_unreachable"]+counters["legs_reset"] > 0 {
+	if counters := program.counters(); counters["legs_turned_away"]+counters["legs_unreachable"]+
+		counters["legs_reset"] > 0 {
 		t.Errorf("counters %v", counters)
 	}
 }
@@ -182,8 +193,12 @@
 	replica.WithholdCredit(true)
 	text := strings.Repeat("x", 60<<10)
 	body := fmt.Sprintf(`{"segments":[{"segment":1,"boost":0.5},{"segment":2,"boost":0.5}],"text":%q}`, text)
-	large.send(fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	waitFor(t, "the large subqueries are begun", func() bool { return replica.MaxStreams() >= 2 || len(replica.Received()) >= 2 })
+	large.send(fmt.Sprintf(
+		"POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s",
+		len(body), body))
+	waitFor(t, "the large subqueries are begun", func() bool {
+		return replica.MaxStreams() >= 2 || len(replica.Received()) >= 2
+	})
 	began := time.Now()
 	small.send(query("look", "q2", 20, 5))
 	time.Sleep(50 * time.Millisecond)
@@ -232,7 +247,9 @@
 		discovery.Mu.Unlock()
 		replica.CloseConnections(true)
 		discovery.SetState(replica, "ready")
-		waitFor(t, "the list is applied", func() bool { return strings.Count(program.logText(), "event=endpoint_list ") > n })
+		waitFor(t, "the list is applied", func() bool {
+			return strings.Count(program.logText(), "event=endpoint_list ") > n
+		})
 		time.Sleep(20 * time.Millisecond)
 		client.send(query("claim", fmt.Sprint("q", n), 10, 3))
 		client.expect(map[int]string{3: value(replica, 3)})
@@ -249,7 +266,8 @@
 			replica.Model = model
 			all = append(all, replica)
 		}
-		program, _ := startDeploymentWith(t, strings.Replace(manySubqueries, `"cells":1`, `"cells":8`, 1), allHTTP2, 256, all...)
+		program, _ := startDeploymentWith(t,
+			strings.Replace(manySubqueries, `"cells":1`, `"cells":8`, 1), allHTTP2, 256, all...)
 		var clients []*clientConn
 		for n := range 12 {
 			client := program.connect()
@@ -307,7 +325,9 @@
 	defer listener.Close()
 	offered := atomic.Pointer[[]string]{}
 	offered.Store(&[]string{"h2"})
-	serverConfig := &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert}
+	serverConfig := &tls.Config{
+		Certificates: []tls.Certificate{pair}, ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
+	}
 	served := connListener{make(chan net.Conn), make(chan struct{})}
 	library := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
@@ -342,8 +362,10 @@
 	replica := newReplica(t, "s-a", 0, silent)
 	replica.Listener.Close()
 	replica.Listener, replica.Model = listener, "h2"
-	program, _ := startDeploymentWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
-"tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`, pathOf("ca.pem"), pathOf("client.pem"), pathOf("client.key")), 1024, replica)
+	program, _ := startDeploymentWith(t, settings, fmt.Sprintf(
+		`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
+"tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`,
+		pathOf("ca.pem"), pathOf("client.pem"), pathOf("client.key")), 1024, replica)
 	client := program.connect()
 	client.send(query("claim", "q1", 10, 3))
 	client.expect(map[int]string{3: "/part 3 of q1"})
@@ -353,15 +375,21 @@
 	good, _ := os.ReadFile(pathOf("client.pem"))
 	os.WriteFile(pathOf("client.pem"), []byte("half a fi"), 0o600)
 	program.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the bad file is reported", func() bool { return strings.Contains(program.logText(), "event=tls_reload_failed") })
+	waitFor(t, "the bad file is reported", func() bool {
+		return strings.Contains(program.logText(), "event=tls_reload_failed")
+	})
 	client.send(query("claim", "q2", 10, 4))
 	client.expect(map[int]string{4: "/part 4 of q2"})
 	os.WriteFile(pathOf("client.pem"), good, 0o600)
 	program.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the good file is loaded", func() bool { return strings.Contains(program.logText(), `event=tls_reloaded entries=["boxes"]`) })
+	waitFor(t, "the good file is loaded", func() bool {
+		return strings.Contains(program.logText(), `event=tls_reloaded entries=["boxes"]`)
+	})
 	offered.Store(&[]string{})
-	p2, _ := startDeploymentWith(t, settings, fmt.Sprintf(`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
-"tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`, pathOf("ca.pem"), pathOf("client.pem"), pathOf("client.key")), 1024, replica)
+	p2, _ := startDeploymentWith(t, settings, fmt.Sprintf(
+		`{"replicas":[{"model":"h2","dialect":"http2","tls":"boxes"}],
+"tls":{"boxes":{"ca":%q,"cert":%q,"key":%q}}}`,
+		pathOf("ca.pem"), pathOf("client.pem"), pathOf("client.key")), 1024, replica)
 	client = p2.connect()
 	client.send(query("claim", "q3", 1, 3))
 	if client.receive(); !strings.Contains(p2.logText(), "by ALPN, not h2") || p2.counters()["tls_failed"] == 0 {
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -24,12 +24,14 @@
 	client.send(query("look", "q1", 10, 3, 9))
 	client.expect(map[int]string{3: value(replica, 3), 9: value(replica, 9)})
 	for _, call := range replica.Received() {
-		if call.Text != "of q1" || call.TimeLeftMS < 1 || call.TimeLeftMS > 10000 || call.ID != fmt.Sprint("q1.", call.Shard) {
+		if call.Text != "of q1" || call.TimeLeftMS < 1 || call.TimeLeftMS > 10000 ||
+			call.ID != fmt.Sprint("q1.", call.Shard) {
 			t.Errorf("the replica received %+v", call)
 		}
 	}
 	counters := program.counters()
-	if counters["taken"] != 1 || counters["fulfilled"] != 1 || counters["legs"] != 2 || counters["legs_ok"] != 2 || counters["opened"] != 1 {
+	if counters["taken"] != 1 || counters["fulfilled"] != 1 || counters["legs"] != 2 ||
+		counters["legs_ok"] != 2 || counters["opened"] != 1 {
 		t.Errorf("counters %v", counters)
 	}
 }
@@ -106,7 +108,9 @@
 // exit only for the time that a client has for reading one.
 func TestResponseReadSlowlyAcrossTheShutdownArrivesComplete(t *testing.T) {
 	for _, reads := range []bool{true, false} {
-		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { replica.Reply(call, "OK", strings.Repeat("v", 60_000)) })
+		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
+			replica.Reply(call, "OK", strings.Repeat("v", 60_000))
+		})
 		program, _ := startDeployment(t, settings, replica)
 		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { return fake.ShrinkBuffers(raw) }}
 		conn, err := narrow.Dial("tcp", program.addr)
@@ -123,7 +127,9 @@
 		c.send(query("look", "q", 10, shards...))
 		waitFor(t, "the query is answered", func() bool { return program.counters()["fulfilled"] == 1 })
 		program.cmd.Process.Signal(syscall.SIGTERM)
-		waitFor(t, "the shutdown begins", func() bool { return strings.Contains(program.logText(), "event=shutting_down") })
+		waitFor(t, "the shutdown begins", func() bool {
+			return strings.Contains(program.logText(), "event=shutting_down")
+		})
 		if !reads {
 			program.expectExit(t)
 			continue
@@ -145,7 +151,8 @@
 	program, _ := startDeployment(t, settings, replica)
 	for range 20 {
 		client := program.connect()
-		client.send(strings.Replace(query("look", "q1", 10, 3), "Host: b", "Host: b\r\nConnection: close", 1) + strings.Repeat("x", 9000))
+		client.send(strings.Replace(query("look", "q1", 10, 3), "Host: b", "Host: b\r\nConnection: close", 1) +
+			strings.Repeat("x", 9000))
 		if answer := client.receive(); answer.status != 200 || !answer.last {
 			t.Fatalf("status %d, last %t", answer.status, answer.last)
 		}
@@ -170,14 +177,17 @@
 		"no such file":     {[]string{"ROUTER_CONFIG=/nowhere/x"}, []string{"serve"}, 1, "/nowhere/x"},
 		"invalid JSON":     {broken, []string{"check"}, 1, "ROUTER_CONFIG"},
 		"missing setting":  {missing, []string{"serve"}, 1, "familyInfo.cells"},
-		"address in use":   {append(valid[:len(valid):len(valid)], "ROUTER_LISTEN="+taken.Addr().String()), []string{"serve"}, 1, "ROUTER_LISTEN"},
-		"valid":            {valid, []string{"check"}, 0, "ok: n0"},
-		"version":          {nil, []string{"version"}, 0, "terntray"},
-		"help":             {nil, []string{"help"}, 0, "usage:"},
-		"no command":       {nil, nil, 2, "usage:"},
-		"unknown command":  {nil, []string{"sevre"}, 2, "usage:"},
-		"unknown flag":     {nil, []string{"serve", "-x"}, 2, "-trace"},
-		"extra argument":   {nil, []string{"serve", "x"}, 2, "-trace"},
+		"address in use": {
+			append(valid[:len(valid):len(valid)], "ROUTER_LISTEN="+taken.Addr().String()), []string{"serve"},
+			1, "ROUTER_LISTEN",
+		},
+		"valid":           {valid, []string{"check"}, 0, "ok: n0"},
+		"version":         {nil, []string{"version"}, 0, "terntray"},
+		"help":            {nil, []string{"help"}, 0, "usage:"},
+		"no command":      {nil, nil, 2, "usage:"},
+		"unknown command": {nil, []string{"sevre"}, 2, "usage:"},
+		"unknown flag":    {nil, []string{"serve", "-x"}, 2, "-trace"},
+		"extra argument":  {nil, []string{"serve", "x"}, 2, "-trace"},
 	} {
 		out, err := command(c.env, c.args...).CombinedOutput()
 		status := 0
--- a/cmd/terntray/migration_test.go
+++ b/cmd/terntray/migration_test.go
@@ -25,12 +25,14 @@
 	if line := old.get("/counters"); strings.Contains(line, "watched=") || strings.Contains(line, "stranger") {
 		t.Errorf("step 1, the new build with the old files: counters %s", line)
 	}
-	watching, _ := startDeploymentWith(t, settings, `{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
+	watching, _ := startDeploymentWith(t, settings,
+		`{"watch":{"settings":{"balancers":"130","bounds.secondCopies":"false"}}}`, 1024, a, b)
 	ask(watching, "watching")
 	if n := watching.counters(); n["watched"] != 1 || n["watched_legs"] < 1 || n["would_time_out_otherwise"] < 1 {
 		t.Errorf("step 2: counters %v", n)
 	}
-	gossiping := strings.Replace(strings.Replace(settings, `"balancers":1`, `"balancers":2`, 1), `"bounds":{`, `"bounds":{"peers":true,`, 1)
+	gossiping := strings.Replace(strings.Replace(settings, `"balancers":1`, `"balancers":2`, 1),
+		`"bounds":{`, `"bounds":{"peers":true,`, 1)
 	one, two := fake.FreePort("udp4"), fake.FreePort("udp4")
 	file := func(listen, other string) string {
 		return fmt.Sprintf(`{"peers":{"listen":%q,"others":[%q]}}`, listen, other)
@@ -38,7 +40,9 @@
 	first, _ := startDeploymentWith(t, gossiping, file(one, two), 1024, a, b)
 	second, _ := startDeploymentWith(t, gossiping, file(two, one), 1024, a, b)
 	ask(first, "told")
-	waitFor(t, "step 4, the peer is told of the attempt and of its end", func() bool { return second.counters()["peer_messages"] >= 2 })
+	waitFor(t, "step 4, the peer is told of the attempt and of its end", func() bool {
+		return second.counters()["peer_messages"] >= 2
+	})
 	stranger, err := net.Dial("udp4", two)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +51,9 @@
 	if _, err := stranger.Write([]byte("who am I")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a message from an unknown address is counted", func() bool { return second.counters()["stranger_peer_messages"] == 1 })
+	waitFor(t, "a message from an unknown address is counted", func() bool {
+		return second.counters()["stranger_peer_messages"] == 1
+	})
 	if n := second.counters(); n["bad_peer_messages"] != 0 {
 		t.Errorf("step 4: counters %v", n)
 	}
@@ -55,7 +61,8 @@
 	// messages and logs the setting as unsupported.
 	half, _ := startDeploymentWith(t, gossiping, `{}`, 1024, a, b)
 	ask(half, "half")
-	if !strings.Contains(half.logText(), `event=unsupported_setting setting=bounds.peers value="true" effective="false"`) {
+	if !strings.Contains(half.logText(),
+		`event=unsupported_setting setting=bounds.peers value="true" effective="false"`) {
 		t.Errorf("without peers.others: log %s", half.logText())
 	}
 	if line := half.get("/counters"); strings.Contains(line, "stranger") { // it has no socket for messages
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -25,7 +25,8 @@
 	if n := len(a.Received()) + len(b.Received()); n != 1 {
 		t.Errorf("its subquery was sent %d times", n)
 	}
-	if counters := program.counters(); counters["legs_reset"] != 1 || counters["scrapped"] != 1 || counters["dropped"] != 1 {
+	if counters := program.counters(); counters["legs_reset"] != 1 || counters["scrapped"] != 1 ||
+		counters["dropped"] != 1 {
 		t.Errorf("counters %v", counters)
 	}
 }
@@ -62,7 +63,7 @@
 // the next non-idempotent subquery is sent to it at once.
 func TestMalformedRepliesCloseOnlyTheirConnection(t *testing.T) {
 	for name, frame := range map[string]string{
-		"a refusal":        frameOf("Nwhat is this"),
+		"refusal":          frameOf("Nwhat is this"),
 		"unknown status":   frameOf("Yq1.3 FINE 0 -\nx"),
 		"no status":        frameOf("Yq1.3  0 -\nx"),
 		"unknown letter":   frameOf("Q"),
@@ -76,18 +77,23 @@
 		"huge value":       "\xb2\xd0\x5e\x00Yq1.3 OK 0 -\n" + strings.Repeat("x", 100000),
 		"noise":            "tL\xdc\x7f\xe8\r\n",
 	} {
-		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) { io.WriteString(call.Conn, frame) })
+		replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
+			io.WriteString(call.Conn, frame)
+		})
 		program, _ := startDeployment(t, settings, replica)
 		client := program.connect()
 		client.send(query("claim", "q1", 10, 3))
 		if answer := client.receive(); answer.status != 500 {
 			t.Errorf("%s: status %d", name, answer.status)
 		}
-		if counters := program.counters(); counters["legs_spoilt"] != 1 || counters["spoilt"] != 1 || counters["dropped"] != 0 {
+		if counters := program.counters(); counters["legs_spoilt"] != 1 || counters["spoilt"] != 1 ||
+			counters["dropped"] != 0 {
 			t.Errorf("%s: counters %v", name, counters)
 		}
-		if name == "a refusal" { // the log line is written after the response
-			waitFor(t, "the replica's message is in the log", func() bool { return strings.Contains(program.logText(), "what is this") })
+		if name == "refusal" { // the log line is written after the response
+			waitFor(t, "the replica's message is in the log", func() bool {
+				return strings.Contains(program.logText(), "what is this")
+			})
 		}
 		replica.SetBehavior(succeed)
 		client.send(query("claim", "q2", 10, 3))
@@ -175,7 +181,8 @@
 
 func TestIdleConnectionsAreNotUsedOnceTheyMayBeClosed(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
-	program, _ := startDeployment(t, strings.Replace(settings, `"idleClose":30000000`, `"idleClose":200000`, 1), replica)
+	program, _ := startDeployment(t,
+		strings.Replace(settings, `"idleClose":30000000`, `"idleClose":200000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
@@ -197,7 +204,8 @@
 // An attempt that was sent to an earlier incarnation of a replica is retried without waiting for a reply.
 func TestRestartedReplicaIsReachedByNewConnections(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, discovery := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
+	program, discovery := startDeployment(t,
+		strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 20, 3))
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
@@ -216,7 +224,8 @@
 // next attempt opens a new connection, and the old one is closed.
 func TestSilentConnectionIsNotUsedAgain(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
-	program, _ := startDeployment(t, strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
+	program, _ := startDeployment(t,
+		strings.Replace(settings, `"connectTimeout":1000000`, `"connectTimeout":20000`, 1), replica)
 	client := program.connect()
 	client.send(query("look", "q1", 0.2, 3))
 	if answer := client.receive(); answer.status != 500 {
--- a/cmd/terntray/twophase_test.go
+++ b/cmd/terntray/twophase_test.go
@@ -18,15 +18,20 @@
 func twoPhaseQuery(id string, deadline float64, best int, shards ...int) string {
 	var segments []string
 	for _, shard := range shards {
-		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%.6f,"work":20000}`, shard, 1/float64(len(shards))))
+		segments = append(segments,
+			fmt.Sprintf(`{"segment":%d,"boost":%.6f,"work":20000}`, shard, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":"score>=0","question":{"best":%d}}`, strings.Join(segments, ","), best)
-	return fmt.Sprintf("POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
+	return fmt.Sprintf(
+		"POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
 		id, deadline, len(body), body)
 }
 
 // newDataReplicas starts two replicas that serve the data with the faults that faultOf returns.
-func newDataReplicas(t *testing.T, data *fake.Shards, faultOf func(replica *fake.Replica, call fake.Call, summary bool) fake.SummaryFault) (a, b *fake.Replica) {
+func newDataReplicas(
+	t *testing.T, data *fake.Shards,
+	faultOf func(replica *fake.Replica, call fake.Call, summary bool) fake.SummaryFault,
+) (a, b *fake.Replica) {
 	act := data.Behavior(faultOf, func(bool, int) time.Duration { return 2 * time.Millisecond })
 	return newReplica(t, "s-a", 0, act), newReplica(t, "s-b", 0, act)
 }
@@ -45,8 +50,11 @@
 // Replicas whose summaries are missing, malformed, loose, stale or late, or that reset the connection after one: the
 // response is complete and correct.
 func TestTwoPhaseAnswerIsCompleteDespiteFaultySummaries(t *testing.T) {
-	for name, fault := range map[string]fake.SummaryFault{"no fault": fake.NoFault, "no summary": fake.NoSummary, "malformed": fake.MalformedSummary,
-		"loose": fake.LooseBounds, "stale": fake.StaleVersion, "reset after the summary": fake.ResetAfterSummary, "late": fake.LateSummary} {
+	for name, fault := range map[string]fake.SummaryFault{
+		"no fault": fake.NoFault, "no summary": fake.NoSummary, "malformed": fake.MalformedSummary,
+		"loose": fake.LooseBounds, "stale": fake.StaleVersion, "reset after the summary": fake.ResetAfterSummary,
+		"late": fake.LateSummary,
+	} {
 		data := fake.NewShards(3, 24, 6, 0.4)
 		a, b := newDataReplicas(t, data, func(replica *fake.Replica, call fake.Call, summary bool) fake.SummaryFault {
 			if summary && call.Shard%3 == 0 {
@@ -117,7 +125,8 @@
 	}
 	for _, bad := range []string{`-1`, `"x"`, `20000`, `1.5`} {
 		client := program.connect()
-		client.send(strings.Replace(twoPhaseQuery("bad", 20, 7777, 0, 1, 2, 3, 4, 5), "7777", fmt.Sprintf("%4s", bad), 1))
+		client.send(strings.Replace(twoPhaseQuery("bad", 20, 7777, 0, 1, 2, 3, 4, 5), "7777",
+			fmt.Sprintf("%4s", bad), 1))
 		if got := client.receive(); got.status != http.StatusBadRequest {
 			t.Errorf("best=%s: status %d", bad, got.status)
 		}
@@ -178,8 +187,12 @@
 	stays, leaves := program.connect(), program.connect()
 	stays.send(twoPhaseQuery("q1", 20, 3, 0, 1, 2, 3, 4))
 	leaves.send(twoPhaseQuery("q2", 20, 3, 0, 1, 2, 3, 4))
-	waitFor(t, "summaries of the first query are requested", func() bool { return a.HasReceived("q1.") || b.HasReceived("q1.") })
-	waitFor(t, "summaries of the second query are requested", func() bool { return a.HasReceived("q2.") || b.HasReceived("q2.") })
+	waitFor(t, "summaries of the first query are requested", func() bool {
+		return a.HasReceived("q1.") || b.HasReceived("q1.")
+	})
+	waitFor(t, "summaries of the second query are requested", func() bool {
+		return a.HasReceived("q2.") || b.HasReceived("q2.")
+	})
 	leaves.Conn.Close()
 	discovery.SetState(a, "draining")
 	program.cmd.Process.Signal(syscall.SIGHUP)
