--- a/internal/soak/fault_replica.go
+++ b/internal/soak/fault_replica.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// onReplica strikes a replica that is ready, and gives it back afterwards.
-func onReplica(do func(soak *Soak, replica *replica, random *rand.Rand)) strike {
+// replicaFault returns an injector that claims a ready replica for the time of the fault.
+func replicaFault(inject func(soak *Soak, replica *replica, random *rand.Rand)) injector {
 	return func(soak *Soak, random *rand.Rand) string {
 		replica := soak.claimReplica(random)
 		if replica == nil {
 			return ""
 		}
 		defer replica.release()
-		do(soak, replica, random)
+		inject(soak, replica, random)
 		return replica.uid
 	}
 }
 
-// claimReplica draws until it meets a replica that is ready and that no other fault has claimed; nil: it met none.
+// claimReplica draws replicas until one is ready and not claimed by another fault. It claims and returns that one, or
+// returns nil after a limited number of draws.
 func (s *Soak) claimReplica(random *rand.Rand) *replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,28 +34,28 @@
 
 func hangReplica(_ *Soak, replica *replica, random *rand.Rand) {
 	replica.setHanging(true)
-	time.Sleep(between(random, 200*time.Millisecond, 2*time.Second))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 2*time.Second))
 	replica.setHanging(false)
 }
 
 func stopAccepting(_ *Soak, replica *replica, random *rand.Rand) {
 	replica.resetAll()
 	replica.setAccepting(false)
-	time.Sleep(between(random, 200*time.Millisecond, 1500*time.Millisecond))
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 1500*time.Millisecond))
 	replica.setAccepting(true)
 }
 
 func resetConnections(_ *Soak, replica *replica, random *rand.Rand) {
 	for range 1 + random.IntN(4) {
 		replica.resetAll()
-		time.Sleep(between(random, 0, 100*time.Millisecond))
+		time.Sleep(drawDuration(random, 0, 100*time.Millisecond))
 	}
 }
 
-// restartReplica has a replica's process die and come back cold; discovery tells the new start.
+// restartReplica stops a replica's process, restarts it cold and publishes the new start to discovery.
 func restartReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.stop()
-	time.Sleep(between(random, 50*time.Millisecond, time.Second))
+	time.Sleep(drawDuration(random, 50*time.Millisecond, time.Second))
 	if err := replica.restart(); err != nil {
 		soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
 		return
@@ -62,7 +63,8 @@
 	soak.endpoints.publish(replica.endpoint())
 }
 
-// restartCell has most replicas of a cell restart together, under a burst: the cell's whole load meets cold replicas.
+// restartCell restarts most replicas of a cell together, followed by a burst: the whole load of the cell hits cold
+// replicas.
 func restartCell(soak *Soak, random *rand.Rand) string {
 	cell := random.IntN(cells)
 	claimed := soak.claimMostOfCell(cell, random)
@@ -74,7 +76,7 @@
 	for _, replica := range claimed {
 		replica.stop()
 	}
-	time.Sleep(between(random, 50*time.Millisecond, 500*time.Millisecond))
+	time.Sleep(drawDuration(random, 50*time.Millisecond, 500*time.Millisecond))
 	for _, replica := range claimed {
 		if err := replica.restart(); err != nil {
 			soak.violated(RuleHarness, "", "restart of %s: %v", replica.uid, err)
@@ -87,7 +89,8 @@
 	return "cell"
 }
 
-// claimMostOfCell claims all replicas of a cell but one at the most, as far as its draws meet them.
+// claimMostOfCell claims up to all but one of a cell's replicas. It may claim fewer, since it draws a limited number of
+// times.
 func (s *Soak) claimMostOfCell(cell int, random *rand.Rand) (claimed []*replica) {
 	for range 4 * replicasPerCell {
 		replica := s.claimReplica(random)
@@ -103,26 +106,26 @@
 	return claimed
 }
 
-// drainReplica has a replica drain and be removed; another joins cold under another name.
+// drainReplica drains and removes a replica; a new, cold one with a new name joins.
 func drainReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	replica.publishState(stateDraining)
-	time.Sleep(between(random, drainGrace, 2*drainGrace+500*time.Millisecond))
+	time.Sleep(drawDuration(random, drainGrace, 2*drainGrace+500*time.Millisecond))
 	replica.publishState(stateRemoved)
 	soak.addReplica(replica.cell)
-	time.Sleep(between(random, 0, time.Second)) // it still answers
+	time.Sleep(drawDuration(random, 0, time.Second)) // it still replies
 	replica.stop()
 }
 
-// replaceReplica has a replica be removed without draining, after another has joined.
+// replaceReplica removes a replica without draining it, after a new one has joined.
 func replaceReplica(soak *Soak, replica *replica, random *rand.Rand) {
 	soak.addReplica(replica.cell)
-	time.Sleep(between(random, 0, 200*time.Millisecond))
+	time.Sleep(drawDuration(random, 0, 200*time.Millisecond))
 	replica.publishState(stateRemoved)
-	time.Sleep(between(random, 0, 2*time.Second))
+	time.Sleep(drawDuration(random, 0, 2*time.Second))
 	replica.stop()
 }
 
-// addReplica has a fresh replica join a cell.
+// addReplica adds a new replica to a cell.
 func (s *Soak) addReplica(cell int) {
 	replica, err := newReplica(s, s.nextReplicaName(), cell, s.now())
 	if err != nil {
@@ -135,12 +138,12 @@
 	s.endpoints.publish(replica.endpoint())
 }
 
-// nextReplicaName is a name that no replica has had. A replica draws its chance by its name, so that other names would
-// change a seed's plan.
+// nextReplicaName returns a name that no replica has had. A replica's random source depends on its name, so other names
+// would change a seed's plan.
 func (s *Soak) nextReplicaName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	name := "s-" + string(rune('a'+s.replicasJoined%26)) + time.Duration(s.replicasJoined).String()
-	s.replicasJoined++
+	name := "s-" + string(rune('a'+s.replicaCount%26)) + time.Duration(s.replicaCount).String()
+	s.replicaCount++
 	return name
 }
