--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -225,7 +225,8 @@
 }
 
 // A reply that arrives byte by byte without end closes its connection within a bounded time, so that no attempt behind
-// it waits for its whole deadline. An idempotent subquery would be retried elsewhere; the non-idempotent one here fails.
+// it waits for its whole deadline. An idempotent subquery would be retried elsewhere; the non-idempotent one here
+// fails.
 func TestEndlessReplyClosesItsConnection(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
 		go func() {
