--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -48,7 +48,7 @@
 	return waitMS, true
 }
 
-// Revocable reports whether no byte of a call has been written or is part of the current output.
+// Revocable reports whether a call can still be withdrawn: no byte of it was written or is in the current output.
 func (call *Call) Revocable() bool { return call.Stage == Waiting || call.Stage == Withheld }
 
 // CallEnd is the position of a call's last byte in an output.
