--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -28,9 +28,9 @@
 	return "FAILED"
 }
 
-// Close prints a proof's closing line, with the name of the proof before it and the verdict before that, and ends the
-// process with the status of the verdict.
-func Close(proved bool, name, format string, figures ...any) {
+// Exit prints the closing line of a proof, which begins with PROVED or FAILED and the proof's name, and exits with
+// status 0 if proved, otherwise 1.
+func Exit(proved bool, name, format string, figures ...any) {
 	fmt.Printf("%s %s %s\n", word(proved), name, fmt.Sprintf(format, figures...))
 	if !proved {
 		os.Exit(1)
@@ -38,8 +38,8 @@
 	os.Exit(0)
 }
 
-// PrintUnplayed prints what could not be played.
-func PrintUnplayed(errs []error) {
+// PrintErrors prints the errors of runs that failed to complete.
+func PrintErrors(errs []error) {
 	for _, err := range errs {
 		fmt.Println("could not be played:", err)
 	}
--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -142,7 +142,7 @@
 }
 
 func (c *comparison) close(seeds int) {
-	proof.PrintUnplayed(c.errs)
-	proof.Close(c.proved(), "dialects", "seeds=%d same=%d differ=%d fulfilled_frames=%.3f fulfilled_http2=%.3f",
+	proof.PrintErrors(c.errs)
+	proof.Exit(c.proved(), "dialects", "seeds=%d same=%d differ=%d fulfilled_frames=%.3f fulfilled_http2=%.3f",
 		seeds, c.same, c.differ, c.frames.share(), c.http2.share())
 }
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -64,7 +64,7 @@
 	defer t.mu.Unlock()
 	if err != nil {
 		t.unplayed++
-		proof.PrintUnplayed([]error{err})
+		proof.PrintErrors([]error{err})
 	}
 	for _, note := range day.verdict.notes {
 		fmt.Printf("sh .ci/prove http2 # bin/proofs/http2 -seed %d: %s\n", day.seed, note)
@@ -88,7 +88,7 @@
 
 func (t *total) close(seeds int) {
 	sum := &t.sum
-	proof.Close(t.proved(), "http2",
+	proof.Exit(t.proved(), "http2",
 		"seeds=%d retrievals=%d fulfilled=%d ran=%d over_allowance=%d false_never_ran=%d single_use_twice=%d "+
 			"unanswered=%d double_answers=%d",
 		seeds, sum.queries, sum.succeeded, sum.executions, sum.overLimit, sum.falseNever, sum.ranTwice,
--- a/proofs/phases/main.go
+++ b/proofs/phases/main.go
@@ -134,8 +134,8 @@
 	for _, note := range sum.notes[:min(len(sum.notes), maxNotes)] {
 		fmt.Println(note)
 	}
-	proof.PrintUnplayed(t.errs)
-	proof.Close(t.proved(), "phases",
+	proof.PrintErrors(t.errs)
+	proof.Exit(t.proved(), "phases",
 		"questions=%d identical=%d refused=%d partial=%d wrong=%d pruned_unasked=%d unanswered=%d "+
 			"two_phases=%d pruned=%d",
 		sum.queries, sum.identical, sum.rejected, sum.partial, sum.wrong, sum.unasked, sum.unanswered, sum.twoPhase,
--- a/proofs/ways-back/summary.go
+++ b/proofs/ways-back/summary.go
@@ -68,7 +68,7 @@
 
 // closeHistories judges the histories alone.
 func (s *summary) closeHistories() {
-	proof.Close(s.historiesRecovered(), "ways-back",
+	proof.Exit(s.historiesRecovered(), "ways-back",
 		"histories=%d stuck=%d slowest_back=%.1f rules_broken=%d errors=%q",
 		s.histories, s.stuck, s.slowest.Seconds(), s.rulesBroken, s.errs)
 }
@@ -80,7 +80,7 @@
 	}
 	coreHeld := s.coreKept >= minCoreKept
 	proved := s.historiesRecovered() && s.daysRecovered() && s.burstsSucceeded() && coreHeld
-	proof.Close(proved, "ways-back",
+	proof.Exit(proved, "ways-back",
 		"histories=%d stuck=%d slowest_back=%.1f slow_day_back=%.1f other_days_back=%.1f crowd_back=%.3f "+
 			"cold_crowd_fulfilled=%.3f wide_crowd_fulfilled=%.3f core_kept=%.2f core_kept_at_first=%.2f "+
 			"rules_broken=%d",
