--- a/internal/proof/fleet.go
+++ b/internal/proof/fleet.go
@@ -1,5 +1,5 @@
-// Package proof holds what the proofs share: a program among fake replicas and discovery, jobs side by side, and the
-// word with which each proof closes.
+// Package proof holds what the proofs share: a co-ordinator process with fake replicas and a fake discovery agent,
+// parallel runs, and the closing line.
 package proof
 
 import (
@@ -9,32 +9,33 @@
 	"terntray/internal/fake"
 )
 
-// FleetOptions say what a fleet consists of.
+// FleetOptions configure a fleet.
 type FleetOptions struct {
-	Program  string // path of the built program
-	Settings string // the deployment's, as JSON
-	Replicas int    // one a cell
+	Program  string // path of the executable
+	Settings string // of the deployment, as JSON
+	Replicas int    // one per cell
 	Behavior func(*fake.Replica, fake.Call)
 
-	// Model names a replica's model by its index; nil: all have that of fake.NewReplica.
+	// Model returns the model of the replica with this index. If nil, replicas keep the default of fake.NewReplica.
 	Model func(index int) string
 
-	// WriteConfig writes the program's own configuration into a folder and returns its path; nil: it has none.
+	// WriteConfig writes an installation file into a folder and returns its path. If nil, the program gets none.
 	WriteConfig func(folder string) (path string, err error)
 
-	Args []string // further ones of serve
+	Args []string // additional arguments of serve
 }
 
-// Fleet is a program among fake replicas and discovery.
+// Fleet is a running program with its fake replicas and discovery agent.
 type Fleet struct {
 	*fake.Program
 	Replicas  []*fake.Replica
 	Discovery *fake.Discovery
 
-	folder string // of the program's own configuration
+	folder string // of the installation file; empty if there is none
 }
 
-// StartFleet starts a fleet and waits until its program serves. The caller closes it; after an error nothing is left.
+// StartFleet starts a fleet and waits until its program serves. The caller must close the fleet. On error, everything
+// already started is stopped.
 func StartFleet(options FleetOptions) (*Fleet, error) {
 	fleet := &Fleet{}
 	if err := fleet.start(options); err != nil {
@@ -73,7 +74,7 @@
 	return options.WriteConfig(f.folder)
 }
 
-// startReplicas starts the replicas; none keeps what it received.
+// startReplicas starts the replicas. They do not record the calls that they receive.
 func (f *Fleet) startReplicas(options FleetOptions) error {
 	for index := range options.Replicas {
 		replica, err := fake.NewReplica(fmt.Sprintf("s-%d", index), index, options.Behavior)
@@ -89,14 +90,14 @@
 	return nil
 }
 
-// SetBehavior changes what all replicas do.
+// SetBehavior sets the behavior of all replicas.
 func (f *Fleet) SetBehavior(behavior func(*fake.Replica, fake.Call)) {
 	for _, replica := range f.Replicas {
 		replica.SetBehavior(behavior)
 	}
 }
 
-// Close ends the program, if it still runs, then discovery and the replicas.
+// Close stops the program if it still runs, then the discovery agent and the replicas.
 func (f *Fleet) Close() {
 	if f.Program != nil {
 		f.Stop()
--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -6,22 +6,22 @@
 	"sync"
 )
 
-// Parallel runs a job for each index below count, at most limit at a time, and returns once all have ended.
+// Parallel runs a job for each index below count, at most limit of them at a time, and returns when all have ended.
 func Parallel(count, limit int, job func(index int)) {
-	var all sync.WaitGroup
-	places := make(chan struct{}, limit)
+	var jobs sync.WaitGroup
+	slots := make(chan struct{}, limit)
 	for index := range count {
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
+		slots <- struct{}{}
+		jobs.Go(func() {
+			defer func() { <-slots }()
 			job(index)
 		})
 	}
-	all.Wait()
+	jobs.Wait()
 }
 
-// word begins a proof's closing line.
-func word(proved bool) string {
+// verdictWord returns the first word of a closing line.
+func verdictWord(proved bool) string {
 	if proved {
 		return "PROVED"
 	}
@@ -31,7 +31,7 @@
 // Exit prints the closing line of a proof, which begins with PROVED or FAILED and the proof's name, and exits with
 // status 0 if proved, otherwise 1.
 func Exit(proved bool, name, format string, figures ...any) {
-	fmt.Printf("%s %s %s\n", word(proved), name, fmt.Sprintf(format, figures...))
+	fmt.Printf("%s %s %s\n", verdictWord(proved), name, fmt.Sprintf(format, figures...))
 	if !proved {
 		os.Exit(1)
 	}
@@ -41,6 +41,6 @@
 // PrintErrors prints the errors of runs that failed to complete.
 func PrintErrors(errs []error) {
 	for _, err := range errs {
-		fmt.Println("could not be played:", err)
+		fmt.Println("run failed:", err)
 	}
 }
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -101,8 +101,8 @@
 // manyArrivalsThreshold is the allowance from which on warmUpLimit adds two standard deviations instead of three.
 const manyArrivalsThreshold = 30
 
-// warmUpLimit returns the number of arrivals above which a replica that is warming up is overloaded (docs/standing.md).
-// The work of each arrival is random; above the limit, their total almost certainly exceeds the allowance.
+// warmUpLimit returns the number of arrivals above which a replica that is warming up is overloaded (the operators'
+// limit). The work of each arrival is random; above the limit, their total almost certainly exceeds the allowance.
 func warmUpLimit(allowance float64) float64 {
 	if allowance < manyArrivalsThreshold {
 		return allowance + 3*math.Sqrt(allowance) + 3
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -6,7 +6,7 @@
 )
 
 // After an outage of any length discovery is polled again soon enough that a change is known within 6 s of its return
-// (STANDING.md). That includes a poll that hangs for 2 s, and the time until the list arrives.
+// (the operators' limit). That includes a poll that hangs for 2 s, and the time until the list arrives.
 func TestEndpointsArePolledInTimeAfterALongOutage(t *testing.T) {
 	const (
 		pollHangTime  = 2 * time.Second
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -81,7 +81,7 @@
 }
 
 // slowStartBound returns the number of subqueries that a starting replica can take within a window for which the
-// settings allow the given number (STANDING.md).
+// settings allow the given number (the operators' limit).
 func slowStartBound(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
