--- a/proofs/dialects/day.go
+++ b/proofs/dialects/day.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	dayTime       = 1500 * time.Millisecond
-	dayRate       = 100 // queries a second, of each class
-	daySubqueries = 3
-	dayMaxConns   = 500
+	scenarioDuration   = 1500 * time.Millisecond
+	queryRate          = 100 // queries per second of each class
+	subqueriesPerQuery = 3
+	maxConns           = 500
 
-	// faultPercent are the calls of a hundred in which a replica misbehaves on a faulty day.
-	faultPercent = 20
+	// faultsPerMille is the number of faulty calls per thousand in a scenario with faults.
+	faultsPerMille = 20
 )
 
-// playDay plays a day with replicas of one model; a faulty one, with faults that both protocols know. It returns the
-// results of both classes, one class after the other.
-func playDay(program string, seed uint64, model string, faulty bool) ([]fake.LoadResult, error) {
-	percent := 0
+// runScenario runs a scenario in which all replicas have the same model. If faulty is set, it injects faults that exist
+// in both protocols. It returns the results of the first class, followed by those of the second.
+func runScenario(program string, seed uint64, model string, faulty bool) ([]fake.LoadResult, error) {
+	perMille := 0
 	if faulty {
-		percent = faultPercent
+		perMille = faultsPerMille
 	}
-	behavior := fake.Unreliable(fake.NewExecutionLedger(), fake.NewRandom(seed), percent)
+	behavior := fake.Unreliable(fake.NewExecutionLedger(), fake.NewRandom(seed), perMille)
 	fleet, err := startFleet(program, model, behavior)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return results, nil
 }
 
-// startFleet starts a fleet whose replicas are of one model.
+// startFleet starts a fleet in which all replicas have the same model.
 func startFleet(program, model string, behavior func(*fake.Replica, fake.Call)) (*proof.Fleet, error) {
 	return proof.StartFleet(proof.FleetOptions{
 		Program:     program,
@@ -64,21 +64,21 @@
 				Addr:       addr,
 				Class:      class,
 				Name:       class,
-				Rate:       dayRate,
-				Subqueries: daySubqueries,
+				Rate:       queryRate,
+				Subqueries: subqueriesPerQuery,
 				Shards:     shardCount,
 				Deadline:   deadline,
 				Seed:       seed,
-				MaxConns:   dayMaxConns,
+				MaxConns:   maxConns,
 			}
-			results[index] = load.Run(dayTime)
+			results[index] = load.Run(scenarioDuration)
 		})
 	}
 	loads.Wait()
 	return append(results[0], results[1]...)
 }
 
-// closeConnections closes or resets a replica's connections every now and then.
+// closeConnections closes or resets the connections of a random replica every 100 to 200 ms until stop is closed.
 func closeConnections(replicas []*fake.Replica, random *fake.Random, stop <-chan struct{}) {
 	for {
 		pause := time.Duration(100+random.IntN(100)) * time.Millisecond
--- a/proofs/dialects/main.go
+++ b/proofs/dialects/main.go
@@ -1,6 +1,6 @@
-// Command dialects plays the same seeded days once with frames alone and once with HTTP/2 alone: where no fault strikes
-// every query settles in the same way, and under faults no fewer succeed; see docs/http2.md. With -measure it measures
-// what each protocol costs.
+// Command dialects runs the same seeded scenarios with frames and with HTTP/2. It proves that without faults each query
+// has the same outcome with both protocols, and that with faults no fewer queries succeed with HTTP/2; see
+// docs/http2.md. With -measure it measures the cost of each protocol instead.
 package main
 
 import (
@@ -31,53 +31,53 @@
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
 )
 
-// noise is the share by which two days of one kind differ.
-const noise = 0.01
+// tolerance is the largest difference between success rates that counts as noise.
+const tolerance = 0.01
 
-// daysBeside are days that are played side by side.
-const daysBeside = 4
+// maxParallel is the number of scenarios that run at a time.
+const maxParallel = 4
 
-// Models of replicas, by the protocol that they speak.
+// Models of replicas, by protocol.
 const (
 	modelFrames = "frames"
 	modelHTTP2  = "h2"
 )
 
 func main() {
-	program := flag.String("program", "bin/terntray", "the built program")
-	seeds := flag.Int("seeds", 24, "days of each kind; eight differ by up to 0.012 where 40 differ by 0.001")
-	first := flag.Uint64("first", 1, "the first one's seed")
-	against := flag.String("against", "", "with -measure: an earlier build's program, for frames alone")
-	measured := flag.Bool("measure", false, "measure costs instead")
+	program := flag.String("program", "bin/terntray", "path of the program to test")
+	seeds := flag.Int("seeds", 24, "scenarios of each kind; success rates vary by up to 0.012 with 8, by 0.001 with 40")
+	firstSeed := flag.Uint64("first", 1, "seed of the first scenario")
+	baseline := flag.String("against", "", "with -measure, path of an earlier build to compare with, using frames")
+	measureOnly := flag.Bool("measure", false, "measure the cost of each protocol instead")
 	rates := []float64{100, 1000, 6000, 12000}
-	flag.Func("rates", "parts a second to measure at, with commas", func(text string) (err error) {
+	flag.Func("rates", "with -measure, comma-separated rates in subqueries per second", func(text string) (err error) {
 		rates, err = parseRates(text)
 		return err
 	})
 	flag.Parse()
-	if *measured {
-		measure(*program, *against, rates)
+	if *measureOnly {
+		measureCosts(*program, *baseline, rates)
 		return
 	}
 	comparison := &comparison{}
-	proof.Parallel(2**seeds, daysBeside, func(index int) {
-		seed := *first + uint64(index/2)
+	proof.Parallel(2**seeds, maxParallel, func(index int) {
+		seed := *firstSeed + uint64(index/2)
 		faulty := index%2 == 1
-		comparison.play(*program, seed, faulty)
+		comparison.run(*program, seed, faulty)
 	})
-	comparison.close(*seeds)
+	comparison.exit(*seeds)
 }
 
 func parseRates(text string) (rates []float64, err error) {
-	for word := range strings.SplitSeq(text, ",") {
-		rate, malformed := strconv.ParseFloat(word, 64)
+	for field := range strings.SplitSeq(text, ",") {
+		rate, parseErr := strconv.ParseFloat(field, 64)
 		rates = append(rates, rate)
-		err = errors.Join(err, malformed)
+		err = errors.Join(err, parseErr)
 	}
 	return rates, err
 }
 
-// outcomes counts queries under faults.
+// outcomes counts the queries of scenarios with faults.
 type outcomes struct{ sent, succeeded int }
 
 func (o *outcomes) add(results []fake.LoadResult) {
@@ -89,23 +89,23 @@
 	}
 }
 
-// share is that of queries that succeeded.
+// share returns the share of queries that succeeded.
 func (o *outcomes) share() float64 { return float64(o.succeeded) / float64(max(1, o.sent)) }
 
-// comparison gathers what became of both protocols' queries.
+// comparison collects the outcomes of queries with both protocols.
 type comparison struct {
 	mu     sync.Mutex
-	same   int // queries without faults, that settled in the same way
-	differ int
-	frames outcomes // under faults
+	same   int // queries without faults that had the same outcome with both protocols
+	differ int // queries without faults that had different outcomes
+	frames outcomes
 	http2  outcomes
 	errs   []error
 }
 
-// play plays a day with each protocol, one after the other.
-func (c *comparison) play(program string, seed uint64, faulty bool) {
-	frames, framesErr := playDay(program, seed, modelFrames, faulty)
-	http2, http2Err := playDay(program, seed, modelHTTP2, faulty)
+// run runs a scenario with each protocol, one after the other.
+func (c *comparison) run(program string, seed uint64, faulty bool) {
+	frames, framesErr := runScenario(program, seed, modelFrames, faulty)
+	http2, http2Err := runScenario(program, seed, modelHTTP2, faulty)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, err := range []error{framesErr, http2Err} {
@@ -131,17 +131,19 @@
 		return
 	}
 	c.differ++
-	fmt.Printf("seed %d, retrieval %d: frames %d in %v, HTTP/2 %d in %v\n",
+	fmt.Printf("seed %d, query %d: frames: status %d in %v; HTTP/2: status %d in %v\n",
 		seed, index, frames.Status, frames.Latency, http2.Status, http2.Latency)
 }
 
-// proved tells whether no query differed, and under faults HTTP/2 did no worse than frames.
+// proved reports whether every query without faults had the same outcome with both protocols and, with faults, the
+// success rate with HTTP/2 was not lower than with frames by more than the tolerance.
 func (c *comparison) proved() bool {
-	noWorse := c.http2.share() >= c.frames.share()-noise
+	noWorse := c.http2.share() >= c.frames.share()-tolerance
 	return c.differ == 0 && c.same > 0 && len(c.errs) == 0 && noWorse
 }
 
-func (c *comparison) close(seeds int) {
+// exit prints the errors and the closing line, and exits.
+func (c *comparison) exit(seeds int) {
 	proof.PrintErrors(c.errs)
 	proof.Exit(c.proved(), "dialects", "seeds=%d same=%d differ=%d fulfilled_frames=%.3f fulfilled_http2=%.3f",
 		seeds, c.same, c.differ, c.frames.share(), c.http2.share())
--- a/proofs/dialects/measure.go
+++ b/proofs/dialects/measure.go
@@ -16,58 +16,58 @@
 	measureSeed       = 3
 	measureMaxConns   = 1000
 	measureTextBytes  = 100
-	measureWork       = 5 * time.Millisecond // of a replica, for a call
+	measureWork       = 5 * time.Millisecond // of a replica for a call
 )
 
-// contender is a program with one protocol.
-type contender struct {
-	program string // empty: it is not measured
-	model   string
-	name    string
-	earlier bool // an earlier build, which knows no configuration of its own
+// variant is a program and the protocol that it uses.
+type variant struct {
+	program  string // empty if the variant is not measured
+	model    string
+	name     string
+	oldBuild bool // an earlier build, which takes no installation file
 }
 
-// measure tells what each protocol costs at some rates, beside an earlier build with frames alone, if one is named:
-// processor time and bytes a subquery, connections and descriptors, and latencies as clients see them.
-func measure(program, against string, rates []float64) {
-	contenders := []contender{
-		{against, modelFrames, "frames, before", true},
-		{program, modelFrames, "frames", program == against},
-		{program, modelHTTP2, "HTTP/2", program == against},
+// measureCosts prints the cost of each protocol at the given rates as a Markdown table: CPU time and bytes per
+// subquery, connections and descriptors, and the latency that clients see. A nonempty baseline is measured too.
+func measureCosts(program, baseline string, rates []float64) {
+	variants := []variant{
+		{baseline, modelFrames, "frames, baseline", true},
+		{program, modelFrames, "frames", program == baseline},
+		{program, modelHTTP2, "HTTP/2", program == baseline},
 	}
-	fmt.Println("| parts a second | dialect | CPU a part | bytes a part | connections a box | descriptors | median | " +
-		"99% | in time |")
+	fmt.Println("| subqueries/s | protocol | CPU per subquery | bytes per subquery | connections per replica | " +
+		"descriptors | median | p99 | within objective |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, rate := range rates {
-		for _, contender := range contenders {
-			if contender.program == "" {
+		for _, variant := range variants {
+			if variant.program == "" {
 				continue
 			}
-			if err := contender.measure(rate); err != nil {
-				fmt.Println("could not be played:", err)
+			if err := variant.measure(rate); err != nil {
+				fmt.Println("run failed:", err)
 			}
 		}
 	}
 }
 
-// start starts the contender's fleet.
-func (c contender) start() (*proof.Fleet, error) {
+// start starts a fleet with the variant.
+func (v variant) start() (*proof.Fleet, error) {
 	options := proof.FleetOptions{
-		Program:  c.program,
+		Program:  v.program,
 		Settings: settings,
 		Replicas: replicaCount,
 		Behavior: fake.After(measureWork, fake.Succeed),
-		Model:    func(int) string { return c.model },
+		Model:    func(int) string { return v.model },
 	}
-	if !c.earlier {
+	if !v.oldBuild {
 		options.WriteConfig = fake.WriteHTTP2Config
 	}
 	return proof.StartFleet(options)
 }
 
-// measure prints a line of the table: the cost of so many subqueries a second.
-func (c contender) measure(rate float64) error {
-	fleet, err := c.start()
+// measure prints a line of the table: the cost at rate subqueries per second.
+func (v variant) measure(rate float64) error {
+	fleet, err := v.start()
 	if err != nil {
 		return err
 	}
@@ -100,14 +100,14 @@
 	fleet.Stop()
 	bytes, conns := traffic(fleet.Replicas)
 	latency := summarize(results)
-	fmt.Printf("| %.0f | %s | %v | %d | %.1f | %d | %v | %v | %.3f |\n", rate, c.name,
+	fmt.Printf("| %.0f | %s | %v | %d | %.1f | %d | %v | %v | %.3f |\n", rate, v.name,
 		(cpu / time.Duration(attempts)).Round(time.Microsecond), bytes/attempts, float64(conns)/replicaCount,
 		descriptors,
-		latency.median, latency.percentile99, latency.inTime)
+		latency.median, latency.percentile99, latency.withinObjective)
 	return nil
 }
 
-// traffic is what all replicas have received.
+// traffic returns how many bytes and connections all replicas have received.
 func traffic(replicas []*fake.Replica) (bytes, conns int) {
 	for _, replica := range replicas {
 		replicaBytes, replicaConns := replica.Traffic()
@@ -117,27 +117,27 @@
 	return bytes, conns
 }
 
-// latencySummary is of a load, as its clients see it.
+// latencySummary summarizes the latencies that clients saw.
 type latencySummary struct {
-	median       time.Duration
-	percentile99 time.Duration
-	inTime       float64 // share within the latency objective
+	median          time.Duration
+	percentile99    time.Duration
+	withinObjective float64 // share of queries within the latency objective
 }
 
 func summarize(results []fake.LoadResult) latencySummary {
-	var took []time.Duration
-	inTime := 0
+	var latencies []time.Duration
+	withinObjective := 0
 	for _, result := range results {
-		took = append(took, result.Latency)
+		latencies = append(latencies, result.Latency)
 		if result.WithinObjective(objective) {
-			inTime++
+			withinObjective++
 		}
 	}
-	slices.Sort(took)
+	slices.Sort(latencies)
 	const precision = 10 * time.Microsecond
 	return latencySummary{
-		median:       took[len(took)/2].Round(precision),
-		percentile99: took[len(took)*99/100].Round(precision),
-		inTime:       float64(inTime) / float64(len(took)),
+		median:          latencies[len(latencies)/2].Round(precision),
+		percentile99:    latencies[len(latencies)*99/100].Round(precision),
+		withinObjective: float64(withinObjective) / float64(len(latencies)),
 	}
 }
--- a/proofs/http2/day.go
+++ b/proofs/http2/day.go
@@ -16,14 +16,14 @@
 	maxAttempts  = 3
 	deadline     = time.Second
 	shardCount   = 24
-	queryRate    = 90 // a second, of each class
+	queryRate    = 90 // queries per second of each class
 	maxConns     = 500
 	logFile      = "http2.log"
 
-	// faultPercent are the calls of a hundred in which a replica misbehaves.
-	faultPercent = 20
+	// faultsPerMille is the number of faulty calls per thousand.
+	faultsPerMille = 20
 
-	// settings describe cells of three replicas each and three classes, one of each effect.
+	// settings configure cells of three replicas each, and one class of each effect.
 	settings = `{"balancers":1,"bounds":{"connectTimeout":150000,"idleClose":2000000,"maxAttempts":3,"maxOpen":20000,
 "mayCancel":true,"multiplex":16,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":2,"callCost":0,"cells":6,"classFetch":[0,0,0],"classNeed":[1.0,1.0,1.0],"ranges":24,"span":3},
@@ -40,30 +40,30 @@
 	classKeyed         = "token"
 )
 
-// brokenLog are words of the program's log after which nothing that it says can be judged.
-var brokenLog = []string{"event=loop_panic", "event=overdue", "lines_dropped"}
+// fatalLogTexts are texts in the program's log that make the rest of the log unreliable.
+var fatalLogTexts = []string{"event=loop_panic", "event=overdue", "lines_dropped"}
 
-// day is a program among replicas that misbehave, under a steady load of all classes.
-type day struct {
+// scenario runs a program with replicas that inject faults, under a steady load of all classes.
+type scenario struct {
 	program  string
 	seed     uint64
 	duration time.Duration
 	keepLog  bool
 
-	mu      sync.Mutex
-	verdict verdict
+	mu    sync.Mutex
+	tally tally
 }
 
-// play plays the day and judges it.
-func (d *day) play() error {
-	random := fake.NewRandom(d.seed)
+// run runs the scenario and checks its results.
+func (s *scenario) run() error {
+	random := fake.NewRandom(s.seed)
 	ledger := fake.NewExecutionLedger()
 	fleet, err := proof.StartFleet(proof.FleetOptions{
-		Program:     d.program,
+		Program:     s.program,
 		Settings:    settings,
 		Replicas:    replicaCount,
-		Behavior:    fake.Unreliable(ledger, random, faultPercent),
-		Model:       d.modelOf,
+		Behavior:    fake.Unreliable(ledger, random, faultsPerMille),
+		Model:       s.modelOf,
 		WriteConfig: fake.WriteHTTP2Config,
 		Args:        []string{"-trace"},
 	})
@@ -74,29 +74,29 @@
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
 	faults.Go(func() { fake.InjectConnectionFaults(fleet.Replicas, random, stop) })
-	d.sendLoads(fleet.Addr)
+	s.sendLoads(fleet.Addr)
 	close(stop)
 	faults.Wait()
 	fleet.Stop()
 	log := fleet.Log()
-	if d.keepLog {
+	if s.keepLog {
 		os.WriteFile(logFile, []byte(log), 0o600)
 	}
-	d.judgeLog(log, ledger)
-	d.judgeLedger(ledger)
+	s.checkLog(log, ledger)
+	s.checkLedger(ledger)
 	return nil
 }
 
-// modelOf has a third of the replicas speak frames.
-func (d *day) modelOf(index int) string {
-	if (uint64(index)+d.seed)%3 > 0 {
+// modelOf selects frames for a third of the replicas and HTTP/2 for the others.
+func (s *scenario) modelOf(index int) string {
+	if (uint64(index)+s.seed)%3 > 0 {
 		return "h2"
 	}
 	return "frames"
 }
 
-// sendLoads sends a load of each class, and returns once all are answered.
-func (d *day) sendLoads(addr string) {
+// sendLoads sends a load of each class, and returns when all have ended.
+func (s *scenario) sendLoads(addr string) {
 	var loads sync.WaitGroup
 	for index, class := range []string{classIdempotent, classNonIdempotent, classKeyed} {
 		loads.Go(func() {
@@ -105,53 +105,53 @@
 				Class:      class,
 				Name:       class,
 				Rate:       queryRate,
-				Subqueries: 1 + (index+int(d.seed))%5,
+				Subqueries: 1 + (index+int(s.seed))%5,
 				Shards:     shardCount,
 				Deadline:   deadline,
-				Seed:       d.seed,
+				Seed:       s.seed,
 				MaxConns:   maxConns,
-				TextBytes:  1 + 3000*(int(d.seed)%4),
+				TextBytes:  1 + 3000*(int(s.seed)%4),
 			}
-			results := load.Run(d.duration)
-			d.judgeLoad(class, results, int(load.ExtraResponses.Load()))
+			results := load.Run(s.duration)
+			s.checkLoad(class, results, int(load.ExtraResponses.Load()))
 		})
 	}
 	loads.Wait()
 }
 
-// judgeLoad judges that each query had one answer.
-func (d *day) judgeLoad(class string, results []fake.LoadResult, extraResponses int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// checkLoad checks that each query got exactly one answer.
+func (s *scenario) checkLoad(class string, results []fake.LoadResult, extraResponses int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, result := range results {
-		d.verdict.queries++
+		s.tally.queries++
 		switch result.Status {
 		case http.StatusOK:
-			d.verdict.succeeded++
+			s.tally.succeeded++
 		case 0:
-			d.verdict.unanswered++
-			d.verdict.note("a retrieval of %s at %v had no answer", class, result.Due)
+			s.tally.unanswered++
+			s.tally.note("query of class %s due at %v got no answer", class, result.Due)
 		}
 	}
-	d.verdict.doubleAnswer += extraResponses
+	s.tally.extraAnswers += extraResponses
 }
 
-// judgeLog judges that no attempt that is held to have never run did run.
-func (d *day) judgeLog(log string, ledger *fake.ExecutionLedger) {
-	if line, broken := findBroken(log); broken {
-		d.verdict.note("the program broke, or its log has lost lines: %s", line)
-		d.verdict.overLimit++
+// checkLog checks that no attempt that the program took for never executed was executed.
+func (s *scenario) checkLog(log string, ledger *fake.ExecutionLedger) {
+	if line, found := findFatalLine(log); found {
+		s.tally.note("the program had an internal error or its log is incomplete: %s", line)
+		s.tally.tooManyAttempts++
 	}
-	falseNever, notes := fake.ReadTrace(log).FalseNeverRan(ledger)
-	d.verdict.falseNever = falseNever
-	d.verdict.notes = append(d.verdict.notes, notes...)
+	falseNeverRan, notes := fake.ReadTrace(log).FalseNeverRan(ledger)
+	s.tally.falseNeverRan = falseNeverRan
+	s.tally.notes = append(s.tally.notes, notes...)
 }
 
-// findBroken is the first line of a log that says that the program broke or lost lines; false: none does.
-func findBroken(log string) (line string, broken bool) {
+// findFatalLine returns the first line of the log that contains one of fatalLogTexts.
+func findFatalLine(log string) (line string, found bool) {
 	for line := range strings.Lines(log) {
-		for _, words := range brokenLog {
-			if strings.Contains(line, words) {
+		for _, text := range fatalLogTexts {
+			if strings.Contains(line, text) {
 				return strings.TrimSpace(line), true
 			}
 		}
@@ -159,19 +159,19 @@
 	return "", false
 }
 
-// judgeLedger judges how often subqueries were sent, and that none of the non-idempotent ran twice.
-func (d *day) judgeLedger(ledger *fake.ExecutionLedger) {
+// checkLedger checks the number of attempts of each subquery, and that no non-idempotent subquery was executed twice.
+func (s *scenario) checkLedger(ledger *fake.ExecutionLedger) {
 	for subquery, sent := range ledger.Received {
 		if sent > maxAttempts {
-			d.verdict.overLimit++
-			d.verdict.note("%s was sent %d times", subquery, sent)
+			s.tally.tooManyAttempts++
+			s.tally.note("subquery %s was sent %d times", subquery, sent)
 		}
 	}
 	for subquery, ran := range ledger.Executions {
-		d.verdict.executions += ran
+		s.tally.executions += ran
 		if ran > 1 && strings.HasPrefix(subquery, classNonIdempotent) {
-			d.verdict.ranTwice++
-			d.verdict.note("single-use %s ran %d times", subquery, ran)
+			s.tally.ranTwice++
+			s.tally.note("non-idempotent subquery %s was executed %d times", subquery, ran)
 		}
 	}
 }
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -1,6 +1,6 @@
-// Command http2 proves that no subquery is sent more often than it may be and none is wrongly held to have never run,
-// whatever replicas do that speak HTTP/2, frames, or either by turns; see docs/http2.md. With -seed it plays one day
-// again.
+// Command http2 proves that no subquery is sent more often than allowed, and that no executed attempt is taken for one
+// that was never executed, whatever faults occur in a fleet that uses both HTTP/2 and frames; see docs/http2.md. With
+// -seed it runs a single scenario.
 package main
 
 import (
@@ -13,84 +13,85 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/terntray", "the built program")
-	seeds := flag.Int("seeds", 44, "days to play")
-	first := flag.Uint64("first", 1, "the first one's seed")
-	beside := flag.Int("beside", 4, "days side by side")
-	duration := flag.Duration("lasts", 1500*time.Millisecond, "of a day")
-	seed := flag.Uint64("seed", 0, "play this day alone, and keep the log in http2.log")
+	program := flag.String("program", "bin/terntray", "path of the program to test")
+	seeds := flag.Int("seeds", 44, "number of scenarios")
+	firstSeed := flag.Uint64("first", 1, "seed of the first scenario")
+	parallel := flag.Int("beside", 4, "maximum number of scenarios that run in parallel")
+	duration := flag.Duration("lasts", 1500*time.Millisecond, "duration of the load in each scenario")
+	seed := flag.Uint64("seed", 0, "run only the scenario with this seed, and write its log to http2.log")
 	flag.Parse()
-	alone := *seed > 0
-	if alone {
-		*first = *seed
+	single := *seed > 0
+	if single {
+		*firstSeed = *seed
 		*seeds = 1
 	}
 	total := &total{}
-	proof.Parallel(*seeds, *beside, func(index int) {
-		day := &day{program: *program, seed: *first + uint64(index), duration: *duration, keepLog: alone}
-		err := day.play()
-		total.add(day, err)
+	proof.Parallel(*seeds, *parallel, func(index int) {
+		scenario := &scenario{program: *program, seed: *firstSeed + uint64(index), duration: *duration, keepLog: single}
+		err := scenario.run()
+		total.add(scenario, err)
 	})
-	total.close(*seeds)
+	total.exit(*seeds)
 }
 
-// verdict is what became of a day, or of all.
-type verdict struct {
-	queries      int
-	succeeded    int
-	unanswered   int
-	doubleAnswer int // queries
-	executions   int // of subqueries
-	overLimit    int // subqueries that were sent more often than they may be
-	falseNever   int // attempts that are held to have never run, and ran
-	ranTwice     int // non-idempotent subqueries
-	notes        []string
+// tally counts the queries and rule violations of one scenario, or of all.
+type tally struct {
+	queries         int
+	succeeded       int
+	unanswered      int
+	extraAnswers    int // connections on which bytes followed a response
+	executions      int // of subqueries
+	tooManyAttempts int // subqueries with more than maxAttempts attempts, and logs with one of fatalLogTexts
+	falseNeverRan   int // executed attempts that the program took for never executed
+	ranTwice        int // non-idempotent subqueries that were executed more than once
+	notes           []string
 }
 
-func (v *verdict) note(format string, args ...any) {
-	v.notes = append(v.notes, fmt.Sprintf(format, args...))
+func (t *tally) note(format string, args ...any) {
+	t.notes = append(t.notes, fmt.Sprintf(format, args...))
 }
 
-// total sums the verdicts of all days.
+// total adds up the tallies of all scenarios.
 type total struct {
-	mu       sync.Mutex
-	sum      verdict
-	unplayed int
+	mu         sync.Mutex
+	sum        tally
+	failedRuns int
 }
 
-// add adds a day's verdict, as far as it was played, and prints its notes.
-func (t *total) add(day *day, err error) {
+// add adds the result of a scenario, and prints its error and notes.
+func (t *total) add(scenario *scenario, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.unplayed++
+		t.failedRuns++
 		proof.PrintErrors([]error{err})
 	}
-	for _, note := range day.verdict.notes {
-		fmt.Printf("sh .ci/prove http2 # bin/proofs/http2 -seed %d: %s\n", day.seed, note)
+	for _, note := range scenario.tally.notes {
+		fmt.Printf("reproduce with bin/proofs/http2 -seed %d: %s\n", scenario.seed, note)
 	}
-	t.sum.queries += day.verdict.queries
-	t.sum.succeeded += day.verdict.succeeded
-	t.sum.unanswered += day.verdict.unanswered
-	t.sum.doubleAnswer += day.verdict.doubleAnswer
-	t.sum.executions += day.verdict.executions
-	t.sum.overLimit += day.verdict.overLimit
-	t.sum.falseNever += day.verdict.falseNever
-	t.sum.ranTwice += day.verdict.ranTwice
+	t.sum.queries += scenario.tally.queries
+	t.sum.succeeded += scenario.tally.succeeded
+	t.sum.unanswered += scenario.tally.unanswered
+	t.sum.extraAnswers += scenario.tally.extraAnswers
+	t.sum.executions += scenario.tally.executions
+	t.sum.tooManyAttempts += scenario.tally.tooManyAttempts
+	t.sum.falseNeverRan += scenario.tally.falseNeverRan
+	t.sum.ranTwice += scenario.tally.ranTwice
 }
 
-// proved tells whether nothing went wrong, and seven queries of ten succeeded.
+// proved reports whether there were no violations or errors, and at least 70% of the queries succeeded.
 func (t *total) proved() bool {
 	sum := &t.sum
-	faults := t.unplayed + sum.overLimit + sum.falseNever + sum.ranTwice + sum.unanswered + sum.doubleAnswer
+	faults := t.failedRuns + sum.tooManyAttempts + sum.falseNeverRan + sum.ranTwice + sum.unanswered + sum.extraAnswers
 	return faults == 0 && sum.succeeded*10 >= sum.queries*7
 }
 
-func (t *total) close(seeds int) {
+// exit prints the closing line and exits.
+func (t *total) exit(seeds int) {
 	sum := &t.sum
 	proof.Exit(t.proved(), "http2",
 		"seeds=%d retrievals=%d fulfilled=%d ran=%d over_allowance=%d false_never_ran=%d single_use_twice=%d "+
 			"unanswered=%d double_answers=%d",
-		seeds, sum.queries, sum.succeeded, sum.executions, sum.overLimit, sum.falseNever, sum.ranTwice,
-		sum.unanswered, sum.doubleAnswer)
+		seeds, sum.queries, sum.succeeded, sum.executions, sum.tooManyAttempts, sum.falseNeverRan, sum.ranTwice,
+		sum.unanswered, sum.extraAnswers)
 }
