--- a/proofs/phases/client.go
+++ b/proofs/phases/client.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	dialTime   = time.Second
-	answerTime = 2 * deadline
+	dialTimeout   = time.Second
+	answerTimeout = 2 * deadline
 
-	// maxRetries bounds how often a query is sent again because a kept connection had been closed meanwhile.
+	// maxRetries limits the retries of a query whose reused connection turns out to be closed.
 	maxRetries = 100
 )
 
-// client sends queries on connections that it keeps.
+// client sends queries over pooled connections.
 type client struct {
 	addr string
 	idle chan *clientConn
@@ -26,55 +26,55 @@
 
 type clientConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func newClient(addr string, maxIdle int) *client {
 	return &client{addr: addr, idle: make(chan *clientConn, maxIdle)}
 }
 
-// send sends a query and returns its answer. It retries on another connection only if one that was kept ends.
+// send sends a query and returns its answer. It retries on another connection only if the failed one was reused.
 func (c *client) send(query query) (status int, body string, err error) {
 	request := query.request()
 	for retries := 0; ; retries++ {
-		conn, kept, err := c.connection()
+		conn, reused, err := c.acquire()
 		if err != nil {
 			return 0, "", err
 		}
 		response, err := conn.exchange(request)
 		if err != nil {
 			conn.Close()
-			if kept && retries < maxRetries {
+			if reused && retries < maxRetries {
 				continue
 			}
 			return 0, "", err
 		}
-		content, err := io.ReadAll(response.Body)
+		responseBody, err := io.ReadAll(response.Body)
 		if err != nil || response.Close {
 			conn.Close()
 		} else {
-			c.keep(conn)
+			c.release(conn)
 		}
-		return response.StatusCode, strings.TrimSpace(string(content)), err
+		return response.StatusCode, strings.TrimSpace(string(responseBody)), err
 	}
 }
 
-// connection is one that was kept, or a new one.
-func (c *client) connection() (conn *clientConn, kept bool, err error) {
+// acquire returns an idle connection, or a new one if none is idle.
+func (c *client) acquire() (conn *clientConn, reused bool, err error) {
 	select {
 	case conn = <-c.idle:
 		return conn, true, nil
 	default:
 	}
-	raw, err := net.DialTimeout("tcp", c.addr, dialTime)
+	raw, err := net.DialTimeout("tcp", c.addr, dialTimeout)
 	if err != nil {
 		return nil, false, err
 	}
 	return &clientConn{raw, bufio.NewReader(raw)}, false, nil
 }
 
-// keep keeps a connection for a later query, if there is a place for it.
-func (c *client) keep(conn *clientConn) {
+// release returns a connection to the pool, or closes it if the pool is full.
+func (c *client) release(conn *clientConn) {
 	select {
 	case c.idle <- conn:
 	default:
@@ -82,16 +82,16 @@
 	}
 }
 
-// exchange writes a request and reads its response up to the body.
+// exchange writes a request and reads the response up to its body.
 func (c *clientConn) exchange(request string) (*http.Response, error) {
-	c.SetDeadline(time.Now().Add(answerTime))
+	c.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err := io.WriteString(c, request); err != nil {
 		return nil, err
 	}
-	return http.ReadResponse(c.in, nil)
+	return http.ReadResponse(c.reader, nil)
 }
 
-// request is the query as it goes over the wire.
+// request returns the HTTP request of the query.
 func (q query) request() string {
 	var segments []string
 	for _, shard := range q.shards {
@@ -99,13 +99,13 @@
 		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%.6f}`, shard, boost))
 	}
 	question := "{}"
-	if q.best != nil {
-		question = fmt.Sprintf(`{"best":%d}`, *q.best)
+	if q.limit != nil {
+		question = fmt.Sprintf(`{"best":%d}`, *q.limit)
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":"score>=%g","question":%s}`,
-		strings.Join(segments, ","), q.least, question)
-	head := fmt.Sprintf(
+		strings.Join(segments, ","), q.minScore, question)
+	header := fmt.Sprintf(
 		"POST /report HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n",
 		q.id, deadline.Seconds(), len(body))
-	return head + body
+	return header + body
 }
--- a/proofs/phases/fleet.go
+++ b/proofs/phases/fleet.go
@@ -12,43 +12,43 @@
 	"terntray/internal/proof"
 )
 
-// programConfig has the program speak HTTP/2 to some replicas and play queries of a class in two phases.
-const programConfig = `{"replicas":[{"model":"h2","dialect":"http2"}],"phases":{"tracks":["report"]}}`
+// installationFile selects HTTP/2 for replicas of model h2 and two-phase queries for the class report.
+const installationFile = `{"replicas":[{"model":"h2","dialect":"http2"}],"phases":{"tracks":["report"]}}`
 
-// How long a replica takes by default, for a summary and for the records.
+// Default durations of the two calls of a replica: for the summary and for the records.
 const (
 	summaryTime = time.Millisecond
 	fetchTime   = 15 * time.Millisecond
 )
 
-// summarySuffix ends the id of a subquery in its first phase.
+// summarySuffix is the suffix of subquery ids in the first phase.
 const summarySuffix = "s"
 
-// dataset says what data the replicas hold.
+// dataset describes the data of the replicas.
 type dataset struct {
 	shards          int
 	recordsPerShard int
-	selectivity     float64 // share of a shard's records that a query matches
+	selectivity     float64 // share of the shards that have records of score 0 or more
 }
 
-// phase is a set of what a replica was asked for.
-type phase int
+// phaseSet is the set of phases in which a shard was called.
+type phaseSet int
 
 const (
-	summarized phase = 1 << iota // in a form that can be a proof
+	summarized phaseSet = 1 << iota // with a usable summary
 	fetched
 )
 
-// fleet is a program among replicas with data.
+// fleet is a running program whose replicas hold data.
 type fleet struct {
 	*proof.Fleet
 	data         *fake.Shards
-	summaryFault func() fake.SummaryFault                      // drawn for each call
-	workTime     func(summary bool, records int) time.Duration // of a call
+	summaryFault func() fake.SummaryFault                      // returns the fault of a call
+	workTime     func(summary bool, records int) time.Duration // returns the duration of a call
 
-	mu      sync.Mutex
-	unasked int
-	phases  map[string]phase // by subquery id, without its suffix
+	mu            sync.Mutex
+	wronglyPruned int                 // shards pruned without a usable summary
+	phases        map[string]phaseSet // by subquery id without summarySuffix
 }
 
 func newFleet(program string, seed uint64, data dataset, maxAttempts int) (*fleet, error) {
@@ -56,14 +56,14 @@
 		data:         fake.NewShards(seed, data.shards, data.recordsPerShard, data.selectivity),
 		summaryFault: func() fake.SummaryFault { return fake.NoFault },
 		workTime:     defaultWorkTime,
-		phases:       map[string]phase{},
+		phases:       map[string]phaseSet{},
 	}
 	workTime := func(summary bool, records int) time.Duration { return fleet.workTime(summary, records) }
 	started, err := proof.StartFleet(proof.FleetOptions{
 		Program:     program,
 		Settings:    fmt.Sprintf(settings, maxAttempts),
 		Replicas:    replicaCount,
-		Behavior:    fleet.data.Behavior(fleet.noteCall, workTime),
+		Behavior:    fleet.data.Behavior(fleet.recordCall, workTime),
 		Model:       func(index int) string { return modelOf(index, seed) },
 		WriteConfig: writeConfig,
 	})
@@ -73,10 +73,10 @@
 
 func writeConfig(folder string) (string, error) {
 	path := filepath.Join(folder, "installation.json")
-	return path, os.WriteFile(path, []byte(programConfig), 0o600)
+	return path, os.WriteFile(path, []byte(installationFile), 0o600)
 }
 
-// modelOf has half of the replicas speak HTTP/2; "m" is the model of the others.
+// modelOf selects HTTP/2 for half of the replicas and frames, with model "m", for the others.
 func modelOf(index int, seed uint64) string {
 	if (uint64(index)+seed)%2 == 0 {
 		return "h2"
@@ -91,8 +91,8 @@
 	return fetchTime
 }
 
-// noteCall notes in which phase a replica is asked, and draws the fault of its summary.
-func (f *fleet) noteCall(_ *fake.Replica, call fake.Call, summary bool) fake.SummaryFault {
+// recordCall records the phase of a call and returns the fault of its summary.
+func (f *fleet) recordCall(_ *fake.Replica, call fake.Call, summary bool) fake.SummaryFault {
 	fault := f.summaryFault()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,22 +106,22 @@
 	return fault
 }
 
-// checkAsked counts the shards of an answered query that were neither summarized in a usable form nor asked; those of
-// queries that were rejected do not count.
-func (f *fleet) checkAsked(query string, shards []int) {
+// checkPruning counts the shards of an answered query that were pruned without a usable summary: they were neither
+// summarized nor fetched. It is not called for rejected queries.
+func (f *fleet) checkPruning(query string, shards []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, shard := range shards {
 		subquery := fmt.Sprintf("%s.%d", query, shard)
 		if f.phases[subquery] == 0 {
-			f.unasked++
+			f.wronglyPruned++
 		}
 		delete(f.phases, subquery)
 	}
 }
 
-func (f *fleet) unaskedShards() int {
+func (f *fleet) wronglyPrunedShards() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unasked
+	return f.wronglyPruned
 }
--- a/proofs/phases/main.go
+++ b/proofs/phases/main.go
@@ -1,5 +1,5 @@
-// Command phases proves that two-phase queries are answered as in one phase, or rejected; see docs/phases.md. With
-// -measure it measures what two phases save.
+// Command phases proves that two-phase queries get the same answer as in one phase or are rejected; see docs/phases.md.
+// With -measure it measures what two phases save.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	deadline     = time.Second
 	objective    = deadline / 2
 
-	// settings describe cells of one replica each; the limit on attempts of a subquery is left open.
+	// settings configure cells of one replica each. The format argument is the maximum number of attempts per subquery.
 	settings = `{"balancers":1,"bounds":{"connectTimeout":250000,"idleClose":30000000,"maxAttempts":%d,"maxOpen":200000,
 "mayCancel":true,"multiplex":64,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":1,"callCost":0,"cells":6,"classFetch":[0],"classNeed":[1.0],"ranges":128,"span":3},
@@ -24,7 +24,7 @@
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
 )
 
-// What each fleet of the proof holds. Its selectivity is drawn by its seed.
+// The data of each fleet and its limit on attempts. The selectivity depends on the seed.
 const (
 	shardCount      = 24
 	recordsPerShard = 6
@@ -34,28 +34,28 @@
 var selectivities = []float64{0.1, 0.3, 0.6}
 
 func main() {
-	program := flag.String("program", "bin/terntray", "the built program")
-	queries := flag.Int("questions", 20_400, "to ask in all")
-	first := flag.Uint64("first", 1, "the first seed")
-	fleets := flag.Int("fleets", 12, "fleets, a seed each")
-	beside := flag.Int("beside", 4, "fleets side by side")
-	measured := flag.Bool("measure", false, "measure instead")
+	program := flag.String("program", "bin/terntray", "path of the program to test")
+	queries := flag.Int("questions", 20_400, "total number of queries")
+	firstSeed := flag.Uint64("first", 1, "seed of the first fleet")
+	fleets := flag.Int("fleets", 12, "number of fleets, each with its own seed")
+	parallel := flag.Int("beside", 4, "maximum number of fleets that run in parallel")
+	measureOnly := flag.Bool("measure", false, "measure what two phases save instead")
 	flag.Parse()
-	if *measured {
-		measure(*program)
+	if *measureOnly {
+		measureSavings(*program)
 		return
 	}
 	total := &total{}
-	proof.Parallel(*fleets, *beside, func(index int) {
-		seed := *first + uint64(index)
-		tally, err := playSeed(*program, seed, *queries / *fleets)
+	proof.Parallel(*fleets, *parallel, func(index int) {
+		seed := *firstSeed + uint64(index)
+		tally, err := runFleet(*program, seed, *queries / *fleets)
 		total.add(seed, tally, err)
 	})
-	total.close()
+	total.exit()
 }
 
-// playSeed plays a fleet of its own.
-func playSeed(program string, seed uint64, queries int) (*tally, error) {
+// runFleet starts a fleet, runs queries against it and returns their tally.
+func runFleet(program string, seed uint64, queries int) (*tally, error) {
 	fleet, err := newFleet(program, seed, dataset{
 		shards:          shardCount,
 		recordsPerShard: recordsPerShard,
@@ -65,30 +65,30 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	player := newPlayer(fleet, seed)
-	player.play(queries)
+	verifier := newVerifier(fleet, seed)
+	verifier.run(queries)
 	counts := fleet.Counters()
-	player.tally.twoPhase = counts["two_phases"]
-	player.tally.pruned = counts["pruned"]
-	player.tally.unasked = fleet.unaskedShards()
-	return &player.tally, nil
+	verifier.tally.twoPhase = counts["two_phases"]
+	verifier.tally.pruned = counts["pruned"]
+	verifier.tally.wronglyPruned = fleet.wronglyPrunedShards()
+	return &verifier.tally, nil
 }
 
-// tally is what became of queries.
+// tally counts the outcomes of queries.
 type tally struct {
-	queries    int
-	identical  int // answered as the data says
-	rejected   int
-	partial    int
-	wrong      int
-	unanswered int
-	unasked    int // shards of answered queries that were neither summarized in a usable form nor asked
-	twoPhase   int // queries, by the program's own count
-	pruned     int // subqueries that a summary saved, by the program's own count
-	notes      []string
+	queries       int
+	identical     int // answered completely and correctly
+	rejected      int
+	partial       int
+	wrong         int
+	unanswered    int
+	wronglyPruned int // shards of answered queries that were pruned without a usable summary
+	twoPhase      int // queries, as counted by the program
+	pruned        int // subqueries that needed no fetch, as counted by the program
+	notes         []string
 }
 
-// total sums the tallies of all fleets.
+// total adds up the tallies of all fleets.
 type total struct {
 	mu   sync.Mutex
 	sum  tally
@@ -108,7 +108,7 @@
 	t.sum.partial += tally.partial
 	t.sum.wrong += tally.wrong
 	t.sum.unanswered += tally.unanswered
-	t.sum.unasked += tally.unasked
+	t.sum.wronglyPruned += tally.wronglyPruned
 	t.sum.twoPhase += tally.twoPhase
 	t.sum.pruned += tally.pruned
 	for _, note := range tally.notes {
@@ -116,20 +116,21 @@
 	}
 }
 
-// proved tells whether nothing went wrong, eight queries of ten were answered in full, and half in two phases.
+// proved reports whether there were no violations or errors, at least 80% of the queries were answered completely, and
+// at least half ran in two phases.
 func (t *total) proved() bool {
 	sum := &t.sum
-	faults := len(t.errs) + sum.partial + sum.wrong + sum.unasked + sum.unanswered
+	faults := len(t.errs) + sum.partial + sum.wrong + sum.wronglyPruned + sum.unanswered
 	enoughAnswered := sum.identical*10 >= sum.queries*8
 	enoughTwoPhase := sum.twoPhase*2 >= sum.queries
 	return faults == 0 && enoughAnswered && enoughTwoPhase
 }
 
-// maxNotes bounds the notes that are printed.
+// maxNotes limits the number of notes that are printed.
 const maxNotes = 20
 
-// close prints the notes and the closing line, and ends the process.
-func (t *total) close() {
+// exit prints the notes, the errors and the closing line, and exits.
+func (t *total) exit() {
 	sum := &t.sum
 	for _, note := range sum.notes[:min(len(sum.notes), maxNotes)] {
 		fmt.Println(note)
@@ -138,6 +139,6 @@
 	proof.Exit(t.proved(), "phases",
 		"questions=%d identical=%d refused=%d partial=%d wrong=%d pruned_unasked=%d unanswered=%d "+
 			"two_phases=%d pruned=%d",
-		sum.queries, sum.identical, sum.rejected, sum.partial, sum.wrong, sum.unasked, sum.unanswered, sum.twoPhase,
-		sum.pruned)
+		sum.queries, sum.identical, sum.rejected, sum.partial, sum.wrong, sum.wronglyPruned, sum.unanswered,
+		sum.twoPhase, sum.pruned)
 }
--- a/proofs/phases/measure.go
+++ b/proofs/phases/measure.go
@@ -11,86 +11,88 @@
 	measureSeed            = 7
 	measureTime            = 3 * time.Second
 	measureRecordsPerShard = 40
-	measureBest            = 10
+	measureLimit           = 10
 	measureMaxIdle         = 256
-	shardRate              = 2000.0 // subqueries a second
-	jammedSpeed            = 1.5    // times as many, of replicas that share one core
+	subqueryRate           = 2000.0 // subqueries per second
+	sharedCoreRateFactor   = 1.5    // applied to the rate when all replicas share one core
 	callWork               = 50 * time.Microsecond
 	recordWork             = 20 * time.Microsecond
 )
 
-// measure tells what two phases save: the work of replicas (records looked at, a summary counts as one), attempts, and
-// the share of queries answered within their latency objective, two phases against one, by selectivity and number of
-// shards, with replicas of a core each and jammed on one core.
-func measure(program string) {
-	fmt.Println("| blocks | selectivity | fleet | work, two against one | legs, two against one | in time, one | " +
-		"in time, two | asked in two phases |")
+// measureSavings prints a Markdown table that compares two phases with one: the work of replicas (records read, where a
+// summary counts as one), the number of attempts, and the share of queries answered within their latency objective. It
+// varies the selectivity and the number of shards, with a core for each replica and with one core shared by all.
+func measureSavings(program string) {
+	fmt.Println("| shards | selectivity | cores | work, two phases / one | attempts, two phases / one | " +
+		"within objective, one phase | within objective, two phases | queries run in two phases |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, jammed := range []bool{false, true} {
+	for _, sharedCore := range []bool{false, true} {
 		for _, shards := range []int{8, 32, 128} {
 			for _, selectivity := range []float64{0.01, 0.1, 0.5, 1} {
-				if jammed && (shards != 32 || selectivity == 0.01) {
+				if sharedCore && (shards != 32 || selectivity == 0.01) {
 					continue
 				}
-				if err := compare(program, shards, selectivity, jammed); err != nil {
-					fmt.Println("could not be played:", err)
+				if err := compare(program, shards, selectivity, sharedCore); err != nil {
+					fmt.Println("run failed:", err)
 				}
 			}
 		}
 	}
 }
 
-// cost is what a load cost, each for one query.
+// cost holds the averages of a load per query.
 type cost struct {
-	work          float64 // records looked at
-	attempts      float64
-	inTime        float64 // share within the latency objective
-	twoPhaseShare float64
+	work            float64 // records read
+	attempts        float64
+	withinObjective float64 // share of queries within the latency objective
+	twoPhaseShare   float64 // share of queries that ran in two phases
 }
 
-// compare prints a line of the table: a load in one phase and the same in two.
-func compare(program string, shards int, selectivity float64, jammed bool) error {
+// compare prints a line of the table: the same load in one phase and in two.
+func compare(program string, shards int, selectivity float64, sharedCore bool) error {
 	data := dataset{shards: shards, recordsPerShard: measureRecordsPerShard, selectivity: selectivity}
-	one, err := measureLoad(program, data, 1, jammed) // with one attempt a subquery there can be no first phase
+	// With a limit of one attempt per subquery, no query runs in two phases.
+	onePhase, err := measureLoad(program, data, 1, sharedCore)
 	if err != nil {
 		return err
 	}
-	two, err := measureLoad(program, data, maxAttempts, jammed)
+	twoPhases, err := measureLoad(program, data, maxAttempts, sharedCore)
 	if err != nil {
 		return err
 	}
-	name := "quiet"
-	if jammed {
-		name = "jammed"
+	cores := "one each"
+	if sharedCore {
+		cores = "one shared"
 	}
-	fmt.Printf("| %d | %.2f | %s | %.2f | %.2f | %.3f | %.3f | %.2f |\n", shards, selectivity, name,
-		two.work/one.work, two.attempts/one.attempts, one.inTime, two.inTime, two.twoPhaseShare)
+	fmt.Printf("| %d | %.2f | %s | %.2f | %.2f | %.3f | %.3f | %.2f |\n", shards, selectivity, cores,
+		twoPhases.work/onePhase.work, twoPhases.attempts/onePhase.attempts,
+		onePhase.withinObjective, twoPhases.withinObjective, twoPhases.twoPhaseShare)
 	return nil
 }
 
-func measureLoad(program string, data dataset, maxAttempts int, jammed bool) (cost, error) {
+func measureLoad(program string, data dataset, maxAttempts int, sharedCore bool) (cost, error) {
 	fleet, err := newFleet(program, measureSeed, data, maxAttempts)
 	if err != nil {
 		return cost{}, err
 	}
 	fleet.workTime = recordTime
-	rate := shardRate / float64(data.shards)
-	if jammed {
+	rate := subqueryRate / float64(data.shards)
+	if sharedCore {
 		fleet.workTime = onOneCore(recordTime)
-		rate *= jammedSpeed
+		rate *= sharedCoreRateFactor
 	}
-	inTime, sent := fleet.load(rate, data.shards, measureTime)
+	withinObjective, sent := fleet.load(rate, data.shards, measureTime)
 	counts := fleet.Counters()
 	fleet.Close()
 	return cost{
-		work:          float64(fleet.data.RecordsRead) / float64(sent),
-		attempts:      float64(counts["legs"]) / float64(sent),
-		inTime:        float64(inTime) / float64(sent),
-		twoPhaseShare: float64(counts["two_phases"]) / float64(max(1, counts["questions"])),
+		work:            float64(fleet.data.RecordsRead) / float64(sent),
+		attempts:        float64(counts["legs"]) / float64(sent),
+		withinObjective: float64(withinObjective) / float64(sent),
+		twoPhaseShare:   float64(counts["two_phases"]) / float64(max(1, counts["questions"])),
 	}, nil
 }
 
-// recordTime is the time of a core that a call takes.
+// recordTime returns the CPU time of a call.
 func recordTime(summary bool, records int) time.Duration {
 	if summary {
 		return callWork
@@ -98,7 +100,8 @@
 	return callWork + time.Duration(records)*recordWork
 }
 
-// onOneCore has all replicas share one core, which works off its calls one after the other.
+// onOneCore returns a function that gives the duration of each call when all replicas share one core, which executes
+// calls one at a time.
 func onOneCore(work func(summary bool, records int) time.Duration) func(summary bool, records int) time.Duration {
 	var mu sync.Mutex
 	freeAt := time.Now()
@@ -113,27 +116,27 @@
 	}
 }
 
-// load asks for the best records of all shards, on an open-loop schedule; it returns how many queries were answered
-// within their latency objective, and how many were sent.
-func (f *fleet) load(rate float64, shards int, duration time.Duration) (inTime, sent int) {
-	best := measureBest
+// load sends queries for the top records of all shards on an open-loop schedule. It returns the number of queries that
+// were answered within their latency objective and the number sent.
+func (f *fleet) load(rate float64, shards int, duration time.Duration) (withinObjective, sent int) {
+	limit := measureLimit
 	client := newClient(f.Addr, measureMaxIdle)
 	var mu sync.Mutex
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	start := time.Now()
 	sent = int(duration.Seconds() * rate)
 	for n := range sent {
 		due := dueTime(start, n, rate)
 		time.Sleep(time.Until(due))
-		open.Go(func() {
-			status, _, err := client.send(query{id: fmt.Sprint("m", n), shards: shardRange(0, shards), best: &best})
+		inFlight.Go(func() {
+			status, _, err := client.send(query{id: fmt.Sprint("m", n), shards: shardRange(0, shards), limit: &limit})
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil && status == http.StatusOK && time.Since(due) <= objective {
-				inTime++
+				withinObjective++
 			}
 		})
 	}
-	open.Wait()
-	return inTime, sent
+	inFlight.Wait()
+	return withinObjective, sent
 }
--- a/proofs/phases/play.go
+++ b/proofs/phases/play.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	playRate         = 160.0 // queries a second
+	queryRate        = 160.0 // queries per second
 	maxOpenQueries   = 64
-	maxShards        = 16 // of a query
-	faultlessPercent = 94 // summaries of a hundred that have no fault
+	maxShards        = 16 // per query
+	faultlessPercent = 94 // percentage of calls for which no fault is drawn
 )
 
-// What queries are drawn from.
+// The values from which queries are drawn at random.
 var (
-	leastScores = []float64{-10, -2, 0, 2, 4, 9}
-	bestCounts  = []int{0, 1, 2, 3, 5, 100}
+	minScores = []float64{-10, -2, 0, 2, 4, 9}
+	limits    = []int{0, 1, 2, 3, 5, 100}
 )
 
-// query asks for records of some shards.
+// query requests records of some shards.
 type query struct {
-	id     string
-	shards []int
-	least  float64 // score
-	best   *int    // how many, from the highest score down; nil: all
+	id       string
+	shards   []int
+	minScore float64
+	limit    *int // number of records, the highest scores first; nil for all
 }
 
-// player sends queries to a fleet and compares each answer with the data.
-type player struct {
+// verifier sends queries to a fleet and compares each answer with the data.
+type verifier struct {
 	fleet  *fleet
 	random *rand.Rand
 	client *client
@@ -42,16 +42,17 @@
 	tally tally
 }
 
-func newPlayer(fleet *fleet, seed uint64) *player {
+func newVerifier(fleet *fleet, seed uint64) *verifier {
 	fleet.summaryFault = drawSummaryFaults(fake.NewRandom(seed))
-	return &player{
+	return &verifier{
 		fleet:  fleet,
 		random: rand.New(rand.NewPCG(seed, 9)),
 		client: newClient(fleet.Addr, maxOpenQueries),
 	}
 }
 
-// drawSummaryFaults draws a fault now and then, but no false bounds: what those make wrong nobody can tell.
+// drawSummaryFaults returns a function that draws a fault at random. It never draws false bounds: a co-ordinator cannot
+// detect them, so answers may be wrong.
 func drawSummaryFaults(random *fake.Random) func() fake.SummaryFault {
 	return func() fake.SummaryFault {
 		if random.IntN(100) < faultlessPercent {
@@ -66,40 +67,40 @@
 	}
 }
 
-// play sends queries on an open-loop schedule, while the data changes now and then.
-func (p *player) play(queries int) {
-	var open sync.WaitGroup
-	places := make(chan struct{}, maxOpenQueries)
+// run sends queries on an open-loop schedule while the versions of shards advance at random.
+func (v *verifier) run(queries int) {
+	var inFlight sync.WaitGroup
+	slots := make(chan struct{}, maxOpenQueries)
 	start := time.Now()
 	for n := range queries {
-		query := p.draw(n)
-		if p.random.IntN(8) == 0 {
-			p.fleet.data.AdvanceVersion(p.random.IntN(shardCount))
+		query := v.draw(n)
+		if v.random.IntN(8) == 0 {
+			v.fleet.data.AdvanceVersion(v.random.IntN(shardCount))
 		}
-		time.Sleep(time.Until(dueTime(start, n, playRate)))
-		places <- struct{}{}
-		open.Go(func() {
-			defer func() { <-places }()
-			p.send(query)
+		time.Sleep(time.Until(dueTime(start, n, queryRate)))
+		slots <- struct{}{}
+		inFlight.Go(func() {
+			defer func() { <-slots }()
+			v.send(query)
 		})
 	}
-	open.Wait()
+	inFlight.Wait()
 }
 
-// dueTime is when a query is due on an open-loop schedule of so many a second.
+// dueTime returns when query n is due on an open-loop schedule of rate queries per second.
 func dueTime(start time.Time, n int, rate float64) time.Time {
 	return start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
 }
 
-func (p *player) draw(n int) query {
-	count := 1 + p.random.IntN(maxShards)
-	from := p.random.IntN(shardCount - count + 1)
-	least := leastScores[p.random.IntN(len(leastScores))]
-	var best *int
-	if p.random.IntN(3) > 0 {
-		best = &bestCounts[p.random.IntN(len(bestCounts))]
+func (v *verifier) draw(n int) query {
+	count := 1 + v.random.IntN(maxShards)
+	from := v.random.IntN(shardCount - count + 1)
+	minScore := minScores[v.random.IntN(len(minScores))]
+	var limit *int
+	if v.random.IntN(3) > 0 {
+		limit = &limits[v.random.IntN(len(limits))]
 	}
-	return query{id: fmt.Sprintf("q%d", n), shards: shardRange(from, count), least: least, best: best}
+	return query{id: fmt.Sprintf("q%d", n), shards: shardRange(from, count), minScore: minScore, limit: limit}
 }
 
 func shardRange(from, count int) (shards []int) {
@@ -109,28 +110,28 @@
 	return shards
 }
 
-// send sends a query and judges its answer.
-func (p *player) send(query query) {
-	status, body, err := p.client.send(query)
-	want := p.fleet.data.ExpectedResponse(query.shards, query.least, query.best)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.tally.queries++
+// send sends a query and checks its answer.
+func (v *verifier) send(query query) {
+	status, body, err := v.client.send(query)
+	want := v.fleet.data.ExpectedResponse(query.shards, query.minScore, query.limit)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.tally.queries++
 	switch {
 	case err != nil:
-		p.tally.unanswered++
-		p.tally.notes = append(p.tally.notes, fmt.Sprintf("%s had no answer: %v", query.id, err))
+		v.tally.unanswered++
+		v.tally.notes = append(v.tally.notes, fmt.Sprintf("query %s got no answer: %v", query.id, err))
 	case status != http.StatusOK:
-		p.tally.rejected++
+		v.tally.rejected++
 	case body == want:
-		p.tally.identical++
-		if query.best == nil || *query.best > 0 {
-			p.fleet.checkAsked(query.id, query.shards)
+		v.tally.identical++
+		if query.limit == nil || *query.limit > 0 {
+			v.fleet.checkPruning(query.id, query.shards)
 		}
 	case !strings.Contains(body, `"all_in":true`):
-		p.tally.partial++
+		v.tally.partial++
 	default:
-		p.tally.wrong++
-		p.tally.notes = append(p.tally.notes, fmt.Sprintf("%s: %s, want %s", query.id, body, want))
+		v.tally.wrong++
+		v.tally.notes = append(v.tally.notes, fmt.Sprintf("query %s: got %s, want %s", query.id, body, want))
 	}
 }
