--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -5,25 +5,25 @@
 	"terntray/internal/soak"
 )
 
-// panicking is a program whose loop panics about once a second, before, between or after what an iteration does.
-var panicking = []faultbuild.Patch{
+// panicPatches make the event loop panic about once a second, before or after the event of an iteration.
+var panicPatches = []faultbuild.Patch{
 	{
 		File: "eventloop/loop.go",
 		Old:  "	event()\n	for len(loop.received)",
 		New: "	if loop.now%353 == 0 {\n" +
-			"		panic(\"as if, before\")\n" +
+			"		panic(\"injected before the event\")\n" +
 			"	}\n" +
 			"	event()\n" +
 			"	if loop.now%353 == 1 {\n" +
-			"		panic(\"as if, behind\")\n" +
+			"		panic(\"injected after the event\")\n" +
 			"	}\n" +
 			"	for len(loop.received)",
 	},
 }
 
-// deliberateBreak is a change of the program that breaks a rule. The oracle has to catch it, as that rule.
+// deliberateBreak is a change to the program that violates a rule. The checker must report a violation of that rule.
 type deliberateBreak struct {
-	name    string // as -break takes it and as it is printed
+	name    string // in -break and in the output
 	rule    soak.Rule
 	patches []faultbuild.Patch
 }
@@ -129,7 +129,7 @@
 			New:  "return c.clientsClosed && len(c.queries) == 0 && c.counts.Attempts%2 == 0 }",
 		},
 	}},
-	{"wall_clock", soak.RuleShutdown, []faultbuild.Patch{ // the limit is kept without its monotonic reading
+	{"wall_clock", soak.RuleShutdown, []faultbuild.Patch{ // the limit loses its monotonic clock reading
 		{
 			File: "server/shutdown.go",
 			Old: "func (client *ClientConn) shutdownReadDeadline(start time.Time) time.Time {\n" +
--- a/proofs/soak/breaks_test.go
+++ b/proofs/soak/breaks_test.go
@@ -9,10 +9,10 @@
 	"terntray/internal/faultbuild"
 )
 
-// The deliberate breaks quote lines of the program as text. A renamed line or a moved file leaves a quotation behind that
-// still compiles and no longer breaks anything; each must stand once in the file that it names.
+// The deliberate breaks quote lines of the program as text. If a quoted line changes or its file moves, the quotation
+// still compiles but no longer matches. Each quotation must occur exactly once in its file.
 func TestBreaksQuoteTheProgramAsItStands(t *testing.T) {
-	all := map[string][]faultbuild.Patch{"panicking": panicking}
+	all := map[string][]faultbuild.Patch{"panics": panicPatches}
 	for _, deliberate := range deliberateBreaks {
 		all[deliberate.name] = deliberate.patches
 	}
--- a/proofs/soak/main.go
+++ b/proofs/soak/main.go
@@ -1,5 +1,6 @@
-// Soak plays seeded, overlapping faults against real coordinator processes and judges the rules from outside. With
-// -breaks it shows that it can see: it builds programs that break a rule on purpose, and each has to be caught.
+// Command soak injects seeded, overlapping faults into a deployment of real co-ordinator processes and checks the rules
+// from outside. With -breaks it tests its own checks: it builds programs that violate a rule on purpose, and the checks
+// must catch each of them.
 package main
 
 import (
@@ -23,9 +24,9 @@
 	proof := newProof(flags)
 	proved := false
 	if flags.breaks {
-		proved = proof.playBreaks()
+		proved = proof.runBreaks()
 	} else {
-		proved = proof.playSeeds()
+		proved = proof.runSeeds()
 	}
 	if flags.tables {
 		proof.total.printTables()
@@ -36,7 +37,7 @@
 	}
 }
 
-// flags are the command line.
+// flags holds the parsed command line.
 type flags struct {
 	firstSeed    uint64
 	seeds        int
@@ -54,25 +55,26 @@
 
 func parseFlags() *flags {
 	flags := &flags{}
-	flag.Uint64Var(&flags.firstSeed, "first", 1, "the first seed")
-	flag.IntVar(&flags.seeds, "seeds", 2, "seeds to play, one after the other")
-	flag.DurationVar(&flags.duration, "lasts", 9*time.Second, "how long clients ask in each")
-	flag.IntVar(&flags.faultStreams, "beside", 5, "streams of faults side by side")
-	without := flag.String("without", "", "kinds of fault to leave out, with commas between")
-	flag.StringVar(&flags.logFolder, "logs", "", "a folder for the programs' logs")
-	flag.BoolVar(&flags.breaks, "breaks", false, "play programs that break a rule on purpose, until each is caught")
-	flag.StringVar(&flags.onlyBreak, "break", "", "of -breaks, this one alone")
+	flag.Uint64Var(&flags.firstSeed, "first", 1, "first seed")
+	flag.IntVar(&flags.seeds, "seeds", 2, "number of seeds, run one after the other")
+	flag.DurationVar(&flags.duration, "lasts", 9*time.Second, "how long clients send queries in each run")
+	flag.IntVar(&flags.faultStreams, "beside", 5, "number of fault streams that run in parallel")
+	without := flag.String("without", "", "comma-separated kinds of fault to leave out")
+	flag.StringVar(&flags.logFolder, "logs", "", "folder for the logs of the programs")
+	flag.BoolVar(&flags.breaks, "breaks", false, "run programs that violate a rule on purpose, until each is caught")
+	flag.StringVar(&flags.onlyBreak, "break", "", "with -breaks, run only the break with this name")
 	flag.BoolVar(&flags.shrink, "shrink", false,
-		"play a seed that fails again, without one kind of fault after the other")
-	flag.StringVar(&flags.module, "module", ".", "the tree whose program is played")
-	flag.BoolVar(&flags.panics, "panics", false, "have the loop panic now and then, which has to break no rule")
-	flag.BoolVar(&flags.tables, "tables", false, "print what crossed what")
+		"repeat a failed seed to find the kinds of fault that the failure does not need")
+	flag.StringVar(&flags.module, "module", ".", "root of the module whose program is tested")
+	flag.BoolVar(&flags.panics, "panics", false,
+		"make the event loop panic about once a second, which must not violate a rule")
+	flag.BoolVar(&flags.tables, "tables", false, "print which checks and faults overlapped")
 	flag.Parse()
 	flags.without = parseKinds(*without)
 	return flags
 }
 
-// parseKinds reads a list of kinds of fault; empty: none.
+// parseKinds parses a comma-separated list of kinds of fault.
 func parseKinds(text string) (kinds []soak.FaultKind) {
 	if text == "" {
 		return nil
@@ -83,7 +85,7 @@
 	return kinds
 }
 
-// formatKinds writes a list of kinds as parseKinds reads it.
+// formatKinds formats a list of kinds for parseKinds.
 func formatKinds(kinds []soak.FaultKind) string {
 	var names []string
 	for _, kind := range kinds {
--- a/proofs/soak/proof.go
+++ b/proofs/soak/proof.go
@@ -11,29 +11,29 @@
 	"terntray/internal/soak"
 )
 
-// maxPrinted bounds the violations of a seed that are printed.
+// maxPrinted limits the number of violations printed per seed.
 const maxPrinted = 12
 
-// rates are the system calls, of a million, that go otherwise than usual all the time.
+// rates holds the faults of system calls that are injected throughout a run, per million calls.
 var rates = map[faultbuild.Setting]int64{
 	faultbuild.Interrupted: 5_000,
 	faultbuild.ShortReads:  30_000,
 	faultbuild.ShortWrites: 30_000,
 }
 
-// proof plays seeds and gathers what all have seen.
+// proof runs seeds and adds up their results.
 type proof struct {
 	*flags
-	total   *total
-	played  int      // seeds
-	failed  int      // of them
-	caught  []string // breaks, as "name=seeds"
-	escaped []string // breaks
+	total       *total
+	seedsRun    int
+	seedsFailed int      // seeds with violations
+	caught      []string // deliberate breaks, as "name=seeds"
+	escaped     []string // deliberate breaks that were not caught
 }
 
 func newProof(flags *flags) *proof { return &proof{flags: flags, total: newTotal()} }
 
-// build builds the program with faults in it, and with the patches; the caller removes its folder.
+// build builds the program with fault injection and the given patches. The caller must remove the program's folder.
 func (p *proof) build(patches []faultbuild.Patch) (program string, err error) {
 	module, err := filepath.Abs(p.module)
 	if err != nil {
@@ -59,11 +59,11 @@
 	}
 }
 
-// playSeeds plays the program as it is, or as one that panics; it tells whether no seed broke a rule.
-func (p *proof) playSeeds() bool {
+// runSeeds runs all seeds, with panicPatches if -panics is set. It reports whether no seed violated a rule.
+func (p *proof) runSeeds() bool {
 	var patches []faultbuild.Patch
 	if p.panics {
-		patches = panicking
+		patches = panicPatches
 	}
 	program, err := p.build(patches)
 	if err != nil {
@@ -75,51 +75,53 @@
 		seed := p.firstSeed + uint64(n)
 		result, err := soak.Run(seed, p.options(program))
 		if err != nil {
-			fmt.Printf("seed %d could not be played: %v\n", seed, err)
+			fmt.Printf("seed %d: run failed: %v\n", seed, err)
 			return false
 		}
-		p.played++
+		p.seedsRun++
 		p.total.add(result)
 		if len(result.Violations) > 0 {
-			p.failed++
+			p.seedsFailed++
 			p.printViolations(result)
 			if p.shrink {
 				p.shrinkFaults(program, result)
 			}
 		}
 	}
-	return p.failed == 0
+	return p.seedsFailed == 0
 }
 
 func (p *proof) printViolations(result *soak.Result) {
-	fmt.Printf("seed %d: %d finds; again: go run ./proofs/soak -first %d -seeds 1 -lasts %v -beside %d -without %q\n",
+	fmt.Printf(
+		"seed %d: %d violations; rerun with: go run ./proofs/soak -first %d -seeds 1 -lasts %v -beside %d -without %q\n",
 		result.Seed, len(result.Violations), result.Seed, p.duration, p.faultStreams, formatKinds(p.without))
 	for _, violation := range result.Violations[:min(len(result.Violations), maxPrinted)] {
 		fmt.Println("  ", violation)
 	}
 }
 
-// shrinkFaults leaves out one kind of fault after the other while the same rule still breaks.
+// shrinkFaults leaves out one kind of fault after another as long as the seed still violates the same rule, and prints
+// the kinds that are not needed.
 func (p *proof) shrinkFaults(program string, failed *soak.Result) {
 	rule := failed.Violations[0].Rule
 	options := p.options(program)
 	for _, kind := range soak.FaultKinds() {
-		tried := options
-		tried.Without = append(slices.Clone(options.Without), kind)
-		result, err := soak.Run(failed.Seed, tried)
-		if err == nil && breaks(result, rule) {
-			options = tried
+		reduced := options
+		reduced.Without = append(slices.Clone(options.Without), kind)
+		result, err := soak.Run(failed.Seed, reduced)
+		if err == nil && violates(result, rule) {
+			options = reduced
 		}
 	}
-	fmt.Printf("seed %d breaks %q also with -without %q\n", failed.Seed, rule, formatKinds(options.Without))
+	fmt.Printf("seed %d still violates %q with -without %q\n", failed.Seed, rule, formatKinds(options.Without))
 }
 
-func breaks(result *soak.Result, rule soak.Rule) bool {
+func violates(result *soak.Result, rule soak.Rule) bool {
 	return slices.ContainsFunc(result.Violations, func(v soak.Violation) bool { return v.Rule == rule })
 }
 
-// playBreaks plays each deliberate break, or the one that is named, and tells whether all were caught.
-func (p *proof) playBreaks() bool {
+// runBreaks runs each deliberate break, or the one named by -break, and reports whether all were caught.
+func (p *proof) runBreaks() bool {
 	for _, deliberate := range deliberateBreaks {
 		if p.onlyBreak != "" && deliberate.name != p.onlyBreak {
 			continue
@@ -134,12 +136,12 @@
 			p.caught = append(p.caught, fmt.Sprintf("%s=%d", deliberate.name, seeds))
 		}
 	}
-	fmt.Println("caught, with the number of seeds that it took:", strings.Join(p.caught, " "))
+	fmt.Println("caught, with the number of seeds needed:", strings.Join(p.caught, " "))
 	return len(p.escaped) == 0
 }
 
-// catch plays a break until its rule is seen broken, and returns the seeds that it took; 0: it escaped all. An error
-// says that the break could not be built.
+// catch runs a deliberate break until the violation of its rule is reported. It returns the number of seeds needed, or
+// 0 if no seed caught the break. It returns an error if the program cannot be built.
 func (p *proof) catch(deliberate deliberateBreak) (seeds int, err error) {
 	program, err := p.build(deliberate.patches)
 	if err != nil {
@@ -152,20 +154,20 @@
 			fmt.Println(deliberate.name, err)
 			continue
 		}
-		p.played++
-		if breaks(result, deliberate.rule) {
+		p.seedsRun++
+		if violates(result, deliberate.rule) {
 			return n + 1, nil
 		}
 	}
 	return 0, nil
 }
 
-// printClosingLine prints what the proof has seen, in one line.
+// printClosingLine prints the result of the proof in one line.
 func (p *proof) printClosingLine(proved bool) {
-	word := "PROVED"
+	verdict := "PROVED"
 	if !proved {
-		word = "FAILED"
+		verdict = "FAILED"
 	}
 	fmt.Printf("%s soak seeds=%d failed=%d caught=%d escaped=%q%s\n",
-		word, p.played, p.failed, len(p.caught), strings.Join(p.escaped, ","), p.total.closingCounts())
+		verdict, p.seedsRun, p.seedsFailed, len(p.caught), strings.Join(p.escaped, ","), p.total.closingCounts())
 }
--- a/proofs/soak/total.go
+++ b/proofs/soak/total.go
@@ -9,18 +9,18 @@
 	"terntray/internal/soak"
 )
 
-// total is what all seeds have seen.
+// total adds up the results of all seeds.
 type total struct {
-	counts   map[string]int
-	crossed  map[soak.Rule]map[soak.FaultKind]int
-	overlaps map[string]int
+	counts            map[string]int
+	checksDuringFault map[soak.Rule]map[soak.FaultKind]int
+	overlaps          map[string]int
 }
 
 func newTotal() *total {
 	return &total{
-		counts:   map[string]int{},
-		crossed:  map[soak.Rule]map[soak.FaultKind]int{},
-		overlaps: map[string]int{},
+		counts:            map[string]int{},
+		checksDuringFault: map[soak.Rule]map[soak.FaultKind]int{},
+		overlaps:          map[string]int{},
 	}
 }
 
@@ -32,12 +32,12 @@
 			t.counts[key] += count
 		}
 	}
-	for rule, crossed := range result.ChecksDuringFault {
-		if t.crossed[rule] == nil {
-			t.crossed[rule] = map[soak.FaultKind]int{}
+	for rule, checksDuringFault := range result.ChecksDuringFault {
+		if t.checksDuringFault[rule] == nil {
+			t.checksDuringFault[rule] = map[soak.FaultKind]int{}
 		}
-		for kind, count := range crossed {
-			t.crossed[rule][kind] += count
+		for kind, count := range checksDuringFault {
+			t.checksDuringFault[rule][kind] += count
 		}
 	}
 	for pair, count := range result.FaultOverlaps {
@@ -45,10 +45,11 @@
 	}
 }
 
-// printTables prints what crossed what, as Markdown.
+// printTables prints a Markdown table of the checks per rule that each kind of fault overlapped, and the overlaps of
+// faults.
 func (t *total) printTables() {
-	rules := slices.Sorted(maps.Keys(t.crossed))
-	fmt.Print("| trouble | struck | ")
+	rules := slices.Sorted(maps.Keys(t.checksDuringFault))
+	fmt.Print("| fault | count | ")
 	for n, rule := range rules {
 		if n > 0 {
 			fmt.Print(" | ")
@@ -60,25 +61,25 @@
 	for _, kind := range soak.FaultKinds() {
 		fmt.Printf("| %s | %d |", kind, t.counts[soak.FaultKey(kind)])
 		for _, rule := range rules {
-			fmt.Printf(" %d |", t.crossed[rule][kind])
+			fmt.Printf(" %d |", t.checksDuringFault[rule][kind])
 		}
 		fmt.Println()
 	}
 	t.printOverlaps()
 }
 
-// printOverlaps prints the pairs of faults that were under way together, the most frequent first.
+// printOverlaps prints the pairs of faults that overlapped, the most frequent first.
 func (t *total) printOverlaps() {
 	pairs := slices.Sorted(maps.Keys(t.overlaps))
 	slices.SortStableFunc(pairs, func(a, b string) int { return t.overlaps[b] - t.overlaps[a] })
-	fmt.Printf("%d pairs of troubles overlapped:\n", len(pairs))
+	fmt.Printf("%d pairs of faults overlapped:\n", len(pairs))
 	for _, pair := range pairs {
 		fmt.Printf("%s %d; ", pair, t.overlaps[pair])
 	}
 	fmt.Println()
 }
 
-// closingCounts are the counts of the closing line, by name, each after a space; those of faults are in the tables.
+// closingCounts returns the counts for the closing line, sorted by name. Counts of faults are only in the tables.
 func (t *total) closingCounts() string {
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(t.counts)) {
