--- a/proofs/soak/proof.go
+++ b/proofs/soak/proof.go
@@ -93,7 +93,7 @@
 
 func (p *proof) printViolations(result *soak.Result) {
 	fmt.Printf(
-		"seed %d: %d violations; rerun with: go run ./proofs/soak -first %d -seeds 1 -lasts %v -beside %d -without %q\n",
+		"seed %d: %d violations; rerun: go run ./proofs/soak -first %d -seeds 1 -lasts %v -beside %d -without %q\n",
 		result.Seed, len(result.Violations), result.Seed, p.duration, p.faultStreams, formatKinds(p.without))
 	for _, violation := range result.Violations[:min(len(result.Violations), maxPrinted)] {
 		fmt.Println("  ", violation)
--- a/proofs/ways-back/fault_days.go
+++ b/proofs/ways-back/fault_days.go
@@ -9,83 +9,84 @@
 )
 
 const (
-	faultDayReplicas   = 16
-	faultDayRate       = 60 // queries a second
-	faultDaySubqueries = 5
-	faultDayWork       = 20 * time.Millisecond // of a healthy replica, for a call
-	slowWork           = 2500 * time.Millisecond
+	faultReplicas   = 16
+	faultRate       = 60 // queries per second
+	faultSubqueries = 5
+	healthyWork     = 20 * time.Millisecond   // of a healthy replica for a call
+	slowWork        = 2500 * time.Millisecond // of a slow replica for a call
 
 	beforeFault  = 2 * time.Second
 	faultTime    = 8 * time.Second
 	afterFault   = 6 * time.Second
-	maxRecovery  = 5.0  // seconds; what takes longer has not recovered
-	maxLateShare = 0.01 // of the queries from some time on to the end, for that time to be after recovery
+	maxRecovery  = 5.0  // seconds; a longer recovery counts as none
+	maxLateShare = 0.01 // maximum share of late queries from the time of recovery to the end
 )
 
-// faultDay is a day on which all replicas have a fault for a while.
-type faultDay struct {
+// faultScenario is a scenario in which all replicas have a fault for a while.
+type faultScenario struct {
 	name     string
 	behavior func(*fake.Replica, fake.Call)
 }
 
-const slowDayName = "slow"
+const slowScenarioName = "slow"
 
-var faultDays = []faultDay{
-	{slowDayName, fake.After(slowWork, fake.Succeed)},
+var faultScenarios = []faultScenario{
+	{slowScenarioName, fake.After(slowWork, fake.Succeed)},
 	{"silent", fake.Silent},
-	{"erring", fake.Fail},
-	{"closing", fake.ResetConnection},
+	{"failing", fake.Fail},
+	{"resetting", fake.ResetConnection},
 }
 
-// playFaultDays plays the light days side by side.
-func (s *summary) playFaultDays(program string) {
-	var all sync.WaitGroup
-	for _, day := range faultDays {
-		all.Go(func() {
-			recovery, err := day.play(program)
-			s.failed(err)
-			s.noteFaultDay(day, recovery)
+// runFaultScenarios runs all fault scenarios in parallel.
+func (s *summary) runFaultScenarios(program string) {
+	var running sync.WaitGroup
+	for _, scenario := range faultScenarios {
+		running.Go(func() {
+			recovery, err := scenario.run(program)
+			s.recordError(err)
+			s.recordRecovery(scenario, recovery)
 		})
 	}
-	all.Wait()
+	running.Wait()
 }
 
-func (s *summary) noteFaultDay(day faultDay, recovery float64) {
+func (s *summary) recordRecovery(scenario faultScenario, recovery float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Printf("all replicas %s for 8 s: back after %.1f s\n", day.name, recovery)
-	if day.name == slowDayName {
-		s.slowDay = recovery
+	fmt.Printf("all replicas %s for 8 s: recovered after %.1f s\n", scenario.name, recovery)
+	if scenario.name == slowScenarioName {
+		s.slowRecovery = recovery
 		return
 	}
-	worse := recovery == notRecovered || recovery > s.otherDays
-	if s.otherDays != notRecovered && worse {
-		s.otherDays = recovery
+	worse := recovery == notRecovered || recovery > s.otherRecovery
+	if s.otherRecovery != notRecovered && worse {
+		s.otherRecovery = recovery
 	}
 }
 
-// play plays the day: replicas that are healthy, then have the fault for a while, then are healthy again. It returns
-// how many seconds after that nearly all queries were in time again, or notRecovered.
-func (day faultDay) play(program string) (recovery float64, err error) {
-	healthy := fake.After(faultDayWork, fake.Succeed)
-	deployment, err := deploy(program, faultDayReplicas, healthy)
+// run runs the scenario: replicas are healthy, then have the fault for a while, then are healthy again. It returns the
+// time from the end of the fault until nearly all queries are within the objective again, in seconds, or notRecovered.
+func (scenario faultScenario) run(program string) (recovery float64, err error) {
+	healthy := fake.After(healthyWork, fake.Succeed)
+	deployment, err := deploy(program, faultReplicas, healthy)
 	if err != nil {
 		return 0, err
 	}
 	defer deployment.Close()
 	const faultEnd = beforeFault + faultTime
-	time.AfterFunc(beforeFault, func() { deployment.SetBehavior(day.behavior) })
+	time.AfterFunc(beforeFault, func() { deployment.SetBehavior(scenario.behavior) })
 	time.AfterFunc(faultEnd, func() { deployment.SetBehavior(healthy) })
-	results := deployment.load("t", faultDayRate, faultDaySubqueries, faultEnd+afterFault)
-	recovery = lastLate(results, faultEnd).Seconds()
+	results := deployment.load("t", faultRate, faultSubqueries, faultEnd+afterFault)
+	recovery = recoveryTime(results, faultEnd).Seconds()
 	if recovery > maxRecovery {
 		return notRecovered, nil
 	}
 	return recovery, nil
 }
 
-// lastLate is how long after a time the last query was due from which on too many were late; 0: none was.
-func lastLate(results []fake.LoadResult, after time.Duration) time.Duration {
+// recoveryTime returns how long after a time queries were still late: until the due time of the last query such that too
+// many of the queries from it to the end were late. It returns 0 if there is no such query.
+func recoveryTime(results []fake.LoadResult, after time.Duration) time.Duration {
 	late := 0
 	seen := 0
 	for n := len(results) - 1; n >= 0 && results[n].Due > after; n-- {
--- a/proofs/ways-back/histories.go
+++ b/proofs/ways-back/histories.go
@@ -9,34 +9,34 @@
 	"terntray/internal/proof"
 )
 
-// recentTime is how long after its end a query counts in what a replayed history prints.
+// recentTime is how long a completed query is included in the output of a replayed history.
 const recentTime = 500 * time.Millisecond
 
-// playHistories plays histories in virtual time, on all cores but one.
-func (s *summary) playHistories(count int, first uint64) {
+// runHistories runs histories in virtual time on all cores but one.
+func (s *summary) runHistories(count int, firstSeed uint64) {
 	cores := max(1, runtime.NumCPU()-1)
-	proof.Parallel(count, cores, func(index int) { s.playHistory(first + uint64(index)) })
+	proof.Parallel(count, cores, func(index int) { s.runHistory(firstSeed + uint64(index)) })
 }
 
-func (s *summary) playHistory(seed uint64) {
+func (s *summary) runHistory(seed uint64) {
 	history := emulator.RandomHistory(seed)
-	verdict, err := history.Run()
-	s.failed(err)
+	result, err := history.Run()
+	s.recordError(err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.histories++
-	s.rulesBroken += len(verdict.Violations)
-	s.slowest = max(s.slowest, verdict.Recovery)
-	if verdict.Stuck {
+	s.rulesViolated += len(result.Violations)
+	s.slowestRecovery = max(s.slowestRecovery, result.Recovery)
+	if result.Stuck {
 		s.stuck++
-		fmt.Printf("stuck: -seed %d: %s\n  %s\n", seed, verdict.StuckReason, history)
+		fmt.Printf("stuck: -seed %d: %s\n  %s\n", seed, result.StuckReason, history)
 	}
-	if len(verdict.Violations) > 0 {
-		fmt.Printf("rule broken: -seed %d: %s\n", seed, verdict.Violations[0])
+	if len(result.Violations) > 0 {
+		fmt.Printf("rule violated: -seed %d: %s\n", seed, result.Violations[0])
 	}
 }
 
-// replayHistory plays one history and tells what was estimated twice a second.
+// replayHistory runs one history and prints the estimates of the co-ordinator twice per second of virtual time.
 func replayHistory(seed uint64) {
 	history := emulator.RandomHistory(seed)
 	fmt.Println(history)
@@ -47,9 +47,9 @@
 				outcomes[query.Outcome]++
 			}
 		}
-		fmt.Printf("%v, sound in %v: %v\n%+v\n%s\n", fleet.Now, history.HealthyAt-fleet.Now, outcomes,
+		fmt.Printf("%v, healthy in %v: %v\n%+v\n%s\n", fleet.Now, history.HealthyAt-fleet.Now, outcomes,
 			fleet.Coordinator.Scheduler.ClassEstimates(), fleet.Coordinator.Scheduler.DescribeReplicas())
 	}
-	verdict, err := history.Run()
-	fmt.Printf("%+v %v\n", verdict, err)
+	result, err := history.Run()
+	fmt.Printf("%+v %v\n", result, err)
 }
--- a/proofs/ways-back/main.go
+++ b/proofs/ways-back/main.go
@@ -1,5 +1,6 @@
-// Command ways-back proves that no estimate of the coordinator outlives its cause: random histories in virtual time and
-// days on sockets; see docs/ways-back.md. With -seed it plays one history again and tells what was estimated.
+// Command ways-back proves that a co-ordinator recovers from faults and overload: none of its estimates persists after
+// its cause has ended. It runs random histories in virtual time and scenarios on sockets; see docs/ways-back.md. With
+// -seed it replays one history and prints the estimates.
 package main
 
 import (
@@ -8,15 +9,15 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/terntray", "the built program")
-	histories := flag.Int("histories", 200, "histories in virtual time")
-	first := flag.Uint64("first", 10_000, "the first one's seed")
-	sockets := flag.Bool("sockets", true, "play the days on sockets, too; they need the machine to themselves")
-	seed := flag.Uint64("seed", 0, "play this history alone")
-	rate := flag.Float64("own", 0, "ask one co-ordinator for so much a second, and tell what its core does")
+	program := flag.String("program", "bin/terntray", "path of the program to test")
+	histories := flag.Int("histories", 200, "number of histories in virtual time")
+	firstSeed := flag.Uint64("first", 10_000, "seed of the first history")
+	sockets := flag.Bool("sockets", true, "also run the scenarios on sockets, which need an otherwise idle machine")
+	seed := flag.Uint64("seed", 0, "replay only the history with this seed")
+	rate := flag.Float64("own", 0, "send this many queries per second to one co-ordinator, and print its counters")
 	flag.Parse()
 	if *rate > 0 {
-		if err := printOwnCore(*program, *rate); err != nil {
+		if err := printCoreOverload(*program, *rate); err != nil {
 			fmt.Println(err)
 		}
 		return
@@ -27,11 +28,11 @@
 	}
 	summary := &summary{}
 	if !*sockets {
-		summary.playHistories(*histories, *first)
-		summary.closeHistories()
+		summary.runHistories(*histories, *firstSeed)
+		summary.exitHistories()
 		return
 	}
-	summary.playBeside(*program, *histories, *first)
-	summary.playCoreDays(*program)
-	summary.close()
+	summary.runHistoriesAndFaults(*program, *histories, *firstSeed)
+	summary.runCoreScenarios(*program)
+	summary.exit()
 }
--- a/proofs/ways-back/summary.go
+++ b/proofs/ways-back/summary.go
@@ -8,38 +8,40 @@
 	"terntray/internal/proof"
 )
 
-// What proves recovery, as shares.
+// Thresholds of the proof, as shares.
 const (
-	minSuccess  = 0.99 // of queries that start cold or follow a burst
-	minCoreKept = 0.8  // of what a core does at its limit, when it is asked for more
+	minSuccess     = 0.99 // of the queries of a burst at cold start, and of the light load after it
+	minGoodputKept = 0.8  // goodput under overload, as a share of that at capacity
 )
 
-// notRecovered stands for a day that was not over its fault in time.
+// notRecovered is the recovery time of a scenario that did not recover in time.
 const notRecovered = -1
 
-// summary gathers the figures of all histories and days.
+// summary collects the results of all histories and scenarios.
 type summary struct {
 	mu sync.Mutex
 
-	histories   int
-	stuck       int // histories that did not recover
-	rulesBroken int
-	slowest     time.Duration // recovery of a history
+	histories       int
+	stuck           int // histories that did not recover
+	rulesViolated   int
+	slowestRecovery time.Duration // the longest recovery of a history
 
-	slowDay   float64 // seconds that recovery from slow replicas took, or notRecovered
-	otherDays float64 // the longest of the other days, or notRecovered
+	slowRecovery  float64 // recovery from slow replicas in seconds, or notRecovered
+	otherRecovery float64 // the longest recovery from other faults in seconds, or notRecovered
 
-	startBurst   float64 // share that succeeded of a burst at cold start,
-	afterBurst   float64 // of the light load that followed,
-	wideBurst    float64 // and of a burst of long subqueries
-	coreKept     float64 // throughput beyond the core's limit, as a share of that at its limit
-	coreKeptSoon float64 // the same, in the first seconds
+	// Shares of queries within the latency objective.
+	coldBurst       float64 // of a burst at cold start
+	lightAfterBurst float64 // of the light load after it
+	longBurst       float64 // of a burst of long subqueries at cold start
+
+	goodputKept      float64 // goodput under overload, as a share of that at capacity
+	goodputKeptEarly float64 // the same in the first seconds
 
 	errs []string
 }
 
-// failed notes an error of what could not be played; nil: none.
-func (s *summary) failed(err error) {
+// recordError records the error of a run; it ignores nil.
+func (s *summary) recordError(err error) {
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -47,43 +49,43 @@
 	}
 }
 
-// playBeside plays the histories while the light days go on on sockets.
-func (s *summary) playBeside(program string, histories int, first uint64) {
-	var days sync.WaitGroup
-	days.Go(func() { s.playFaultDays(program) })
-	s.playHistories(histories, first)
-	days.Wait()
+// runHistoriesAndFaults runs the histories in parallel with the fault scenarios on sockets.
+func (s *summary) runHistoriesAndFaults(program string, histories int, firstSeed uint64) {
+	var running sync.WaitGroup
+	running.Go(func() { s.runFaultScenarios(program) })
+	s.runHistories(histories, firstSeed)
+	running.Wait()
 }
 
-// historiesRecovered tells whether all histories recovered, no rule was broken, and all was played.
+// historiesRecovered reports whether all histories recovered without violations, and no run failed.
 func (s *summary) historiesRecovered() bool {
-	return s.stuck == 0 && s.rulesBroken == 0 && len(s.errs) == 0
+	return s.stuck == 0 && s.rulesViolated == 0 && len(s.errs) == 0
 }
 
-func (s *summary) daysRecovered() bool { return s.slowDay >= 0 && s.otherDays >= 0 }
+func (s *summary) faultScenariosRecovered() bool { return s.slowRecovery >= 0 && s.otherRecovery >= 0 }
 
 func (s *summary) burstsSucceeded() bool {
-	return s.startBurst >= minSuccess && s.afterBurst >= minSuccess && s.wideBurst >= minSuccess
+	return s.coldBurst >= minSuccess && s.lightAfterBurst >= minSuccess && s.longBurst >= minSuccess
 }
 
-// closeHistories judges the histories alone.
-func (s *summary) closeHistories() {
+// exitHistories prints the closing line for the histories alone, and exits.
+func (s *summary) exitHistories() {
 	proof.Exit(s.historiesRecovered(), "ways-back",
 		"histories=%d stuck=%d slowest_back=%.1f rules_broken=%d errors=%q",
-		s.histories, s.stuck, s.slowest.Seconds(), s.rulesBroken, s.errs)
+		s.histories, s.stuck, s.slowestRecovery.Seconds(), s.rulesViolated, s.errs)
 }
 
-// close judges histories and days.
-func (s *summary) close() {
+// exit prints the errors and the closing line for histories and scenarios, and exits.
+func (s *summary) exit() {
 	for _, err := range s.errs {
-		fmt.Println("could not be played:", err)
+		fmt.Println("run failed:", err)
 	}
-	coreHeld := s.coreKept >= minCoreKept
-	proved := s.historiesRecovered() && s.daysRecovered() && s.burstsSucceeded() && coreHeld
+	goodputHeld := s.goodputKept >= minGoodputKept
+	proved := s.historiesRecovered() && s.faultScenariosRecovered() && s.burstsSucceeded() && goodputHeld
 	proof.Exit(proved, "ways-back",
 		"histories=%d stuck=%d slowest_back=%.1f slow_day_back=%.1f other_days_back=%.1f crowd_back=%.3f "+
 			"cold_crowd_fulfilled=%.3f wide_crowd_fulfilled=%.3f core_kept=%.2f core_kept_at_first=%.2f "+
 			"rules_broken=%d",
-		s.histories, s.stuck, s.slowest.Seconds(), s.slowDay, s.otherDays, s.afterBurst,
-		s.startBurst, s.wideBurst, s.coreKept, s.coreKeptSoon, s.rulesBroken)
+		s.histories, s.stuck, s.slowestRecovery.Seconds(), s.slowRecovery, s.otherRecovery, s.lightAfterBurst,
+		s.coldBurst, s.longBurst, s.goodputKept, s.goodputKeptEarly, s.rulesViolated)
 }
