--- a/proofs/soak/breaks.go
+++ b/proofs/soak/breaks.go
@@ -21,7 +21,8 @@
 	},
 }
 
-// deliberateBreak is a change to the program that violates a rule. The checker must report a violation of that rule.
+// deliberateBreak is a change to the program that violates a rule. The checker (internal/soak/check*.go) must report a
+// violation of that rule.
 type deliberateBreak struct {
 	name    string // in -break and in the output
 	rule    soak.Rule
