--- a/proofs/ways-back/fault_days.go
+++ b/proofs/ways-back/fault_days.go
@@ -84,8 +84,8 @@
 	return recovery, nil
 }
 
-// recoveryTime returns the time from after until the last query was due such that too many of the queries from it to the
-// end were late. It returns 0 if there is no such query.
+// recoveryTime returns the time from after until the due time of the last query such that too many of the queries from
+// it to the end were late. It returns 0 if there is no such query.
 func recoveryTime(results []fake.LoadResult, after time.Duration) time.Duration {
 	late := 0
 	seen := 0
