--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// hungWatchTime is how long after a watch was hung the changes that it missed count as notified: by then the
-	// coordinator must have abandoned the watch and polled.
+	// hungWatchTime is the time after hangWatches by which the coordinator must have abandoned the watch and polled.
+	// Changes in the meantime count as notified only then.
 	hungWatchTime = 6 * time.Second
 
-	// reloadTime is how long after SIGHUP the changes known to the new agent count as notified.
+	// reloadTime is the time after SIGHUP by which the coordinator must use its new agent. What that agent publishes
+	// in the meantime counts as notified only then.
 	reloadTime = 4 * time.Second
 )
 
@@ -49,7 +50,7 @@
 		changed:       make(chan struct{}),
 		hangOpenCalls: make(chan struct{}),
 		conns:         map[net.Conn]bool{},
-		hungAt:        -time.Hour,
+		hungAt:        -time.Hour, // never
 	}
 	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve), ConnState: agent.trackConn}
 	soak.endpoints.subscribe(agent)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -78,7 +78,7 @@
 }
 
 // countCheck counts a check of a rule, and the kinds of fault that affected the coordinator between from and to. An
-// empty name means that the check concerns no single coordinator.
+// empty name means that the check concerns no single coordinator; faults of coordinators are then left out.
 func (c *checker) countCheck(rule Rule, coordinator string, from, to time.Duration) {
 	c.result.Counts[string(rule)]++
 	overlapping := c.result.ChecksDuringFault[rule]
--- a/internal/soak/check_load.go
+++ b/internal/soak/check_load.go
@@ -82,15 +82,15 @@
 // process over the budget is a violation; its later windows are not checked.
 func (c *checker) checkRetryBudget() {
 	extraAttempts := c.extraAttempts()
-	accepted := c.acceptedWork()
+	arrived := c.arrivedWork()
 	for process, attempts := range extraAttempts {
 		for _, at := range attempts {
 			c.result.Counts[string(RuleRetryBudget)]++
 			extraCount := countWithin(attempts, at-budgetWindow+budgetEdgeSlack, at)
-			acceptedCount := countWithin(accepted[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
-			if float64(extraCount) > minBudget+budgetRatio*float64(acceptedCount)+budgetEdgeAttempts {
-				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d queries and subqueries accepted",
-					extraCount, budgetWindow, acceptedCount)
+			arrivedCount := countWithin(arrived[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
+			if float64(extraCount) > minBudget+budgetRatio*float64(arrivedCount)+budgetEdgeAttempts {
+				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d queries and subqueries arrived",
+					extraCount, budgetWindow, arrivedCount)
 				break
 			}
 		}
@@ -110,16 +110,16 @@
 	return extraTimes
 }
 
-// acceptedWork returns the times at which queries and subqueries were sent, by process. The time of a query with n
-// subqueries is in it n+1 times.
-func (c *checker) acceptedWork() map[*process][]time.Duration {
-	accepted := map[*process][]time.Duration{}
+// arrivedWork returns the times at which clients sent queries and their subqueries, by process. It holds the time of a
+// query with n subqueries n+1 times. Rejected queries are included, since the retry budget counts them too.
+func (c *checker) arrivedWork() map[*process][]time.Duration {
+	arrived := map[*process][]time.Duration{}
 	for _, request := range c.ledger.requests {
 		for range 1 + len(request.shards) {
-			accepted[request.process] = append(accepted[request.process], request.sentAt)
+			arrived[request.process] = append(arrived[request.process], request.sentAt)
 		}
 	}
-	return accepted
+	return arrived
 }
 
 // countWithin counts the times after from, up to and including to.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -39,7 +39,7 @@
 const (
 	connClosed     exchangeResult = iota
 	connReusable                  // it can be reused for another request
-	requestNotRead                // it was closed before the request was read; the request can be resent
+	requestNotRead                // it was closed before the request was read; another can be sent instead
 )
 
 func (c *client) run() {
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -49,7 +49,7 @@
 	running   *process   // nil if none is running
 	processes []*process // all so far
 	agents    []*agent   // all so far; its configuration names the last
-	claimed   bool       // a fault has exclusive control of the process
+	claimed   bool       // a fault is restarting or reloading the process
 }
 
 // newCoordinator starts a discovery agent and a coordinator that uses it.
@@ -108,7 +108,7 @@
 }
 
 // knownEndpoints returns the endpoint list that a process starts with: a few revisions behind its agent, as a file on
-// disk would be.
+// disk would be, but with all replicas that the soak started with.
 func (c *coordinator) knownEndpoints() (string, error) {
 	agent := c.agent()
 	agent.mu.Lock()
@@ -164,8 +164,8 @@
 	return c.running, c.addr
 }
 
-// claim gives the caller exclusive control of the process until release. It returns false if another fault has it or no
-// process is running.
+// claim reserves the process until release for a fault that restarts or reloads it. It returns false if another fault
+// has claimed it or no process is running. Faults of other kinds may occur at the same time.
 func (c *coordinator) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -39,7 +39,7 @@
 	warmAfter        = 20 * time.Second        // age at which a replica has its full capacity
 
 	minBudget    = 3    // attempts beyond the first that are always allowed in a budgetWindow
-	budgetRatio  = 0.04 // further ones for each query and subquery accepted in it
+	budgetRatio  = 0.04 // further ones for each query and subquery that arrives in it
 	budgetWindow = 5 * time.Second
 )
 
@@ -89,7 +89,7 @@
 }
 
 // warmUpAllowance returns how many subqueries of mean work the settings allow a replica of a given age in one overload
-// window, from all coordinators together. It is 0 once the replica is warm.
+// window, from all coordinators together. It is 0 once the replica has been warm for a whole window.
 func warmUpAllowance(age time.Duration) float64 {
 	if age >= warmAfter+overloadWindow {
 		return 0
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -86,7 +86,7 @@
 // maxFaultPause is the maximum pause between two faults of a stream.
 const maxFaultPause = 500 * time.Millisecond
 
-// injectFaults injects one fault after another. It stops before the clients do, by the longest deadline of all classes.
+// injectFaults injects one fault after another. It starts none within the longest deadline before the clients stop.
 func (s *Soak) injectFaults(random *rand.Rand) {
 	for {
 		time.Sleep(drawDuration(random, 0, maxFaultPause))
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -29,8 +29,8 @@
 	return coordinator.name
 }
 
-// withClaimedProcess injects a fault while it has exclusive control of a coordinator's process. It does nothing and
-// returns "" if another fault has control or no process is running.
+// withClaimedProcess claims a coordinator's process and injects a fault. It does nothing and returns "" if another
+// fault has claimed the process or none is running.
 func withClaimedProcess(soak *Soak, random *rand.Rand, inject func(coordinator *coordinator)) string {
 	coordinator := soak.drawCoordinator(random)
 	if !coordinator.claim() {
@@ -51,10 +51,10 @@
 				io.WriteString(conn, "POST /look HTTP/1.1\r\n"[:random.IntN(10)])
 			}
 		}
-		step := drawWallStep(random)
+		offset := drawWallClockOffset(random)
 		if random.IntN(3) == 0 {
 			wait := drawDuration(random, 0, 400*time.Millisecond)
-			timer := time.AfterFunc(wait, func() { coordinator.faultPage.SetWallClockOffset(step) })
+			timer := time.AfterFunc(wait, func() { coordinator.faultPage.SetWallClockOffset(offset) })
 			defer coordinator.faultPage.SetWallClockOffset(0)
 			defer timer.Stop()
 		}
@@ -94,19 +94,21 @@
 	})
 }
 
-// wallSteps are the steps that are applied to a wall clock.
-var wallSteps = []time.Duration{
+// wallClockOffsets are the amounts by which a wall clock is stepped.
+var wallClockOffsets = []time.Duration{
 	time.Hour, -time.Hour,
 	3 * time.Second, -3 * time.Second,
 	20 * time.Second, -20 * time.Second,
 }
 
-func drawWallStep(random *rand.Rand) time.Duration { return wallSteps[random.IntN(len(wallSteps))] }
+func drawWallClockOffset(random *rand.Rand) time.Duration {
+	return wallClockOffsets[random.IntN(len(wallClockOffsets))]
+}
 
 // stepWallClock steps a coordinator's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
-	coordinator.faultPage.SetWallClockOffset(drawWallStep(random))
+	coordinator.faultPage.SetWallClockOffset(drawWallClockOffset(random))
 	time.Sleep(drawDuration(random, 300*time.Millisecond, 3*time.Second))
 	coordinator.faultPage.SetWallClockOffset(0)
 	return coordinator.name
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -23,7 +23,7 @@
 	replicaStartedAt time.Duration // start of the replica's process
 
 	// warmUpAllowance is how many arrivals the settings allow in an overload window at the replica's age; 0: the
-	// replica is warm.
+	// replica is warm, and its load is not checked.
 	warmUpAllowance float64
 }
 
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -59,6 +59,6 @@
 	for range 200 {
 		fmt.Fprintln(w, drawFault(random).kind)
 		coordinator := soak.drawCoordinator(random)
-		fmt.Fprintln(w, coordinator.name, drawDuration(random, 5, 10000), drawWallStep(random))
+		fmt.Fprintln(w, coordinator.name, drawDuration(random, 5, 10000), drawWallClockOffset(random))
 	}
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -12,7 +12,7 @@
 const longRunning time.Duration = -1
 
 const (
-	// resumeWindow is how long after a replica resumes reading the frames that it reads may have been sent much
+	// resumeWindow is the time after a replica resumes reading in which it may still read frames that were sent much
 	// earlier.
 	resumeWindow = 50 * time.Millisecond
 
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// register waits until the replica accepts connections, then registers one and draws its faults.
+// register waits until the replica accepts connections, then registers the connection and draws its faults.
 func (r *replica) register(conn net.Conn) *replicaConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,13 +157,13 @@
 	}
 }
 
-// Upper bounds of a random number from 0 to 99 that selects what happens to an attempt. An attempt at or above the last
-// bound succeeds.
+// Exclusive upper bounds of a random number from 0 to 99 that selects the outcome of an attempt. Each range begins at
+// the bound before it; from resetBelow on, the attempt succeeds.
 const (
 	rejectedBelow   = 4 // rejected without running
-	failedBelow     = 6
-	unansweredBelow = 8
-	resetBelow      = 9
+	failedBelow     = 6 // replies ERROR
+	unansweredBelow = 8 // runs without a reply
+	resetBelow      = 9 // runs, then the connection is reset
 )
 
 // runAttempt rejects an attempt, or runs it and then replies, leaves it unanswered or resets the connection.
--- a/internal/soak/replica_frame.go
+++ b/internal/soak/replica_frame.go
@@ -85,6 +85,7 @@
 	return call, rest[length:], nil
 }
 
+// replyFrame returns a reply. Its score, 7, has no effect: the coordinator checks only that it is a number.
 func replyFrame(subquery, outcome, value string) []byte {
 	content := fmt.Sprintf("%c%s %s 7 -\n%s", replyFrameType, subquery, outcome, value)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(content))), content...)
