--- a/internal/fake/discovery_agent.go
+++ b/internal/fake/discovery_agent.go
@@ -9,7 +9,7 @@
 
 const maxPendingCalls = 100 // of a DiscoveryAgent; calls beyond that are dropped without an answer
 
-// DiscoveryAgent is a fake discovery agent whose test decides when to answer each call, if at all.
+// DiscoveryAgent is a fake discovery agent for tests that decide themselves when to answer each call, and whether to.
 type DiscoveryAgent struct {
 	Listener net.Listener
 	Calls    chan DiscoveryCall // in order of arrival
--- a/internal/fake/frames.go
+++ b/internal/fake/frames.go
@@ -86,6 +86,7 @@
 	return call, errors.Join(shardErr, timeErr)
 }
 
+// replyInFrame replies in a frame. Its score, 7, has no effect: the co-ordinator checks only that it is a number.
 func (replica *Replica) replyInFrame(call Call, status, value string) {
 	replica.Write(call.Conn, replyLetter, fmt.Sprintf("%s %s 7 inflight=1\n%s", call.ID, status, value))
 }
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -8,7 +8,7 @@
 // ExecutionLedger records which subqueries the replicas executed, independently of a co-ordinator's own counters.
 type ExecutionLedger struct {
 	mu           sync.Mutex
-	Received     map[string]int            // by subquery id: complete calls received by any replica, executed or not
+	Received     map[string]int            // by subquery id: calls that reached the behavior of any replica
 	Executions   map[string]int            // by subquery id: executions on all replicas
 	ExecutionsAt map[string]map[string]int // executions by replica and subquery id
 }
@@ -22,7 +22,8 @@
 	}
 }
 
-// RecordReceived records that a replica has received a subquery completely.
+// RecordReceived records that a call has reached a replica's behavior, which may execute or reject it. Calls that a
+// replica drops from its queue are not recorded.
 func (ledger *ExecutionLedger) RecordReceived(subquery string) {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
--- a/internal/fake/shards.go
+++ b/internal/fake/shards.go
@@ -117,8 +117,8 @@
 	MalformedSummary               // a summary that cannot be parsed or is invalid
 	StaleVersion                   // a summary with the previous version
 	FalseBounds                    // bounds that are too low
-	ResetAfterSummary              // the connection is reset right after the reply
-	NoAnswer                       // no reply to the request for hits
+	ResetAfterSummary              // the connection is reset right after the reply, also to a fetch
+	NoAnswer                       // no reply to the fetch
 	NumSummaryFaults               // the number of values, including NoFault
 )
 
--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// startProgramWith starts the program, built with faults, with a wall clock that is off by clockOffset and one replica
-// that has been up for uptime (0: since the Unix epoch).
+// startProgramWith starts a build of the program with fault injection. Its wall clock is off by clockOffset, and its
+// one replica has been up for uptime (0: since the Unix epoch).
 func startProgramWith(t *testing.T, settings string, behavior func(*fake.Replica, fake.Call),
 	clockOffset, uptime time.Duration) (*fake.Program, *faultbuild.Page, *fake.Replica) {
 	t.Helper()
--- a/internal/faultbuild/wallclock_test.go
+++ b/internal/faultbuild/wallclock_test.go
@@ -21,7 +21,7 @@
 "lanes":[{"name":"look","aim":2000000,"deadline":30000000,"effect":"pure"}],
 "orgs":[],"tariffs":{},"zone":0,"zones":["west"]}`
 
-// startProgram starts the program, built with faults, with one replica that answers every call.
+// startProgram starts a build of the program with fault injection and one replica that answers every call.
 func startProgram(t *testing.T) (*fake.Program, *faultbuild.Page) {
 	t.Helper()
 	p, page, _ := startProgramWith(t, settings, fake.Succeed, 0, 0)
