--- a/internal/emulator/coordinator.go
+++ b/internal/emulator/coordinator.go
@@ -101,7 +101,7 @@
 	return coordinator, nil
 }
 
-// enqueue has an event handled in the next iteration.
+// enqueue queues an event for the next iteration.
 func (coordinator *Coordinator) enqueue(event func()) {
 	coordinator.events = append(coordinator.events, event)
 	coordinator.scheduleIteration()
@@ -148,7 +148,8 @@
 	})
 }
 
-// ReceiveQuery has a client's query arrive, with a subquery for each shard whose work is given at the same index.
+// ReceiveQuery simulates the arrival of a client's query with one subquery for each shard. The work of a subquery has
+// the index of its shard.
 func (coordinator *Coordinator) ReceiveQuery(classIndex int, shards []int, work []time.Duration) *Query {
 	class := coordinator.fleet.Classes[classIndex]
 	coordinator.lastRequestID++
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -46,7 +46,7 @@
 	MaxAttempts                           int
 	HedgeAllowed, CancelAllowed           bool
 	RetryBudget                           RetryBudget
-	Warmup                                Warmup        // Duration 0: replicas are warm at once
+	Warmup                                Warmup        // Duration 0: replicas are warm from their start
 	Coordinators                          int           // as the scheduler is told; only one is simulated
 	IterationCost, EventCost              time.Duration // see Coordinator
 	ColdStart                             bool          // all replicas start with the simulation
@@ -87,7 +87,7 @@
 }
 
 // Capacity is the rate, in queries per second of the classes' mix, that the replicas can serve when all are healthy and
-// warm. It is infinite if replicas run all attempts at once.
+// warm. It is infinite if replicas run any number of attempts in parallel.
 func (config FleetConfig) Capacity() float64 {
 	work, rate := 0.0, 0.0
 	for _, class := range config.Classes {
@@ -110,8 +110,8 @@
 	return true
 }
 
-// SendLoad has clients send queries from now until a time, on an open-loop Poisson schedule: each class at its rate
-// times the factor.
+// SendLoad schedules the queries that clients send from now until the given time, on an open-loop Poisson schedule:
+// each class at its rate times the factor.
 func (fleet *Fleet) SendLoad(factor float64, until time.Duration) {
 	for n, class := range fleet.Classes {
 		if class.Rate*factor <= 0 {
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -54,7 +54,7 @@
 		strings.Join(details, " "))
 }
 
-// MaxRecovery is the longest time after HealthyAt in which the service must recover.
+// MaxRecovery is the time after HealthyAt within which the service must recover.
 func (history History) MaxRecovery() time.Duration {
 	recovery := 5 * time.Second
 	for _, class := range history.Config.Classes {
@@ -75,7 +75,7 @@
 
 const (
 	minShareInTime = 0.99 // of the queries, to be answered within their objective after recovery
-	maxSubqueries  = 5000 // in a history, so that hundreds of histories run in a minute
+	maxSubqueries  = 5000 // expected before HealthyAt, and half of it after, so that hundreds of histories run in a minute
 )
 
 // Run runs the history.
@@ -199,7 +199,7 @@
 			Rate: logUniform(0.3, 1)}
 		class.Deadline = time.Duration(float64(class.Objective) * logUniform(1.5, 4))
 		class.KeyWindow = class.Deadline / 2
-		// An idle fleet answers each query well within its objective.
+		// The work is limited so that an idle fleet answers each query well within its objective.
 		parallelism := max(1, config.Cores)
 		if config.Cores == 0 {
 			parallelism = 64
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -11,7 +11,8 @@
 // the iteration that sends the answer.
 const answerGrace = 25 * time.Millisecond
 
-// Ledger records what the replicas and clients of one co-ordinator observe, and checks the rules against that alone:
+// Ledger records what the replicas and clients of one co-ordinator observe, and checks the rules against that alone.
+// The numbers are those of the scheduler's rules; rules 3 and 4 (draining replicas, slow start) are not checked here:
 //
 //	1  a query has one answer, by its deadline, and no attempt afterwards
 //	2  a subquery that may have run is attempted again only if its class allows it
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -14,12 +14,12 @@
 const (
 	Healthy    Condition = iota
 	Slow                 // its work takes longer by a factor
-	Silent               // accepts attempts and never answers; attempts accepted before are lost
-	Paused               // its process is suspended; it resumes its attempts afterwards
-	Failing              // answers with an error at once
-	Overloaded           // rejects all attempts at once
-	Resetting            // resets the connection on which an attempt arrives
-	Down                 // cannot be reached; attempts accepted before are lost
+	Silent               // accepts attempts and never answers; nor does it answer attempts accepted before
+	Paused               // its process is suspended; afterwards it runs its attempts again from the start
+	Failing              // answers every attempt with an error immediately
+	Overloaded           // rejects every attempt immediately
+	Resetting            // resets connections: attempts accepted before, and those that arrive, end as ConnectionReset
+	Down                 // cannot be reached; attempts accepted before end as ConnectionReset
 )
 
 var conditionNames = [...]string{
@@ -27,7 +27,7 @@
 
 func (condition Condition) String() string { return conditionNames[condition] }
 
-// Replica runs as many attempts in parallel as it has cores, in order of arrival; without cores, all at once. It
+// Replica runs as many attempts in parallel as it has cores, in order of arrival; with Cores 0, any number of them. It
 // rejects attempts that arrive while the queue is full. If SupportsCancel is set, cancelled attempts leave the queue.
 type Replica struct {
 	ID             scheduler.ReplicaID
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,7 +1,7 @@
 // Package emulator runs a co-ordinator among replicas and clients in virtual time: a discrete-event simulation around
 // the real scheduler.Scheduler. Replicas have cores, a queue, work and faults (replica.go); the co-ordinator has a core
-// of its own, on which its iterations take time (coordinator.go); clients send on an open-loop schedule (fleet.go). A ledger
-// (ledger.go) checks the rules against what replicas and clients observe.
+// of its own, on which its iterations take time (coordinator.go); clients send on an open-loop schedule (fleet.go). A
+// ledger (ledger.go) checks the rules against what replicas and clients observe.
 //
 // A seed determines a run completely: it is the only source of randomness, and events scheduled for the same time run
 // in the order in which they were scheduled. All times are since the start of the simulation. A Simulation must be used
@@ -28,13 +28,13 @@
 	return &Simulation{Rand: rand.New(rand.NewPCG(seed, 0x74657272))}
 }
 
-// Schedule runs an action at a time; if the time has passed, the action runs now, after those already due.
+// Schedule schedules an action for the given time, or for now, after the actions already due, if that time has passed.
 func (simulation *Simulation) Schedule(when time.Duration, action func()) {
 	simulation.lastSequence++
 	heap.Push(&simulation.events, event{max(simulation.Now, when), simulation.lastSequence, action})
 }
 
-// RunUntil runs all events scheduled up to and including a time.
+// RunUntil runs all events scheduled up to and including the given time, which becomes the current time.
 func (simulation *Simulation) RunUntil(until time.Duration) {
 	for len(simulation.events) > 0 && simulation.events[0].time <= until {
 		next := heap.Pop(&simulation.events).(event)
