--- a/proofs/http2/day.go
+++ b/proofs/http2/day.go
@@ -23,7 +23,7 @@
 	// faultsPerMille is the number of faulty calls per thousand.
 	faultsPerMille = 20
 
-	// settings configure cells of three replicas each, and one class of each effect.
+	// settings configure six cells of one replica each, three cells for each shard, and one class of each effect.
 	settings = `{"balancers":1,"bounds":{"connectTimeout":150000,"idleClose":2000000,"maxAttempts":3,"maxOpen":20000,
 "mayCancel":true,"multiplex":16,"secondCopies":true,"retryAfter":false},"discovery":"automatic",
 "familyInfo":{"batch":2,"callCost":0,"cells":6,"classFetch":[0,0,0],"classNeed":[1.0,1.0,1.0],"ranges":24,"span":3},
--- a/proofs/http2/main.go
+++ b/proofs/http2/main.go
@@ -39,10 +39,10 @@
 	queries         int
 	succeeded       int
 	unanswered      int
-	extraAnswers    int // connections on which bytes followed a response
+	extraAnswers    int // responses that were followed by unexpected bytes
 	executions      int // of subqueries
 	tooManyAttempts int // subqueries with more than maxAttempts attempts, and logs with one of fatalLogTexts
-	falseNeverRan   int // executed attempts that the program took for never executed
+	falseNeverRan   int // subqueries of which a replica executed more attempts than the trace allows
 	ranTwice        int // non-idempotent subqueries that were executed more than once
 	notes           []string
 }
--- a/proofs/phases/fleet.go
+++ b/proofs/phases/fleet.go
@@ -107,7 +107,7 @@
 }
 
 // checkPruning counts the shards of an answered query that were pruned without a usable summary: they were neither
-// summarized nor fetched. It is not called for rejected queries.
+// summarized nor fetched. It is called only for correct answers: a rejected query may leave any shard out.
 func (f *fleet) checkPruning(query string, shards []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/proofs/phases/measure.go
+++ b/proofs/phases/measure.go
@@ -75,10 +75,10 @@
 	if err != nil {
 		return cost{}, err
 	}
-	fleet.workTime = recordTime
+	fleet.workTime = callTime
 	rate := subqueryRate / float64(data.shards)
 	if sharedCore {
-		fleet.workTime = onOneCore(recordTime)
+		fleet.workTime = onOneCore(callTime)
 		rate *= sharedCoreRateFactor
 	}
 	withinObjective, sent := fleet.load(rate, data.shards, measureTime)
@@ -92,8 +92,8 @@
 	}, nil
 }
 
-// recordTime returns the CPU time of a call.
-func recordTime(summary bool, records int) time.Duration {
+// callTime returns the CPU time of a call.
+func callTime(summary bool, records int) time.Duration {
 	if summary {
 		return callWork
 	}
--- a/proofs/phases/play.go
+++ b/proofs/phases/play.go
@@ -125,7 +125,7 @@
 		v.tally.rejected++
 	case body == want:
 		v.tally.identical++
-		if query.limit == nil || *query.limit > 0 {
+		if query.limit == nil || *query.limit > 0 { // with a limit of 0, no shard needs to be called
 			v.fleet.checkPruning(query.id, query.shards)
 		}
 	case !strings.Contains(body, `"all_in":true`):
--- a/proofs/soak/total.go
+++ b/proofs/soak/total.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// printTables prints a Markdown table of the checks per rule that each kind of fault overlapped, and the overlaps of
-// faults.
+// printTables prints a Markdown table with a line for each kind of fault: how often it occurred and, by rule, how many
+// checks it overlapped. Below it, it prints the overlaps of faults.
 func (t *total) printTables() {
 	rules := slices.Sorted(maps.Keys(t.checksDuringFault))
 	fmt.Print("| fault | count | ")
--- a/proofs/ways-back/fault_days.go
+++ b/proofs/ways-back/fault_days.go
@@ -84,18 +84,18 @@
 	return recovery, nil
 }
 
-// recoveryTime returns the time from after until the due time of the last query such that too many of the queries from
-// it to the end were late. It returns 0 if there is no such query.
-func recoveryTime(results []fake.LoadResult, after time.Duration) time.Duration {
+// recoveryTime returns how long after faultEnd the last query was due from which on too many queries were late: more
+// than maxLateShare of them, plus one that may be late by chance. It returns 0 if there is no such query.
+func recoveryTime(results []fake.LoadResult, faultEnd time.Duration) time.Duration {
 	late := 0
 	seen := 0
-	for n := len(results) - 1; n >= 0 && results[n].Due > after; n-- {
+	for n := len(results) - 1; n >= 0 && results[n].Due > faultEnd; n-- {
 		seen++
 		if !results[n].WithinObjective(objective) {
 			late++
 		}
 		if float64(late) > maxLateShare*float64(seen)+1 {
-			return results[n].Due - after
+			return results[n].Due - faultEnd
 		}
 	}
 	return 0
