--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// hungWatchTime is the time after hangWatches by which the coordinator must have abandoned the watch and polled.
+	// hungWatchTime is the time after hangWatches by which the co-ordinator must have abandoned the watch and polled.
 	// Changes in the meantime count as notified only then.
 	hungWatchTime = 6 * time.Second
 
-	// reloadTime is the time after SIGHUP by which the coordinator must use its new agent. What that agent publishes
+	// reloadTime is the time after SIGHUP by which the co-ordinator must use its new agent. What that agent publishes
 	// in the meantime counts as notified only then.
 	reloadTime = 4 * time.Second
 )
 
-// agent is a discovery agent on the machine of one coordinator.
+// agent is a discovery agent on the machine of one co-ordinator.
 type agent struct {
 	soak     *Soak
 	listener net.Listener
@@ -154,10 +154,10 @@
 	}
 }
 
-// endpointCall is a request from a coordinator: a watch for changes after a revision, or a poll of the current list.
+// endpointCall is a request from a co-ordinator: a watch for changes after a revision, or a poll of the current list.
 type endpointCall struct {
 	watch bool
-	from  int           // of a watch: the coordinator's revision
+	from  int           // of a watch: the co-ordinator's revision
 	hold  time.Duration // how long a watch waits for a newer revision
 }
 
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -8,7 +8,7 @@
 // measurementSlack allows for scheduling delays of this process at the start and the end of a measurement.
 const measurementSlack = 60 * time.Millisecond
 
-// socketSlack is added to every time limit that a coordinator enforces on sockets, for its timers and the kernel's
+// socketSlack is added to every time limit that a co-ordinator enforces on sockets, for its timers and the kernel's
 // buffers.
 const socketSlack = 50 * time.Millisecond
 
@@ -77,8 +77,8 @@
 	c.checkDrain(request, arrival)
 }
 
-// countCheck counts a check of a rule, and the kinds of fault that affected the coordinator between from and to. An
-// empty name means that the check concerns no single coordinator; faults of coordinators are then left out.
+// countCheck counts a check of a rule, and the kinds of fault that affected the co-ordinator between from and to. An
+// empty name means that the check concerns no single co-ordinator; faults of co-ordinators are then left out.
 func (c *checker) countCheck(rule Rule, coordinator string, from, to time.Duration) {
 	c.result.Counts[string(rule)]++
 	overlapping := c.result.ChecksDuringFault[rule]
@@ -95,7 +95,7 @@
 	}
 }
 
-// affects reports whether a fault's target is the given coordinator or is not a coordinator.
+// affects reports whether a fault's target is the given co-ordinator or is not a co-ordinator.
 func (f faultSpan) affects(coordinator string) bool {
 	return !strings.HasPrefix(f.target, coordinatorPrefix) || f.target == coordinator
 }
--- a/internal/soak/check_attempt.go
+++ b/internal/soak/check_attempt.go
@@ -7,8 +7,8 @@
 	// delay and for rounding.
 	timeoutSlack = 150 * time.Millisecond
 
-	// disconnectSlack is how long after its client's disconnect an attempt may begin, for the network delay of the close
-	// and of the frame.
+	// disconnectSlack is how long after its client's disconnect an attempt may begin, for the network delay of the
+	// close and of the frame.
 	disconnectSlack = 100 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkDrain checks that a replica gets no attempts once drainGrace has passed since the coordinator was notified that
+// checkDrain checks that a replica gets no attempts once drainGrace has passed since the co-ordinator was notified that
 // the replica is draining or was removed. If the process started after the notification, the grace period begins at its
 // start.
 func (c *checker) checkDrain(request *request, arrival *arrival) {
--- a/internal/soak/check_load.go
+++ b/internal/soak/check_load.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// minNotifiedShare is the share of a cold replica's arrivals that must come from coordinators that were notified of its
-// start for an overload to be a violation: a coordinator that was not notified cannot limit its load.
+// minNotifiedShare is the share of a cold replica's arrivals that must come from co-ordinators that were notified of
+// its start for an overload to be a violation: a co-ordinator that was not notified cannot limit its load.
 const minNotifiedShare = 2.0 / 3
 
 // replicaProcess identifies one run of a replica by its start.
@@ -17,7 +17,7 @@
 	startedAt time.Duration
 }
 
-// checkSlowStart checks that all coordinators together do not overload a replica that is warming up. It checks the
+// checkSlowStart checks that all co-ordinators together do not overload a replica that is warming up. It checks the
 // window that ends with each arrival.
 func (c *checker) checkSlowStart() {
 	cold := map[replicaProcess][]*arrival{}
@@ -60,7 +60,8 @@
 	}
 }
 
-// notifiedOfStart reports whether the coordinator that sent an attempt had been notified of the replica's start before.
+// notifiedOfStart reports whether the co-ordinator that sent an attempt had been notified of the replica's start
+// before.
 func (c *checker) notifiedOfStart(process replicaProcess, arrival *arrival) bool {
 	request := c.requests[arrival.query]
 	if request == nil {
@@ -72,7 +73,7 @@
 }
 
 // Attempts are timed at replicas, so a few of them may belong to the previous window. Therefore the ends of a window
-// are moved by budgetEdgeSlack in the coordinator's favour, and budgetEdgeAttempts more attempts are allowed.
+// are moved by budgetEdgeSlack in the co-ordinator's favour, and budgetEdgeAttempts more attempts are allowed.
 const (
 	budgetEdgeSlack    = 500 * time.Millisecond
 	budgetEdgeAttempts = 1
@@ -82,15 +83,15 @@
 // process over the budget is a violation; its later windows are not checked.
 func (c *checker) checkRetryBudget() {
 	extraAttempts := c.extraAttempts()
-	arrived := c.arrivedWork()
+	requested := c.requestedWork()
 	for process, attempts := range extraAttempts {
 		for _, at := range attempts {
 			c.result.Counts[string(RuleRetryBudget)]++
 			extraCount := countWithin(attempts, at-budgetWindow+budgetEdgeSlack, at)
-			arrivedCount := countWithin(arrived[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
-			if float64(extraCount) > minBudget+budgetRatio*float64(arrivedCount)+budgetEdgeAttempts {
-				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, with %d queries and subqueries arrived",
-					extraCount, budgetWindow, arrivedCount)
+			requestedCount := countWithin(requested[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
+			if float64(extraCount) > minBudget+budgetRatio*float64(requestedCount)+budgetEdgeAttempts {
+				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, %d queries and subqueries requested",
+					extraCount, budgetWindow, requestedCount)
 				break
 			}
 		}
@@ -110,16 +111,16 @@
 	return extraTimes
 }
 
-// arrivedWork returns the times at which clients sent queries and their subqueries, by process. It holds the time of a
-// query with n subqueries n+1 times. Rejected queries are included, since the retry budget counts them too.
-func (c *checker) arrivedWork() map[*process][]time.Duration {
-	arrived := map[*process][]time.Duration{}
+// requestedWork returns the times at which clients sent queries and their subqueries, by process. It holds the time of
+// a query with n subqueries n+1 times. Rejected queries are included, since the retry budget counts them too.
+func (c *checker) requestedWork() map[*process][]time.Duration {
+	requested := map[*process][]time.Duration{}
 	for _, request := range c.ledger.requests {
 		for range 1 + len(request.shards) {
-			arrived[request.process] = append(arrived[request.process], request.sentAt)
+			requested[request.process] = append(requested[request.process], request.sentAt)
 		}
 	}
-	return arrived
+	return requested
 }
 
 // countWithin counts the times after from, up to and including to.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -63,7 +63,7 @@
 	time.Sleep(drawDuration(c.random, 0, longest))
 }
 
-// sendOnce sends a request or half of one. If the coordinator closed a reused connection before it read the request, a
+// sendOnce sends a request or half of one. If the co-ordinator closed a reused connection before it read the request, a
 // new request is sent once on a new connection.
 func (c *client) sendOnce() {
 	conn := c.getConn()
@@ -123,7 +123,7 @@
 	return connReusable
 }
 
-// recordClose records that a connection was closed without an answer. On a reused connection the coordinator may have
+// recordClose records that a connection was closed without an answer. On a reused connection the co-ordinator may have
 // closed it before the request arrived: if no attempt of the request has reached a replica, it counts as not sent.
 func (c *client) recordClose(request *request, at time.Duration) exchangeResult {
 	notRead := request.reused && !c.soak.ledger.reachedReplica(request.id)
@@ -184,8 +184,8 @@
 	c.soak.ledger.update(func() { request.disconnectedAt = at })
 }
 
-// sendPartial sends half a request and keeps the connection open: the coordinator must answer with an error or close it
-// in time.
+// sendPartial sends half a request and keeps the connection open: the co-ordinator must answer with an error or close
+// it in time.
 func (c *client) sendPartial(conn *clientConn) {
 	defer conn.Close()
 	text := c.newRequest(conn).wireText()
--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -8,7 +8,7 @@
 
 const clientDialTimeout = time.Second
 
-// clientConn is a client's connection to one process of a coordinator.
+// clientConn is a client's connection to one process of a co-ordinator.
 type clientConn struct {
 	net.Conn
 	in           *bufio.Reader
@@ -17,7 +17,7 @@
 	requestCount int // requests sent so far
 }
 
-// getConn returns an idle connection or a new one, or nil if no coordinator that it tried accepts connections.
+// getConn returns an idle connection or a new one, or nil if no co-ordinator that it tried accepts connections.
 func (c *client) getConn() *clientConn {
 	if len(c.idleConns) > 0 && c.random.IntN(4) > 0 {
 		n := c.random.IntN(len(c.idleConns))
@@ -28,7 +28,7 @@
 	return c.dial()
 }
 
-// dial opens a connection to a random coordinator, or returns nil if none that it tried accepts connections.
+// dial opens a connection to a random co-ordinator, or returns nil if none that it tried accepts connections.
 func (c *client) dial() *clientConn {
 	for range 2 * coordinatorCount {
 		coordinator := c.soak.coordinators[c.random.IntN(coordinatorCount)]
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// dialTo opens a connection to a coordinator, or returns nil if it accepts none.
+// dialTo opens a connection to a co-ordinator, or returns nil if it accepts none.
 func (c *client) dialTo(coordinator *coordinator) *clientConn {
 	process, addr := coordinator.acceptingProcess()
 	if process == nil {
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// coordinatorPrefix is the prefix of the coordinators' names. No other target of a fault begins with it.
+	// coordinatorPrefix is the prefix of the co-ordinators' names. No other target of a fault begins with it.
 	coordinatorPrefix = "n"
 
-	// maxSockets is the limit on open sockets in the coordinators' settings.
+	// maxSockets is the limit on file descriptors in the co-ordinators' platform files.
 	maxSockets = 400
 
 	// knownListLag is how many revisions the endpoint list that a process starts with is behind its agent.
@@ -29,7 +29,7 @@
 	slowWriteTime     = 3*time.Second + 500*time.Millisecond
 )
 
-// process is one run of a coordinator's program. Its times are on the soak's clock.
+// process is one run of a co-ordinator's program. Its times are on the soak's clock.
 type process struct {
 	program             *fake.Program
 	startedAt           time.Duration
@@ -38,7 +38,7 @@
 	acceptsClientsUntil time.Duration // clients open no connections after it; 0: no limit
 }
 
-// coordinator is one coordinator through all its restarts.
+// coordinator is one co-ordinator through all its restarts.
 type coordinator struct {
 	soak      *Soak
 	name      string
@@ -52,7 +52,7 @@
 	claimed   bool       // a fault is restarting or reloading the process
 }
 
-// newCoordinator starts a discovery agent and a coordinator that uses it.
+// newCoordinator starts a discovery agent and a co-ordinator that uses it.
 func newCoordinator(soak *Soak, index int) (*coordinator, error) {
 	name := fmt.Sprint(coordinatorPrefix, index)
 	page, err := faultbuild.NewPage(filepath.Join(soak.folder, name+".page"))
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -28,7 +28,7 @@
 	connectTimeout     = 250 * time.Millisecond  // for even seeds
 	longConnectTimeout = 1300 * time.Millisecond // for odd seeds: long enough to connect on the second SYN
 	idleTimeout        = 3 * time.Second         // time without a frame after which a connection to a replica is closed
-	drainGrace         = time.Second             // how long a notified coordinator may send to a draining replica
+	drainGrace         = time.Second             // how long a notified co-ordinator may send to a draining replica
 
 	replicaCores = 3
 	meanWork     = 40 * time.Millisecond // mean time of a subquery on one core
@@ -39,7 +39,7 @@
 	warmAfter        = 20 * time.Second        // age at which a replica has its full capacity
 
 	minBudget    = 3    // attempts beyond the first that are always allowed in a budgetWindow
-	budgetRatio  = 0.04 // further ones for each query and subquery that arrives in it
+	budgetRatio  = 0.04 // further ones for each query and subquery that clients request in it
 	budgetWindow = 5 * time.Second
 )
 
@@ -89,7 +89,7 @@
 }
 
 // warmUpAllowance returns how many subqueries of mean work the settings allow a replica of a given age in one overload
-// window, from all coordinators together. It is 0 once the replica has been warm for a whole window.
+// window, from all co-ordinators together. It is 0 once the replica has been warm for a whole window.
 func warmUpAllowance(age time.Duration) float64 {
 	if age >= warmAfter+overloadWindow {
 		return 0
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -126,11 +126,11 @@
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// favouredCoordinators is the number of coordinators that get most of the faults, so that faults overlap in one
+// favouredCoordinators is the number of co-ordinators that get most of the faults, so that faults overlap in one
 // process.
 const favouredCoordinators = 3
 
-// drawCoordinator draws a coordinator, with a probability of 60 percent from the favoured ones alone.
+// drawCoordinator draws a co-ordinator, with a probability of 60 percent from the favoured ones alone.
 func (s *Soak) drawCoordinator(random *rand.Rand) *coordinator {
 	candidates := s.coordinators
 	if random.IntN(10) < 6 {
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -22,7 +22,8 @@
 	return targetClients
 }
 
-// openIdleConnections opens many connections to random coordinators and sends no request on them.
+// openIdleConnections opens many connections to random co-ordinators and sends no request on them. Its target is only
+// one of the co-ordinators, drawn beforehand.
 func openIdleConnections(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	client := &client{soak: soak, random: random}
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -29,7 +29,7 @@
 	return coordinator.name
 }
 
-// withClaimedProcess claims a coordinator's process and injects a fault. It does nothing and returns "" if another
+// withClaimedProcess claims a co-ordinator's process and injects a fault. It does nothing and returns "" if another
 // fault has claimed the process or none is running.
 func withClaimedProcess(soak *Soak, random *rand.Rand, inject func(coordinator *coordinator)) string {
 	coordinator := soak.drawCoordinator(random)
@@ -71,14 +71,14 @@
 	})
 }
 
-// restart starts a new process of a coordinator. A failure to start is a violation.
+// restart starts a new process of a co-ordinator. A failure to start is a violation.
 func (s *Soak) restart(coordinator *coordinator) {
 	if err := coordinator.start(); err != nil {
 		s.violated(RuleStart, "", "%v", err)
 	}
 }
 
-// reloadProcess switches a coordinator to a new discovery agent; sometimes the old agent goes down soon after.
+// reloadProcess switches a co-ordinator to a new discovery agent; sometimes the old agent goes down soon after.
 func reloadProcess(soak *Soak, random *rand.Rand) string {
 	return withClaimedProcess(soak, random, func(coordinator *coordinator) {
 		old := coordinator.agent()
@@ -105,7 +105,7 @@
 	return wallClockOffsets[random.IntN(len(wallClockOffsets))]
 }
 
-// stepWallClock steps a coordinator's wall clock, and later back.
+// stepWallClock steps a co-ordinator's wall clock, and later back.
 func stepWallClock(soak *Soak, random *rand.Rand) string {
 	coordinator := soak.drawCoordinator(random)
 	coordinator.faultPage.SetWallClockOffset(drawWallClockOffset(random))
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -17,7 +17,7 @@
 	replica          *replica
 	firstByteAt      time.Duration // first byte of its frame
 	lastByteAt       time.Duration // last byte of its frame
-	timeout          time.Duration // how long the coordinator will wait, as stated in the frame
+	timeout          time.Duration // how long the co-ordinator will wait, as stated in the frame
 	delayed          bool          // it may have been sent much earlier: the replica was not reading
 	ran              bool
 	replicaStartedAt time.Duration // start of the replica's process
--- a/internal/soak/notification.go
+++ b/internal/soak/notification.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// notification is a change of an endpoint with the time from which on the coordinator must know it.
+// notification is a change of an endpoint with the time from which on the co-ordinator must know it.
 type notification struct {
 	uid         string
 	state       endpointState
 	effectiveAt time.Duration
 }
 
-// notifications returns the notifications of all agents of a coordinator, sorted by effective time. Those of a replaced
-// agent count until the reload that replaced it.
+// notifications returns the notifications of all agents of a co-ordinator, sorted by effective time. Those of a
+// replaced agent count until the reload that replaced it.
 func (c *coordinator) notifications() (all []notification) {
 	until := time.Duration(math.MaxInt64)
 	for _, agent := range slices.Backward(c.allAgents()) {
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -18,8 +18,8 @@
 
 	defaultBacklog = 128
 
-	restartAttempts = 50 // to listen on the old address again
-	restartPause    = 20 * time.Millisecond
+	listenTries = 50 // to listen on the old address again, with a listenPause after each
+	listenPause = 20 * time.Millisecond
 )
 
 // replica is a fake replica that speaks the frame protocol and records the attempts that reach it in the ledger.
@@ -197,7 +197,7 @@
 func (r *replica) restart() error {
 	addr := r.addr()
 	var err error
-	for range restartAttempts {
+	for range listenTries {
 		r.mu.Lock()
 		r.startedAt = r.soak.now()
 		r.startUnixMS = time.Now().UnixMilli()
@@ -205,7 +205,7 @@
 		if err = r.listen(addr); err == nil {
 			return nil
 		}
-		time.Sleep(restartPause)
+		time.Sleep(listenPause)
 	}
 	return err
 }
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -33,7 +33,7 @@
 	delayedUntil time.Duration // bytes read before then may have been written much earlier; see handshakeRetryTime
 }
 
-// replicaConn is a connection from a coordinator.
+// replicaConn is a connection from a co-ordinator.
 type replicaConn struct {
 	net.Conn
 	replica          *replica
--- a/internal/soak/replica_frame.go
+++ b/internal/soak/replica_frame.go
@@ -19,7 +19,7 @@
 	lengthBytes    = 4
 )
 
-// malformedFrameError is a violation of the frame protocol by a coordinator.
+// malformedFrameError is a violation of the frame protocol by a co-ordinator.
 type malformedFrameError struct{ detail string }
 
 func (e *malformedFrameError) Error() string { return e.detail }
@@ -48,7 +48,7 @@
 // subqueryCall is a subquery of a call frame.
 type subqueryCall struct {
 	id      string
-	timeout time.Duration // how long the coordinator will wait for the reply
+	timeout time.Duration // how long the co-ordinator will wait for the reply
 }
 
 // parseCall parses the subqueries of a call. Each is a line ID SHARD d=MILLISECONDS LENGTH, followed by a text
@@ -85,7 +85,7 @@
 	return call, rest[length:], nil
 }
 
-// replyFrame returns a reply. Its score, 7, has no effect: the coordinator checks only that it is a number.
+// replyFrame returns a reply. Its score, 7, has no effect: the co-ordinator checks only that it is a number.
 func replyFrame(subquery, outcome, value string) []byte {
 	content := fmt.Sprintf("%c%s %s 7 -\n%s", replyFrameType, subquery, outcome, value)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(content))), content...)
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// stoppedTime returns for how long FaultStop stopped a coordinator's process between from and to.
+// stoppedTime returns for how long FaultStop stopped a co-ordinator's process between from and to.
 func (s *Soak) stoppedTime(coordinator string, from, to time.Duration) (sum time.Duration) {
 	s.ledger.mu.Lock()
 	defer s.ledger.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,9 @@
-// Package soak injects seeded, overlapping faults into real coordinator processes on loopback and checks the rules of
+// Package soak injects seeded, overlapping faults into real co-ordinator processes on loopback and checks the rules of
 // the protocol from outside: by the frames that the replicas received, the requests and answers of the clients, and the
-// times at which the discovery agents learned of each change. It does not rely on what a coordinator reports about
+// times at which the discovery agents learned of each change. It does not rely on what a co-ordinator reports about
 // itself, except that a rule violation in its log is a violation in itself.
 //
-// The fake replicas, agents and clients run in the process of the soak and share one clock. The coordinators are built
+// The fake replicas, agents and clients run in the process of the soak and share one clock. The co-ordinators are built
 // by package faultbuild, so that their system calls can fail and their wall clocks can be stepped.
 package soak
 
@@ -21,7 +21,7 @@
 
 // Options configure a run.
 type Options struct {
-	Program      string        // path of the coordinator program, built by package faultbuild
+	Program      string        // path of the co-ordinator program, built by package faultbuild
 	Duration     time.Duration // how long clients send requests
 	FaultStreams int           // number of concurrent streams of faults
 	Without      []FaultKind   // kinds of fault that are not injected, to shrink a failure
@@ -91,7 +91,7 @@
 	return soak.check(), nil
 }
 
-// startAll starts the replicas, then all coordinators concurrently.
+// startAll starts the replicas, then all co-ordinators concurrently.
 func (s *Soak) startAll() error {
 	if err := s.startReplicas(); err != nil {
 		return err
@@ -147,7 +147,7 @@
 	time.Sleep(longestDeadline() + settleTime)
 }
 
-// terminateAll checks the open descriptors of every coordinator and then terminates it, as a planned restart does.
+// terminateAll checks the open descriptors of every co-ordinator and then terminates it, as a planned restart does.
 func (s *Soak) terminateAll() {
 	var all sync.WaitGroup
 	for _, coordinator := range s.coordinators {
@@ -165,7 +165,7 @@
 	all.Wait()
 }
 
-// close stops all coordinators and replicas.
+// close stops all co-ordinators and replicas.
 func (s *Soak) close() {
 	for _, coordinator := range s.coordinators {
 		if coordinator != nil {
