--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -75,7 +75,7 @@
 
 const (
 	minShareInTime = 0.99 // of the queries, to be answered within their objective after recovery
-	maxSubqueries  = 5000 // expected before HealthyAt, and half of it after, so that hundreds of histories run in a minute
+	maxSubqueries  = 5000 // expected before HealthyAt and half of it after, so that hundreds of histories run in a minute
 )
 
 // Run runs the history.
--- a/internal/fake/trace.go
+++ b/internal/fake/trace.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Trace counts the attempts that a co-ordinator logged with -trace, by replica and subquery id: all of them, and those
-// that the co-ordinator considers never executed.
+// Trace counts the attempts whose end a co-ordinator logged with -trace, by replica and subquery id: all of them, and
+// those that the co-ordinator considers never executed.
 type Trace struct {
 	Attempts, NeverRan map[string]map[string]int
 }
