--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -54,46 +54,46 @@
 	if len(ended.outstanding) > 0 && ended.state != closing && !ended.goingAway {
 		pool.learnIdleTimeout(ended)
 	}
-	neverRan := scheduler.Unreachable
+	neverRanOutcome := scheduler.Unreachable
 	if errors.Is(cause, ErrShortage) {
-		neverRan = scheduler.NeverSent
+		neverRanOutcome = scheduler.NeverSent
 	}
 	ended.state = closing
-	maybeRan, unwritten := pool.classifyByEvidence(ended, neverRan, at)
-	pool.retransmit(ended, unwritten, neverRan, at)
+	mayHaveRun, toRetransmit := pool.classifyByEvidence(ended, neverRanOutcome, at)
+	pool.retransmit(ended, toRetransmit, neverRanOutcome, at)
 	switch {
 	case ended.failed:
-		pool.finishAll(maybeRan, scheduler.MalformedReply, at)
+		pool.finishAll(mayHaveRun, scheduler.MalformedReply, at)
 	case pool.replicaIsAlive(ended.replica):
-		pool.pendingResets[id] = &pendingReset{ended.replica, maybeRan, at}
+		pool.pendingResets[id] = &pendingReset{ended.replica, mayHaveRun, at}
 		pool.host.ScheduleWakeup(id, resetGrace)
 	default:
-		pool.finishAll(maybeRan, scheduler.ConnectionReset, at)
+		pool.finishAll(mayHaveRun, scheduler.ConnectionReset, at)
 	}
 	pool.forgetRemoved(ended.replica)
 }
 
 // classifyByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not be
 // retransmitted, and returns those that may have run and those to retransmit.
-func (pool *Pool) classifyByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (
-	maybeRan, unwritten []*Attempt) {
+func (pool *Pool) classifyByEvidence(ended *connection, neverRanOutcome scheduler.Outcome, at time.Duration) (
+	mayHaveRun, toRetransmit []*Attempt) {
 	outstanding := ended.outstanding
 	ended.outstanding, ended.cancels.pending = nil, nil
 	for _, attempt := range outstanding {
 		switch {
 		case attempt.finished:
 		case pool.host.Stage(ended.id, attempt) == written:
-			maybeRan = append(maybeRan, attempt)
+			mayHaveRun = append(mayHaveRun, attempt)
 		case ended.wasEstablished && mayRetransmit(attempt, ended.replica):
 			attempt.hasMoved = true
 			attempt.conn = nil
-			resetCall(attempt.Call)
-			unwritten = append(unwritten, attempt)
+			rewindCall(attempt.Call)
+			toRetransmit = append(toRetransmit, attempt)
 		default:
-			pool.finish(attempt, neverRan, at)
+			pool.finish(attempt, neverRanOutcome, at)
 		}
 	}
-	return maybeRan, unwritten
+	return mayHaveRun, toRetransmit
 }
 
 // mayRetransmit reports whether an attempt that was not fully written may be sent on another connection.
@@ -102,14 +102,15 @@
 }
 
 // retransmit assigns attempts to other connections than the one they were on, or lets them wait for a slot. Attempts
-// for which neither is possible end with the outcome neverRan. If the replica's last connection has ended, all
+// for which neither is possible end with the outcome neverRanOutcome. If the replica's last connection has ended, all
 // waiting attempts end as well, as no connection is left to carry them.
-func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
+func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRanOutcome scheduler.Outcome,
+	at time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
 		for _, attempt := range attempts {
 			if !pool.assignOrEnqueue(attempt, replica) {
-				pool.finish(attempt, neverRan, at)
+				pool.finish(attempt, neverRanOutcome, at)
 			}
 		}
 		return
@@ -121,7 +122,7 @@
 	if len(replica.conns) == 0 {
 		waiting := replica.waiting
 		replica.waiting = nil
-		pool.finishAll(waiting, neverRan, at)
+		pool.finishAll(waiting, neverRanOutcome, at)
 	}
 }
 
@@ -129,8 +130,8 @@
 type requeueCause int
 
 const (
-	slotLost requeueCause = iota // the connection has fewer slots, or its replica has moved: allowed repeatedly
-	connLost                     // the replica accepts nothing new on the connection: allowed once for each attempt
+	slotLost      requeueCause = iota // the connection has fewer slots, or its replica has moved: allowed repeatedly
+	connGoingAway                     // the replica accepts nothing new on the connection: allowed once for each attempt
 )
 
 // requeueUnstarted moves attempts whose writing has not begun from a connection back to the replica's queue, latest
@@ -147,7 +148,7 @@
 		}
 		conn.outstanding = without(conn.outstanding, attempt)
 		attempt.conn = nil
-		if cause == connLost {
+		if cause == connGoingAway {
 			if !attempt.mayMove() {
 				pool.finish(attempt, scheduler.Overloaded, pool.now)
 				continue
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -116,7 +116,7 @@
 // Something on the network path drops idle connections, so that one breaks on its first use after being idle. The
 // idle timeout becomes half of that connection's idle time, but not less than four connect timeouts. A connection
 // that breaks while it is in use, after a reply, or without having been idle, does not change the timeout.
-func TestIdleTimeoutLearnsFromConnectionsBrokenAfterIdle(t *testing.T) {
+func TestBreakAfterIdleShortensIdleTimeout(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
 	for n, step := range []struct {
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -116,7 +116,7 @@
 	if len(conn.cancels.pending) > 0 && conn.state != closing {
 		pool.sendPendingCancels(conn)
 	}
-	pool.rejectIfReplicaAcceptsNothing(conn.replica)
+	pool.rejectIfAllConnsRefuse(conn.replica)
 	pool.scheduleWakeup(conn)
 }
 
@@ -147,14 +147,14 @@
 	return max(conn.lastByteAt, conn.outstanding[0].SentAt) + time.Duration(pingDelayFraction*timeout)
 }
 
-// rejectIfReplicaAcceptsNothing rejects the attempts that wait for a replica if it has accepted no attempts at all
+// rejectIfAllConnsRefuse rejects the attempts that wait for a replica if it has accepted no attempts at all
 // for the connect timeout. They never left this process.
-func (pool *Pool) rejectIfReplicaAcceptsNothing(replica *replicaState) {
+func (pool *Pool) rejectIfAllConnsRefuse(replica *replicaState) {
 	if len(replica.waiting) == 0 || pool.now < replica.waitingSince+pool.limits.ConnectTimeout {
 		return
 	}
 	replica.waitingSince = pool.now
-	if replica.acceptsNothing() {
+	if replica.allConnsRefuse() {
 		pool.rejectWaiting(replica)
 	}
 }
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -121,7 +121,7 @@
 	}
 	conn.goingAway = true
 	pool.record(conn, GoingAway, goAwayError(detail))
-	pool.requeueUnstarted(conn, 0, connLost)
+	pool.requeueUnstarted(conn, 0, connGoingAway)
 	if !conn.replica.acceptsNew() {
 		pool.rejectWaiting(conn.replica)
 	}
@@ -143,8 +143,8 @@
 	})
 }
 
-// resetCall prepares a call to be written again from its first byte, on another connection.
-func resetCall(call *replicaproto.Call) {
+// rewindCall prepares a call to be written again from its first byte, on another connection.
+func rewindCall(call *replicaproto.Call) {
 	call.Stage = replicaproto.Waiting
 	call.Stream = 0
 }
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -23,7 +23,7 @@
 	attempts          []*Attempt         // all, by id
 	accepted          map[AttemptID]bool // by Send
 	abandonedBySender map[AttemptID]bool // their sender no longer waits for them
-	reportedUnrun     map[AttemptID]bool // the replica stated that they never ran
+	reportedNeverRan  map[AttemptID]bool // the replica stated that they never ran
 	writes            map[AttemptID]int  // how often each was assigned to a connection
 	streamLimit       map[ConnID]int     // as stated by the replica; absent if it has stated none
 	established       map[ConnID]bool    // connections that were established
@@ -37,7 +37,7 @@
 		random:            random,
 		accepted:          map[AttemptID]bool{},
 		abandonedBySender: map[AttemptID]bool{},
-		reportedUnrun:     map[AttemptID]bool{},
+		reportedNeverRan:  map[AttemptID]bool{},
 		writes:            map[AttemptID]int{},
 		streamLimit:       map[ConnID]int{},
 		established:       map[ConnID]bool{},
@@ -144,7 +144,7 @@
 	switch {
 	case len(m.outcomes[id]) > 1 || m.abandonedBySender[id]:
 		m.t.Errorf("attempt %d: outcomes %v, abandoned %t", id, m.outcomes[id], m.abandonedBySender[id])
-	case neverRan && attempt.Call.Stage == replicaproto.Written && !m.reportedUnrun[id]:
+	case neverRan && attempt.Call.Stage == replicaproto.Written && !m.reportedNeverRan[id]:
 		m.t.Errorf("attempt %d was fully written and is reported as never run", id)
 	}
 }
@@ -251,8 +251,8 @@
 func (m *model) settleOne(conn ConnID, unfinished []*Attempt) {
 	attempt := m.pick(unfinished)
 	if attempt.Call.Stage != replicaproto.Waiting {
-		m.reportedUnrun[attempt.ID] = m.random.IntN(2) == 0
-		m.pool.AttemptSettled(m.now, conn, attempt.ID, m.reportedUnrun[attempt.ID], m.now)
+		m.reportedNeverRan[attempt.ID] = m.random.IntN(2) == 0
+		m.pool.AttemptSettled(m.now, conn, attempt.ID, m.reportedNeverRan[attempt.ID], m.now)
 	}
 }
 
@@ -302,8 +302,8 @@
 	}
 	m.advance(time.Second)
 	for _, attempt := range m.attempts {
-		isOwed := m.accepted[attempt.ID] && !m.abandonedBySender[attempt.ID]
-		if isOwed && len(m.outcomes[attempt.ID]) != 1 {
+		mustEnd := m.accepted[attempt.ID] && !m.abandonedBySender[attempt.ID]
+		if mustEnd && len(m.outcomes[attempt.ID]) != 1 {
 			m.t.Errorf("attempt %d of %d, stage %d: outcomes %v",
 				attempt.ID, len(m.attempts), attempt.Call.Stage, m.outcomes[attempt.ID])
 		}
--- a/connpool/replica.go
+++ b/connpool/replica.go
@@ -21,7 +21,7 @@
 	// waiting are the attempts without a connection, in order of sending: all connections carry as many as the
 	// replica accepts at a time. Only protocols with Traits.LimitsStreams state that number.
 	waiting []*Attempt
-	// waitingSince is when waiting became non-empty, or when rejectIfReplicaAcceptsNothing last checked it.
+	// waitingSince is when waiting became non-empty, or when rejectIfAllConnsRefuse last checked it.
 	waitingSince time.Duration
 }
 
@@ -166,9 +166,9 @@
 	}
 }
 
-// acceptsNothing reports whether all of the replica's connections have been established and none of them accepts an
+// allConnsRefuse reports whether all of the replica's connections have been established and none of them accepts an
 // attempt, so that waiting attempts wait in vain.
-func (replica *replicaState) acceptsNothing() bool {
+func (replica *replicaState) allConnsRefuse() bool {
 	return !slices.ContainsFunc(replica.conns, func(conn *connection) bool {
 		acceptsSome := conn.maxAttempts > 0 && conn.state != closing && !conn.goingAway
 		return !conn.wasEstablished || acceptsSome
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		if pool.shouldAvoid(conn, attempt) {
-			if found.fallback == nil || lessLoaded(conn, found.fallback) {
+			if found.fallback == nil || isBetterFallback(conn, found.fallback) {
 				found.fallback = conn
 			}
 		} else if found.preferred == nil || isBetterFit(conn, found.preferred, attempt) {
@@ -95,9 +95,9 @@
 	return attempt.NonIdempotent && pool.now < pool.avoidIdleUntil
 }
 
-// lessLoaded reports whether a is a better fallback than b: it is established and b is not, or it carries fewer
+// isBetterFallback reports whether a is a better fallback than b: it is established and b is not, or it carries fewer
 // attempts.
-func lessLoaded(a, b *connection) bool {
+func isBetterFallback(a, b *connection) bool {
 	aUp, bUp := a.state == established, b.state == established
 	if aUp != bUp {
 		return aUp
