--- a/connpool/cancel.go
+++ b/connpool/cancel.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	cancelBurst           = 60.0 // bucket size; typical rapid-reset protections tolerate some hundred resets at once
+	cancelBurst           = 60.0 // bucket size; typical rapid-reset protections tolerate about a hundred resets at once
 	cancelTokensPerSecond = 30.0 // refill rate over time
 	cancelTokensPerReply  = 0.5  // a client that receives replies does not look like an attacker
-	cancelTimerSlack      = time.Millisecond
+	// cancelTimerSlack is added to timer delays, so that rounding does not make them end just before a token is there.
+	cancelTimerSlack = time.Millisecond
 )
 
 // cancelQueue holds the cancellations of one connection that have not been sent yet. Where a cancellation resets a
@@ -25,7 +26,7 @@
 	cancels.tokensAt = now
 }
 
-// nextAllowedAt returns when a token is available for the next cancellation.
+// nextAllowedAt returns the time at which a token for the next cancellation will be available.
 func (cancels *cancelQueue) nextAllowedAt(now time.Duration) time.Duration {
 	missing := max(0, 1-cancels.tokens)
 	return now + time.Duration(missing/cancelTokensPerSecond*float64(time.Second)) + cancelTimerSlack
@@ -48,11 +49,11 @@
 // Abandon notifies the pool that the result of an attempt is no longer needed. The replica is notified if writing of
 // the attempt has begun.
 //
-// If the connection has received nothing since the attempt was sent, for at least the connect timeout, it becomes
-// suspect: new attempts use another connection, and this one is closed once its attempts are over. A connection to a
-// machine that vanished stays open and silent, whereas opening a new one shows immediately whether the machine is
-// back, and attempts that could not be sent on it certainly never ran. The cost is one additional connection to a
-// replica that is merely slow.
+// If the attempt was sent at least the connect timeout ago and nothing has been received on its connection since, the
+// connection becomes suspect: new attempts use another one, and it is closed once its attempts are over. A connection
+// to a machine that vanished stays open and silent. Opening a new one shows immediately whether the machine is back,
+// and an attempt whose new connection cannot be opened is known never to have run. A replica that is merely slow costs
+// one additional connection.
 func (pool *Pool) Abandon(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	attempt.finished = true
--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -19,13 +19,13 @@
 //	                                    input, or another connection to the replica is up), else ConnectionReset,
 //	                                    which counts as the replica's death
 //
-// Attempts are not retransmitted to a replica that is draining or was removed. While a connection is up, what the
-// replica states as its protocol defines it (AttemptSettled) is evidence too: Overloaded if it states that the attempt
-// never ran, Failed otherwise. Whether a subquery is attempted again after such an outcome is decided in
-// scheduler/retry.go, and checked by package invariant.
+// Attempts are not retransmitted to a replica that is draining or was removed. While a connection is up, a replica may
+// also end an attempt by a message of its protocol (AttemptSettled). The outcome is Overloaded if the message states
+// that the attempt never ran, and Failed otherwise. Whether a subquery is attempted again after such an outcome is
+// decided in scheduler/retry.go, and checked by package invariant.
 
 const (
-	// resetGrace is the time within which all connections to a process that died break, after the first of them.
+	// resetGrace is the longest time from the first to the last break of the connections to a process that died.
 	resetGrace = 10 * time.Millisecond
 	// avoidIdleFor is how long non-idempotent attempts avoid idle connections after one broke on its next use.
 	avoidIdleFor = 10 * time.Second
@@ -96,14 +96,15 @@
 	return mayHaveRun, toRetransmit
 }
 
-// mayRetransmit reports whether an attempt that was not fully written may be sent on another connection.
+// mayRetransmit reports whether an attempt that was not fully written may be sent on another connection, as far as
+// both the attempt (mayMove) and its replica are concerned.
 func mayRetransmit(attempt *Attempt, replica *replicaState) bool {
 	return attempt.mayMove() && replica.acceptsNew()
 }
 
 // retransmit assigns attempts to other connections than the one they were on, or lets them wait for a slot. Attempts
-// for which neither is possible end with the outcome neverRanOutcome. If the replica's last connection has ended, all
-// waiting attempts end as well, as no connection is left to carry them.
+// for which neither is possible end with neverRanOutcome. If the replica's last connection has ended, all waiting
+// attempts end as well, as no connection is left to carry them.
 func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRanOutcome scheduler.Outcome,
 	at time.Duration) {
 	replica := from.replica
@@ -130,13 +131,13 @@
 type requeueCause int
 
 const (
-	slotLost      requeueCause = iota // the connection has fewer slots, or its replica has moved: allowed repeatedly
-	connGoingAway                     // the replica accepts nothing new on the connection: allowed once for each attempt
+	slotLost      requeueCause = iota // fewer slots, or a new address: an attempt may be requeued any number of times
+	connGoingAway                     // nothing new is accepted on the connection: an attempt may move only once
 )
 
 // requeueUnstarted moves attempts whose writing has not begun from a connection back to the replica's queue, latest
-// first, until no more than keep attempts are left on the connection. If the connection was lost, an attempt that had
-// moved before is rejected instead.
+// first, until no more than keep attempts are left on the connection. If the cause is connGoingAway, an attempt that
+// may not move (again) is rejected instead.
 func (pool *Pool) requeueUnstarted(conn *connection, keep int, cause requeueCause) {
 	var requeued []*Attempt
 	for _, attempt := range slices.Backward(slices.Clone(conn.outstanding)) {
@@ -161,9 +162,9 @@
 }
 
 // WriteFailed notifies the pool that a write on a connection failed: it timed out, or the operating system reported
-// an error. The connection gets no new attempts. Attempts whose writing has not begun are retransmitted immediately,
-// as they would wait behind bytes that the replica does not read. If no attempt on the connection can have run, it is
-// closed: the end of the connection proves that none did.
+// an error. The connection gets no new attempts. Attempts whose writing has not begun are sent on other connections
+// immediately, as they would wait behind bytes that the replica does not read. If no attempt on the connection was
+// fully written, it is closed, since attempts that are still incomplete when it ends certainly never run.
 func (pool *Pool) WriteFailed(now time.Duration, id ConnID) {
 	pool.now = now
 	failed := pool.conns[id]
@@ -190,8 +191,8 @@
 	pool.retransmit(failed, unstarted, scheduler.Unreachable, now)
 }
 
-// WriteRefused notifies the pool that an attempt was refused just before it would have been written: it never ran,
-// and is not sent on any other connection.
+// WriteRefused notifies the pool that an attempt was refused just before its first byte would have been written
+// (replicaproto.Withheld): it never ran, and is not sent on any other connection.
 func (pool *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	pool.finish(attempt, scheduler.NeverSent, now)
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -80,8 +80,8 @@
 }
 
 // A replica stops reading, so that a write on its connection stalls. An attempt whose writing has not begun moves to
-// another connection immediately. The stalled connection is closed immediately if no attempt on it can have run; the
-// partly written one then moves as well.
+// another connection immediately. The stalled connection is closed immediately if no attempt on it can have run. A
+// partly written attempt moves once the stalled connection has ended.
 func TestUnstartedAttemptsLeaveStalledConnectionAtOnce(t *testing.T) {
 	for _, protocol := range protocols {
 		for _, mayHaveRun := range []bool{true, false} {
@@ -114,8 +114,8 @@
 }
 
 // Something on the network path drops idle connections, so that one breaks on its first use after being idle. The
-// idle timeout becomes half of that connection's idle time, but not less than four connect timeouts. A connection
-// that breaks while it is in use, after a reply, or without having been idle, does not change the timeout.
+// idle timeout becomes half of that connection's idle time, but not less than four connect timeouts. It does not change
+// if the connection breaks later than that, has had a reply since, or was not idle before.
 func TestBreakAfterIdleShortensIdleTimeout(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
@@ -197,7 +197,7 @@
 	}
 }
 
-// An attempt is refused just before it would have been written, as its client has disconnected, and then its
+// An attempt is refused just before its first byte is written, as its client has disconnected, and then its
 // connection breaks. The attempt never ran, is not retransmitted, and ends once.
 func TestRefusedAttemptEndsOnce(t *testing.T) {
 	host := newFakeHostFor(t, replicaproto.Frames, Limits{MaxAttemptsPerConn: 4, MaxConns: 8})
--- a/connpool/health.go
+++ b/connpool/health.go
@@ -12,14 +12,14 @@
 	// pingDelayFraction is the fraction of Limits.ConnectTimeout after which a silent connection with outstanding
 	// attempts is pinged. The replica has the rest of that time to answer.
 	pingDelayFraction = 0.5
-	// stallThreshold is the delay of a wakeup from which this process is taken to have been stalled.
+	// stallThreshold is the lateness of a wakeup beyond which this process counts as having been stalled.
 	stallThreshold = 30 * time.Millisecond
 )
 
 // liveness is the evidence of whether a connection and the machine behind it are alive.
 type liveness struct {
 	lastReplyAt time.Duration
-	overtaken   int           // replies on other connections since lastReplyAt, to attempts later than the first here
+	overtaken   int           // replies on other connections since lastReplyAt, to attempts after the first here
 	lastByteAt  time.Duration // when any input was last received
 	pingPending bool          // a ping was sent, and no input was received since
 	pingSentAt  time.Duration
@@ -93,7 +93,7 @@
 	return due
 }
 
-// Wakeup notifies the pool that a time has passed that it gave to Host.ScheduleWakeup for a connection.
+// Wakeup notifies the pool that a delay that it passed to Host.ScheduleWakeup for a connection is over.
 func (pool *Pool) Wakeup(now time.Duration, id ConnID) {
 	pool.now = now
 	if reset := pool.pendingResets[id]; reset != nil {
@@ -137,8 +137,8 @@
 	}
 }
 
-// pingDue returns when a connection with outstanding attempts is to be pinged or, while a ping is pending, when the
-// connection counts as dead.
+// pingDue returns the time at which a connection with outstanding attempts is to be pinged or, while a ping is pending,
+// the time from which the connection counts as dead.
 func (pool *Pool) pingDue(conn *connection) time.Duration {
 	timeout := float64(pool.limits.ConnectTimeout)
 	if conn.pingPending {
@@ -147,8 +147,8 @@
 	return max(conn.lastByteAt, conn.outstanding[0].SentAt) + time.Duration(pingDelayFraction*timeout)
 }
 
-// rejectIfAllConnsRefuse rejects the attempts that wait for a replica if it has accepted no attempts at all
-// for the connect timeout. They never left this process.
+// rejectIfAllConnsRefuse rejects the attempts that wait for a replica if they have waited for the connect timeout and
+// none of its connections accepts an attempt. They were never sent.
 func (pool *Pool) rejectIfAllConnsRefuse(replica *replicaState) {
 	if len(replica.waiting) == 0 || pool.now < replica.waitingSince+pool.limits.ConnectTimeout {
 		return
--- a/connpool/host.go
+++ b/connpool/host.go
@@ -92,7 +92,7 @@
 	Record(event Event)
 }
 
-// Limits are limits for all connections.
+// Limits are the timeouts and bounds of a pool's connections.
 type Limits struct {
 	ConnectTimeout     time.Duration // for opening a connection, and for a sign of life on an open one
 	IdleTimeout        time.Duration // idle connections are closed after this time; 0: never
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -7,7 +7,8 @@
 )
 
 // The lifecycle of a connection: open, ConnUp, updateIdle whenever an attempt is released, close, and finally ConnEnded
-// (evidence.go). StreamLimitChanged and GoingAway, by which a replica changes its use meanwhile, are here as well.
+// (evidence.go). StreamLimitChanged and GoingAway, by which the replica states how an open connection may be used, are
+// here as well.
 
 // open opens a connection to a replica.
 func (pool *Pool) open(to *replicaState) *connection {
@@ -47,13 +48,13 @@
 	pool.scheduleWakeup(conn)
 }
 
-// updateIdle is called when a connection may have become idle. If no attempt is outstanding, it closes the connection
-// if that must not be used again, and otherwise schedules its idle timeout.
+// updateIdle is called when a connection may have become idle. A connection without outstanding attempts is closed if
+// it must not be used again; otherwise its idle timeout is scheduled.
 func (pool *Pool) updateIdle(conn *connection) {
 	if len(conn.outstanding) > 0 || conn.state == closing {
 		return
 	}
-	closeAfterUse := conn.exclusive && pool.now < pool.avoidIdleUntil
+	closeAfterUse := conn.exclusive && pool.now < pool.avoidIdleUntil // the next such attempt would avoid it
 	conn.idleSince, conn.exclusive = pool.now, false
 	if closeAfterUse || conn.replica.removed || !conn.acceptsNew() {
 		pool.close(conn)
@@ -143,7 +144,7 @@
 	})
 }
 
-// rewindCall prepares a call to be written again from its first byte, on another connection.
+// rewindCall prepares a call for being written from its first byte on another connection.
 func rewindCall(call *replicaproto.Call) {
 	call.Stage = replicaproto.Waiting
 	call.Stream = 0
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -10,7 +10,7 @@
 	"terntray/scheduler"
 )
 
-// model applies random events in random order to a pool, and checks its behaviour as connections and attempts see it.
+// model applies random events to a pool, and checks what the pool does with connections and attempts.
 type model struct {
 	*fakeHost
 	random   *rand.Rand
@@ -172,7 +172,7 @@
 }
 
 // step applies one event, to one connection if there is any. The numbers divide a hundred steps among the kinds of
-// events; a step whose kind does not apply becomes one of the next kind that does.
+// events; a step whose kind does not apply becomes one of the next kind that does, if there is one.
 func (m *model) step() {
 	conn := ConnID(0)
 	if conns := m.liveConns(); len(conns) > 0 {
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -1,5 +1,5 @@
-// Package connpool manages the connections to replicas: which connection carries an attempt, when one is opened,
-// avoided or closed, how many attempts share it, and what the end of a connection proves about its attempts
+// Package connpool manages the connections to replicas: which connection carries an attempt, when connections are
+// opened, avoided or closed, how many attempts share one, and what the end of a connection proves about its attempts
 // (evidence.go).
 //
 // A Pool is notified of events by one method for each kind of event, and acts through a Host. It does no I/O and has
@@ -66,8 +66,9 @@
 // ConnCount returns the number of connections that have not ended, including those that are being opened.
 func (pool *Pool) ConnCount() int { return len(pool.conns) }
 
-// Send accepts an attempt for a replica. It returns false if no connection can carry the attempt and none can be
-// opened: then the attempt never ran, and the pool reports nothing about it.
+// Send accepts an attempt for a replica. It returns false if the replica is unknown or gets no new attempts, or if no
+// connection can carry the attempt and none can be opened: then the attempt never ran, and the pool reports nothing
+// about it.
 func (pool *Pool) Send(now time.Duration, attempt *Attempt, to scheduler.ReplicaID) bool {
 	pool.now = now
 	replica := pool.replicas[to]
@@ -108,7 +109,8 @@
 	pool.scheduleWakeup(conn)
 }
 
-// finish reports the end of an attempt at the time at, unless it has ended or its sender no longer waits for it.
+// finish reports the outcome of an attempt, unless it has ended or its sender no longer waits for it; at is the time of
+// its end.
 func (pool *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, at time.Duration) {
 	if !attempt.finished {
 		attempt.finished = true
--- a/connpool/replica.go
+++ b/connpool/replica.go
@@ -9,7 +9,7 @@
 	"terntray/scheduler"
 )
 
-// replicaState is the pool's state of one replica.
+// replicaState is what the pool knows about one replica.
 type replicaState struct {
 	id       scheduler.ReplicaID
 	addr     string
@@ -37,9 +37,11 @@
 }
 
 // ReplicaListed notifies the pool of a replica's address and protocol, and of whether it is draining. A draining
-// replica gets nothing new, and attempts whose writing has not begun are rejected. A new address may be another
-// machine, and a new protocol another process: attempts whose writing has not begun on a connection to another
-// address are sent to the new one.
+// replica gets nothing new, and attempts whose writing has not begun are rejected.
+//
+// A new address may belong to another machine, and a new protocol to another process. Connections to the previous
+// address, or with the previous protocol, are closed once their attempts are over. Attempts whose writing has not begun
+// on a connection to the previous address are sent to the new one.
 func (pool *Pool) ReplicaListed(now time.Duration, id scheduler.ReplicaID, addr string, protocol replicaproto.Protocol,
 	draining bool) {
 	pool.now = now
@@ -109,8 +111,8 @@
 	}
 }
 
-// withdrawUnstarted rejects the attempts at a replica that accepts nothing new whose writing has not begun: they
-// never ran.
+// withdrawUnstarted rejects the attempts whose writing has not begun, as their replica is draining or was removed.
+// They never ran.
 func (pool *Pool) withdrawUnstarted(replica *replicaState) {
 	pool.rejectWaiting(replica)
 	for _, conn := range replica.conns {
@@ -144,7 +146,7 @@
 	}
 }
 
-// requeue returns attempts that were on a connection to the queue, sorted by order of sending.
+// requeue puts attempts that were on a connection back into the queue, which stays in order of sending.
 func (pool *Pool) requeue(replica *replicaState, attempts []*Attempt) {
 	if len(replica.waiting) == 0 {
 		replica.waitingSince = pool.now
@@ -166,8 +168,8 @@
 	}
 }
 
-// allConnsRefuse reports whether all of the replica's connections have been established and none of them accepts an
-// attempt, so that waiting attempts wait in vain.
+// allConnsRefuse reports whether all of the replica's connections have been established and none of them accepts
+// attempts any more: each has a stream limit of 0, is going away or is closing.
 func (replica *replicaState) allConnsRefuse() bool {
 	return !slices.ContainsFunc(replica.conns, func(conn *connection) bool {
 		acceptsSome := conn.maxAttempts > 0 && conn.state != closing && !conn.goingAway
--- a/connpool/replica_test.go
+++ b/connpool/replica_test.go
@@ -141,6 +141,6 @@
 	host.expectOutcomes(waiting, scheduler.Overloaded)
 	host.reply(conn, answered)
 	if !host.closed[conn] {
-		t.Error("the connection is kept without attempts")
+		t.Error("the connection stays open after its last attempt")
 	}
 }
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -54,8 +54,8 @@
 	return fmt.Errorf("reply to %.60q, which is not outstanding on this connection", subquery)
 }
 
-// AttemptSettled notifies the pool that the replica ended an attempt without an answer, when it did, and whether it
-// stated that the attempt never ran.
+// AttemptSettled notifies the pool that the replica ended an attempt without an answer at the time at; neverRan is
+// whether it stated that the attempt never ran.
 func (pool *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
 	pool.now = now
 	conn := pool.conns[id]
--- a/connpool/selection.go
+++ b/connpool/selection.go
@@ -4,11 +4,12 @@
 //
 //   - Established connections are preferred to those being opened, and among them the one with the most attempts, up to
 //     attemptsBeforeNewConn; beyond that a new connection is opened while the replica has fewer than its share. All
-//     attempts on a connection are affected when it fails, so few should share one where the limits allow more.
+//     attempts on a connection are affected when it fails, so few should share one while the limits allow more
+//     connections.
 //   - Where the protocol is not multiplexed a non-idempotent attempt has a connection to itself, the one that has been
 //     idle for longest: a malformed reply to another attempt, or a replica that closes the connection after a reply,
-//     would leave it unknown whether the attempt ran. While idle connections have recently proved to be broken, a new
-//     connection is opened for it. A replica may have a connection or two more because of this.
+//     would leave it unknown whether the attempt ran. If connections have recently broken on their first use after
+//     being idle, a new one is opened for it. A replica may exceed its share by a connection or two because of this.
 //   - Where the protocol is multiplexed, one connection carries as many attempts as its replica accepts, and another is
 //     opened only beyond that, up to Limits.MaxSharedConns.
 
@@ -117,7 +118,8 @@
 }
 
 // makeRoomForNew reports whether a connection may be opened for an attempt. If the pool is full, it closes an idle
-// connection of any replica to make room. Without a fallback the replica's share of connections may be exceeded.
+// connection of any replica to make room. The replica's share may be exceeded if there is no fallback or the attempt
+// needs a fresh connection.
 func (pool *Pool) makeRoomForNew(replica *replicaState, attempt *Attempt, noFallback bool) bool {
 	needsFresh := pool.needsFreshConn(attempt)
 	if len(pool.conns) < pool.limits.MaxConns {
@@ -126,7 +128,7 @@
 	return (needsFresh || noFallback) && pool.closeLongestIdle()
 }
 
-// sharePerReplica returns how many connections a replica may have while others could need them.
+// sharePerReplica returns each replica's share of Limits.MaxConns.
 func (pool *Pool) sharePerReplica() int {
 	return max(2, pool.limits.MaxConns/max(1, len(pool.replicas)))
 }
