--- a/internal/netconn/dial.go
+++ b/internal/netconn/dial.go
@@ -40,9 +40,9 @@
 // IsShortage reports whether a system call failed because this machine was short of a resource.
 func IsShortage(err error) bool { return isAnyOf(err, shortages) }
 
-// retryShortage retries a call that fails for a local shortage, or for want of a route, until a time or the end of
-// the context. Otherwise a momentary shortage would count against the peer. A lasting shortage is returned as an
-// ErrShortage; the waits between the retries keep it from using up the processor.
+// retryShortage retries a call that fails for a local shortage, or for lack of a route, until a deadline or until the
+// context ends. Otherwise a momentary shortage would count against the peer. A lasting shortage is returned as an
+// ErrShortage. The waits between retries limit the processor time that it costs.
 func retryShortage(ctx context.Context, until time.Time, call func() error) error {
 	for wait := minShortageWait; ; wait = min(maxShortageWait, 2*wait) {
 		err := call()
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// protocolError means that a replica's address does not speak the configured protocol.
+// protocolError means that the server at a replica's address does not speak the configured protocol.
 type protocolError struct{ protocol replicaproto.Protocol }
 
 func (err *protocolError) Error() string {
--- a/replicaconn/endpoint.go
+++ b/replicaconn/endpoint.go
@@ -33,9 +33,8 @@
 // forbids, even if the pool has already assigned it to a connection.
 func (endpoint *Endpoint) SetState(state invariant.EndpointState) { endpoint.state.Store(int32(state)) }
 
-// EndpointOf returns the endpoint of a replica's uid, and creates it if it is new. Its id is derived from the uid
-// alone, so that all co-ordinators use the same id. If the ids of two uids collide, the later uid gets the next free
-// id.
+// EndpointOf returns the endpoint of a replica's uid, and creates it if it is new. Its id is a hash of the uid, so that
+// all co-ordinators use the same id. If another replica has that id already, the next free one is used.
 func (driver *Driver) EndpointOf(uid string) *Endpoint {
 	hash := fnv.New32a()
 	hash.Write([]byte(uid))
--- a/replicaconn/endpoint_test.go
+++ b/replicaconn/endpoint_test.go
@@ -6,8 +6,8 @@
 	"terntray/connpool"
 )
 
-// All co-ordinators use the same id for a replica, regardless of the order in which they learned of replicas. If the
-// ids of two uids collide, the later uid gets the next free id.
+// All co-ordinators use the same id for a replica, whichever replicas they learned of before it. If another replica has
+// that id already, the next free one is used.
 func TestReplicaIDsDependOnTheUIDAlone(t *testing.T) {
 	driver, other := newTestDriver(t, connpool.Limits{}), newTestDriver(t, connpool.Limits{})
 	driver.EndpointOf("s-x")
--- a/replicaconn/reader.go
+++ b/replicaconn/reader.go
@@ -12,8 +12,8 @@
 
 const (
 	// minFragmentTimeout is the minimum time that a replica has to send the next bytes of a message that it has
-	// begun. If the connect timeout is longer, the replica has that instead: it allows for the retransmission of a
-	// lost packet, in a message as in a connect.
+	// begun. A longer connect timeout replaces it: that allows for the retransmission of a lost packet, which can
+	// delay a message as well as a connect.
 	minFragmentTimeout = 100 * time.Millisecond
 	// messageTimeoutFactor times the fragment timeout is the limit for a whole message, from its first byte.
 	messageTimeoutFactor = 4
@@ -112,7 +112,7 @@
 }
 
 // checkMessageDeadline tracks how long a message has been incomplete, and treats one that exceeds its limit as
-// malformed. If more input is available already, the delay may have been this process' own.
+// malformed. If more input is available already, this process may have caused the delay itself.
 func (reader *reader) checkMessageDeadline(input *Input) {
 	isContinued := input.midMessage && reader.midMessage && len(input.Events) == 0
 	reader.midMessage = input.midMessage
--- a/replicaconn/writer.go
+++ b/replicaconn/writer.go
@@ -10,7 +10,7 @@
 const (
 	// writeTimeout is the limit for one write to be accepted by the operating system; a shorter connect timeout
 	// replaces it. An attempt may begin at most 0.1 s after its client has disconnected. The client's presence was
-	// checked up to 40 ms before the write (seenRecently in package server); these 40 ms and 60 ms together stay
+	// checked up to 40 ms before the write (maxPresenceAge in package server); these 40 ms and 60 ms together stay
 	// within that limit.
 	writeTimeout = 60 * time.Millisecond
 	// writeSize is the approximate number of bytes per write. Calls behind them can still be withdrawn.
@@ -56,8 +56,8 @@
 	}
 }
 
-// nextOutput waits until there is output to write or a refused call to report. It appends the output to buffer, and
-// reports whether that is the last.
+// nextOutput waits until there is output to write or a refused call to report, or the connection is to be closed. It
+// appends the output to buffer, and reports whether that is the last.
 func (conn *conn) nextOutput(buffer []byte) (output []byte, last bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/replicaconn/writer_test.go
+++ b/replicaconn/writer_test.go
@@ -9,8 +9,8 @@
 	"terntray/internal/wire"
 )
 
-// A replica reads nothing, so that a write stalls. The writer gives up before a client can have been gone for 0.3 s,
-// even if the connect timeout is longer, and calls whose writing has not begun can be withdrawn.
+// A replica reads nothing, so that a write stalls. The writer gives up after writeTimeout, even if the connect timeout
+// is longer, and calls whose writing has not begun can be withdrawn. The bound of 5 s leaves room for a busy machine.
 func TestStalledWriteTimesOut(t *testing.T) {
 	driver := newTestDriver(t, connpool.Limits{ConnectTimeout: 10 * time.Second})
 	near, far := tcpPair(t)
