--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -108,7 +108,7 @@
 }
 
 // knownEndpoints returns the endpoint list that a process starts with: a few revisions behind its agent, as a file on
-// disk would be, but with all replicas that the soak started with.
+// disk would be, but not from before the replicas that the soak started with were all listed.
 func (c *coordinator) knownEndpoints() (string, error) {
 	agent := c.agent()
 	agent.mu.Lock()
