--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -76,8 +76,8 @@
 // NextIteration schedules a function for the start of the next iteration, which then follows without delay.
 func (loop *Loop) NextIteration(do func()) { loop.next = append(loop.next, do) }
 
-// TakeNextIteration removes and returns the functions scheduled with NextIteration that were not called yet, in
-// order. After a panic they include those that the interrupted iteration had not called yet.
+// TakeNextIteration removes and returns the functions scheduled with NextIteration that have not been called yet, in
+// order. After a panic they include those that the interrupted iteration did not get to.
 func (loop *Loop) TakeNextIteration() []func() {
 	left := append(loop.current, loop.next...)
 	loop.current, loop.next = nil, nil
@@ -86,7 +86,7 @@
 
 // Run runs iterations until finished returns true. It calls endIteration at the end of each iteration. After a panic
 // in an iteration it calls onPanic with the cause and continues with the next iteration, which also calls the posted
-// functions that the interrupted one had taken from the inbox and not called.
+// functions that the interrupted one had taken from the inbox and not called. A panic in onPanic is ignored.
 func (loop *Loop) Run(endIteration func(), onPanic func(cause string), finished func() bool) {
 	clock := time.NewTimer(0)
 	defer clock.Stop()
@@ -100,8 +100,8 @@
 	}
 }
 
-// wait blocks until the next iteration has something to do. It detects stalls of the process during the wait and
-// during the previous iteration.
+// wait blocks until the next iteration has something to do, for at most maxIdle. It detects stalls of the process
+// during the wait and during the previous iteration.
 func (loop *Loop) wait(clock *time.Timer) {
 	if loop.now > 0 {
 		loop.detectStallAndCatchUp(loop.now)
@@ -122,7 +122,7 @@
 // nextDue returns the latest time at which the next iteration has to start.
 func (loop *Loop) nextDue(now time.Duration) time.Duration {
 	if len(loop.next) > 0 {
-		return 0
+		return 0 // in the past, so that the iteration starts at once
 	}
 	due := now + maxIdle
 	if len(loop.timers) > 0 {
@@ -133,8 +133,8 @@
 
 // RunIteration runs one iteration. It calls event after the functions scheduled with NextIteration and before the
 // posted ones; Run passes an empty function, and tests that drive a loop without Run pass the event under test. Of
-// the inbox it calls only the functions that are in it when the inbox is reached; later ones wait for the next
-// iteration. RunIteration does not recover from panics.
+// the posted functions it calls those that are in the inbox when their turn comes; those posted later wait for the
+// next iteration. RunIteration does not recover from panics.
 func (loop *Loop) RunIteration(event, endIteration func()) {
 	loop.now = loop.Since(time.Now())
 	loop.current, loop.next = loop.next, nil
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -29,7 +29,8 @@
 // the previous one took. Either delays everything that waits for the loop.
 func (loop *Loop) LateBy() time.Duration { return loop.lateBy }
 
-// StalledFor returns how long the process was stalled before the current iteration, or 0 if it was not.
+// StalledFor returns the time from the start of a stall to the current iteration, or 0 if there was no stall since the
+// last iteration that ended without a panic.
 func (loop *Loop) StalledFor() time.Duration {
 	if loop.stall.until <= loop.lastCompleted {
 		return 0
@@ -38,7 +39,7 @@
 }
 
 // EarliestArrival returns the earliest time at which data that was read at the given time may have arrived. Data read
-// at the end of a stall may have been waiting since the stall began.
+// during a stall, or at most catchUpPause after it, may have been waiting since the stall began.
 func (loop *Loop) EarliestArrival(read time.Duration) time.Duration {
 	stalled := loop.stall.until > 0
 	if stalled && read >= loop.stall.from && read <= loop.stall.until+catchUpPause {
--- a/eventloop/timer.go
+++ b/eventloop/timer.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Timers returns the number of set timers and the time at which the last of them is due. It is meant for tests.
+// Timers returns the number of pending timers and the time at which the last of them is due. It is meant for tests.
 func (loop *Loop) Timers() (count int, last time.Duration) {
 	for _, timer := range loop.timers {
 		last = max(last, timer.due)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,7 +1,7 @@
 // Package invariant checks whether an externally visible action is allowed at this moment: writing an attempt to a
 // replica, giving a final response, or closing a client's connection. It is the only place for these checks. An
-// attempt that Check refuses is never sent, whatever the policies decided. A late response is given, and a refused
-// close carried out, nevertheless; the caller only counts the violation.
+// attempt that Check refuses is never sent, whatever the policies decided. A late response is still given, and a
+// connection still closed; the caller only counts the violation.
 //
 // Each Check is a pure function of a snapshot: the package does no I/O, reads no clock and keeps no state. Callers
 // check an attempt when it is decided and again when it is written, because a slow connect, a full buffer or a stall
@@ -10,8 +10,8 @@
 // caller counts both. The check at the time of writing leaves out Effect, Earlier and MaxAttempts: whether a subquery
 // may be repeated is checked at the decision only.
 //
-// Repeats: an idempotent or keyed subquery may have any number of attempts that MaxAttempts allows; the window of a
-// key is enforced by the scheduler (scheduler/retry.go). A non-idempotent subquery may have another attempt only if
+// Repeats: an idempotent or keyed subquery may have as many attempts as MaxAttempts allows; the scheduler enforces the
+// window of a key (scheduler/retry.go). A non-idempotent subquery may have another attempt only if
 // each earlier one provably never ran, that is, if its Evidence is NeverRan. The Evidence of an attempt is derived
 // from its outcome in coordinator/invariants.go. Attempt.checkRepeat implements the rule.
 package invariant
@@ -56,7 +56,7 @@
 type Attempt struct {
 	TimeLeft    time.Duration // until the client, or the attempt itself, stops waiting
 	ClientGone  bool
-	QueryClosed bool // the query has had its final response, or its phase is over
+	QueryClosed bool // the query was answered, its client has disconnected, or its phase is over
 	Endpoint    EndpointState
 	Effect      Effect
 	Earlier     []Evidence // of the earlier attempts of the same subquery
@@ -108,8 +108,8 @@
 	LoopStalled time.Duration // how long this process was stalled just now, unable to answer anything
 }
 
-// Check returns Allowed if the response is in time and the first one. A late response must be given nevertheless;
-// DeadlinePassed makes the caller count it.
+// Check returns Allowed if the response is in time and the first one. On DeadlinePassed the caller counts a violation
+// and still gives the response.
 func (answer Answer) Check() Reason {
 	switch {
 	case answer.Answered:
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -78,7 +78,7 @@
 
 // A response may be late by the grace period plus a stall of the process. A connection must not be closed while a
 // response is owed, unless the client is gone.
-func TestAnswersAndCloses(t *testing.T) {
+func TestAnswerAndClientCloseChecks(t *testing.T) {
 	const stall = 100 * time.Millisecond
 	for _, check := range []struct{ got, want Reason }{
 		{Answer{}.Check(), Allowed},
--- a/invariant/reason.go
+++ b/invariant/reason.go
@@ -8,7 +8,7 @@
 	Allowed          Reason = iota
 	DeadlinePassed          // the deadline of the client or of the attempt has passed
 	ClientGone              // the client has closed its connection or cancelled
-	QueryClosed             // the query has had its final response
+	QueryClosed             // the query was answered, its client has disconnected, or its phase is over
 	EndpointDraining        // the endpoint list says that the replica is draining
 	EndpointRemoved         // the endpoint list says that the replica is removed
 	MayHaveRun              // an earlier attempt of a non-idempotent subquery may have run
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -7,8 +7,9 @@
 //   - A standing queue lowers it. A queue is standing, as in CoDel (RFC 8289, section 4), if the minimum delay within
 //     a window is above a target. The decrease is multiplicative, as in DAGOR (Zhou et al., SoCC 2018, section 4). A
 //     queue that drains within a window, as after a stall or a burst, changes nothing.
-//   - Without a standing queue the share follows CPU usage: it is adjusted until usage is at targetCPUUsage, and rises
-//     to 1 once the load falls. An increase is additive or multiplicative, whichever is larger.
+//   - Without a standing queue the share follows CPU usage. A saturated CPU lowers it. Once it is below 1, it is
+//     adjusted until usage is at targetCPUUsage, and rises to 1 again when the load falls. An increase is additive or
+//     multiplicative, whichever is larger.
 //
 // The package does no I/O, reads no clock and starts no goroutine.
 package overload
@@ -22,7 +23,7 @@
 const (
 	window           = 50 * time.Millisecond // for the minimum delay; several iterations of a busy event loop
 	targetDelay      = 20 * time.Millisecond // a minimum delay above it means a standing queue
-	windowsToReact   = 2                     // consecutive windows with a standing queue; a stall affects only one
+	windowsToReact   = 2                     // consecutive windows with a standing queue to react to; a stall affects one
 	smallestDecrease = 0.95                  // factor on the share after a window with a delay near the target
 	largestDecrease  = 0.75                  // the same for a delay far above the target
 	delayExponent    = 0.25                  // between the two, the factor is targetDelay/delay to this power
@@ -30,7 +31,7 @@
 
 // How the share reacts to CPU usage, which is the used fraction of the process's whole CPU allowance, 0 to 1.
 const (
-	cpuUsageWeight    = 0.35  // weight of the latest measurement in the moving average, which spans about three
+	cpuUsageWeight    = 0.35  // weight of the latest measurement in the moving average; about three measurements count
 	targetCPUUsage    = 0.92  // while shedding; the rest is left to queries that are already open
 	saturatedCPUUsage = 0.985 // from here on the CPU is never idle, so the excess of load cannot be measured
 	busyCPUUsage      = 0.75  // from here on arriving data is no longer read at once
@@ -45,7 +46,7 @@
 // How long data may wait in sockets before it is read.
 const (
 	busyReadDelay      = 10 * time.Millisecond  // interval at which the Go runtime polls the network while no core is idle
-	saturatedReadDelay = 200 * time.Millisecond // assumed while the CPU is saturated, as the delay is unknown then
+	saturatedReadDelay = 200 * time.Millisecond // assumed with a saturated CPU or a standing queue; the delay is unknown
 )
 
 // Controller holds the admitted share of one co-ordinator. The zero value admits everything. It must be used from one
@@ -96,7 +97,8 @@
 }
 
 // ObserveCPUUsage records which fraction of the CPU allowance was used since the last call, and adjusts the share of
-// admitted arrivals. While a queue is standing, only Tick adjusts it.
+// admitted arrivals. While a queue is standing, only Tick adjusts it. While everything is admitted, only a saturated
+// CPU changes that.
 func (controller *Controller) ObserveCPUUsage(now time.Duration, usage float64) {
 	controller.cpuUsage += cpuUsageWeight * (usage - controller.cpuUsage)
 	controller.Tick(now)
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// feed observes the queue delay of one query per millisecond.
+// feed passes a controller the queue delay of one query per millisecond.
 func feed(controller *Controller, from, to time.Duration, delayAt func(time.Duration) time.Duration) {
 	for now := from; now < to; now += ms {
 		controller.ObserveQueueDelay(now, delayAt(now))
@@ -114,7 +114,7 @@
 	return done, longestWait
 }
 
-// poisson draws a number of events from the Poisson distribution with a mean.
+// poisson draws a number from the Poisson distribution with the given mean.
 func poisson(random *rand.Rand, mean float64) int {
 	events := 0
 	for left := mean - random.ExpFloat64(); left >= 0; left -= random.ExpFloat64() {
@@ -123,7 +123,7 @@
 	return events
 }
 
-// The number of admitted arrivals stays within one of the share, at every point.
+// After any number of arrivals, the number admitted differs from the share of them by at most one.
 func TestAdmitsMatchesShare(t *testing.T) {
 	for _, share := range []float64{minShare, 0.1, 0.333, 0.5, 0.97, 1} {
 		admitted := 0
