--- a/server/connection.go
+++ b/server/connection.go
@@ -25,7 +25,7 @@
 
 	requestOpen    bool      // a request was read and has not been answered
 	requestCount   int       // requests read so far
-	admitted       bool      // the request being received was admitted based on its head alone
+	admitted       bool      // the next request was admitted before it was parsed; see rejectWhileShedding
 	holdsLargeSlot bool      // holds a slot for large requests
 	discardedBytes int       // received beyond maxReadAhead; if not 0, the connection closes after its response
 	waitingSince   time.Time // time of accept, of the last response, or of the first byte of an incomplete request
@@ -97,7 +97,7 @@
 
 const (
 	proceed    nextStep = iota // check for a response to write and a request to process
-	awaitInput                 // read: no complete request is buffered, or one is open
+	awaitInput                 // read: no complete request is buffered, or a request is open
 	closeConn                  // end the connection with the accompanying reason
 )
 
--- a/server/connection_test.go
+++ b/server/connection_test.go
@@ -57,7 +57,7 @@
 func TestUnreadRequestOfDisconnectedClientIsNotAccepted(t *testing.T) {
 	for name, text := range map[string]string{
 		"alone":                               queryRequest("q"),
-		"with a partial request behind":       queryRequest("q") + queryRequest("r")[:40],
+		"followed by a partial request":       queryRequest("q") + queryRequest("r")[:40],
 		"pipelined":                           strings.Repeat(queryRequest("q"), 9),
 		"pipelined, more than the read-ahead": strings.Repeat(queryRequest("q"), 900),
 		"with a body longer than declared": queryRequest("q") + "POST /look HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" +
@@ -109,11 +109,11 @@
 			time.Sleep(time.Millisecond)
 		}
 		if len(client.responses) > 0 || len(f.handler.disconnected) > 0 {
-			t.Fatalf("%d bytes behind it: the open request was answered early", ahead)
+			t.Fatalf("%d bytes sent ahead: the open request was answered early", ahead)
 		}
 		client.Respond(func(last bool) []byte { return wire.CompleteResponse(true, nil, last) })
 		if status, err := readStatus(clientEnd); err != nil || status != "HTTP/1.1 200" {
-			t.Errorf("%d bytes behind it: %q, %v", ahead, status, err)
+			t.Errorf("%d bytes sent ahead: %q, %v", ahead, status, err)
 		}
 		clientEnd.Close()
 		<-served
--- a/server/eviction.go
+++ b/server/eviction.go
@@ -7,11 +7,12 @@
 )
 
 // connTable holds the open connections and selects which one to evict when room is needed: the one that has been idle
-// longest, preferring those that have never sent a request. A connection with an open request is never selected.
+// longest, where the idle time of one that has never sent a request counts silentIdleWeight times. A connection with an
+// open request is never selected.
 //
 // Eviction keeps many clients that hold idle connections open, without ever sending a request or after a single one,
 // from using up all slots or descriptors, which would leave requests of other clients unread. Only connections that
-// have sent a request count as active, and the number of active connections is bounded as well.
+// have sent a request count as active. If too many are active, an active one that is idle is evicted as well.
 type connTable struct {
 	mu        sync.Mutex
 	conns     map[*ClientConn]struct{}
@@ -62,7 +63,7 @@
 }
 
 // noteFirstRequest records that a client has sent its first request and, if that makes too many connections active,
-// evicts an active one.
+// evicts an active one that is idle, if there is one.
 func (server *Server) noteFirstRequest(client *ClientConn) {
 	table := &server.conns
 	table.mu.Lock()
--- a/server/limits.go
+++ b/server/limits.go
@@ -16,7 +16,7 @@
 // Data that a client sends beyond maxReadAhead is read and discarded, in order to detect a disconnect.
 const (
 	discardBufferBytes = 16 << 10
-	maxDiscardedBytes  = 8 << 20   // discarded before a request is processed anyway: more than two hosts buffer
+	maxDiscardedBytes  = 8 << 20   // in search of a FIN, before a request is processed anyway; two hosts buffer less
 	discardBurstBytes  = 256 << 10 // discarded between two pauses, so that no client keeps the core busy
 	maxLingerBytes     = 256 << 10 // read after the last response of a connection
 )
@@ -32,7 +32,7 @@
 	lingerTimeout   = 300 * time.Millisecond  // for data that arrives after the last response
 )
 
-// Limits on client connections, as fractions of the process' memory and descriptors. A divisor of N allows 1/N.
+// Limits on client connections, as fractions of the process's memory and descriptors. A divisor of N allows 1/N.
 const (
 	connMemoryDivisor   = 2        // of the memory, for client connections
 	connBytes           = 16 << 10 // memory used by a typical client connection
--- a/server/listener.go
+++ b/server/listener.go
@@ -31,9 +31,9 @@
 // acceptAll accepts connections until the listener's deadline, which Shutdown sets. After that, the final accept takes
 // the connections already queued by the kernel, for finalAcceptTime; then the listener is closed.
 //
-// Without the final accept, connections that the kernel has established before the deadline would be reset. If this
-// process was stalled over the deadline, or the final accept ran into an error or found no free slot, it starts over
-// for as long as finalAcceptMayRestart allows.
+// Without the final accept, connections that the kernel has established before the deadline would be reset, in
+// particular if this process was stalled at the deadline. If the final accept runs into an error or finds no free slot,
+// it starts over, for as long as finalAcceptMayRestart allows.
 func (server *Server) acceptAll() {
 	defer server.listener.Close()
 	final := false
--- a/server/notify.go
+++ b/server/notify.go
@@ -17,7 +17,7 @@
 	server.loop.Post(func() { server.handler.ClientDisconnected(client) })
 }
 
-// postRefused reports to the Handler a request that was answered with a client error.
+// postRefused reports a refused request to the Handler; see Handler.RequestRefused.
 func (client *ClientConn) postRefused() {
 	server := client.server
 	server.loop.Post(server.handler.RequestRefused)
--- a/server/response.go
+++ b/server/response.go
@@ -56,8 +56,9 @@
 	return client.writeResponse(response{bytes: text, last: lastResponse})
 }
 
-// writeResponse writes a response and reports whether the connection stays open. Afterwards no request is open. None
-// was open before if the response rejects an incomplete or invalid request (respondError, reserveForLargeRequest).
+// writeResponse writes a response and reports whether the connection stays open. Once the response is written, no
+// request is open. None need be open before: respondError and reserveForLargeRequest also reject requests that are
+// invalid or incomplete.
 func (client *ClientConn) writeResponse(response response) bool {
 	if !client.write(response.bytes) {
 		client.writeFailed = true
--- a/server/routes.go
+++ b/server/routes.go
@@ -107,9 +107,9 @@
 	return server.loop.Post(func() { server.handler.QueryArrived(arrival) })
 }
 
-// rejectWhileShedding rejects requests based on their heads alone during load shedding. It reports whether the
-// connection stays open. CPU time is scarce then and must not be spent on parsing requests that are rejected anyway. A
-// request without a simple head is parsed as usual and may be rejected afterwards by dispatch.
+// rejectWhileShedding rejects buffered requests without parsing them during load shedding, when CPU time is too scarce
+// for parsing requests that would be rejected anyway. It reports whether the connection stays open. A request that
+// PeekSimple cannot delimit is parsed as usual and may be rejected afterwards by dispatch.
 func (client *ClientConn) rejectWhileShedding() (staysOpen bool) {
 	handler := client.server.handler
 	for !client.admitted && handler.IsSheddingLoad() {
--- a/server/routes_test.go
+++ b/server/routes_test.go
@@ -82,7 +82,7 @@
 
 // Until the handler is ready, for example because no endpoint list is known, /up answers 503 so that a load balancer
 // sends no clients.
-func TestNotReadyUntilTheHandlerIs(t *testing.T) {
+func TestUpAnswers503UntilHandlerIsReady(t *testing.T) {
 	f := newFixture()
 	status, body, staysOpen := f.exchange(t, upRequest)
 	if status != 503 || body != "not ready\n" || !staysOpen {
@@ -112,8 +112,8 @@
 	}
 }
 
-// When few slots are left, idle clients are evicted: first those that have never sent a request, then the longest
-// idle. A client with an open request is never evicted.
+// When few slots are left, idle clients are evicted, the longest idle first; the idle time of a client that has never
+// sent a request counts silentIdleWeight times. A client with an open request is never evicted.
 func TestIdleClientsAreEvictedInOrder(t *testing.T) {
 	f := newFixture()
 	now := f.server.now() + time.Hour
--- a/server/server.go
+++ b/server/server.go
@@ -40,7 +40,8 @@
 	QueryArrived(arrival Arrival)
 	// ClientDisconnected is called when a client has closed its connection or the connection's goroutine has panicked.
 	ClientDisconnected(client *ClientConn)
-	// RequestRefused counts a request that was answered with a client error.
+	// RequestRefused counts a request that was refused before it became a query: it is invalid or unsupported, or too
+	// many large requests are being read. Requests rejected by Admit are not counted.
 	RequestRefused()
 	// ConnClosed counts a closed connection.
 	ConnClosed(closed ConnClosed)
@@ -62,7 +63,7 @@
 type Class struct {
 	MaxTimeout time.Duration    // the longest timeout that a client may request
 	TwoPhase   bool             // queries may request two-phase execution
-	TwoStep    bool             // needs a second step, which the client protocol does not support: answered with 501
+	TwoStep    bool             // needs a second round of subqueries, which the client protocol lacks: answered with 501
 	Effect     invariant.Effect // effect of executing a subquery twice
 }
 
--- a/server/slots.go
+++ b/server/slots.go
@@ -51,13 +51,13 @@
 }
 
 // IsNearConnLimit reports whether the clients with open queries hold so many connection slots that too few remain
-// for others. Their requests would stay unread until they expire, for example when replicas hang and sockets or memory
-// are scarce; the caller should reject new queries instead.
+// for other clients. The requests of those would stay unread until they expire, for example when replicas hang and
+// sockets or memory are scarce; the caller should reject new queries instead.
 func (server *Server) IsNearConnLimit(openQueries int) bool {
 	return openQueries >= max(1, server.slots.usable())
 }
 
-// largeRequestSlots bounds the number of requests of largeRequestBytes or more that are read concurrently.
+// largeRequestSlots bounds the number of requests of largeRequestBytes or more that are read or open concurrently.
 type largeRequestSlots chan struct{}
 
 func newLargeRequestSlots(capacity int) largeRequestSlots { return make(chan struct{}, capacity) }
@@ -93,7 +93,8 @@
 	return max(1, min(maxConns, config.MemoryMB<<20/largeMemoryDivisor/maxRequestBytes))
 }
 
-// maxActive returns how many connections that have sent a request may be open.
+// maxActive returns how many connections that have sent a request may be open before the longest idle of them is
+// evicted.
 func (config *Config) maxActive(maxConns int) int {
 	if config.Sockets == 0 {
 		return maxConns
