--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -5,8 +5,9 @@
 // iteration, the functions posted by other goroutines, the timers that are due, and finally the owner's
 // end-of-iteration function.
 //
-// The loop also detects that its process was stalled (a stopped machine, a starved core). Without that, timeouts and
-// arrival times taken after a stall would be wrong; see Loop.EarliestArrival.
+// The loop also detects that its process was stalled (a stopped machine, a starved core) or that an iteration took as
+// long as a stall. Without that, timeouts and arrival times taken after a stall would be wrong; see
+// Loop.EarliestArrival.
 package eventloop
 
 import (
--- a/eventloop/stall.go
+++ b/eventloop/stall.go
@@ -7,8 +7,8 @@
 	catchUpPause   = 2 * time.Millisecond  // after a stall, lets other goroutines read and post what has arrived
 )
 
-// stall is a period in which the process did not run, in times since the loop's start. The zero value means that
-// there was none so far.
+// stall is a period in which the loop could not start an iteration, because the process did not run or because one
+// iteration took that long. Its times are since the loop's start. The zero value means that there was none so far.
 type stall struct {
 	from, until time.Duration
 }
