--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -13,7 +13,7 @@
 
 // admission sheds load while this process itself is short of CPU, whatever capacity its replicas have. Package
 // overload decides which share of the arrivals is admitted. admission supplies it with measurements and publishes the
-// share to the goroutines of client connections, which reject the other arrivals, from a simple request's head alone.
+// share to the goroutines of client connections, which reject the other arrivals, if possible without parsing them.
 //
 // Load shedding for lack of replica capacity is decided in package scheduler.
 type admission struct {
@@ -30,8 +30,8 @@
 	shed     atomic.Uint64 // total of arrivals that were not admitted
 }
 
-// start initializes admission so that it admits everything until measured otherwise. cores is the CPU allowance of
-// the process; it is rounded up.
+// start initializes admission, which at first admits everything. cores is the CPU allowance of the process; it is
+// rounded up.
 func (admission *admission) start(cores float64, logger *log.Logger) {
 	admission.log = logger
 	admission.cpu.cores = max(1, math.Ceil(cores))
@@ -80,7 +80,7 @@
 	}
 	admission.loggedAt = now
 	admission.log.Printf("event=shedding_load share=%.2f reason=%q", share,
-		"this process, not its replicas, is short of CPU; rejecting part of the arrivals unread")
+		"this process, not its replicas, is short of CPU; rejecting part of the arriving queries")
 }
 
 func (admission *admission) publish(share float64) { admission.share.Store(math.Float64bits(share)) }
--- a/coordinator/answer.go
+++ b/coordinator/answer.go
@@ -22,7 +22,7 @@
 
 // answer gives a query its one answer and closes the query. render builds the answer; its parameter last says whether
 // the connection ends with this answer. A query that was already answered gets no second answer; a late answer is
-// given nevertheless. Both count as violations.
+// still given. Both count as violations.
 func (c *Coordinator) answer(id scheduler.RequestID, result finalResult, render renderAnswer) {
 	query := c.queries[id]
 	if query == nil {
--- a/coordinator/arrival.go
+++ b/coordinator/arrival.go
@@ -10,11 +10,11 @@
 	"terntray/server"
 )
 
-// queryArrives handles a query that was fully received from a client at loop time receivedAt. It either answers the
-// query at once or opens it. The client gets exactly one answer.
+// queryArrives handles a query that was fully received from a client at loop time receivedAt. It answers the query at
+// once, opens it, or drops it if its client has disconnected. A connected client gets exactly one answer.
 //
-// Until the query is answered or open, c.arriving is the client, so that the request is answered even after a panic;
-// see recoverFromPanic.
+// Until the query is answered or open, c.arriving is the client, so that the query is answered even after a panic; see
+// recoverFromPanic.
 func (c *Coordinator) queryArrives(from client, request *wire.Query, receivedAt time.Duration) {
 	c.arriving = from
 	unknownShard, hasUnknown := c.unknownShard(request)
@@ -152,7 +152,7 @@
 // tenantOf returns the tenant that a query is charged to. All tenants that the settings do not name share one index
 // without a quota: charging them to a configured tenant would get that tenant's queries rejected.
 func (c *Coordinator) tenantOf(request *wire.Query) scheduler.TenantIndex {
-	if tenant, named := c.tenants[nameCharacters.Replace(request.Tenant)]; named {
+	if tenant, named := c.tenants[separators.Replace(request.Tenant)]; named {
 		return tenant
 	}
 	return scheduler.TenantIndex(len(c.tenants))
--- a/coordinator/arrival_test.go
+++ b/coordinator/arrival_test.go
@@ -48,11 +48,11 @@
 func TestQueuedQueryOfDisconnectedClientIsNotSent(t *testing.T) {
 	for _, waited := range []time.Duration{0, time.Second} {
 		c := newWithUnreachableReplica(t)
-		near, far := connPair(t)
-		from := c.server.NewConn(near)
-		far.Close()
+		serverEnd, clientEnd := connPair(t)
+		from := c.server.NewConn(serverEnd)
+		clientEnd.Close()
 		if waited > 0 {
-			waitForState(t, near, netconn.Ended)
+			awaitState(t, serverEnd, netconn.Ended)
 		}
 		c.loop.AdvanceClock(10 * time.Second)
 		c.receive(from, newQuery("q", 5*time.Second, 0), waited)
@@ -86,7 +86,8 @@
 		isRejected("a,b", 0)
 	}
 	for _, tenant := range []string{"a,b", "c", "", "nobody"} {
-		// Four subqueries at one replica take a third of the latency objective.
+		// Four subqueries at one replica take a third of the latency objective: more than a query over its tenant's
+		// quota may take (overQuotaShare in package scheduler), and less than any other may.
 		if got := isRejected(tenant, 0, 2, 4, 6); got != (tenant == "a,b") {
 			t.Errorf("tenant %q: rejected %t", tenant, got)
 		}
--- a/coordinator/attempt.go
+++ b/coordinator/attempt.go
@@ -87,8 +87,8 @@
 	c.notifyEndedSoon(attempt, outcome)
 }
 
-// withdrawUnsent cancels the attempts of an unwanted subquery of which nothing has been written. The others end by
-// themselves; if their connection breaks, they are not retransmitted on another one.
+// withdrawUnsent is called for a subquery that is answered or unwanted. It cancels its attempts of which nothing has
+// been written. The others end by themselves; if their connection breaks, they are not retransmitted on another one.
 func (c *Coordinator) withdrawUnsent(subquery *subqueryState) {
 	for _, attempt := range subquery.attempts {
 		if attempt.ended {
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -20,8 +20,8 @@
 // clientHandler implements server.Handler. It passes client events to the coordinator.
 type clientHandler struct{ c *Coordinator }
 
-// maxTimeoutFactor bounds the timeout that a client may state, as a multiple of its class's deadline. A larger one is
-// taken for a mistake.
+// maxTimeoutFactor bounds the timeout that a client may state, as a multiple of its class's deadline. A query with a
+// larger one is taken for a mistake and refused.
 const maxTimeoutFactor = 10
 
 // serverConfig returns the configuration of the server.
@@ -48,7 +48,8 @@
 	return classes
 }
 
-// Ready reports whether the endpoint list is known, as shown by /up. Queries are accepted in either case.
+// Ready reports whether /up shows this process as ready: discovery has sent an endpoint list, or has failed while an
+// older one is known. Queries are accepted in either case.
 func (handler clientHandler) Ready() bool { return handler.c.ready.Load() }
 
 // IsSheddingLoad reports whether this process is short of CPU and admits only a share of the arrivals.
@@ -71,7 +72,7 @@
 	handler.c.clientDisconnected(client)
 }
 
-// RequestRefused counts a malformed request.
+// RequestRefused counts a request that the server refused before it became a query.
 func (handler clientHandler) RequestRefused() { handler.c.counts.Malformed++ }
 
 // ConnClosed counts a closed client connection.
--- a/coordinator/clients_test.go
+++ b/coordinator/clients_test.go
@@ -27,12 +27,12 @@
 // panickingConn is a connection whose reads panic once now is closed.
 type panickingConn struct {
 	net.Conn
-	now chan struct{}
+	armed chan struct{}
 }
 
 func (conn *panickingConn) Read(buffer []byte) (int, error) {
 	select {
-	case <-conn.now:
+	case <-conn.armed:
 		panic("injected")
 	default:
 	}
@@ -43,21 +43,21 @@
 // disconnected.
 func TestPanicInClientConnectionClosesItsQuery(t *testing.T) {
 	c := newWithUnreachableReplica(t)
-	near, far := connPair(t)
-	conn := &panickingConn{near, make(chan struct{})}
+	serverEnd, clientEnd := connPair(t)
+	conn := &panickingConn{serverEnd, make(chan struct{})}
 	connection := c.server.NewConn(conn)
 	served := make(chan struct{})
 	go func() {
 		connection.Serve()
 		close(served)
 	}()
-	io.WriteString(far, queryRequest("q"))
+	io.WriteString(clientEnd, queryRequest("q"))
 	c.loop.Receive()()
 	if c.queriesByRequestID["q"] == nil {
 		t.Fatal("the query was not accepted")
 	}
-	close(conn.now)
-	near.SetReadDeadline(time.Unix(1, 0)) // makes the connection call Read again
+	close(conn.armed)
+	serverEnd.SetReadDeadline(time.Unix(1, 0)) // makes the connection call Read again
 	<-served
 	if c.runPosted(); len(c.queries) > 0 || c.counts.Disconnected != 1 {
 		t.Errorf("%d queries are open, counts %+v", len(c.queries), c.counts)
--- a/coordinator/counters.go
+++ b/coordinator/counters.go
@@ -25,7 +25,7 @@
 
 // QueryCounts counts queries.
 type QueryCounts struct {
-	Queries         int // received
+	Queries         int // that reached the event loop and are valid
 	Succeeded       int
 	Partial         int // of Succeeded: with some subqueries unanswered
 	Rejected        int
@@ -34,16 +34,16 @@
 	Failed          int
 	Disconnected    int // closed because the client disconnected
 	WaitedUnsent    int // rejected or failed after more than half of their timeout without a fully written attempt
-	Malformed       int // invalid requests, which are not counted in Queries
+	Malformed       int // refused as invalid or unsupported, or while too many large ones are read; not in Queries
 }
 
 // AttemptCounts counts attempts.
 type AttemptCounts struct {
-	Attempts    int
+	Attempts    int // decided by the scheduler; some of them are never sent
 	Retries     int // of Attempts: started after the earlier attempts of the subquery had ended
 	Hedges      int // of Attempts: started while another attempt of the subquery was in flight
 	Outcomes    [len(outcomeKeys)]int
-	Refused     map[invariant.Reason]int // attempts not sent because an invariant forbade it
+	Refused     map[invariant.Reason]int // attempts not sent because of an invariant, without Violations
 	Violations  int                      // decided actions that break an invariant; each is a fault of this program
 	LateReplies int                      // replies to attempts that had already ended
 }
@@ -65,7 +65,7 @@
 type TwoPhaseCounts struct {
 	TwoPhaseQueries    int // ended
 	CanMatchPhases     int // of TwoPhaseQueries: with a can-match phase
-	ShardsPruned       int // not fetched because their can-match reply proved that they cannot contribute
+	ShardsPruned       int // of these queries: not fetched, because they cannot contribute or the query ended first
 	MalformedSummaries int // unusable can-match replies
 	TwoPhaseRejected   int // rejected because no complete answer was possible in time
 }
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -47,8 +47,8 @@
 // removed), which mayWrite checks just before an attempt is written. It then updates connpool, which closes
 // connections that are no longer needed, and the scheduler, which places no new attempts on a draining or removed
 // replica. If the list shows that a replica's process is new, the scheduler applies slow start to it. /up reports
-// that the process is not ready until the first list has arrived, or until discovery has failed while an older list
-// is known. Queries are accepted at any time.
+// that the process is not ready until discovery has sent a list and an endpoint is known, or until discovery has failed
+// while an endpoint is known from an older list. Queries are accepted at any time.
 //
 // # Configuration
 //
@@ -59,8 +59,8 @@
 // # Shutdown
 //
 // At SIGTERM, package server accepts new connections for a while longer, because clients may not know of the
-// shutdown yet, and asks idle clients to leave. Each query that is open or still arrives is answered by its deadline.
-// When no client is left, the loop and the drivers end. See shutdown.go.
+// shutdown yet, and closes idle ones. Each query that is open or still arrives is answered by its deadline. When no
+// client is left, the loop and the drivers end. See shutdown.go.
 //
 // # Failures of the process itself
 //
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -58,15 +58,15 @@
 	handler.c.applyEndpoints(list, lastKnownList)
 }
 
-// PollFailed counts a failed poll. From then on the process is ready if any list is known: an old list is better than
-// none.
-func (handler endpointHandler) PollFailed(isNews bool) {
+// PollFailed counts a failed poll, and notifies the scheduler if discovery asks for that. From then on the process is
+// ready if any endpoint is known: an old list is better than none.
+func (handler endpointHandler) PollFailed(notifyScheduler bool) {
 	c := handler.c
 	c.counts.EndpointListFailures++
 	if !c.discovery.IsEmpty() {
 		c.ready.Store(true)
 	}
-	if isNews {
+	if notifyScheduler {
 		c.scheduler.EndpointPollFailed(c.loop.Now())
 	}
 }
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxGossipBytes   = 256  // per message; one more byte is read, so that the scheduler refuses longer messages
+	maxGossipBytes   = 256  // per message; of a longer one a byte more is read, so that the scheduler refuses it
 	maxUnreadGossip  = 1024 // messages waiting for the event loop; further ones are dropped
 	gossipErrorPause = 100 * time.Millisecond
 	gossipNetwork    = "udp4"
--- a/coordinator/helpers_test.go
+++ b/coordinator/helpers_test.go
@@ -112,7 +112,7 @@
 }
 
 // connPair returns both ends of a TCP connection over loopback.
-func connPair(t *testing.T) (near, far *net.TCPConn) {
+func connPair(t *testing.T) (serverEnd, clientEnd *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -134,8 +134,8 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// waitForState waits until netconn.Peek returns a state for a connection.
-func waitForState(t *testing.T, conn net.Conn, state netconn.State) {
+// awaitState waits until netconn.Peek returns a state for a connection.
+func awaitState(t *testing.T, conn net.Conn, state netconn.State) {
 	t.Helper()
 	end := time.Now().Add(20 * time.Second)
 	for netconn.Peek(conn) != state {
--- a/coordinator/invariants.go
+++ b/coordinator/invariants.go
@@ -101,7 +101,7 @@
 }
 
 // reportRefusedWrites notifies the loop of the writes that mayWrite has refused. Writers must not hold the
-// connection's mutex when they call it.
+// connection's mutex when they call it, as Post may block and the loop itself locks that mutex.
 func (c *Coordinator) reportRefusedWrites() {
 	refused := c.refusedWrites.take()
 	if len(refused) == 0 {
--- a/coordinator/pages.go
+++ b/coordinator/pages.go
@@ -26,8 +26,8 @@
 
 // addShadowCounts adds the results of shadow evaluation, if it is enabled.
 func (c *Coordinator) addShadowCounts(line *counterLine) {
-	counts, evaluated := c.scheduler.ShadowCounts()
-	if !evaluated {
+	counts, enabled := c.scheduler.ShadowCounts()
+	if !enabled {
 		return
 	}
 	line.add("watched", counts.Queries)
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -27,7 +27,7 @@
 	arrived       time.Duration // earliest time at which its last byte may have arrived
 	deadline      time.Duration // when its client stops waiting
 	deadlineTimer *eventloop.Timer
-	subqueries    []*subqueryState // of the current phase, if the query has two
+	subqueries    []*subqueryState // of the current phase or wave, if the query has several
 	twoPhase      *twoPhaseState   // nil: not a two-phase query
 	closed        atomic.Bool      // answered, or its client has disconnected; read by any goroutine
 }
@@ -43,7 +43,7 @@
 	attempts  []*attemptState // by scheduler.AttemptNumber
 	answered  bool
 	value     []byte      // the answer, once answered
-	abandoned atomic.Bool // its phase is over; read by any goroutine
+	phaseOver atomic.Bool // its phase or wave is over; read by any goroutine
 }
 
 // attemptState is one attempt of a subquery at a replica. It is kept as long as its subquery and belongs to the event
@@ -63,7 +63,7 @@
 
 // unwanted reports whether an answer to the subquery is no longer needed. It may be called from any goroutine.
 func (subquery *subqueryState) unwanted() bool {
-	return subquery.abandoned.Load() || subquery.query.closed.Load()
+	return subquery.phaseOver.Load() || subquery.query.closed.Load()
 }
 
 // hasAttemptInFlight reports whether any attempt has not ended.
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -28,7 +28,8 @@
 	}
 	c.scheduler.Resume(ledger)
 	// These notify of ended attempts that the old scheduler has not been notified of. The new one does not know these
-	// attempts, but the notifications also release what the drivers hold for them.
+	// attempts, but the notifications also release what the drivers hold for them. Steps of two-phase queries, which
+	// are among them, do nothing, as their queries are closed.
 	for _, notify := range notifications {
 		notify()
 	}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	rereadInterval = 250 * time.Millisecond // between attempts to read a file that may be partly written
+	rereadInterval = 250 * time.Millisecond // between tries to read a file that may be partly written
 	maxRereads     = 40                     // after them the old configuration stays until the next reload
 )
 
@@ -31,7 +31,7 @@
 // readUntilUsable reads the platform file, with retries because the file may be in the middle of being replaced. The
 // old configuration stays in effect until a read succeeds.
 func (c *Coordinator) readUntilUsable(ctx context.Context, path string) {
-	for attempt := range maxRereads {
+	for try := range maxRereads {
 		deployment, err := readReloaded(path)
 		if err == nil {
 			c.loop.Post(func() {
@@ -41,7 +41,7 @@
 			})
 			return
 		}
-		if attempt == 0 {
+		if try == 0 {
 			c.log.Printf("event=reload_failed cause=%q", err)
 		}
 		select {
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// Flatten converts nested settings to the simulator's format, a map from the path of each value to its text. A list
-// of scalars is joined with commas. A list of objects has its length under .count and its elements under their index.
+// Flatten converts nested settings to the simulator's format, which scheduler.ParseConfig reads: a map from the path
+// of each value to its text. A list of scalars is joined with commas. A list of objects has its length under .count and
+// its elements under their index.
 func Flatten(nested []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(nested))
 	decoder.UseNumber()
@@ -139,14 +140,14 @@
 
 func joinPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 
-// nameCharacters replaces the characters that separate settings and values in the simulator's format.
-var nameCharacters = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
+// separators replaces the characters that separate settings and values in the simulator's format with underscores.
+var separators = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
 
 func scalarText(value any) string {
 	if value == nil {
 		return absentValue
 	}
-	return nameCharacters.Replace(fmt.Sprint(value))
+	return separators.Replace(fmt.Sprint(value))
 }
 
 const absentValue = "-" // null in the simulator's format
@@ -212,8 +213,8 @@
 	{"guarantees.askEvery", maxNumber},
 }
 
-// validate returns a *scheduler.SettingError for a setting that can be parsed but not served with. With such a
-// setting a process would start and then reject every query, call no replica, or panic.
+// validate returns a *scheduler.SettingError for a setting that can be parsed but makes the process useless: it would
+// start and then reject every query, call no replica, or panic.
 func (deployment *Deployment) validate() error {
 	for _, setting := range positiveSettings {
 		value := deployment.settings[setting.key]
@@ -278,11 +279,11 @@
 		return effective, nil, nil
 	}
 	maps.Copy(settings, installation.Shadow.Settings)
-	evaluated, err := scheduler.ParseConfig(settings)
+	shadowConfig, err := scheduler.ParseConfig(settings)
 	if err != nil {
 		return effective, nil, fmt.Errorf("installation: watch.settings: %w", err)
 	}
-	return effective, &evaluated, nil
+	return effective, &shadowConfig, nil
 }
 
 // supportedSettings returns the settings with unsupported ones replaced by their effective values. Valid settings
@@ -294,7 +295,7 @@
 }
 
 // unsupportedSettings returns the settings that cannot be applied, with the values that are effective instead: gossip
-// if no peers are named, and second steps, which the protocol does not have.
+// if no peers are named, and second steps (a class's second round of subqueries), which the client protocol lacks.
 func (deployment *Deployment) unsupportedSettings(hasPeers bool) map[string]string {
 	effective := map[string]string{}
 	if deployment.settings["bounds.peers"] == "true" && !hasPeers {
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -17,9 +17,9 @@
 const unlimitedAttempts = 1 << 30 // attempts per subquery if the settings have no limit
 
 // twoPhaseQueries holds the state that two-phase queries share. The first phase is can-match, the second is fetch
-// from the shards that may contribute. Package twophase decides what to ask for; the scheduler places and retries the
-// subqueries of both phases like any others. The state belongs to the event loop, except for allowed, which does not
-// change.
+// from the shards that may contribute, in one or more waves. Package twophase decides what to ask for; the scheduler
+// handles each wave as a phase, and places and retries the subqueries like any others. The state belongs to the event
+// loop, except for allowed, which does not change.
 type twoPhaseQueries struct {
 	allowed        map[string]bool            // classes whose queries may have two phases
 	classes        map[string]*twophase.Class // estimates for each of these classes
@@ -45,12 +45,12 @@
 	sum   time.Duration
 }
 
-func (times *replyLatency) add(took time.Duration) {
-	times.count++
-	times.sum += took
+func (latency *replyLatency) add(took time.Duration) {
+	latency.count++
+	latency.sum += took
 }
 
-func (times *replyLatency) mean() time.Duration { return times.sum / time.Duration(times.count) }
+func (latency *replyLatency) mean() time.Duration { return latency.sum / time.Duration(latency.count) }
 
 // configure reads from the installation file which classes may have two phases. They have to be idempotent.
 func (queries *twoPhaseQueries) configure(deployment *Deployment, config *scheduler.Config) error {
@@ -195,7 +195,7 @@
 	ended := query.subqueries
 	query.subqueries = nil
 	for _, subquery := range ended {
-		subquery.abandoned.Store(true)
+		subquery.phaseOver.Store(true)
 		c.releaseSubquery(subquery)
 	}
 }
