--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	c.configureClasses()
-	c.configureNames()
+	c.configureZonesAndTenants()
 	shardsErr := c.configureLimits()
 	replicasErr := c.configureReplicas()
 	twoPhaseErr := c.twoPhase.configure(deployment, &c.schedulerConfig)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c *Coordinator) configureNames() {
+func (c *Coordinator) configureZonesAndTenants() {
 	c.zones = map[string]scheduler.ZoneIndex{}
 	for index, name := range c.deployment.names("zones") {
 		c.zones[name] = scheduler.ZoneIndex(index)
--- a/server/eviction.go
+++ b/server/eviction.go
@@ -10,9 +10,9 @@
 // longest, where the idle time of one that has never sent a request counts silentIdleWeight times. A connection with an
 // open request is never selected.
 //
-// Eviction keeps many clients that hold idle connections open, without ever sending a request or after a single one,
-// from using up all slots or descriptors, which would leave requests of other clients unread. Only connections that
-// have sent a request count as active. If too many are active, an active one that is idle is evicted as well.
+// Without eviction, many clients that keep idle connections open, having sent one request or none, could use up all
+// slots or descriptors, and requests of other clients would stay unread. Only connections that have sent a request
+// count as active. If too many are active, the one of them that has been idle longest is evicted as well.
 type connTable struct {
 	mu        sync.Mutex
 	conns     map[*ClientConn]struct{}
--- a/server/routes.go
+++ b/server/routes.go
@@ -79,7 +79,7 @@
 	return client.respondNow(Text(http.StatusOK, "up"))
 }
 
-// respondOnLoop answers with the text that a function, called on the event loop, returns.
+// respondOnLoop calls a function on the event loop and answers with the text that it returns.
 func (client *ClientConn) respondOnLoop(text func() string) (staysOpen bool) {
 	return client.server.loop.Post(func() { client.Respond(Text(http.StatusOK, text())) })
 }
