--- a/internal/replicaproto/http2/mapping.go
+++ b/internal/replicaproto/http2/mapping.go
@@ -9,13 +9,13 @@
 	"terntray/internal/replicaproto"
 )
 
-// The mapping of a call to a request and its response, as docs/http2.md states it. The names on the wire are given.
+// The mapping of a call to a request and its response (docs/http2.md). The names on the wire are fixed.
 const (
 	callPath       = "/part"
 	headerSubquery = "part-id"
 	headerShard    = "part-shard"
-	headerWait     = "part-wait-ms" // how many milliseconds the reply is awaited
-	headerEnd      = "part-end"     // of a response: one of the ends below
+	headerWait     = "part-wait-ms" // milliseconds for which the reply is awaited
+	headerEnd      = "part-end"     // of a response: one of the values below
 	headerLoad     = "part-load"    // the load report
 
 	endOK       = "ok"
@@ -23,8 +23,8 @@
 	endRejected = "rejected"
 )
 
-// requestHead is the header list of a call.
-func requestHead(scheme, authority string, call *replicaproto.Call, waitMS int64) []hpack.HeaderField {
+// requestHeaders returns the header list of a call.
+func requestHeaders(scheme, authority string, call *replicaproto.Call, waitMS int64) []hpack.HeaderField {
 	return []hpack.HeaderField{
 		{Name: ":method", Value: http.MethodPost},
 		{Name: ":scheme", Value: scheme},
@@ -34,14 +34,14 @@
 		{Name: "content-length", Value: strconv.Itoa(len(call.Text))},
 		{Name: headerShard, Value: strconv.Itoa(call.Shard)},
 		{Name: headerWait, Value: strconv.FormatInt(waitMS, 10)},
-		// An id is never sent again, so it would only push others out of the compression table.
+		// An ID is never sent again; in the compression table it would only evict other entries.
 		{Name: headerSubquery, Value: call.SubqueryID, Sensitive: true},
 	}
 }
 
-// endOf reads how a response says that its subquery ended. Only status and header together say that it ran well, or
-// never; anything else is an error after which it may have run.
-func endOf(status int, end string) replicaproto.ReplyStatus {
+// replyStatusOf returns the reply status of a response. OK and Rejected require a matching pair of HTTP status and end
+// header; anything else is an error, after which the subquery may have run.
+func replyStatusOf(status int, end string) replicaproto.ReplyStatus {
 	isRejectedStatus := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
 	case status == http.StatusOK && end == endOK:
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -10,26 +10,26 @@
 	"terntray/internal/replicaproto"
 )
 
-// outbound is what is written.
+// outbound is the state of writing.
 type outbound struct {
-	output      []byte // that frames are being written to
-	outputStart int    // where the session's own output begins in it
-	outputEnds  []replicaproto.CallEnd
+	output      []byte // that frames are appended to
+	outputStart int    // where this session's output begins in it
+	callEnds    []replicaproto.CallEnd
 	control     []byte // control frames that wait to be written
 	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer // that the encoder writes to
 }
 
-// Output appends what is to be written now: control frames, then new streams as the replica's limit allows, then bodies
-// in turn, a frame of each. A large call would otherwise keep small ones of other clients waiting. Nothing is begun
-// before the replica's settings have come, as its limit is not known.
+// Output appends control frames, then new streams up to the replica's limit, then one frame of each body in turn, so
+// that a large call does not delay other clients' small ones. No stream is opened before the replica's settings are
+// received, because its limit is not known yet.
 func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 	session.outputStart = len(buffer)
 	session.output = append(buffer, session.control...)
 	session.control = session.control[:0]
-	for session.mayBegin() && session.outputSize() < maxBytes {
-		session.beginNext(now)
+	for session.canBeginCall() && session.outputSize() < maxBytes {
+		session.beginNextCall(now)
 	}
 	session.writeBodies(maxBytes)
 	output := session.output
@@ -37,12 +37,12 @@
 	return output
 }
 
-// outputSize is the bytes of the output so far.
+// outputSize returns the size of the output so far, in bytes.
 func (session *Session) outputSize() int { return len(session.output) - session.outputStart }
 
-// mayBegin tells whether the first call that waits can begin. A stream on which nothing can be sent would only take a
-// place.
-func (session *Session) mayBegin() bool {
+// canBeginCall reports whether a stream can be opened for the first queued call. While no body can be sent, none is
+// opened: it would only count toward the replica's limit.
+func (session *Session) canBeginCall() bool {
 	if len(session.queue) == 0 || !session.settings.received || session.closeAnnounced || session.goingAway {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return canSend && int64(len(session.streams)) < session.settings.maxStreams && session.lastStreamID < maxStreamID
 }
 
-// beginNext opens a stream for the first call that waits, unless that is not permitted any more.
-func (session *Session) beginNext(now time.Duration) {
+// beginNextCall opens a stream for the first queued call, or drops the call if it is no longer permitted.
+func (session *Session) beginNextCall(now time.Duration) {
 	call := session.queue[0]
 	session.queue = session.queue[1:]
 	waitMS, permitted := call.Begin(now)
@@ -63,24 +63,24 @@
 		call:          call,
 		body:          call.Text,
 		sendWindow:    session.settings.streamWindow,
-		receiveWindow: receiveWindow{left: initialWindow},
+		receiveWindow: receiveWindow{available: initialWindow},
 		contentLength: -1,
 	}
 	call.Stream = opened.id
 	session.streams[opened.id] = opened
-	session.writeHead(opened, waitMS)
+	session.writeHeaders(opened, waitMS)
 	if len(opened.body) == 0 {
-		session.noteLastByte(opened)
+		session.recordCallEnd(opened)
 		return
 	}
-	if size := session.sendable(opened); size == len(opened.body) { // a small body goes with its head
+	if size := session.sendable(opened); size == len(opened.body) { // a small body follows its headers at once
 		session.writeBody(opened, size)
 	} else {
 		session.sending = append(session.sending, opened)
 	}
 }
 
-// nextStreamID gives the id of a new stream. After the last one the connection takes nothing new.
+// nextStreamID returns the ID of a new stream. With the last possible ID, the connection stops accepting calls.
 func (session *Session) nextStreamID() uint32 {
 	if session.lastStreamID == 0 {
 		session.lastStreamID = 1
@@ -90,19 +90,19 @@
 	if session.lastStreamID == maxStreamID {
 		session.goingAway = true
 		session.lastAccepted = maxStreamID
-		session.emit(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: "the stream ids are used up"})
+		session.emit(replicaproto.Event{Kind: replicaproto.GoingAway, Detail: "the connection has used all stream IDs"})
 	}
 	return session.lastStreamID
 }
 
-// writeHead writes a call's header list, in as many frames as it needs.
-func (session *Session) writeHead(stream *stream, waitMS int64) {
+// writeHeaders writes a call's header list, in several frames if necessary.
+func (session *Session) writeHeaders(stream *stream, waitMS int64) {
 	session.headerBlock.Reset()
-	for _, field := range requestHead(session.scheme, session.authority, stream.call, waitMS) {
+	for _, field := range requestHeaders(session.scheme, session.authority, stream.call, waitMS) {
 		must(session.encoder.WriteField(field))
 	}
 	block := session.headerBlock.Bytes()
-	fragment, rest := cut(block, session.settings.maxFrameSize)
+	fragment, rest := splitAt(block, session.settings.maxFrameSize)
 	must(session.framer.WriteHeaders(http2.HeadersFrameParam{
 		StreamID:      stream.id,
 		BlockFragment: fragment,
@@ -110,26 +110,26 @@
 		EndStream:     len(stream.body) == 0,
 	}))
 	for len(rest) > 0 {
-		fragment, rest = cut(rest, session.settings.maxFrameSize)
+		fragment, rest = splitAt(rest, session.settings.maxFrameSize)
 		must(session.framer.WriteContinuation(stream.id, len(rest) == 0, fragment))
 	}
 }
 
-// cut divides bytes after so many of them.
-func cut(all []byte, size int) (first, rest []byte) {
+// splitAt splits a slice after size bytes, or at its end if it is shorter.
+func splitAt(all []byte, size int) (first, rest []byte) {
 	size = min(size, len(all))
 	return all[:size], all[size:]
 }
 
-// writeBodies writes a frame of each body in turn, until the output is large enough or none can go on.
+// writeBodies writes one frame of each body in turn, until the output is large enough or no body can be sent.
 func (session *Session) writeBodies(maxBytes int) {
-	blocked := 0 // bodies in a row of which nothing can be sent
+	blocked := 0 // consecutive bodies of which nothing can be sent
 	for blocked < len(session.sending) && session.outputSize() < maxBytes {
 		if session.sendWindow <= 0 || session.closeAnnounced {
 			return
 		}
 		next := session.sending[0]
-		session.sending = append(session.sending[1:], next) // its next turn is after all others'
+		session.sending = append(session.sending[1:], next) // round robin
 		size := session.sendable(next)
 		if size <= 0 {
 			blocked++
@@ -140,15 +140,15 @@
 	}
 }
 
-// sendable is how many bytes of a stream's body can be sent in one frame now; it may be below 0.
+// sendable returns how many bytes of a stream's body can be sent in one frame now; it may be negative.
 func (session *Session) sendable(stream *stream) int {
 	window := min(session.sendWindow, stream.sendWindow)
 	return int(min(int64(len(stream.body)), window, int64(session.settings.maxFrameSize)))
 }
 
-// writeBody writes so many bytes of a stream's body.
+// writeBody writes the next size bytes of a stream's body.
 func (session *Session) writeBody(stream *stream, size int) {
-	fragment, rest := cut(stream.body, size)
+	fragment, rest := splitAt(stream.body, size)
 	isLast := len(rest) == 0
 	must(session.framer.WriteData(stream.id, isLast, fragment))
 	stream.body = rest
@@ -156,28 +156,28 @@
 	session.sendWindow -= int64(size)
 	if isLast {
 		session.stopSending(stream)
-		session.noteLastByte(stream)
+		session.recordCallEnd(stream)
 	}
 }
 
-// noteLastByte notes where a call's last byte stands in the output.
-func (session *Session) noteLastByte(stream *stream) {
+// recordCallEnd records the position of a call's last byte in the output.
+func (session *Session) recordCallEnd(stream *stream) {
 	stream.sent = true
 	end := replicaproto.CallEnd{Call: stream.call, Offset: session.outputSize()}
-	session.outputEnds = append(session.outputEnds, end)
+	session.callEnds = append(session.callEnds, end)
 }
 
-// Wrote tells how many bytes of the last output were taken.
-func (session *Session) Wrote(taken int) {
-	for _, end := range session.outputEnds {
-		if end.Offset <= taken {
+// Wrote records how many bytes of the last output were accepted.
+func (session *Session) Wrote(accepted int) {
+	for _, end := range session.callEnds {
+		if end.Offset <= accepted {
 			end.Call.Stage = replicaproto.Written
 		}
 	}
-	session.outputEnds = session.outputEnds[:0]
+	session.callEnds = session.callEnds[:0]
 }
 
-// writeControl has control frames written in the next output, after those that wait.
+// writeControl queues the control frames that write writes for the next output.
 func (session *Session) writeControl(write func() error) {
 	session.output = session.control
 	must(write())
@@ -185,14 +185,14 @@
 	session.output = nil
 }
 
-// sendWindowUpdate lets the replica send more, on a stream or, with 0, the connection.
+// sendWindowUpdate queues a WINDOW_UPDATE for a stream, or for the connection if stream is 0.
 func (session *Session) sendWindowUpdate(stream uint32, increment int64) {
 	if increment > 0 {
 		session.writeControl(func() error { return session.framer.WriteWindowUpdate(stream, uint32(increment)) })
 	}
 }
 
-// must panics on an error of writing a frame. Writing is to memory, so it is a frame that this package made wrongly.
+// must panics if a frame could not be written. Frames are written to memory, so the frame itself must be invalid.
 func must(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/replicaproto/http2/response.go
+++ b/internal/replicaproto/http2/response.go
@@ -11,31 +11,32 @@
 	"terntray/internal/wire"
 )
 
-// fieldOverhead is how many bytes a field counts in a header list beside its own (RFC 7541, 4.1).
+// fieldOverhead is the number of bytes that each field adds to a header list's size (RFC 7541, 4.1).
 const fieldOverhead = 32
 
-// headerList gathers the fields of a header list that is coming: of an interim response, a response or its trailers.
+// headerList collects the fields of the header list that is being received: of an interim response, a response or its
+// trailers.
 type headerList struct {
-	stream     uint32
-	open       bool // more of it has to come
-	endsStream bool
-	blockSize  int  // compressed bytes so far
-	listSize   int  // bytes of the fields so far, as the limit counts them
-	malformed  bool // RFC 9113, 8.2 and 8.3; or too large
-	hasFields  bool // a field that is no pseudo-field has come
+	stream           uint32
+	open             bool // it is incomplete
+	endsStream       bool
+	blockSize        int  // compressed bytes so far
+	listSize         int  // bytes of the fields so far, with their overhead
+	malformed        bool // by RFC 9113, 8.2 and 8.3, or too large
+	hasRegularFields bool // a field other than a pseudo-header was received
 
 	status        string
-	end           string  // the mapping's headerEnd
-	busy          float64 // the load report; below 0: none
+	end           string  // the value of headerEnd
+	cpuUsage      float64 // the load report; below 0: none
 	contentLength int64   // below 0: none
 }
 
 // begin starts the header list of a stream.
 func (list *headerList) begin(stream uint32, endsStream bool) {
-	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, busy: -1}
+	*list = headerList{stream: stream, open: true, endsStream: endsStream, contentLength: -1, cpuUsage: -1}
 }
 
-// add takes one field.
+// add adds one field.
 func (list *headerList) add(field hpack.HeaderField) {
 	list.listSize += len(field.Name) + len(field.Value) + fieldOverhead
 	if list.listSize > maxHeaderList {
@@ -43,20 +44,20 @@
 		return
 	}
 	if strings.HasPrefix(field.Name, ":") {
-		if field.Name != ":status" || list.hasFields || list.status != "" {
+		if field.Name != ":status" || list.hasRegularFields || list.status != "" {
 			list.malformed = true
 		}
 		list.status = field.Value
 		return
 	}
-	list.hasFields = true
+	list.hasRegularFields = true
 	if !isValidName(field.Name) || !isValidValue(field.Value) {
 		list.malformed = true
 	}
 	list.interpret(field)
 }
 
-// interpret takes what a field says.
+// interpret validates and stores the fields that have a meaning here.
 func (list *headerList) interpret(field hpack.HeaderField) {
 	switch field.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
@@ -73,11 +74,11 @@
 		}
 		list.end = field.Value
 	case headerLoad:
-		list.busy = wire.ParseLoadReport(field.Value, "=")
+		list.cpuUsage = wire.ParseLoadReport(field.Value, "=")
 	}
 }
 
-// isValidName tells whether a field's name holds only what it may (RFC 9113, 8.2.1).
+// isValidName reports whether a field's name contains only allowed characters (RFC 9113, 8.2.1).
 func isValidName(name string) bool {
 	return name != "" && !strings.ContainsFunc(name, isInvalidInName)
 }
@@ -87,13 +88,13 @@
 	return char <= ' ' || char >= 0x7f || isUpper || char == ':'
 }
 
-// isValidValue tells the same of its value.
+// isValidValue reports whether a field's value contains only allowed characters (RFC 9113, 8.2.1).
 func isValidValue(value string) bool {
 	return !strings.ContainsAny(value, "\x00\r\n") && value == strings.Trim(value, " \t")
 }
 
-// onHeaderBlock takes a fragment of a header list. All are decoded, also those of streams that are over, as the state
-// of the compression depends on it.
+// onHeaderBlock handles a fragment of a header list. Fragments of ended streams are decoded too, because the
+// compression state depends on them.
 func (session *Session) onHeaderBlock(fragment []byte, isLast bool) error {
 	list := &session.headers
 	list.blockSize += len(fragment)
@@ -114,25 +115,25 @@
 	switch {
 	case stream == nil:
 		return session.checkWasOpened(list.stream)
-	case stream.responded:
+	case stream.headersReceived:
 		return session.onTrailers(stream)
 	}
 	return session.onResponse(stream)
 }
 
-// onTrailers takes what follows a response's body. They end the stream and have no pseudo-fields (RFC 9113, 8.1).
+// onTrailers handles a response's trailers. They must end the stream and have no pseudo-headers (RFC 9113, 8.1).
 func (session *Session) onTrailers(stream *stream) error {
 	list := &session.headers
 	if list.malformed || !list.endsStream || list.status != "" {
 		return malformedResponse(stream)
 	}
-	if list.busy >= 0 {
-		stream.busy = list.busy
+	if list.cpuUsage >= 0 {
+		stream.cpuUsage = list.cpuUsage
 	}
 	return session.onResponseEnd(stream)
 }
 
-// onResponse takes the header list of a response, or of an interim one, of which nothing is needed.
+// onResponse handles the header list of a response. Interim responses are ignored.
 func (session *Session) onResponse(stream *stream) error {
 	list := &session.headers
 	if list.malformed || len(list.status) != 3 {
@@ -149,10 +150,10 @@
 		return nil
 	}
 	session.idleFrames = 0
-	stream.responded = true
-	stream.end = endOf(status, list.end)
+	stream.headersReceived = true
+	stream.replyStatus = replyStatusOf(status, list.end)
 	stream.contentLength = list.contentLength
-	stream.busy = list.busy
+	stream.cpuUsage = list.cpuUsage
 	if list.endsStream {
 		return session.onResponseEnd(stream)
 	}
@@ -163,22 +164,21 @@
 	return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeProtocol}
 }
 
-// onData takes a piece of a response's body. What it took of the connection's window is given back also for streams
-// that are over.
+// onData handles a part of a response's body. The connection's window is replenished for data on ended streams too.
 func (session *Session) onData(frame *http2.DataFrame) error {
 	size := int64(frame.Header().Length) // padding included (RFC 9113, 6.1)
-	if !session.receiveWindow.take(size) {
+	if !session.receiveWindow.receive(size) {
 		return http2.ConnectionError(http2.ErrCodeFlowControl)
 	}
-	session.sendWindowUpdate(0, session.receiveWindow.giveBack(size, connWindow/2))
+	session.sendWindowUpdate(0, session.receiveWindow.replenish(size, connWindow/2))
 	stream := session.streams[frame.StreamID]
 	if stream == nil {
 		return session.checkWasOpened(frame.StreamID)
 	}
-	if !stream.responded {
+	if !stream.headersReceived {
 		return malformedResponse(stream)
 	}
-	if !stream.receiveWindow.take(size) {
+	if !stream.receiveWindow.receive(size) {
 		return http2.StreamError{StreamID: stream.id, Code: http2.ErrCodeFlowControl}
 	}
 	if len(frame.Data()) > 0 {
@@ -191,20 +191,20 @@
 	if frame.StreamEnded() {
 		return session.onResponseEnd(stream)
 	}
-	session.sendWindowUpdate(stream.id, stream.receiveWindow.giveBack(size, initialWindow/2))
+	session.sendWindowUpdate(stream.id, stream.receiveWindow.replenish(size, initialWindow/2))
 	return nil
 }
 
-// onResponseEnd ends a stream whose response is complete.
+// onResponseEnd handles the end of a response and reports the reply.
 func (session *Session) onResponseEnd(stream *stream) error {
 	if stream.contentLength >= 0 && stream.contentLength != int64(len(stream.value)) {
 		return malformedResponse(stream) // RFC 9113, 8.1.1
 	}
 	session.idleFrames = 0
-	if !stream.sent { // the replica needs no more of the call
+	if !stream.sent { // the rest of the call is not needed
 		session.reset(stream, http2.ErrCodeNo)
 	}
-	session.forget(stream)
+	session.removeStream(stream)
 	session.emit(replyEvent(stream))
 	return nil
 }
--- a/internal/replicaproto/http2/stream.go
+++ b/internal/replicaproto/http2/stream.go
@@ -8,39 +8,39 @@
 type stream struct {
 	id            uint32
 	call          *replicaproto.Call
-	body          []byte // not yet sent
-	sent          bool   // its last byte is in an output
-	sendWindow    int64  // bytes that the replica takes; below 0 after it has made its windows smaller
+	body          []byte // the part that is not in an output yet
+	sent          bool   // the call's last byte is in an output
+	sendWindow    int64  // bytes that the replica accepts; negative after it has shrunk its windows
 	receiveWindow receiveWindow
 
-	responded     bool // the header list of its response has come
-	end           replicaproto.ReplyStatus
-	contentLength int64 // as that says; below 0: it does not
-	value         []byte
-	busy          float64 // the load report of the header list or the trailers; below 0: none
+	headersReceived bool // the response's header list has been received
+	replyStatus     replicaproto.ReplyStatus
+	contentLength   int64 // as the header list states it; below 0: not stated
+	value           []byte
+	cpuUsage        float64 // the load report in the header list or the trailers; below 0: none
 }
 
-// receiveWindow is how much the replica may send ahead, on a connection or a stream (RFC 9113, 5.2).
+// receiveWindow is the flow-control window for what the replica sends, on a connection or a stream (RFC 9113, 5.2).
 type receiveWindow struct {
-	left     int64 // bytes that it may send
-	consumed int64 // bytes that have come and are not given back yet
+	available int64 // bytes that the replica may still send
+	consumed  int64 // bytes received and not yet returned with a WINDOW_UPDATE
 }
 
-// take notes bytes that came, and tells whether they were within the window.
-func (window *receiveWindow) take(size int64) bool {
-	window.left -= size
-	return window.left >= 0
+// receive subtracts received bytes from the window and reports whether they were within it.
+func (window *receiveWindow) receive(size int64) bool {
+	window.available -= size
+	return window.available >= 0
 }
 
-// giveBack notes bytes that were consumed. It returns how many bytes to give back to the replica: all, once there are
-// as many as the threshold, else 0.
-func (window *receiveWindow) giveBack(size, threshold int64) int64 {
+// replenish records consumed bytes. Once they reach the threshold, it returns all of them to the window and returns
+// their number, the increment for a WINDOW_UPDATE; until then it returns 0.
+func (window *receiveWindow) replenish(size, threshold int64) int64 {
 	window.consumed += size
 	if window.consumed < threshold {
 		return 0
 	}
 	increment := window.consumed
-	window.left += increment
+	window.available += increment
 	window.consumed = 0
 	return increment
 }
@@ -48,7 +48,7 @@
 func replyEvent(stream *stream) replicaproto.Event {
 	return replicaproto.Event{
 		Kind: replicaproto.Reply, Attempt: stream.call.Attempt, SubqueryID: stream.call.SubqueryID,
-		Status: stream.end, Value: stream.value, CPUUsage: stream.busy,
+		Status: stream.replyStatus, Value: stream.value, CPUUsage: stream.cpuUsage,
 	}
 }
 
