--- a/server/reading.go
+++ b/server/reading.go
@@ -62,8 +62,8 @@
 }
 
 // readDeadline returns the time by which the client must send data or complete its request; zero, for no deadline,
-// while a request is open. Without it, clients that connect and send nothing, send endless heads or partial requests, or
-// keep idle connections open could use up all slots.
+// while a request is open. Without it, clients that connect and send nothing, send endless heads or partial requests,
+// or keep idle connections open could use up all slots.
 func (client *ClientConn) readDeadline() time.Time {
 	if client.requestOpen {
 		return time.Time{}
