--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -10,14 +10,14 @@
 	Waiting  Stage = iota // no byte was written; the call can still be withdrawn
 	Begun                 // some bytes may have been written
 	Written               // the last byte was handed to the operating system
-	Withheld              // refused by Permit or too late when its first byte was due; no byte is ever written
+	Withheld              // Begin did not permit it: refused by Permit, or less than MinTimeLeft; no byte is ever written
 )
 
-// Call is one attempt as it is written to a connection. Only the Session changes Stage and Stream; the other fields are
-// constant.
+// Call is one attempt as it is written to a connection. The Session of that connection sets Stage and Stream; package
+// connpool resets both when it moves a call to another connection. The other fields are constant.
 type Call struct {
 	Attempt    uint64 // identifies the call in events
-	Group      uint64 // calls of one group may share a message
+	Group      uint64 // calls with the same group may share a message, in protocols that allow this
 	SubqueryID string // on the wire
 	Shard      int
 	Text       []byte
@@ -26,18 +26,19 @@
 	// much time remains until then when the call's first byte is written.
 	Deadline time.Duration
 	// Permit is called when the first byte is about to be written, with the connection's mutex held. If it returns
-	// false, the call is never written. A nil Permit allows every call that has at least MinTimeLeft.
+	// false, or less than MinTimeLeft remains, the call is never written. A nil Permit permits every call.
 	Permit func(now time.Duration) bool
 
 	Stage  Stage
 	Stream uint32 // the stream ID in protocols with streams; 0: none yet
 }
 
-// MinTimeLeft is the least time until its deadline with which a call is sent: replicas are told whole milliseconds.
+// MinTimeLeft is the minimum time until the deadline for a call to be sent. Replicas are told whole milliseconds, so a
+// shorter time would be sent as 0.
 const MinTimeLeft = time.Millisecond
 
-// Begin reports whether the first byte of a call may be written now. It returns the milliseconds left, which the
-// replica is told, and sets the call's stage.
+// Begin reports whether the first byte of a call may be written now, and sets the call's stage to Begun or Withheld. It
+// returns the time left in milliseconds, which the replica is told.
 func (call *Call) Begin(now time.Duration) (waitMS int64, permitted bool) {
 	waitMS = (call.Deadline - now).Milliseconds()
 	if call.Permit != nil && !call.Permit(now) || waitMS < MinTimeLeft.Milliseconds() {
--- a/internal/replicaproto/event.go
+++ b/internal/replicaproto/event.go
@@ -9,7 +9,7 @@
 	NeverRan                 // the attempt ended and cannot have run; Evidence says why
 	MayHaveRun               // the attempt ended without a reply and may have run
 	CallLimit                // the replica accepts at most MaxCalls concurrent calls from now on
-	GoingAway                // the replica accepts no new calls on this connection
+	GoingAway                // no new calls may be written to this connection
 	PingAnswered             // the replica answered a ping
 	Ready                    // calls may be written
 )
@@ -24,7 +24,8 @@
 	Rejected             // the subquery never ran; each protocol has its own encoding of this status
 )
 
-// Evidence is what proves that a fully written call never ran.
+// Evidence is what proves that a call never ran, other than its Stage: a call that is not fully written never ran
+// either.
 type Evidence string
 
 // The kinds of evidence.
@@ -33,7 +34,7 @@
 	RefusedStream     Evidence = "the replica refused the stream"                              // RFC 9113, 8.7
 )
 
-// Event is something that was received on a connection.
+// Event is what Session.Next reports about a connection.
 type Event struct {
 	Kind       Kind
 	Attempt    uint64 // 0: the protocol's replies name subqueries; see SubqueryID
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -1,5 +1,5 @@
-// Package frames implements the frames protocol (docs/sockets.md): a call has a length, a letter and a line for each of
-// its subqueries; replies arrive in any order and name their subquery.
+// Package frames implements the frames protocol (docs/sockets.md): a call frame has a length, a letter and, for each of
+// its subqueries, a line and the text; replies arrive in any order and name their subquery.
 package frames
 
 import (
@@ -12,14 +12,14 @@
 
 // Session is the state machine of one connection.
 type Session struct {
-	maxCalls int // per frame; all of one group
+	maxCalls int // maximum number of calls in a frame, all of one group
 	replies  wire.ReplyReader
-	queue    []message
+	queue    []queueEntry
 	callEnds []replicaproto.CallEnd // of the calls in the last output, in order
 }
 
-// message is a queued message: a call, or the notice that a subquery is abandoned.
-type message struct {
+// queueEntry is an entry of the queue: a call, or the notice that a subquery is abandoned.
+type queueEntry struct {
 	call      *replicaproto.Call // nil: abandoned is set
 	abandoned string             // the subquery's ID
 }
@@ -34,22 +34,22 @@
 
 // Queue appends a call to the calls that wait to be written.
 func (session *Session) Queue(call *replicaproto.Call) {
-	session.queue = append(session.queue, message{call: call})
+	session.queue = append(session.queue, queueEntry{call: call})
 }
 
-// Withdraw removes a call of which no byte was written and reports whether it could.
+// Withdraw removes a call from the queue and reports whether it could; see replicaproto.Call.Revocable.
 func (session *Session) Withdraw(call *replicaproto.Call) bool {
 	if !call.Revocable() {
 		return false
 	}
-	isCall := func(queued message) bool { return queued.call == call }
+	isCall := func(queued queueEntry) bool { return queued.call == call }
 	session.queue = slices.DeleteFunc(session.queue, isCall)
 	return true
 }
 
 // Abandon queues a message that tells the replica that a subquery is abandoned.
 func (session *Session) Abandon(call *replicaproto.Call) {
-	session.queue = append(session.queue, message{abandoned: call.SubqueryID})
+	session.queue = append(session.queue, queueEntry{abandoned: call.SubqueryID})
 }
 
 // Ping does nothing: the protocol has no pings.
@@ -58,7 +58,8 @@
 // AnnounceClose does nothing: the protocol has no message for it.
 func (session *Session) AnnounceClose() {}
 
-// Output appends queued messages, up to about maxBytes if that is above 0. Calls beyond that can still be withdrawn.
+// Output appends the frames for the queue, up to about maxBytes; 0 means no limit. Calls that remain in the queue can
+// still be withdrawn.
 func (session *Session) Output(buffer []byte, maxBytes int, now time.Duration) []byte {
 	session.callEnds = session.callEnds[:0]
 	start := len(buffer)
@@ -107,7 +108,7 @@
 	return subqueries, begun
 }
 
-// Wrote records how many bytes of the last output were accepted. If none were, its calls can still be withdrawn.
+// Wrote records how many bytes of the last output were accepted. If none were, its calls can be withdrawn again.
 func (session *Session) Wrote(bytes int) {
 	for _, end := range session.callEnds {
 		switch {
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -69,7 +69,6 @@
 	return frame, err
 }
 
-// onFrame handles a frame.
 func (session *Session) onFrame(frame http2.Frame) error {
 	_, isSettings := frame.(*http2.SettingsFrame)
 	if !session.settings.received && !isSettings {
@@ -227,9 +226,9 @@
 	return nil
 }
 
-// handleError ends the stream that a stream error concerns. For any other error it returns the error that ends the
-// connection, and likewise if the replica floods the connection: with frames that make no progress, or with frames that
-// require responses faster than those can be written.
+// handleError handles the result of a frame, which may be nil. A stream error ends only its stream. Any other error is
+// returned and ends the connection, and so does a flood: too many frames without progress, or frames that require
+// responses faster than those can be written.
 func (session *Session) handleError(err error) error {
 	var streamError http2.StreamError
 	if errors.As(err, &streamError) {
--- a/internal/replicaproto/http2/output.go
+++ b/internal/replicaproto/http2/output.go
@@ -177,7 +177,7 @@
 	session.callEnds = session.callEnds[:0]
 }
 
-// writeControl queues the control frames that write writes for the next output.
+// writeControl calls write and queues the frames that it writes, for the next output.
 func (session *Session) writeControl(write func() error) {
 	session.output = session.control
 	must(write())
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -113,7 +113,7 @@
 // Queue appends a call to the calls that wait to be written.
 func (session *Session) Queue(call *replicaproto.Call) { session.queue = append(session.queue, call) }
 
-// Withdraw removes a call of which no byte was written and reports whether it could.
+// Withdraw removes a call from the queue and reports whether it could; see replicaproto.Call.Revocable.
 func (session *Session) Withdraw(call *replicaproto.Call) bool {
 	if !call.Revocable() {
 		return false
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// A replica lowers its stream limit to 0 while streams are open. Calls that were not begun wait until it raises the
-// limit and can be withdrawn.
+// A replica lowers its stream limit to 0 while streams are open. Calls not yet begun wait until it raises the limit,
+// and can be withdrawn meanwhile.
 func TestStreamLimit(t *testing.T) {
 	replica := newFakeReplica(t, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 2})
 	for n := range 5 {
@@ -230,7 +230,7 @@
 	}
 }
 
-// A long-lived connection has used all stream IDs. It accepts no new calls then.
+// A long-lived connection has used all stream IDs. After that it accepts no new calls.
 func TestStreamIDExhaustion(t *testing.T) {
 	replica := newFakeReplica(t)
 	replica.session.lastStreamID = maxStreamID - 2
--- a/internal/replicaproto/http2/stream.go
+++ b/internal/replicaproto/http2/stream.go
@@ -23,7 +23,7 @@
 // receiveWindow is the flow-control window for what the replica sends, on a connection or a stream (RFC 9113, 5.2).
 type receiveWindow struct {
 	available int64 // bytes that the replica may still send
-	consumed  int64 // bytes received and not yet returned with a WINDOW_UPDATE
+	consumed  int64 // bytes received and not yet added to the window again with a WINDOW_UPDATE
 }
 
 // receive subtracts received bytes from the window and reports whether they were within it.
@@ -32,8 +32,8 @@
 	return window.available >= 0
 }
 
-// replenish records consumed bytes. Once they reach the threshold, it returns all of them to the window and returns
-// their number, the increment for a WINDOW_UPDATE; until then it returns 0.
+// replenish records consumed bytes. Once their number reaches the threshold, it adds them to the window again and
+// returns their number, the increment for a WINDOW_UPDATE. Otherwise it returns 0.
 func (window *receiveWindow) replenish(size, threshold int64) int64 {
 	window.consumed += size
 	if window.consumed < threshold {
--- a/internal/replicaproto/session.go
+++ b/internal/replicaproto/session.go
@@ -6,7 +6,7 @@
 type Session interface {
 	// Queue appends a call to the calls that wait to be written.
 	Queue(call *Call)
-	// Withdraw removes a call of which no byte was written and reports whether it could.
+	// Withdraw removes a call that is Revocable from the queue and reports whether it could.
 	Withdraw(call *Call) bool
 	// Abandon queues a message that tells the replica that nobody waits for a begun call any more.
 	Abandon(call *Call)
