--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s %q", endpoint.State, endpoint.UID)
 }
 
-// ListRequest returns the request to a discovery agent for the complete list.
+// ListRequest returns the request to a discovery agent for the full list.
 func ListRequest(host string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathEndpoints, host)
 }
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -15,9 +15,9 @@
 // noLoad is the result for a report without a usable load.
 const noLoad = -1
 
-// ParseLoadReport returns the share of its cores in use that a replica states in a load report, from 0 to 1, or a
-// negative value if it states none. A report is a comma-separated list of pairs of name and value; separator is what
-// separates the two.
+// ParseLoadReport returns the share of a replica's cores in use, from 0 to 1, as stated in its load report, or a
+// negative value if the report states none. A report is a comma-separated list of pairs of name and value; separator is
+// the text between the two.
 func ParseLoadReport(report, separator string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(pair, separator)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -61,7 +61,8 @@
 	reader.Consume(len(buffered) - len(bytes.TrimLeft(buffered, "\r\n")))
 }
 
-// headEnd returns the offset at which the first empty line after a line ends, or 0 if there is none.
+// headEnd returns the offset just past the first empty line, or 0 if there is none. The empty line must follow the end
+// of another line.
 func headEnd(text []byte) int {
 	for at := 0; ; {
 		lineEnd := bytes.IndexByte(text[at:], '\n')
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -22,10 +22,10 @@
 
 // subqueryBody is the part of a query's body for one shard.
 type subqueryBody = struct {
-	Segment  *int     `json:"segment"` // the shard
-	Boost    *float64 `json:"boost"`   // the weight
-	Work     float64  `json:"work"`    // the client's estimate of the work, in microseconds
-	Affinity *string  `json:"affinity"`
+	Segment  *int     `json:"segment"`  // the shard
+	Boost    *float64 `json:"boost"`    // the weight
+	Work     float64  `json:"work"`     // the client's estimate of the work, in microseconds
+	Affinity *string  `json:"affinity"` // validated, but not used
 }
 
 // SubqueryValue is the value in a replica's reply to a subquery, unmodified.
@@ -55,7 +55,7 @@
 // phaseRequest is the line that precedes the query's text in a subquery of a two-phase query.
 type phaseRequest struct {
 	Phase   string `json:"ask"`
-	Limit   *int   `json:"best,omitempty"` // number of hits with the highest scores; absent: all matches
+	Limit   *int   `json:"best,omitempty"` // how many hits to return, highest scores first; absent: all matches
 	Version string `json:"version,omitempty"`
 }
 
@@ -75,11 +75,11 @@
 
 // answerBody is a replica's reply in the fetch phase.
 type answerBody struct {
-	Version string       `json:"version"`
-	Hits    []answerHits `json:"hits"`
+	Version string      `json:"version"`
+	Hits    []answerHit `json:"hits"`
 }
 
-type answerHits struct {
+type answerHit struct {
 	ID    string  `json:"id"`
 	Score float64 `json:"score"`
 }
@@ -112,12 +112,12 @@
 // pathEndpoints is the path of the endpoint list at a discovery agent.
 const pathEndpoints = "/discovery/hosts"
 
-// Letters of the types of frames between a co-ordinator and replicas.
+// Letters that identify the types of frames between a co-ordinator and replicas.
 const (
 	frameCall    = 'R'
 	frameAbandon = 'A'
 	frameReply   = 'Y'
-	frameRefusal = 'N' // the replica rejected a frame as malformed
+	frameRefusal = 'N' // the replica refused a frame as malformed
 )
 
 // ReplyStatus is the status in a replica's reply to a subquery.
--- a/internal/wire/query.go
+++ b/internal/wire/query.go
@@ -13,8 +13,8 @@
 const (
 	maxIDLength     = 200    // bytes of a query's id
 	maxLimit        = 10_000 // hits that a two-phase query may request
-	maxHintSeconds  = 86400  // of a client's estimate of the work
-	weightTolerance = 0.001  // of the weights' sum, which must be 1: there may be many, rounded to six places
+	maxHintSeconds  = 86400  // largest estimate of the work that a client may state
+	weightTolerance = 0.001  // of the weights' sum, which must be 1: there may be many weights, rounded to six places
 	affinityLength  = 16     // hexadecimal digits
 )
 
@@ -26,7 +26,7 @@
 	Timeout    time.Duration // how long the client waits, from the time it sent the query
 	Text       []byte
 	Subqueries []Subquery
-	TwoPhase   *TwoPhaseQuery // nil: not a two-phase query, or its class does not allow them
+	TwoPhase   *TwoPhaseQuery // nil: not a two-phase query, or its class does not allow two-phase queries
 }
 
 // Subquery is the part of a query for one shard.
@@ -36,10 +36,10 @@
 	Hint   time.Duration // the client's estimate of the work; 0: none
 }
 
-// TwoPhaseQuery holds the options of a query that may be executed in two phases, because replicas can bound its hits
-// (docs/phases.md).
+// TwoPhaseQuery holds the options of a query that may be executed in two phases, because replicas can state bounds for
+// the scores of its hits (docs/phases.md).
 type TwoPhaseQuery struct {
-	Limit *int `json:"best"` // number of hits with the highest scores; nil: all matches
+	Limit *int `json:"best"` // how many hits to return, highest scores first; nil: all matches
 }
 
 // QueryRules holds the restrictions that apply to the queries of a class.
@@ -129,8 +129,8 @@
 	return query.Limit == nil || *query.Limit >= 0 && *query.Limit <= maxLimit
 }
 
-// readSubqueries converts the subqueries, each of which must have a different shard. The weights must add up to 1: with
-// a larger sum a response could count as complete while values are missing.
+// readSubqueries converts the subqueries, no two of which may have the same shard. The weights must add up to 1: with a
+// larger sum a response could count as complete while values are missing.
 func readSubqueries(bodies []subqueryBody) ([]Subquery, error) {
 	subqueries := make([]Subquery, 0, len(bodies))
 	seen := make(map[int]bool, len(bodies))
--- a/internal/wire/replies.go
+++ b/internal/wire/replies.go
@@ -11,7 +11,7 @@
 
 const (
 	frameLengthSize = 4           // bytes of the length field before a frame
-	maxFrame        = 2 * MaxBody // bytes; the value of a longer frame would not fit into a response
+	maxFrame        = 2 * MaxBody // bytes; the value of a longer frame would not fit into a response to a client
 	maxQuotedBytes  = 120         // bytes of a message that an error quotes
 )
 
@@ -26,11 +26,11 @@
 // ErrMalformedReply reports a malformed frame, after which nothing on its connection can be relied on.
 var ErrMalformedReply = errors.New("malformed reply")
 
-// RefusedError reports that a replica rejected a frame as malformed. Message is the replica's.
+// RefusedError reports that a replica refused a frame as malformed. Message is the text that the replica sent.
 type RefusedError struct{ Message string }
 
 func (err *RefusedError) Error() string {
-	return fmt.Sprintf("the replica rejected a frame: %q", err.Message)
+	return fmt.Sprintf("the replica refused a frame: %q", err.Message)
 }
 
 // ReplyReader parses a replica's frames from the bytes of a connection.
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -113,7 +113,8 @@
 	return length, length >= 0
 }
 
-// isSimpleName reports whether a field's name has no white space at its ends, which some servers treat as part of it.
+// isSimpleName reports whether a field's name has no white space at its ends. Some servers treat such white space as
+// part of the name.
 func isSimpleName(name []byte) bool {
 	return len(name) > 0 && name[0] > ' ' && name[len(name)-1] > ' '
 }
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// That a client waits for "100 Continue" before it sends the body is reported once.
+// Next reports only once that a client waits for "100 Continue" before it sends the body.
 func TestExpectationIsReportedOnce(t *testing.T) {
 	var reader RequestReader
 	reader.Feed([]byte("POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
@@ -133,8 +133,8 @@
 	})
 }
 
-// A request that PeekSimple accepts ends where Next has it end. The server rejects requests by PeekSimple alone, and a
-// wrong end would make it parse a part of a body as the next request.
+// For a request that PeekSimple accepts, Next either finds the same end or returns an error. The server rejects
+// requests by PeekSimple alone, and a wrong end would make it parse a part of a body as the next request.
 func FuzzPeekSimple(f *testing.F) {
 	f.Add("POST /look HTTP/1.1\r\nHost: b\r\nContent-Length: 4\r\n\r\nbodyPOST")
 	f.Add("POST /look HTTP/1.1\r\nHost: b\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody")
--- a/internal/wire/sizes.go
+++ b/internal/wire/sizes.go
@@ -15,8 +15,8 @@
 	varied bool // values of several sizes are valid
 }
 
-// isSuspicious records a value's size and reports whether it differs from the size of all values before it and bytes
-// that are not a frame follow. A nil ValueSizes always returns false.
+// isSuspicious records a value's size. It reports whether the size is unlike that of all values before, of which there
+// were at least minSameSizeValues, and bytes that are not a frame follow. A nil ValueSizes always returns false.
 func (sizes *ValueSizes) isSuspicious(size int, garbageFollows bool) bool {
 	if sizes == nil {
 		return false
--- a/internal/wire/twophase.go
+++ b/internal/wire/twophase.go
@@ -17,8 +17,8 @@
 
 // Errors of malformed replies.
 var (
-	errNoSummary    = errors.New("summary has no version or no valid count")
-	errTrailingData = errors.New("trailing data after the JSON value")
+	errInvalidSummary = errors.New("summary has no version or no valid count")
+	errTrailingData   = errors.New("trailing data after the JSON value")
 )
 
 // CanMatchRequest returns the text of the subquery that requests a shard's summary.
@@ -46,7 +46,7 @@
 	}
 	hasCount := body.Count != nil && *body.Count >= 0 && *body.Count <= maxCount
 	if body.Version == "" || !hasCount {
-		return twophase.Summary{}, errNoSummary
+		return twophase.Summary{}, errInvalidSummary
 	}
 	summary := twophase.Summary{
 		Version: twophase.Version(body.Version),
