--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -25,7 +25,7 @@
 
 // readEndpointList reads a numbered list. Events refer to it by its number until another list reuses the number.
 func (s *server) readEndpointList(header *fields) error {
-	page := header.integer("page")
+	number := header.integer("page")
 	count := header.integer("records")
 	if header.err != nil {
 		return header.err
@@ -48,12 +48,12 @@
 		}
 		endpoints = append(endpoints, listed)
 	}
-	s.endpointLists[page] = endpoints
+	s.endpointLists[number] = endpoints
 	return nil
 }
 
 func decodeEndpoint(f *fields) (listedEndpoint, error) {
-	if f.message != listEntry {
+	if f.name != listEntry {
 		return listedEndpoint{}, f.fail("expected an ITEM of the list")
 	}
 	var listed listedEndpoint
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -53,7 +53,7 @@
 }
 
 func (s *server) decodeEndpointsChanged(f *fields) event {
-	page := f.integerOr("page", -1)
+	number := f.integerOr("page", -1)
 	form := f.text("form")
 	f.integerOr("version", 0)
 	switch {
@@ -65,9 +65,9 @@
 		f.fail("field form: unknown value %q", form)
 		return nil
 	}
-	endpoints, known := s.endpointLists[page]
+	endpoints, known := s.endpointLists[number]
 	if !known {
-		f.fail("field page: unknown list %d", page)
+		f.fail("field page: unknown list %d", number)
 	}
 	return endpointListEvent{endpoints: endpoints, complete: form != formUpdate, restored: form == formRestored}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -29,7 +29,7 @@
 // fields decodes the values of one message in order. It keeps the first error; values decoded after it are meaningless.
 type fields struct {
 	line      int
-	message   string
+	name      string // of the message
 	remaining []string
 	err       error
 }
@@ -37,7 +37,7 @@
 // fail records an error unless there is one already, and returns the recorded error.
 func (f *fields) fail(format string, args ...any) error {
 	if f.err == nil {
-		f.err = &InputError{Line: f.line, Message: f.message, Reason: fmt.Sprintf(format, args...)}
+		f.err = &InputError{Line: f.line, Message: f.name, Reason: fmt.Sprintf(format, args...)}
 	}
 	return f.err
 }
@@ -114,7 +114,7 @@
 // noLoad is the result of load for a report that states no load.
 const noLoad = -1.0
 
-// load decodes the share of its cores in use that a replica states in a load report, from 0 to 1, or noLoad.
+// load decodes a replica's load report and returns the share of its cores in use, from 0 to 1, or noLoad.
 func (f *fields) load(field string) float64 {
 	report := f.text(field)
 	if report == absentValue || report == "" {
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -56,8 +56,8 @@
 const (
 	formUnavailable = "unavailable" // the list is not available
 	formUpdate      = "update"      // endpoints that are not in the list are unchanged
-	formReplace     = "replace"     // the complete list
-	formRestored    = "restored"    // the complete list as it was before the instance was restarted
+	formReplace     = "replace"     // the full list
+	formRestored    = "restored"    // the full list as it was before the instance was restarted
 )
 
 var outcomes = map[int64]scheduler.Outcome{
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -2,9 +2,9 @@
 // Scheduler and encodes what the Scheduler requests from its Host. It makes no decisions.
 //
 // Each line is one message: its name and its fields, separated by tabs. Messages are grouped into batches, each for one
-// time of the simulation's clock. An instance is one co-ordinator. Within a batch, messages select an instance or are
-// addressed to the selected one. At the end of the batch every instance selected in it decides, and one reply contains
-// the requests of all of them.
+// time of the simulation's clock. An instance is one co-ordinator. Within a batch, messages define endpoint
+// lists, select an instance, or are addressed to the selected instance. At the end of the batch every instance selected
+// in it decides, and one reply contains the requests of all of them.
 package simwire
 
 import (
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("line %d: %w", s.line, err)
 	}
 	values := strings.Split(strings.TrimSuffix(text, "\n"), "\t")
-	return &fields{line: s.line, message: values[0], remaining: values[1:]}, nil
+	return &fields{line: s.line, name: values[0], remaining: values[1:]}, nil
 }
 
 // fail returns an error at the current line that concerns no single message.
@@ -78,7 +78,7 @@
 
 // batch handles the messages of a batch, makes the active instances decide and returns the batch's number.
 func (s *server) batch(header *fields) (number int64, err error) {
-	if header.message != batchBegins {
+	if header.name != batchBegins {
 		return 0, header.fail("message outside a batch")
 	}
 	s.clock = header.integer("clock")
@@ -94,7 +94,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if message.message == batchEnds {
+		if message.name == batchEnds {
 			break
 		}
 		if err := s.handle(message); err != nil {
@@ -123,7 +123,7 @@
 
 // handle handles one message within a batch.
 func (s *server) handle(message *fields) error {
-	switch message.message {
+	switch message.name {
 	case instanceSelected:
 		return s.selectInstance(message)
 	case listBegins:
@@ -131,20 +131,20 @@
 	case batchBegins, listEntry:
 		return message.fail("unexpected message")
 	}
-	if !isForInstance(message.message) {
+	if !isForInstance(message.name) {
 		return message.fail("unknown message")
 	}
 	if s.selected == nil {
 		return message.fail("no instance is selected")
 	}
-	switch message.message {
+	switch message.name {
 	case instanceStarts:
 		return s.startInstance(message)
 	case instanceStops:
 		s.selected.stop()
 		return nil
 	}
-	received := decoders[message.message](s, message)
+	received := decoders[message.name](s, message)
 	if message.err != nil {
 		return message.err
 	}
