--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -34,7 +34,7 @@
 	// EndpointsKnown is called with the full last known list: at the start and on Redeliver.
 	EndpointsKnown(list *wire.EndpointList)
 	// PollFailed is called when a poll has failed. notifyScheduler is set if the scheduler has to be notified: it
-	// requested the poll, or this is the first of several consecutive failures.
+	// requested the poll, or this is the first failure since the last list was received.
 	PollFailed(notifyScheduler bool)
 }
 
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -123,8 +123,8 @@
 	}
 	watch.Conn.Close()
 	f.expectFailure(t, true)
-	if whole := nextCall(t, agent); strings.Contains(whole.Path, "from=") {
-		t.Errorf("after a failure the poll is %s, want the full list", whole.Path)
+	if next := nextCall(t, agent); strings.Contains(next.Path, "from=") {
+		t.Errorf("after a failure the poll is %s, want the full list", next.Path)
 	}
 }
 
--- a/discovery/retry.go
+++ b/discovery/retry.go
@@ -47,7 +47,7 @@
 }
 
 // reportFailure logs a failure and notifies the Handler. During a move to another address the scheduler is not
-// notified, as the new address has not sent it a list yet.
+// notified, as it has no list from the new address yet.
 func (watcher *Watcher) reportFailure(address string, cause error) {
 	isMoving := watcher.stopMove != nil
 	notifyScheduler := !isMoving && (watcher.onDemand || !watcher.failing)
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -38,8 +38,8 @@
 	responseTimeout time.Duration // in addition to hold
 	deliver         func(list *wire.EndpointList)
 
-	conn       net.Conn // nil if not connected
-	stopCloser func() bool
+	conn       net.Conn    // nil if not connected
+	stopCloser func() bool // stops netconn.CloseOnDone
 	reader     wire.EndpointListReader
 
 	hasList  bool               // the full list was received
@@ -152,13 +152,13 @@
 	}
 }
 
-// RevisionError is returned if changes sent by an agent do not follow the last received list.
+// RevisionError is returned if the changes sent by an agent are older than the last received list, or come before any
+// list.
 type RevisionError struct {
 	Found int64 // revision of the changes
 	After int64 // revision of the last received list
 }
 
-// Error returns the text for the log.
 func (err *RevisionError) Error() string {
 	return fmt.Sprintf("received changes of revision %d after revision %d", err.Found, err.After)
 }
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -2,11 +2,11 @@
 // monotonic clock of this process. Slow start and the closing of connections that predate a restart depend on them, and
 // a wall clock may be off, or be stepped by seconds or an hour, at any time.
 //
-// Knowledge that does not depend on a wall clock takes precedence. A start time that differs from the one listed before
-// must be after the previous list, and so, as far as is known, must be the start of a replica that was not listed
-// before. If the wall clock contradicts this it is wrong, and the replica is taken to have started now: it is safe to
-// treat a replica as colder than it is, but not as warmer. If the wall clock has been stepped, the latest of the
-// possible start times is used.
+// Knowledge that does not depend on a wall clock takes precedence. If a list states a start time for a replica that
+// differs from the one listed before, the replica must have started after the previous list. The same is assumed of a
+// replica that was not listed before. If the wall clock contradicts this it is wrong, and the replica is taken to have
+// started now: it is safe to treat a replica as colder than it is, but not as warmer. If the wall clock has been
+// stepped, the latest of the possible start times is used.
 //
 // All times are relative to the start of this process, on the monotonic clock. The package does no I/O and reads no
 // clock.
@@ -22,7 +22,7 @@
 
 const (
 	listLag       = time.Second     // how late a list may include a replica that has started
-	sameOffset    = 2 * time.Second // offsets that differ by less are equal, because of slewing and late reads
+	sameOffset    = 2 * time.Second // offsets that differ by less, by slewing and late reads, are treated as equal
 	maxOffsets    = 8               // most recent offsets remembered
 	maxRemembered = 16384           // replicas remembered; several times the largest fleet
 )
@@ -33,7 +33,7 @@
 	starts       map[string]start // by UID of the replica
 	previousList time.Duration    // when the list before the current one was received; negative if none was
 	currentList  time.Duration    // when the current list was received; negative if none was
-	distrusted   int              // number of start times that contradicted the wall clock
+	distrusted   int              // number of start times for which the wall clock was contradicted
 }
 
 // start is the start time of a replica process.
@@ -110,7 +110,7 @@
 	return tracker.previousList < 0 || started >= tracker.previousList-listLag
 }
 
-// Distrusted returns the number of start times so far that contradicted the wall clock.
+// Distrusted returns the number of start times so far for which the wall clock was contradicted.
 func (tracker *Tracker) Distrusted() int { return tracker.distrusted }
 
 func (tracker *Tracker) remember(uid string, reported start) {
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -49,7 +49,8 @@
 }
 
 // A replica restarts or appears between two lists while the wall clock is stepped back and forth. It never counts as
-// started before the first of the two lists, whatever the wall clock showed: a cold replica would count as warm.
+// started more than listLag before the first of the two lists, whatever the wall clock showed: a cold replica would
+// count as warm.
 func TestRestartIsNeverTakenForOlderThanItCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		off := func(name string) time.Duration {
--- a/twophase/prune.go
+++ b/twophase/prune.go
@@ -6,8 +6,8 @@
 )
 
 // This file decides which shards are pruned, that is, proved to contribute nothing and skipped in the fetch phase.
-// A shard is pruned if its summary says that nothing matches, or if its upper bound is below the score that the
-// wanted number of hits is known to reach (threshold). A bound equal to the threshold proves nothing, as ties are
+// A shard is pruned if its summary says that nothing matches, or if its upper bound is below the threshold, the highest
+// score that at least Options.Limit hits are known to reach. A bound equal to the threshold proves nothing, as ties are
 // decided by shard and id.
 //
 // Pruning is repeated before each wave and before the query completes. Once a shard has answered, its hits replace the
@@ -40,8 +40,8 @@
 	return !query.options.SharedVersions || !query.hasOtherVersion(shard.summary.Version)
 }
 
-// threshold returns the score that the wanted number of hits is known to reach, or false if fewer hits are known. A
-// shard whose own promised hits count towards the threshold cannot be below it.
+// threshold returns the highest score that at least Options.Limit hits are known to reach, or false if fewer hits are
+// known. A shard whose own promised hits count towards the threshold cannot be below it.
 func (query *Query) threshold() (score float64, known bool) {
 	if !query.options.Ranked {
 		return 0, false
--- a/twophase/query.go
+++ b/twophase/query.go
@@ -17,7 +17,7 @@
 	maxWaves = 3
 	// minWaveShards is the minimum number of shards per wave: smaller waves take time and save little work.
 	minWaveShards = 4
-	// quorumOfShards is the share of shards that have replied from which on the query waits for the others only as
+	// quorumOfShards is a share of the shards: once that many have replied, the query waits for the others only as
 	// long as a can-match phase usually takes (awaitSummaries).
 	quorumOfShards = 0.8
 )
@@ -112,7 +112,7 @@
 	return query, nil
 }
 
-// Next returns the next step. CanMatch is returned at most once, and so is Fetch for any one shard. After Done or
+// Next returns the next step. CanMatch is returned at most once, and Fetch at most once for each shard. After Done or
 // Reject the query has ended: further calls return the same step, and the owner has to call Close.
 func (query *Query) Next(now time.Duration) Step {
 	if query.rejection != "" {
