--- a/cmd/terntray-settings/main.go
+++ b/cmd/terntray-settings/main.go
@@ -1,5 +1,5 @@
 // Terntray-settings renders and checks the installation file, a deployment's own configuration, and creates
-// certificates for trials with TLS. It is a separate program so that the service includes neither the template language
+// certificates for testing TLS. It is a separate program so that the service includes neither the template language
 // nor the schema validator.
 package main
 
@@ -13,7 +13,7 @@
 	"terntray/config"
 )
 
-const defaultValidity = 24 * time.Hour // of the certificates for trials
+const defaultValidity = 24 * time.Hour // of the certificates for testing
 
 func main() {
 	root := &cobra.Command{
@@ -76,7 +76,7 @@
 	var validity time.Duration
 	command := &cobra.Command{
 		Use:   "certs DIR",
-		Short: "Create a CA and certificates for trials on loopback",
+		Short: "Create a CA and certificates for testing on loopback",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return config.MakeCertificates(args[0], hosts, validity)
--- a/cmd/terntray/client_disconnect_test.go
+++ b/cmd/terntray/client_disconnect_test.go
@@ -109,7 +109,7 @@
 		c.send(query("look", "left", 20, 9))
 		waitFor(t, "the request is accepted", func() bool { return program.counters()["taken"] == 9 })
 		c.disconnect(way)
-		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
+		waitFor(t, way+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
 		other.send(query("look", "lives", 20, 10))
 		waitFor(t, "the other request is accepted", func() bool { return program.counters()["taken"] >= 10 })
 		for _, call := range replica.Received() {
@@ -138,7 +138,7 @@
 		waitFor(t, "the other request waits too", func() bool {
 			return strings.Contains(program.logText(), "query_arrived=lives")
 		})
-		waitFor(t, way+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
+		waitFor(t, way+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
 		full.open(real.Addr().String())
 		other.expect(map[int]string{4: value(replica, 4)})
 		expectNothingSent(t, way, replica, "lives")
@@ -154,12 +154,12 @@
 		large[n] = n
 	}
 	for way := range disconnects {
-		for _, later := range []time.Duration{0, 2 * stallTime} {
-			if later > 0 && disconnects[way].trailing != "" {
+		for _, resumeDelay := range []time.Duration{0, 2 * stallTime} {
+			if resumeDelay > 0 && disconnects[way].trailing != "" {
 				continue // two ways are enough here
 			}
-			what := fmt.Sprintf("%s, reading resumed after %v", way, later)
-			// so that this machine's jitter is small in comparison
+			what := fmt.Sprintf("%s, reading resumed after %v", way, resumeDelay)
+			// replies take 3 ms, so that jitter of the machine running the test is small in comparison
 			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed))
 			if err := replica.ShrinkBuffers(); err != nil {
 				t.Fatal(err)
@@ -185,16 +185,16 @@
 				return program.counters()["taken"]-before["taken"] == 2
 			})
 			c.disconnect(way)
-			waitFor(t, what+": its end is noticed", func() bool { return program.counters()["left"] == 1 })
-			if later == 0 {
+			waitFor(t, what+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
+			if resumeDelay == 0 {
 				other.send(query("look", "lives", 20, 22))
 				waitFor(t, what+": the other request is accepted", func() bool {
 					return program.counters()["taken"]-before["taken"] >= 3
 				})
 			}
-			time.Sleep(later)
+			time.Sleep(resumeDelay)
 			resume()
-			if later == 0 {
+			if resumeDelay == 0 {
 				other.expect(map[int]string{22: value(replica, 22)})
 			}
 			asked := 0
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -111,7 +111,7 @@
 	if answer := other.receive(); answer.status != 503 {
 		t.Errorf("status %d", answer.status)
 	}
-	succeed(replica, replica.Received()[0]) // a reply frees a place
+	succeed(replica, replica.Received()[0]) // a reply makes room for another query
 	waitFor(t, "the reply is counted", func() bool { return program.counters()["legs_ok"] == 1 })
 	replica.SetBehavior(succeed)
 	other.send(query("look", "q3", 30, 7, 8, 9))
@@ -255,9 +255,9 @@
 			client.in.ReadByte()
 			open.Add(-1)
 		}()
-		asked := time.Now()
+		began := time.Now()
 		waitFor(t, "there is room for new connections", func() bool { return open.Load() < 96/3-4 })
-		if waited := time.Since(asked); waited > time.Second {
+		if waited := time.Since(began); waited > time.Second {
 			t.Fatalf("there was room only after %v", waited)
 		}
 	}
--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -12,8 +12,8 @@
 	"terntray/internal/fake"
 )
 
-// The protocol cannot forward idempotency keys: a request of a keyed class that has one is refused, and none of its
-// subqueries runs.
+// The protocol cannot forward idempotency keys: a request of a Keyed class with an idempotency key is refused, and none
+// of its subqueries runs.
 func TestIdempotencyKeyThatCannotBeForwardedIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, strings.Replace(settings, `"side_effect"`, `"token"`, 1), replica)
@@ -56,16 +56,15 @@
 	}
 }
 
-// A watch that gets no response is replaced by a request for the whole list, so that a drain that it missed is applied
-// within the second after the watch's end that is allowed for this. The same holds if SIGHUP changes the discovery
-// address meanwhile.
+// A watch that gets no response is replaced by a request for the full list. A drain that the watch missed must be
+// applied within 1 s of the watch's end. The same holds if SIGHUP changes the discovery address meanwhile.
 func TestDrainMissedBySilentWatchIsAppliedInTime(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newAgent(t), newAgent(t)
-		// a watch lasts 1 s
-		set := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1)
-		env := configure(t, old.Listener.Addr().String(), 1024, set, a, b)
+		// a watch lasts 1 s, half of askEvery
+		changed := strings.Replace(settings, `"discovery"`, `"guarantees":{"askEvery":2000000},"discovery"`, 1)
+		env := configure(t, old.Listener.Addr().String(), 1024, changed, a, b)
 		program := startListening(t, env)
 		(<-old.Calls).Respond(endpointList(5, true, []*fake.Replica{a, b}))
 		<-old.Calls // the watch, which gets no response
@@ -86,7 +85,7 @@
 			t.Errorf("moved %t: the list was requested only after %v", moved, took)
 		}
 		if strings.Contains(call.Path, "from") {
-			t.Errorf("moved %t: %s does not request the whole list", moved, call.Path)
+			t.Errorf("moved %t: %s does not request the full list", moved, call.Path)
 		}
 		call.Respond(endpointList(7, true, []*fake.Replica{a, b}))
 		waitFor(t, "the list is applied", func() bool { return strings.Contains(program.logText(), "rev=7 ") })
@@ -102,13 +101,13 @@
 	}
 }
 
-// The same if lists are sent only on request: a watch that gets no response is replaced by a request for the whole list
-// within 2 s of the end of the watch, when the changes that it missed have to be applied.
+// The same if lists are sent only on request: a watch that gets no response is replaced by a request for the full list
+// within 2 s of the watch's end, the time by which the changes that it missed have to be applied.
 func TestSilentWatchIsRestartedWhereListsArePolled(t *testing.T) {
 	a, agent := newReplica(t, "s-a", 0, succeed), newAgent(t)
-	set := strings.Replace(settings, // a watch lasts 1 s
+	changed := strings.Replace(settings, // a watch lasts 1 s, half of askEvery
 		`"discovery":"automatic"`, `"guarantees":{"askEvery":2000000},"discovery":"subscribe"`, 1)
-	startListening(t, configure(t, agent.Listener.Addr().String(), 1024, set, a))
+	startListening(t, configure(t, agent.Listener.Addr().String(), 1024, changed, a))
 	(<-agent.Calls).Respond(endpointList(5, true, []*fake.Replica{a}))
 	if call := <-agent.Calls; !strings.Contains(call.Path, "hold_ms=1000") {
 		t.Fatalf("%s is not a watch of 1 s", call.Path)
@@ -225,7 +224,7 @@
 }
 
 // A reply that arrives byte by byte without end closes its connection within a bounded time, so that no attempt behind
-// it waits for its whole deadline. An idempotent subquery would be retried elsewhere; the non-idempotent one here
+// it has to wait until its own deadline. An idempotent subquery would be retried elsewhere; the non-idempotent one here
 // fails.
 func TestEndlessReplyClosesItsConnection(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, func(replica *fake.Replica, call fake.Call) {
@@ -252,7 +251,8 @@
 	}
 }
 
-// The protocol has no fetch phase: queries of a class that requires one are refused, other classes are served.
+// The protocol has no second step (familyInfo.classFetch, not the fetch phase of two-phase queries): queries of a class
+// that requires one are refused, other classes are served.
 func TestClassWithASecondPhaseIsRefused(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t,
@@ -267,12 +267,13 @@
 }
 
 // However many requests are waiting for a response, the next one is answered at once. It does not stay in the listen
-// backlog until one of them ends, nor wait for an idle client. With 36 descriptors there are eight client connections.
+// backlog until one of them ends, nor wait for an idle client. With 36 descriptors the limit is eight client
+// connections.
 func TestRequestIsAnsweredAtOnceWhileOthersWait(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, silent)
 	program := start(t, configure(
 		t, newDiscovery(t, "127.0.0.1:0", replica).Listener.Addr().String(), 36, settings, replica))
-	for n := range 8 { // one place stays free
+	for n := range 8 { // seven wait; the last is answered at once, as one place is kept free
 		program.connect().send(query("look", fmt.Sprint("waits", n), 20, n))
 	}
 	waitFor(t, "the queries are waiting", func() bool {
--- a/cmd/terntray/endpoint_list_test.go
+++ b/cmd/terntray/endpoint_list_test.go
@@ -70,14 +70,14 @@
 }
 
 // SIGHUP switches discovery to the address in the platform file, whatever the environment named at the start. An
-// unusable file changes nothing and is read again. Client connections stay open.
+// unusable file changes nothing and is read again, without another SIGHUP. Client connections stay open.
 func TestReloadSwitchesToTheNewDiscoveryAddress(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		old, next := newDiscovery(t, "127.0.0.1:0", a), newDiscovery(t, "127.0.0.1:0", b)
 		next.Revision = 2
-		set := strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1)
-		env := configure(t, old.Listener.Addr().String(), 1024, set, a)
+		changed := strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1)
+		env := configure(t, old.Listener.Addr().String(), 1024, changed, a)
 		program := start(t, append(env, "ROUTER_DISCOVERY="+old.Listener.Addr().String()))
 		waitFor(t, "a watch is open", func() bool { return old.Watches() > 0 })
 		client := program.connect()
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -13,7 +13,7 @@
 	"terntray/internal/fake"
 )
 
-// A connection breaks after a non-idempotent subquery was written: it may have run and must not be retried.
+// A connection breaks after a non-idempotent subquery was written: the subquery may have run and must not be retried.
 func TestConnectionResetIsNotRetriedForNonIdempotentQueries(t *testing.T) {
 	a, b := newReplica(t, "s-a", 0, reset), newReplica(t, "s-b", 0, reset)
 	program, _ := startDeployment(t, settings, a, b)
--- a/cmd/terntray/twophase_test.go
+++ b/cmd/terntray/twophase_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Replicas whose summaries are missing, malformed, loose, stale or late, or that reset the connection after one: the
+// Summaries are missing, malformed, loose, stale or late, or the replica resets the connection after sending one. The
 // response is complete and correct.
 func TestTwoPhaseAnswerIsCompleteDespiteFaultySummaries(t *testing.T) {
 	for name, fault := range map[string]fake.SummaryFault{
--- a/config/config.go
+++ b/config/config.go
@@ -37,7 +37,7 @@
 	TLS      map[string]TLSFiles `json:"tls"` // by the name that ReplicaRule.TLS refers to
 	TwoPhase TwoPhase            `json:"phases"`
 	Gossip   Gossip              `json:"peers"`
-	Sizes    []Size              `json:"sizes"` // the first size that matches a replica applies
+	Sizes    []Size              `json:"sizes"` // the first entry that matches a replica applies
 	Shadow   Shadow              `json:"watch"`
 }
 
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -20,7 +20,9 @@
 		want            replicaproto.Protocol
 		tls             string
 	}{
-		{"m2x", "10.1.0.1:8081", replicaproto.HTTP2, "boxes"}, {"m1", "10.1.0.1:8081", replicaproto.HTTP2, ""}, {"m1", "10.2.0.1:8081", replicaproto.Frames, ""},
+		{"m2x", "10.1.0.1:8081", replicaproto.HTTP2, "boxes"},
+		{"m1", "10.1.0.1:8081", replicaproto.HTTP2, ""},
+		{"m1", "10.2.0.1:8081", replicaproto.Frames, ""},
 	} {
 		protocol, tlsKey := config.ProtocolOf(test.model, test.endpoint)
 		if protocol != test.want || tlsKey != test.tls {
