--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -19,13 +19,13 @@
 //	                                    input, or another connection to the replica is up), else ConnectionReset,
 //	                                    which counts as the replica's death
 //
-// Attempts are not retransmitted to a replica that is draining or was removed. While a connection is up, what the
-// replica states as its protocol defines it (AttemptSettled) is evidence too: Overloaded if it states that the attempt
-// never ran, Failed otherwise. Whether a subquery is attempted again after such an outcome is decided in
-// scheduler/retry.go, and checked by package invariant.
+// Attempts are not retransmitted to a replica that is draining or was removed. While a connection is up, a replica may
+// also end an attempt by a message of its protocol (AttemptSettled). The outcome is Overloaded if the message states
+// that the attempt never ran, and Failed otherwise. Whether a subquery is attempted again after such an outcome is
+// decided in scheduler/retry.go, and checked by package invariant.
 
 const (
-	// resetGrace is the time within which all connections to a process that died break, after the first of them.
+	// resetGrace is the longest time from the first to the last break of the connections to a process that died.
 	resetGrace = 10 * time.Millisecond
 	// avoidIdleFor is how long non-idempotent attempts avoid idle connections after one broke on its next use.
 	avoidIdleFor = 10 * time.Second
@@ -54,62 +54,64 @@
 	if len(ended.outstanding) > 0 && ended.state != closing && !ended.goingAway {
 		pool.learnIdleTimeout(ended)
 	}
-	neverRan := scheduler.Unreachable
+	neverRanOutcome := scheduler.Unreachable
 	if errors.Is(cause, ErrShortage) {
-		neverRan = scheduler.NeverSent
+		neverRanOutcome = scheduler.NeverSent
 	}
 	ended.state = closing
-	maybeRan, unwritten := pool.classifyByEvidence(ended, neverRan, at)
-	pool.retransmit(ended, unwritten, neverRan, at)
+	mayHaveRun, toRetransmit := pool.classifyByEvidence(ended, neverRanOutcome, at)
+	pool.retransmit(ended, toRetransmit, neverRanOutcome, at)
 	switch {
 	case ended.failed:
-		pool.finishAll(maybeRan, scheduler.MalformedReply, at)
+		pool.finishAll(mayHaveRun, scheduler.MalformedReply, at)
 	case pool.replicaIsAlive(ended.replica):
-		pool.pendingResets[id] = &pendingReset{ended.replica, maybeRan, at}
+		pool.pendingResets[id] = &pendingReset{ended.replica, mayHaveRun, at}
 		pool.host.ScheduleWakeup(id, resetGrace)
 	default:
-		pool.finishAll(maybeRan, scheduler.ConnectionReset, at)
+		pool.finishAll(mayHaveRun, scheduler.ConnectionReset, at)
 	}
 	pool.forgetRemoved(ended.replica)
 }
 
 // classifyByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not be
 // retransmitted, and returns those that may have run and those to retransmit.
-func (pool *Pool) classifyByEvidence(ended *connection, neverRan scheduler.Outcome, at time.Duration) (
-	maybeRan, unwritten []*Attempt) {
+func (pool *Pool) classifyByEvidence(ended *connection, neverRanOutcome scheduler.Outcome, at time.Duration) (
+	mayHaveRun, toRetransmit []*Attempt) {
 	outstanding := ended.outstanding
 	ended.outstanding, ended.cancels.pending = nil, nil
 	for _, attempt := range outstanding {
 		switch {
 		case attempt.finished:
 		case pool.host.Stage(ended.id, attempt) == written:
-			maybeRan = append(maybeRan, attempt)
+			mayHaveRun = append(mayHaveRun, attempt)
 		case ended.wasEstablished && mayRetransmit(attempt, ended.replica):
 			attempt.hasMoved = true
 			attempt.conn = nil
-			resetCall(attempt.Call)
-			unwritten = append(unwritten, attempt)
+			rewindCall(attempt.Call)
+			toRetransmit = append(toRetransmit, attempt)
 		default:
-			pool.finish(attempt, neverRan, at)
+			pool.finish(attempt, neverRanOutcome, at)
 		}
 	}
-	return maybeRan, unwritten
+	return mayHaveRun, toRetransmit
 }
 
-// mayRetransmit reports whether an attempt that was not fully written may be sent on another connection.
+// mayRetransmit reports whether an attempt that was not fully written may be sent on another connection, as far as
+// both the attempt (mayMove) and its replica are concerned.
 func mayRetransmit(attempt *Attempt, replica *replicaState) bool {
 	return attempt.mayMove() && replica.acceptsNew()
 }
 
 // retransmit assigns attempts to other connections than the one they were on, or lets them wait for a slot. Attempts
-// for which neither is possible end with the outcome neverRan. If the replica's last connection has ended, all
-// waiting attempts end as well, as no connection is left to carry them.
-func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRan scheduler.Outcome, at time.Duration) {
+// for which neither is possible end with neverRanOutcome. If the replica's last connection has ended, all waiting
+// attempts end as well, as no connection is left to carry them.
+func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRanOutcome scheduler.Outcome,
+	at time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
 		for _, attempt := range attempts {
 			if !pool.assignOrEnqueue(attempt, replica) {
-				pool.finish(attempt, neverRan, at)
+				pool.finish(attempt, neverRanOutcome, at)
 			}
 		}
 		return
@@ -121,7 +123,7 @@
 	if len(replica.conns) == 0 {
 		waiting := replica.waiting
 		replica.waiting = nil
-		pool.finishAll(waiting, neverRan, at)
+		pool.finishAll(waiting, neverRanOutcome, at)
 	}
 }
 
@@ -129,13 +131,13 @@
 type requeueCause int
 
 const (
-	slotLost requeueCause = iota // the connection has fewer slots, or its replica has moved: allowed repeatedly
-	connLost                     // the replica accepts nothing new on the connection: allowed once for each attempt
+	slotLost      requeueCause = iota // fewer slots, or a new address: an attempt may be requeued any number of times
+	connGoingAway                     // nothing new is accepted on the connection: an attempt may move only once
 )
 
 // requeueUnstarted moves attempts whose writing has not begun from a connection back to the replica's queue, latest
-// first, until no more than keep attempts are left on the connection. If the connection was lost, an attempt that had
-// moved before is rejected instead.
+// first, until no more than keep attempts are left on the connection. If the cause is connGoingAway, an attempt that
+// may not move (again) is rejected instead.
 func (pool *Pool) requeueUnstarted(conn *connection, keep int, cause requeueCause) {
 	var requeued []*Attempt
 	for _, attempt := range slices.Backward(slices.Clone(conn.outstanding)) {
@@ -147,7 +149,7 @@
 		}
 		conn.outstanding = without(conn.outstanding, attempt)
 		attempt.conn = nil
-		if cause == connLost {
+		if cause == connGoingAway {
 			if !attempt.mayMove() {
 				pool.finish(attempt, scheduler.Overloaded, pool.now)
 				continue
@@ -160,9 +162,9 @@
 }
 
 // WriteFailed notifies the pool that a write on a connection failed: it timed out, or the operating system reported
-// an error. The connection gets no new attempts. Attempts whose writing has not begun are retransmitted immediately,
-// as they would wait behind bytes that the replica does not read. If no attempt on the connection can have run, it is
-// closed: the end of the connection proves that none did.
+// an error. The connection gets no new attempts. Attempts whose writing has not begun are sent on other connections
+// immediately, as they would wait behind bytes that the replica does not read. If no attempt on the connection was
+// fully written, it is closed, since attempts that are still incomplete when it ends certainly never run.
 func (pool *Pool) WriteFailed(now time.Duration, id ConnID) {
 	pool.now = now
 	failed := pool.conns[id]
@@ -189,8 +191,8 @@
 	pool.retransmit(failed, unstarted, scheduler.Unreachable, now)
 }
 
-// WriteRefused notifies the pool that an attempt was refused just before it would have been written: it never ran,
-// and is not sent on any other connection.
+// WriteRefused notifies the pool that an attempt was refused just before its first byte would have been written
+// (replicaproto.Withheld): it never ran, and is not sent on any other connection.
 func (pool *Pool) WriteRefused(now time.Duration, attempt *Attempt) {
 	pool.now = now
 	pool.finish(attempt, scheduler.NeverSent, now)
