--- a/config/config.go
+++ b/config/config.go
@@ -52,7 +52,7 @@
 
 // HTTP2 holds the limits for connections to replicas that use HTTP/2.
 type HTTP2 struct {
-	Streams     int `json:"streams"`     // concurrent attempts on a connection, 1 to 10,000; the replica may allow fewer
+	Streams     int `json:"streams"`     // parallel attempts on a connection, 1 to 10,000; the replica may allow fewer
 	Connections int `json:"connections"` // connections to a replica that take attempts, 1 to 16
 }
 
--- a/config/tls.go
+++ b/config/tls.go
@@ -71,7 +71,8 @@
 		return tls.Certificate{}, errors.New("cert: certificate cannot be parsed")
 	}
 	if notAfter := certificate.Leaf.NotAfter; time.Now().After(notAfter) {
-		return tls.Certificate{}, fmt.Errorf("cert: %s: certificate expired at %s", files.Cert, notAfter.Format(time.RFC3339))
+		return tls.Certificate{}, fmt.Errorf("cert: %s: certificate expired at %s",
+			files.Cert, notAfter.Format(time.RFC3339))
 	}
 	return certificate, nil
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -28,6 +28,7 @@
 	Wanted string
 }
 
+// Error returns the path of the field, what was found there, and what is allowed.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: found %s, wanted %s", e.Field, e.Found, e.Wanted)
 }
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -159,6 +159,7 @@
 	After int64 // revision of the last received list
 }
 
+// Error returns both revisions.
 func (err *RevisionError) Error() string {
 	return fmt.Sprintf("received changes of revision %d after revision %d", err.Found, err.After)
 }
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -60,11 +60,11 @@
 		receiveList(tracker, now, off("first"))
 		lastBoot := bootAt(-time.Hour)
 		lastStart, _ := tracker.StartTime(now, "a", lastBoot)
-		for n := range rapid.IntRange(1, 6).Draw(t, "lists") {
+		for index := range rapid.IntRange(1, 6).Draw(t, "lists") {
 			before := now
-			now += time.Duration(rapid.IntRange(1, 9000).Draw(t, fmt.Sprint("wait", n))) * time.Millisecond
-			receiveList(tracker, now, off(fmt.Sprint("off", n)))
-			boot := before + time.Duration(rapid.Int64Range(0, int64(now-before)).Draw(t, fmt.Sprint("boot", n)))
+			now += time.Duration(rapid.IntRange(1, 9000).Draw(t, fmt.Sprint("wait", index))) * time.Millisecond
+			receiveList(tracker, now, off(fmt.Sprint("off", index)))
+			boot := before + time.Duration(rapid.Int64Range(0, int64(now-before)).Draw(t, fmt.Sprint("boot", index)))
 			started, _ := tracker.StartTime(now, "a", bootAt(boot))
 			if bootAt(boot) == lastBoot { // drawn in the same millisecond: listed again, not restarted
 				if started != lastStart {
@@ -75,7 +75,8 @@
 				t.Fatalf("restarted between %v and %v: start time %v", before, now, started)
 			}
 			lastBoot, lastStart = bootAt(boot), started
-			if got, _ := tracker.StartTime(now, fmt.Sprint("new", n), bootAt(boot)); got > now || got < before-listLag {
+			if got, _ := tracker.StartTime(now, fmt.Sprint("new", index), bootAt(boot)); got > now ||
+				got < before-listLag {
 				t.Fatalf("first listed between %v and %v: start time %v", before, now, got)
 			}
 		}
--- a/internal/emulator/coordinator.go
+++ b/internal/emulator/coordinator.go
@@ -224,7 +224,7 @@
 	coordinator.enqueue(func() { coordinator.reportEnd(attempt, took) })
 }
 
-// reportEnd tells the Scheduler that an attempt has ended.
+// reportEnd notifies the Scheduler that an attempt has ended.
 func (coordinator *Coordinator) reportEnd(attempt *attempt, took time.Duration) {
 	if attempt.outcome == scheduler.Succeeded && !attempt.subquery.answered &&
 		attempt.subquery.query.Outcome == Unanswered {
@@ -245,7 +245,7 @@
 	}
 }
 
-// CancelAttempt implements scheduler.Host. The Scheduler is told of the attempt's end at the start of the next
+// CancelAttempt implements scheduler.Host. The Scheduler is notified of the attempt's end at the start of the next
 // iteration.
 func (coordinator *Coordinator) CancelAttempt(subqueryID scheduler.RequestID, number scheduler.AttemptNumber) {
 	subquery := coordinator.subqueries[subqueryID]
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -47,7 +47,7 @@
 	HedgeAllowed, CancelAllowed           bool
 	RetryBudget                           RetryBudget
 	Warmup                                Warmup        // Duration 0: replicas are warm from their start
-	Coordinators                          int           // as the scheduler is told; only one is simulated
+	Coordinators                          int           // number configured for the scheduler; only one is simulated
 	IterationCost, EventCost              time.Duration // see Coordinator
 	ColdStart                             bool          // all replicas start with the simulation
 }
@@ -113,7 +113,7 @@
 // SendLoad schedules the queries that clients send from now until the given time, on an open-loop Poisson schedule:
 // each class at its rate times the factor.
 func (fleet *Fleet) SendLoad(factor float64, until time.Duration) {
-	for n, class := range fleet.Classes {
+	for index, class := range fleet.Classes {
 		if class.Rate*factor <= 0 {
 			continue
 		}
@@ -121,7 +121,7 @@
 		var next func()
 		next = func() {
 			if fleet.Now < until {
-				fleet.sendQuery(n)
+				fleet.sendQuery(index)
 				fleet.Schedule(fleet.Now+seconds(interval.Rand()), next)
 			}
 		}
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -16,6 +16,7 @@
 	Replicas        []int   // indexes
 }
 
+// String returns the start, duration and condition of the fault and the number of replicas that it affects.
 func (fault Fault) String() string {
 	text := fmt.Sprintf("%v+%v %v on %d replicas", fault.Start.Round(time.Millisecond),
 		fault.Duration.Round(time.Millisecond), fault.Condition, len(fault.Replicas))
@@ -37,6 +38,7 @@
 	Observer   func(*Fleet)  // called twice a second; may be nil
 }
 
+// String returns the seed, the load, the configuration of the fleet and the faults, as a test prints them on failure.
 func (history History) String() string {
 	config := history.Config
 	var details []string
@@ -75,7 +77,10 @@
 
 const (
 	minShareInTime = 0.99 // of the queries, to be answered within their objective after recovery
-	maxSubqueries  = 5000 // expected before HealthyAt and half of it after, so that hundreds of histories run in a minute
+
+	// maxSubqueries is the number expected before HealthyAt, and half of it after, so that hundreds of histories run in
+	// a minute.
+	maxSubqueries = 5000
 )
 
 // Run runs the history.
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -25,6 +25,7 @@
 var conditionNames = [...]string{
 	"healthy", "slow", "silent", "paused", "failing", "overloaded", "resetting", "down"}
 
+// String returns the condition in lower case, as it appears in the description of a history.
 func (condition Condition) String() string { return conditionNames[condition] }
 
 // Replica runs as many attempts in parallel as it has cores, in order of arrival; with Cores 0, any number of them. It
--- a/internal/fake/discovery_agent.go
+++ b/internal/fake/discovery_agent.go
@@ -44,9 +44,9 @@
 
 func (agent *DiscoveryAgent) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		request, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
--- a/internal/fake/frames.go
+++ b/internal/fake/frames.go
@@ -24,20 +24,20 @@
 // bytes, read as a length, exceed maxFrameBytes.
 const http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
-func beginsHTTP2(in *bufio.Reader) bool {
-	first, err := in.Peek(4)
+func beginsHTTP2(reader *bufio.Reader) bool {
+	first, err := reader.Peek(4)
 	return err == nil && string(first) == http2Preface[:4]
 }
 
-func discardPreface(in io.Reader) bool {
-	_, err := io.ReadFull(in, make([]byte, len(http2Preface)))
+func discardPreface(reader io.Reader) bool {
+	_, err := io.ReadFull(reader, make([]byte, len(http2Preface)))
 	return err == nil
 }
 
 // serveFrames serves a connection that uses frames until it ends or a malformed frame arrives.
-func (replica *Replica) serveFrames(conn net.Conn, in io.Reader) {
+func (replica *Replica) serveFrames(conn net.Conn, reader io.Reader) {
 	for {
-		frame, err := readFrame(in)
+		frame, err := readFrame(reader)
 		if err != nil {
 			return
 		}
@@ -57,9 +57,9 @@
 
 var errBadFrameLength = errors.New("frame length is zero or exceeds the limit")
 
-func readFrame(in io.Reader) ([]byte, error) {
+func readFrame(reader io.Reader) ([]byte, error) {
 	var size [4]byte
-	if _, err := io.ReadFull(in, size[:]); err != nil {
+	if _, err := io.ReadFull(reader, size[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
@@ -67,7 +67,7 @@
 		return nil, errBadFrameLength
 	}
 	frame := make([]byte, length)
-	_, err := io.ReadFull(in, frame)
+	_, err := io.ReadFull(reader, frame)
 	return frame, err
 }
 
--- a/internal/fake/http2.go
+++ b/internal/fake/http2.go
@@ -40,11 +40,11 @@
 }
 
 // serveHTTP2 serves a connection after its preface has been read.
-func (replica *Replica) serveHTTP2(netConn net.Conn, in io.Reader) {
+func (replica *Replica) serveHTTP2(netConn net.Conn, reader io.Reader) {
 	conn := &http2Conn{
 		replica:     replica,
 		conn:        netConn,
-		framer:      http2.NewFramer(netConn, in),
+		framer:      http2.NewFramer(netConn, reader),
 		decoder:     hpack.NewDecoder(headerTableSize, nil),
 		streams:     map[uint32]*Call{},
 		lastAllowed: maxStreamID,
--- a/internal/fake/load.go
+++ b/internal/fake/load.go
@@ -66,16 +66,16 @@
 	results := make([]LoadResult, int(duration.Seconds()*load.Rate))
 	var pending sync.WaitGroup
 	start := time.Now()
-	for n := range results {
-		due := time.Duration(float64(n) / load.Rate * float64(time.Second))
-		results[n].Due = due
+	for number := range results {
+		due := time.Duration(float64(number) / load.Rate * float64(time.Second))
+		results[number].Due = due
 		if wait := due - time.Since(start); wait > 0 {
 			time.Sleep(wait)
 		}
 		firstShard := random.IntN(load.Shards - load.Subqueries + 1)
 		pending.Go(func() {
-			results[n].Status = load.send(n, firstShard, start.Add(due))
-			results[n].Latency = time.Since(start) - due
+			results[number].Status = load.send(number, firstShard, start.Add(due))
+			results[number].Latency = time.Since(start) - due
 		})
 	}
 	pending.Wait()
@@ -137,15 +137,16 @@
 	load.idle <- conn
 }
 
-func (load *Load) request(n, firstShard int) string {
+func (load *Load) request(number, firstShard int) string {
 	segments := make([]string, load.Subqueries)
 	for i := range segments {
 		segments[i] = fmt.Sprintf(`{"segment":%d,"boost":%.6f}`, firstShard+i, 1/float64(load.Subqueries))
 	}
 	text := strings.Repeat("t", max(1, load.TextBytes))
 	body := fmt.Sprintf(`{"segments":[%s],"text":%q}`, strings.Join(segments, ","), text)
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		load.Class, load.Name, n, load.Deadline.Seconds(), len(body), body)
+	return fmt.Sprintf(
+		"POST /%s HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n%s",
+		load.Class, load.Name, number, load.Deadline.Seconds(), len(body), body)
 }
 
 func (load *Load) close(conn *clientConn) {
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -122,14 +122,14 @@
 	if replica.TLS != nil {
 		conn = tls.Server(conn, replica.TLS)
 	}
-	in := bufio.NewReader(countingConn{conn, replica})
-	if beginsHTTP2(in) {
-		if discardPreface(in) {
-			replica.serveHTTP2(conn, in)
+	reader := bufio.NewReader(countingConn{conn, replica})
+	if beginsHTTP2(reader) {
+		if discardPreface(reader) {
+			replica.serveHTTP2(conn, reader)
 		}
 		return
 	}
-	replica.serveFrames(conn, in)
+	replica.serveFrames(conn, reader)
 }
 
 // execute records a call and runs the replica's behavior on it.
--- a/internal/faultbuild/clock_test.go
+++ b/internal/faultbuild/clock_test.go
@@ -15,7 +15,7 @@
 )
 
 // The deadline of a request that waits to be accepted counts from the arrival of its bytes: the answer is not late, and
-// replicas are told only the time that is left.
+// replicas are sent only the time that is left.
 func TestTimeWaitingForAcceptCountsTowardsDeadline(t *testing.T) {
 	const deadline = 1500 * time.Millisecond
 	p, page, replica := startProgramWith(t, settings, fake.Silent, 0, 0)
@@ -33,8 +33,9 @@
 		t.Errorf("answered %v after its deadline", late)
 	}
 	for _, call := range replica.Received() {
-		if left := time.Duration(call.TimeLeftMS) * time.Millisecond; left > deadline-900*time.Millisecond+150*time.Millisecond {
-			t.Errorf("the replica was told that %v were left, which ignores the wait for accept", left)
+		if left := time.Duration(call.TimeLeftMS) * time.Millisecond; left >
+			deadline-900*time.Millisecond+150*time.Millisecond {
+			t.Errorf("the replica was sent %v as the time left, which ignores the wait for accept", left)
 		}
 	}
 }
@@ -118,8 +119,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { discovery.Server.Close() })
-	p, err := fake.Start(fake.Options{Path: executable, Settings: settings, Discovery: discovery.Listener.Addr().String(),
-		Known: fake.EndpointList(1, true, discovery.Replicas), Env: []string{page.EnvVar()}})
+	p, err := fake.Start(fake.Options{Path: executable, Settings: settings,
+		Discovery: discovery.Listener.Addr().String(), Known: fake.EndpointList(1, true, discovery.Replicas),
+		Env: []string{page.EnvVar()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbuild/library.go
+++ b/internal/faultbuild/library.go
@@ -40,8 +40,8 @@
 	},
 }
 
-// libraryAdditions are files that the build adds to the standard library, by path relative to its root. The indexes that
-// they read are the values of Setting.
+// libraryAdditions are files that the build adds to the standard library, by path relative to its root. The indexes
+// that they read are the values of Setting.
 var libraryAdditions = map[string]string{
 	"time/zz_stepped.go": `package time
 
--- a/internal/faultbuild/shortage_test.go
+++ b/internal/faultbuild/shortage_test.go
@@ -26,8 +26,8 @@
 	return r.StatusCode
 }
 
-// When connect or socket fails for lack of a local resource (ports, buffers, descriptors, a route), the fault is not the
-// replica's: waiting subqueries are sent once the shortage is over, and no replica is ejected.
+// When connect or socket fails for lack of a local resource (ports, buffers, descriptors, a route), the fault is not
+// the replica's: waiting subqueries are sent once the shortage is over, and no replica is ejected.
 func TestLocalResourceShortageFailsNoQueryAndEjectsNoReplica(t *testing.T) {
 	for setting, name := range map[faultbuild.Setting]string{
 		faultbuild.ConnectFails: "connect",
--- a/internal/replicaproto/call.go
+++ b/internal/replicaproto/call.go
@@ -10,7 +10,7 @@
 	Waiting  Stage = iota // no byte was written; the call can still be withdrawn
 	Begun                 // some bytes may have been written
 	Written               // the last byte was handed to the operating system
-	Withheld              // Begin did not permit it: refused by Permit, or less than MinTimeLeft; no byte is ever written
+	Withheld              // Begin did not permit it: Permit refused, or less than MinTimeLeft was left; never written
 )
 
 // Call is one attempt as it is written to a connection. The Session of that connection sets Stage and Stream; package
@@ -22,8 +22,8 @@
 	Shard      int
 	Text       []byte
 
-	// Deadline is when the caller stops waiting for the reply, as time since process start. The replica is told how
-	// much time remains until then when the call's first byte is written.
+	// Deadline is when the caller stops waiting for the reply, as time since process start. The replica is sent the
+	// time that remains until then when the call's first byte is written.
 	Deadline time.Duration
 	// Permit is called when the first byte is about to be written, with the connection's mutex held. If it returns
 	// false, or less than MinTimeLeft remains, the call is never written. A nil Permit permits every call.
@@ -33,12 +33,12 @@
 	Stream uint32 // the stream ID in protocols with streams; 0: none yet
 }
 
-// MinTimeLeft is the minimum time until the deadline for a call to be sent. Replicas are told whole milliseconds, so a
-// shorter time would be sent as 0.
+// MinTimeLeft is the minimum time until the deadline for a call to be sent. The time is sent in whole
+// milliseconds, so a shorter one would be sent as 0.
 const MinTimeLeft = time.Millisecond
 
 // Begin reports whether the first byte of a call may be written now, and sets the call's stage to Begun or Withheld. It
-// returns the time left in milliseconds, which the replica is told.
+// returns the time left in milliseconds, which is sent to the replica.
 func (call *Call) Begin(now time.Duration) (waitMS int64, permitted bool) {
 	waitMS = (call.Deadline - now).Milliseconds()
 	if call.Permit != nil && !call.Permit(now) || waitMS < MinTimeLeft.Milliseconds() {
--- a/internal/replicaproto/frames/session.go
+++ b/internal/replicaproto/frames/session.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-// Abandon queues a message that tells the replica that a subquery is abandoned.
+// Abandon queues a message that notifies the replica that a subquery is abandoned.
 func (session *Session) Abandon(call *replicaproto.Call) {
 	session.queue = append(session.queue, queueEntry{abandoned: call.SubqueryID})
 }
--- a/internal/replicaproto/http2/frames_in.go
+++ b/internal/replicaproto/http2/frames_in.go
@@ -187,7 +187,7 @@
 }
 
 // onGoAway handles the replica's GOAWAY. Streams above its last stream ID never ran, except those whose response had
-// begun, which contradicts the GOAWAY. Another GOAWAY may lower the last stream ID (RFC 9113, 6.8).
+// started, which contradicts the GOAWAY. Another GOAWAY may lower the last stream ID (RFC 9113, 6.8).
 func (session *Session) onGoAway(frame *http2.GoAwayFrame) {
 	if session.goingAway && frame.LastStreamID >= session.lastAccepted {
 		return
@@ -211,7 +211,7 @@
 }
 
 // onReset handles the replica's reset of a stream. A refused stream never ran (RFC 9113, 8.7), unless its response had
-// begun.
+// started.
 func (session *Session) onReset(frame *http2.RSTStreamFrame) error {
 	stream := session.streams[frame.StreamID]
 	if stream == nil { // its response was complete, or we reset it
--- a/internal/replicaproto/http2/session.go
+++ b/internal/replicaproto/http2/session.go
@@ -45,7 +45,7 @@
 	inbound
 	outbound
 
-	queue        []*replicaproto.Call // not begun, in order
+	queue        []*replicaproto.Call // not yet started, in order
 	streams      map[uint32]*stream   // open streams by ID
 	sending      []*stream            // streams with unsent body, the next to send first
 	lastStreamID uint32               // odd; 0: none yet
--- a/internal/replicaproto/http2/session_test.go
+++ b/internal/replicaproto/http2/session_test.go
@@ -51,7 +51,7 @@
 // is an error.
 func TestReplyStatusMapping(t *testing.T) {
 	replica := newFakeReplica(t)
-	for n, fields := range [][]string{
+	for index, fields := range [][]string{
 		{":status", "200"},
 		{":status", "503"},
 		{":status", "503", headerEnd, endRejected},
@@ -60,9 +60,9 @@
 		{":status", "204", headerEnd, endOK},
 		{":status", "200", headerEnd, endError},
 	} {
-		replica.queueCall(n, 1)
+		replica.queueCall(index, 1)
 		replica.sentFrames()
-		replica.writeHeaders(uint32(2*n+1), true, fields...)
+		replica.writeHeaders(uint32(2*index+1), true, fields...)
 	}
 	replica.expectEvents("ready", "reply 1 1 ", "reply 2 1 ", "reply 3 2 ", "reply 4 2 ", "reply 5 1 ",
 		"reply 6 1 ", "reply 7 1 ")
@@ -99,7 +99,7 @@
 	}
 }
 
-// A replica lowers its stream limit to 0 while streams are open. Calls not yet begun wait until it raises the limit,
+// A replica lowers its stream limit to 0 while streams are open. Calls not yet started wait until it raises the limit,
 // and can be withdrawn meanwhile.
 func TestStreamLimit(t *testing.T) {
 	replica := newFakeReplica(t, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 2})
@@ -185,7 +185,7 @@
 	}
 }
 
-// A replica resets streams. A refused stream never ran, unless its response had begun; any other may have run.
+// A replica resets streams. A refused stream never ran, unless its response had started; any other may have run.
 func TestStreamResets(t *testing.T) {
 	replica := newFakeReplica(t)
 	for n := range 3 {
@@ -249,8 +249,8 @@
 	replica := newFakeReplica(t)
 	replica.sentFrames()
 	a, b := replica.queueCall(0, 10), replica.queueCall(1, 10)
-	out := replica.session.Output(nil, 1<<20, 0)
-	replica.session.Wrote(len(out) - 1)
+	output := replica.session.Output(nil, 1<<20, 0)
+	replica.session.Wrote(len(output) - 1)
 	if a.Stage != replicaproto.Written || b.Stage != replicaproto.Begun {
 		t.Errorf("stages %d %d", a.Stage, b.Stage)
 	}
--- a/internal/replicaproto/session.go
+++ b/internal/replicaproto/session.go
@@ -8,7 +8,8 @@
 	Queue(call *Call)
 	// Withdraw removes a call that is Revocable from the queue and reports whether it could.
 	Withdraw(call *Call) bool
-	// Abandon queues a message that tells the replica that nobody waits for a begun call any more.
+	// Abandon queues a message that notifies the replica that the result of a call in stage Begun or Written is no
+	// longer needed.
 	Abandon(call *Call)
 	// Ping queues a ping; a PingAnswered event reports the answer. It does nothing in protocols without pings.
 	Ping()
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -103,7 +103,8 @@
 		return queryEvent{ID: id, Number: number, Class: class, Tenant: tenant, TimeLeft: timeLeft,
 			WorkHint: workHint, Subqueries: int(measure)}
 	}
-	return subqueryEvent{ID: id, Query: number, Shard: scheduler.ShardNumber(shard), Weight: measure, WorkHint: workHint}
+	return subqueryEvent{ID: id, Query: number, Shard: scheduler.ShardNumber(shard), Weight: measure,
+		WorkHint: workHint}
 }
 
 // decodeFirstReply decodes the arrival of the beginning of an answer, which no class in the simulator uses.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -19,6 +19,7 @@
 	Reason  string
 }
 
+// Error returns the line number, the name of the message if there is one, and the reason.
 func (e *InputError) Error() string {
 	if e.Message == "" {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Reason)
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -106,8 +106,8 @@
 func (i *instance) Fail(query scheduler.RequestID) { i.write(failQuery, query) }
 
 // ScheduleWakeup writes the wakeup's name and delay, in microseconds.
-func (i *instance) ScheduleWakeup(name string, in time.Duration) {
-	i.write(scheduleWakeup, name, in.Microseconds())
+func (i *instance) ScheduleWakeup(name string, delay time.Duration) {
+	i.write(scheduleWakeup, name, delay.Microseconds())
 }
 
 // PollEndpoints requests the endpoint list and its later changes.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -19,7 +19,7 @@
 
 // server is the state of one run.
 type server struct {
-	in            *bufio.Reader
+	reader        *bufio.Reader
 	line          int   // number of the last line read, from 1
 	clock         int64 // microseconds; time of the current batch
 	endpointLists map[int64][]listedEndpoint
@@ -30,13 +30,13 @@
 
 // Serve answers batches until the input ends. It returns nil if the input ends between batches, an *InputError for
 // invalid input, and otherwise the error of reading or writing.
-func Serve(in io.Reader, out io.Writer) error {
+func Serve(input io.Reader, output io.Writer) error {
 	s := &server{
-		in:            bufio.NewReaderSize(in, ioBufferSize),
+		reader:        bufio.NewReaderSize(input, ioBufferSize),
 		endpointLists: map[int64][]listedEndpoint{},
 		instances:     map[int64]*instance{},
 	}
-	writer := bufio.NewWriterSize(out, ioBufferSize)
+	writer := bufio.NewWriterSize(output, ioBufferSize)
 	for {
 		header, err := s.read()
 		if errors.Is(err, io.EOF) {
@@ -58,7 +58,7 @@
 
 // read reads and splits the next line. The error is io.EOF itself if the input ends between lines.
 func (s *server) read() (*fields, error) {
-	text, err := s.in.ReadString('\n')
+	text, err := s.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && text == "" {
 		return nil, io.EOF
 	}
@@ -108,17 +108,17 @@
 }
 
 // reply writes the replies of the active instances and resets the state of the batch.
-func (s *server) reply(out io.Writer, number int64) {
+func (s *server) reply(writer io.Writer, number int64) {
 	for _, instance := range s.active {
 		if instance.reply.Len() > 0 {
-			fmt.Fprintf(out, "%s\t%d\n%s", instanceAnswers, instance.number, instance.reply.String())
+			fmt.Fprintf(writer, "%s\t%d\n%s", instanceAnswers, instance.number, instance.reply.String())
 		}
 		instance.reply.Reset()
 		instance.active = false
 	}
 	s.active = s.active[:0]
 	s.selected = nil
-	fmt.Fprintf(out, "%s\t%d\n", batchAnswered, number)
+	fmt.Fprintf(writer, "%s\t%d\n", batchAnswered, number)
 }
 
 // handle handles one message within a batch.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -16,7 +16,7 @@
 const query = "DEMAND\t10\t0\t-\tk\t2000000\t-\t5\t-1\t1\t0\t0\nDEMAND\t11\t0\t-\tk\t2000000\t-\t5\t0\t1\t0\t0\n"
 
 func TestReplies(t *testing.T) {
-	for name, test := range map[string]struct{ in, want string }{
+	for name, test := range map[string]struct{ input, want string }{
 		"no input":    {"", ""},
 		"empty batch": {"MARK\t5\t1\nFLUSH\n", "NEXT\t1\n"},
 		"a subquery is sent": {start + "MARK\t1100000\t2\nINSTANCE\t4\n" + query + "FLUSH\n",
@@ -43,46 +43,46 @@
 		"a panic is reported": {start + "MARK\t1100000\t2\nINSTANCE\t4\nDEMAND\t10\t6\t-\tk\t2000000\t-\t5\t-1\t1\t0\t0\nFLUSH\n",
 			"NEXT\t1\nON_BEHALF\t4\nEXCEPTION\truntime error: index out of range [6] with length 1\nNEXT\t2\n"},
 	} {
-		var out strings.Builder
-		if err := Serve(strings.NewReader(test.in), &out); err != nil || out.String() != test.want {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, out.String(), test.want)
+		var output strings.Builder
+		if err := Serve(strings.NewReader(test.input), &output); err != nil || output.String() != test.want {
+			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, output.String(), test.want)
 		}
 	}
 }
 
 func TestMalformedInputIsRejected(t *testing.T) {
-	in := func(lines string) string { return start + "MARK\t1100000\t2\nINSTANCE\t4\n" + lines + "\nFLUSH\n" }
+	batch := func(lines string) string { return start + "MARK\t1100000\t2\nINSTANCE\t4\n" + lines + "\nFLUSH\n" }
 	for input, want := range map[string]string{
-		"HELLO\t1\n":                                         "line 1: HELLO: message outside a batch",
-		"MARK\tx\t1\nFLUSH\n":                                `line 1: MARK: field clock: "x" is not an integer`,
-		"MARK\t5\t1\n":                                       "line 1: input ends inside a batch",
-		"MARK\t5\t1\nFLU":                                    "line 2: input ends inside a line",
-		"MARK\t5\t1\nWAKE\tlook\nFLUSH\n":                    "line 2: WAKE: no instance is selected",
-		"MARK\t5\t1\nBOO\nFLUSH\n":                           "line 2: BOO: unknown message",
-		"MARK\t5\t1\nINSTANCE\nFLUSH\n":                      "line 2: INSTANCE: field co-ordinatorId is missing",
-		"MARK\t5\t1\nREGISTER\t0\t2\nFLUSH\n":                "line 3: FLUSH: expected an ITEM of the list",
-		"MARK\t5\t1\nREGISTER\t0\t-3\nFLUSH\n":               "line 2: REGISTER: field records: negative count -3",
-		"MARK\t5\t1\nINSTANCE\t1\nPROVISION\t7\tab\nFLUSH\n": `line 3: PROVISION: field setup: "ab" is not a path=value pair`,
-		in("LAPSED"):                                         "line 10: LAPSED: field requestId is missing",
-		in("LAPSED\t99999999999"):                            "line 10: LAPSED: field requestId: 99999999999 is not an id",
-		in("FINISHED\t1\t77\t900\t1\t0\t5\t-"):               "line 10: FINISHED: field disposition: unknown value 77",
-		in("FINISHED\t1\t0\t900\t2\t0\t5\t-"):                `line 10: FINISHED: field closed: "2" is neither 0 nor 1`,
-		in("FINISHED\t1\t0\t900\t1\t0\t5\tactive"):           `line 10: FINISHED: field pressure: "active" is not a name:value pair`,
-		in("REGISTRY\t3\treplace\t1"):                        "line 10: REGISTRY: field page: unknown list 3",
-		in("REGISTRY\t0\tsome\t1"):                           `line 10: REGISTRY: field form: unknown value "some"`,
-		in("PEER_DATA\t2\t!!"):                               "line 10: PEER_DATA: field msg: invalid base64",
-		in("DEMAND\t10\t0\t-\tk\t9\t-\t5\tone\t1\t0\t0"):     `line 10: DEMAND: field segmentNo: "one" is not a number`,
-		in("REGISTER\t0\t1\nITEM\t9\t1\tasleep\t-\t0\t0\t0"): "line 11: ITEM: field lifecycle: unknown value",
-		in("REGISTER\t0\t1\nITEM\t9\t1\tactive\t-\tx\t0\t0"): `line 11: ITEM: field cell: "x" is not an integer`,
-		in("PROBE_DONE\t1400\t0\t900\tcpu:high"):             `line 10: PROBE_DONE: field pressure: "cpu:high" is not a name:value pair`,
-		in("PROBE_DONE\t1400\t0\t900"):                       "line 10: PROBE_DONE: field pressure is missing",
+		"HELLO\t1\n":                                            "line 1: HELLO: message outside a batch",
+		"MARK\tx\t1\nFLUSH\n":                                   `line 1: MARK: field clock: "x" is not an integer`,
+		"MARK\t5\t1\n":                                          "line 1: input ends inside a batch",
+		"MARK\t5\t1\nFLU":                                       "line 2: input ends inside a line",
+		"MARK\t5\t1\nWAKE\tlook\nFLUSH\n":                       "line 2: WAKE: no instance is selected",
+		"MARK\t5\t1\nBOO\nFLUSH\n":                              "line 2: BOO: unknown message",
+		"MARK\t5\t1\nINSTANCE\nFLUSH\n":                         "line 2: INSTANCE: field co-ordinatorId is missing",
+		"MARK\t5\t1\nREGISTER\t0\t2\nFLUSH\n":                   "line 3: FLUSH: expected an ITEM of the list",
+		"MARK\t5\t1\nREGISTER\t0\t-3\nFLUSH\n":                  "line 2: REGISTER: field records: negative count -3",
+		"MARK\t5\t1\nINSTANCE\t1\nPROVISION\t7\tab\nFLUSH\n":    `line 3: PROVISION: field setup: "ab" is not a path=value pair`,
+		batch("LAPSED"):                                         "line 10: LAPSED: field requestId is missing",
+		batch("LAPSED\t99999999999"):                            "line 10: LAPSED: field requestId: 99999999999 is not an id",
+		batch("FINISHED\t1\t77\t900\t1\t0\t5\t-"):               "line 10: FINISHED: field disposition: unknown value 77",
+		batch("FINISHED\t1\t0\t900\t2\t0\t5\t-"):                `line 10: FINISHED: field closed: "2" is neither 0 nor 1`,
+		batch("FINISHED\t1\t0\t900\t1\t0\t5\tactive"):           `line 10: FINISHED: field pressure: "active" is not a name:value pair`,
+		batch("REGISTRY\t3\treplace\t1"):                        "line 10: REGISTRY: field page: unknown list 3",
+		batch("REGISTRY\t0\tsome\t1"):                           `line 10: REGISTRY: field form: unknown value "some"`,
+		batch("PEER_DATA\t2\t!!"):                               "line 10: PEER_DATA: field msg: invalid base64",
+		batch("DEMAND\t10\t0\t-\tk\t9\t-\t5\tone\t1\t0\t0"):     `line 10: DEMAND: field segmentNo: "one" is not a number`,
+		batch("REGISTER\t0\t1\nITEM\t9\t1\tasleep\t-\t0\t0\t0"): "line 11: ITEM: field lifecycle: unknown value",
+		batch("REGISTER\t0\t1\nITEM\t9\t1\tactive\t-\tx\t0\t0"): `line 11: ITEM: field cell: "x" is not an integer`,
+		batch("PROBE_DONE\t1400\t0\t900\tcpu:high"):             `line 10: PROBE_DONE: field pressure: "cpu:high" is not a name:value pair`,
+		batch("PROBE_DONE\t1400\t0\t900"):                       "line 10: PROBE_DONE: field pressure is missing",
 	} {
-		var out strings.Builder
-		err := Serve(strings.NewReader(input), &out)
+		var output strings.Builder
+		err := Serve(strings.NewReader(input), &output)
 		if err == nil || err.Error() != want {
 			t.Errorf("%q: %v\nwant %s", input, err, want)
 		}
-		if s := strings.TrimPrefix(out.String(), "NEXT\t1\n"); s != "" {
+		if s := strings.TrimPrefix(output.String(), "NEXT\t1\n"); s != "" {
 			t.Errorf("%q: wrote %q", input, s)
 		}
 	}
--- a/internal/soak/check_answer.go
+++ b/internal/soak/check_answer.go
@@ -42,7 +42,8 @@
 	case len(request.answers) != 1:
 		c.violated(RuleAnswer, request.id, "%d answers from %s", len(request.answers), name)
 	case request.answers[0].receivedAt > end+lostAnswerDelay+slack:
-		c.violated(RuleAnswer, request.id, "answered %v after its deadline by %s", request.answers[0].receivedAt-end, name)
+		c.violated(RuleAnswer, request.id, "answered %v after its deadline by %s",
+			request.answers[0].receivedAt-end, name)
 	case request.trailingBytes > 0:
 		c.violated(RuleAnswer, request.id, "%d bytes after the answer from %s", request.trailingBytes, name)
 	case request.answers[0].receivedAt > end+slack:
--- a/internal/soak/check_load.go
+++ b/internal/soak/check_load.go
@@ -68,7 +68,8 @@
 		return false
 	}
 	return slices.ContainsFunc(c.notifications[request.coordinator], func(n notification) bool {
-		return n.uid == process.replica.uid && n.effectiveAt >= process.startedAt && n.effectiveAt <= arrival.firstByteAt
+		return n.uid == process.replica.uid && n.effectiveAt >= process.startedAt &&
+			n.effectiveAt <= arrival.firstByteAt
 	})
 }
 
@@ -90,7 +91,8 @@
 			extraCount := countWithin(attempts, at-budgetWindow+budgetEdgeSlack, at)
 			requestedCount := countWithin(requested[process], at-budgetWindow-budgetEdgeSlack, at+budgetEdgeSlack)
 			if float64(extraCount) > minBudget+budgetRatio*float64(requestedCount)+budgetEdgeAttempts {
-				c.violated(RuleRetryBudget, "", "%d attempts beyond the first in %v, %d queries and subqueries requested",
+				c.violated(RuleRetryBudget, "",
+					"%d attempts beyond the first in %v, %d queries and subqueries requested",
 					extraCount, budgetWindow, requestedCount)
 				break
 			}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -106,13 +106,13 @@
 		return connClosed
 	}
 	conn.SetReadDeadline(time.Now().Add(request.deadline + answerWait))
-	response, answer, err := readResponse(conn.in)
+	response, answer, err := readResponse(conn.reader)
 	answer.receivedAt = c.soak.now()
 	if err != nil {
 		conn.Close()
 		return c.recordClose(request, answer.receivedAt)
 	}
-	trailing := conn.in.Buffered()
+	trailing := conn.reader.Buffered()
 	c.soak.ledger.update(func() {
 		request.answers = append(request.answers, answer)
 		request.trailingBytes = trailing
@@ -125,10 +125,10 @@
 
 // recordClose records that a connection was closed without an answer. On a reused connection the co-ordinator may have
 // closed it before the request arrived: if no attempt of the request has reached a replica, it counts as not sent.
-func (c *client) recordClose(request *request, at time.Duration) exchangeResult {
+func (c *client) recordClose(request *request, closedAt time.Duration) exchangeResult {
 	notRead := request.reused && !c.soak.ledger.reachedReplica(request.id)
 	c.soak.ledger.update(func() {
-		request.closedAt = at
+		request.closedAt = closedAt
 		if notRead {
 			request.disconnectedAt = request.sentAt
 		}
@@ -180,8 +180,8 @@
 	} else {
 		conn.Close()
 	}
-	at := c.soak.now()
-	c.soak.ledger.update(func() { request.disconnectedAt = at })
+	now := c.soak.now()
+	c.soak.ledger.update(func() { request.disconnectedAt = now })
 }
 
 // sendPartial sends half a request and keeps the connection open: the co-ordinator must answer with an error or close
@@ -194,7 +194,7 @@
 	}
 	sentAt := c.soak.now()
 	conn.SetReadDeadline(time.Now().Add(partialRequestWait + partialRequestExtraWait))
-	_, err := conn.in.ReadByte()
+	_, err := conn.reader.ReadByte()
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
 	if !timedOut || conn.coordinator.wasKilled(conn.process) {
@@ -208,8 +208,8 @@
 	}
 }
 
-func readResponse(in *bufio.Reader) (*http.Response, answer, error) {
-	response, err := http.ReadResponse(in, nil)
+func readResponse(reader *bufio.Reader) (*http.Response, answer, error) {
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return nil, answer{}, err
 	}
--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -11,7 +11,7 @@
 // clientConn is a client's connection to one process of a co-ordinator.
 type clientConn struct {
 	net.Conn
-	in           *bufio.Reader
+	reader       *bufio.Reader
 	coordinator  *coordinator
 	process      *process
 	requestCount int // requests sent so far
@@ -49,5 +49,5 @@
 	if err != nil {
 		return nil
 	}
-	return &clientConn{Conn: conn, in: bufio.NewReader(conn), coordinator: coordinator, process: process}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), coordinator: coordinator, process: process}
 }
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -194,7 +194,8 @@
 	select {
 	case <-process.program.Done():
 	case <-time.After(longestDeadline() + shutdownAllowance + slowWriteTime):
-		c.soak.violated(RuleShutdown, "", "%s is still running %v after SIGTERM", c.name, c.soak.now()-process.terminatedAt)
+		c.soak.violated(RuleShutdown, "", "%s is still running %v after SIGTERM",
+			c.name, c.soak.now()-process.terminatedAt)
 		process.program.Signal(syscall.SIGKILL)
 		<-process.program.Done()
 		c.mu.Lock()
--- a/internal/soak/fault_replica.go
+++ b/internal/soak/fault_replica.go
@@ -63,7 +63,7 @@
 	soak.endpoints.publish(replica.endpoint())
 }
 
-// restartCell restarts most replicas of a cell together, followed by a burst: the whole load of the cell hits cold
+// restartCell restarts most replicas of a cell together, followed by a burst: the full load of the cell hits cold
 // replicas.
 func restartCell(soak *Soak, random *rand.Rand) string {
 	cell := random.IntN(cells)
--- a/internal/soak/replica_conn.go
+++ b/internal/soak/replica_conn.go
@@ -84,10 +84,10 @@
 // serve reads frames until the connection ends, is idle for idleTimeout, or a frame is malformed.
 func (c *replicaConn) serve() {
 	defer c.close()
-	in := bufio.NewReader(&limitedConn{c.Conn, c.faults.resetAfter})
+	reader := bufio.NewReader(&limitedConn{c.Conn, c.faults.resetAfter})
 	for {
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
-		if first, err := in.Peek(1); err != nil || len(first) == 0 {
+		if first, err := reader.Peek(1); err != nil || len(first) == 0 {
 			return
 		}
 		delayed := c.waitWhileHanging()
@@ -96,7 +96,7 @@
 		}
 		firstByteAt := c.replica.soak.now()
 		c.SetReadDeadline(time.Time{})
-		frame, err := readFrame(in)
+		frame, err := readFrame(reader)
 		if err != nil {
 			c.reportMalformed(err)
 			return
--- a/internal/soak/replica_frame.go
+++ b/internal/soak/replica_frame.go
@@ -29,9 +29,9 @@
 }
 
 // readFrame reads a frame and returns its content. The error is a *malformedFrameError or a read error.
-func readFrame(in io.Reader) ([]byte, error) {
+func readFrame(reader io.Reader) ([]byte, error) {
 	var size [lengthBytes]byte
-	if _, err := io.ReadFull(in, size[:]); err != nil {
+	if _, err := io.ReadFull(reader, size[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
@@ -39,7 +39,7 @@
 		return nil, malformed("invalid frame length %d", length)
 	}
 	frame := make([]byte, length)
-	_, err := io.ReadFull(in, frame)
+	_, err := io.ReadFull(reader, frame)
 	return frame, err
 }
 
--- a/internal/wire/calls.go
+++ b/internal/wire/calls.go
@@ -28,7 +28,7 @@
 	return endFrame(buffer, start)
 }
 
-// AppendAbandon appends the frame that tells a replica that the result of a subquery is no longer needed.
+// AppendAbandon appends the frame that notifies a replica that the result of a subquery is no longer needed.
 func AppendAbandon(buffer []byte, id string) []byte {
 	start := len(buffer)
 	buffer = beginFrame(buffer, frameAbandon)
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -57,6 +57,7 @@
 // StatusError reports a response of a discovery agent with a status other than 200.
 type StatusError struct{ Status int }
 
+// Error returns a message with the HTTP status.
 func (err *StatusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", err.Status) }
 
 // EndpointListReader parses the responses of a discovery agent from the bytes of a connection.
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -34,19 +34,21 @@
 	respond := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
-	for name, test := range map[string]struct{ in, want string }{
+	for name, test := range map[string]struct{ input, want string }{
 		"two": {respond("200 OK", list) + respond("200 OK", `{"rev":42,"all":false,"targets":[]}`),
 			"[41 true 1 false 42 false 0 false]"},
-		"in chunks": {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n%x\r\n%s\r\n0\r\n\r\n",
+		"in chunks": {fmt.Sprintf(
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n%x\r\n%s\r\n0\r\n\r\n",
 			len(list), list), "[41 true 1 true]"},
 		"a 500":     {respond("500 no", list), "[error]"},
 		"no length": {"HTTP/1.1 200 OK\r\n\r\n" + list, "[]"}, // not known to be complete
 		"too long":  {"HTTP/1.1 200 OK\r\n\r\n" + list + strings.Repeat(" ", MaxBody), "[error]"},
 		"bad JSON":  {respond("200 OK", "{"), "[error]"},
-		"a removal": {respond("200 OK", `{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"gone"}]}`), "[43 false 1 false]"},
+		"a removal": {respond("200 OK", `{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"gone"}]}`),
+			"[43 false 1 false]"},
 	} {
 		for _, piece := range []int{1, 5, 1 << 20} {
-			if got := fmt.Sprint(listsOf(test.in, piece)); got != test.want {
+			if got := fmt.Sprint(listsOf(test.input, piece)); got != test.want {
 				t.Errorf("%s in pieces of %d: %s, want %s", name, piece, got, test.want)
 			}
 		}
@@ -87,7 +89,8 @@
 	var list EndpointList
 	if err := json.Unmarshal([]byte(`{"targets":[{"uid":"a","endpoint":"1:2","pod_group":3,"state":"ready"},
 		{"uid":"b","endpoint":"1:2","pod_group":3,"state":"odd"},{"uid":"","state":"gone"},
-		{"uid":"c","pod_group":3,"state":"ready"},{"uid":"d","endpoint":"1:2","state":"ready"},{"uid":"e","state":"gone"}]}`), &list); err != nil {
+		{"uid":"c","pod_group":3,"state":"ready"},{"uid":"d","endpoint":"1:2","state":"ready"},{"uid":"e","state":"gone"}]}`),
+		&list); err != nil {
 		t.Fatal(err)
 	}
 	unusable, got := list.DropUnusable(), ""
@@ -106,8 +109,8 @@
 		if len(text) > 4096 {
 			t.Skip()
 		}
-		if split, whole := listsOf(text, 1+piece&0xff), listsOf(text, len(text)+1); fmt.Sprint(split) != fmt.Sprint(whole) {
-			t.Errorf("%q: %q split, %q whole", text, split, whole)
+		if got, want := listsOf(text, 1+piece&0xff), listsOf(text, len(text)+1); fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("%q: %q in pieces, %q in one piece", text, got, want)
 		}
 	})
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -12,6 +12,7 @@
 	Message string // what was found and what is expected; sent to the client
 }
 
+// Error returns Message, without the status.
 func (err *ProtocolError) Error() string { return err.Message }
 
 func protocolError(status int, format string, args ...any) *ProtocolError {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -64,17 +64,17 @@
 // headEnd returns the offset just past the first empty line, or 0 if there is none. The empty line must follow the end
 // of another line.
 func headEnd(text []byte) int {
-	for at := 0; ; {
-		lineEnd := bytes.IndexByte(text[at:], '\n')
+	for lineStart := 0; ; {
+		lineEnd := bytes.IndexByte(text[lineStart:], '\n')
 		if lineEnd < 0 {
 			return 0
 		}
-		at += lineEnd + 1
-		switch rest := text[at:]; {
+		lineStart += lineEnd + 1
+		switch rest := text[lineStart:]; {
 		case bytes.HasPrefix(rest, []byte("\n")):
-			return at + 1
+			return lineStart + 1
 		case bytes.HasPrefix(rest, []byte("\r\n")):
-			return at + 2
+			return lineStart + 2
 		}
 	}
 }
--- a/internal/wire/query_test.go
+++ b/internal/wire/query_test.go
@@ -54,14 +54,15 @@
 		"invalid JSON":        {"a", "1", "{"},
 		"no segments":         {"a", "1", `{"segments":[],"text":"x"}`},
 		"no text":             {"a", "1", `{"segments":[{"segment":1,"boost":1}]}`},
-		"repeated segment":    {"a", "1", `{"segments":[{"segment":1,"boost":1},{"segment":1,"boost":1}],"text":"x"}`},
-		"no segment number":   {"a", "1", `{"segments":[{"boost":1}],"text":"x"}`},
-		"a negative segment":  {"a", "1", `{"segments":[{"segment":-1,"boost":1}],"text":"x"}`},
-		"boosts over 1":       {"a", "1", `{"segments":[{"segment":1,"boost":1},{"segment":2,"boost":1}],"text":"x"}`},
-		"boosts under 1":      {"a", "1", `{"segments":[{"segment":1,"boost":0.5}],"text":"x"}`},
-		"an infinite sum":     {"a", "1", `{"segments":[{"segment":1,"boost":1e308},{"segment":2,"boost":1e308}],"text":"x"}`},
-		"no boost":            {"a", "1", `{"segments":[{"segment":1}],"text":"x"}`},
-		"a segment of 1.5":    {"a", "1", `{"segments":[{"segment":1.5,"boost":1}],"text":"x"}`},
+		"repeated segment": {"a", "1",
+			`{"segments":[{"segment":1,"boost":1},{"segment":1,"boost":1}],"text":"x"}`},
+		"no segment number":  {"a", "1", `{"segments":[{"boost":1}],"text":"x"}`},
+		"a negative segment": {"a", "1", `{"segments":[{"segment":-1,"boost":1}],"text":"x"}`},
+		"boosts over 1":      {"a", "1", `{"segments":[{"segment":1,"boost":1},{"segment":2,"boost":1}],"text":"x"}`},
+		"boosts under 1":     {"a", "1", `{"segments":[{"segment":1,"boost":0.5}],"text":"x"}`},
+		"an infinite sum":    {"a", "1", `{"segments":[{"segment":1,"boost":1e308},{"segment":2,"boost":1e308}],"text":"x"}`},
+		"no boost":           {"a", "1", `{"segments":[{"segment":1}],"text":"x"}`},
+		"a segment of 1.5":   {"a", "1", `{"segments":[{"segment":1.5,"boost":1}],"text":"x"}`},
 	} {
 		query, err := read(request[0], request[1], request[2])
 		var rejection *ProtocolError
--- a/internal/wire/replies.go
+++ b/internal/wire/replies.go
@@ -29,6 +29,7 @@
 // RefusedError reports that a replica refused a frame as malformed. Message is the text that the replica sent.
 type RefusedError struct{ Message string }
 
+// Error returns a message that quotes the replica's text.
 func (err *RefusedError) Error() string {
 	return fmt.Sprintf("the replica refused a frame: %q", err.Message)
 }
--- a/internal/wire/replies_test.go
+++ b/internal/wire/replies_test.go
@@ -38,8 +38,8 @@
 func TestRepliesWholeAndSplit(t *testing.T) {
 	ok := frameOf('Y', "9b1f.3 OK 1840277719 inflight=7,util=0.61\n5b\ne2")
 	for name, test := range map[string]struct {
-		in   []byte
-		want string
+		input []byte
+		want  string
 	}{
 		"two":             {append(ok, frameOf('Y', "a.1 REJECTED 0 -\n")...), `[9b1f.3 OK "5b\ne2" a.1 REJECTED ""]`},
 		"an error":        {frameOf('Y', "a.1 ERROR 0 -\n"), `[a.1 ERROR ""]`},
@@ -55,7 +55,7 @@
 		"a huge length":   {[]byte{0xff, 0xff, 0xff, 0xff}, "[error]"},
 	} {
 		for _, piece := range []int{1, 3, 1 << 20} {
-			if got := fmt.Sprint(repliesOf(test.in, piece)); got != test.want {
+			if got := fmt.Sprint(repliesOf(test.input, piece)); got != test.want {
 				t.Errorf("%s in pieces of %d: %s, want %s", name, piece, got, test.want)
 			}
 		}
@@ -67,8 +67,8 @@
 	f.Add(frameOf('Y', "a.1 OK 0 -\nx"), 2)
 	f.Add([]byte{0, 0, 0, 1, 'N'}, 1)
 	f.Fuzz(func(t *testing.T, b []byte, piece int) {
-		if split, whole := repliesOf(b, 1+piece&0xff), repliesOf(b, len(b)+1); fmt.Sprint(split) != fmt.Sprint(whole) {
-			t.Errorf("%q: %q split, %q whole", b, split, whole)
+		if got, want := repliesOf(b, 1+piece&0xff), repliesOf(b, len(b)+1); fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("%q: %q in pieces, %q in one piece", b, got, want)
 		}
 	})
 }
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -45,8 +45,8 @@
 func TestRequestsWholeAndSplit(t *testing.T) {
 	const get, post = `GET /up "" close=false id=`, `POST /a "hello" close=false id=7`
 	for name, test := range map[string]struct {
-		in   string
-		want []string
+		input string
+		want  []string
 	}{
 		"no body":         {"GET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{get}},
 		"a length":        {"POST /a HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nContent-Length: 5\r\n\r\nhello", []string{post}},
@@ -66,17 +66,22 @@
 		"a partial body":  {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhell", nil},
 		"a partial head":  {"GET /up HTTP/1.1\r\nHost: x\r\n", nil},
 		"HTTP/1.0":        {"GET /up HTTP/1.0\r\n\r\n", []string{`GET /up "" close=true id=`}},
-		"asked to close":  {"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", []string{`GET /up "" close=true id=`}},
-		"not HTTP":        {"hello\r\n\r\n", []string{"fault 400"}},
-		"a bad length":    {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", []string{"fault 400"}},
-		"a bad chunk":     {"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", []string{"fault 400"}},
-		"a large body":    {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n", []string{"fault 413"}},
-		"a large head":    {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", MaxHead) + "\r\n\r\n", []string{"fault 431"}},
+		"asked to close": {"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
+			[]string{`GET /up "" close=true id=`}},
+		"not HTTP":     {"hello\r\n\r\n", []string{"fault 400"}},
+		"a bad length": {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", []string{"fault 400"}},
+		"a bad chunk": {"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
+			[]string{"fault 400"}},
+		"a large body": {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n",
+			[]string{"fault 413"}},
+		"a large head": {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("y", MaxHead) + "\r\n\r\n",
+			[]string{"fault 431"}},
 		"pipelined chunks": {strings.Repeat("POST /a HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n"+
-			"2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n", 2) + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n", []string{post, post, get}},
+			"2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n", 2) + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
+			[]string{post, post, get}},
 	} {
 		for _, piece := range []int{1, 2, 3, 7, 64, 1 << 20} {
-			if got := requestsOf(test.in, piece); fmt.Sprint(got) != fmt.Sprint(test.want) {
+			if got := requestsOf(test.input, piece); fmt.Sprint(got) != fmt.Sprint(test.want) {
 				t.Errorf("%s in pieces of %d: %q, want %q", name, piece, got, test.want)
 			}
 		}
@@ -126,9 +131,9 @@
 		if len(text) > 4096 {
 			t.Skip()
 		}
-		split, whole := requestsOf(text, 1+piece&0xff), requestsOf(text, len(text)+1)
-		if fmt.Sprint(split) != fmt.Sprint(whole) {
-			t.Errorf("%q: in pieces of %d %q, whole %q", text, 1+piece&0xff, split, whole)
+		got, want := requestsOf(text, 1+piece&0xff), requestsOf(text, len(text)+1)
+		if fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("%q: in pieces of %d %q, in one piece %q", text, 1+piece&0xff, got, want)
 		}
 	})
 }
--- a/twophase/class.go
+++ b/twophase/class.go
@@ -51,7 +51,7 @@
 type versionSeen struct {
 	replica Replica
 	version Version
-	at      time.Duration
+	seenAt  time.Duration
 }
 
 // NewClass returns a Class with initial estimates. objective is the latency objective of the class.
@@ -149,7 +149,7 @@
 // versionMemory have the same version.
 func (class *Class) observeVersion(now time.Duration, id Shard, from Replica, version Version) (agree bool) {
 	others := slices.DeleteFunc(class.versions[id], func(seen versionSeen) bool {
-		return seen.replica == from || now-seen.at > versionMemory
+		return seen.replica == from || now-seen.seenAt > versionMemory
 	})
 	if len(others) >= maxReplicasRemembered {
 		others = others[1:]
