--- a/cmd/terntray-settings/render_test.go
+++ b/cmd/terntray-settings/render_test.go
@@ -15,11 +15,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := filepath.Join(t.TempDir(), "terntray.json")
-	if err := replaceFile(out, text); err != nil {
+	path := filepath.Join(t.TempDir(), "terntray.json")
+	if err := replaceFile(path, text); err != nil {
 		t.Fatal(err)
 	}
-	parsed, err := config.Read(out)
+	parsed, err := config.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/terntray/client_disconnect_test.go
+++ b/cmd/terntray/client_disconnect_test.go
@@ -42,15 +42,15 @@
 
 // expectNothingSent checks that a replica received the connected client's subquery and none of the clients that
 // disconnected.
-func expectNothingSent(t *testing.T, what string, replica *fake.Replica, connectedID string) {
+func expectNothingSent(t *testing.T, scenario string, replica *fake.Replica, connectedID string) {
 	t.Helper()
-	waitFor(t, what+": the connected client's subquery arrives", func() bool {
+	waitFor(t, scenario+": the connected client's subquery arrives", func() bool {
 		return replica.HasReceived(connectedID)
 	})
 	time.Sleep(20 * time.Millisecond) // for others to arrive
 	for _, call := range replica.Received() {
 		if strings.HasPrefix(call.ID, "left") || strings.HasPrefix(call.ID, "more") {
-			t.Errorf("%s: %s was forwarded", what, call.ID)
+			t.Errorf("%s: %s was forwarded", scenario, call.ID)
 		}
 	}
 }
@@ -71,22 +71,22 @@
 func TestNothingIsSentForClientsThatLeftDuringAStall(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t, settings, replica)
-	n := 0
+	round := 0
 	for way := range disconnects {
 		var old []*clientConn
 		for range 10 {
 			old = append(old, program.connect())
 		}
 		other := program.connect()
-		n++
-		connectedID := fmt.Sprint("lives", n)
+		round++
+		connectedID := fmt.Sprint("connected", round)
 		program.whileStopped(stallTime, func() {
 			for i := range 20 {
 				client := program.connect()
 				if i < len(old) {
 					client = old[i]
 				}
-				client.send(query("look", fmt.Sprint("left", n, "-", i), 10, 3))
+				client.send(query("look", fmt.Sprint("left", round, "-", i), 10, 3))
 				client.disconnect(way)
 			}
 			other.send(query("look", connectedID, 10, 3))
@@ -110,12 +110,12 @@
 		waitFor(t, "the request is accepted", func() bool { return program.counters()["taken"] == 9 })
 		c.disconnect(way)
 		waitFor(t, way+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
-		other.send(query("look", "lives", 20, 10))
+		other.send(query("look", "connected", 20, 10))
 		waitFor(t, "the other request is accepted", func() bool { return program.counters()["taken"] >= 10 })
 		for _, call := range replica.Received() {
 			succeed(replica, call)
 		}
-		expectNothingSent(t, way, replica, "lives")
+		expectNothingSent(t, way, replica, "connected")
 	}
 }
 
@@ -134,14 +134,14 @@
 			return strings.Contains(program.logText(), "query_arrived=left")
 		})
 		c.disconnect(way)
-		other.send(query("look", "lives", 20, 4))
+		other.send(query("look", "connected", 20, 4))
 		waitFor(t, "the other request waits too", func() bool {
-			return strings.Contains(program.logText(), "query_arrived=lives")
+			return strings.Contains(program.logText(), "query_arrived=connected")
 		})
 		waitFor(t, way+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
 		full.open(real.Addr().String())
 		other.expect(map[int]string{4: value(replica, 4)})
-		expectNothingSent(t, way, replica, "lives")
+		expectNothingSent(t, way, replica, "connected")
 		replica.Listener = real
 	}
 }
@@ -158,7 +158,7 @@
 			if resumeDelay > 0 && disconnects[way].trailing != "" {
 				continue // two ways are enough here
 			}
-			what := fmt.Sprintf("%s, reading resumed after %v", way, resumeDelay)
+			scenario := fmt.Sprintf("%s, reading resumed after %v", way, resumeDelay)
 			// replies take 3 ms, so that jitter of the machine running the test is small in comparison
 			replica := newReplica(t, "s-a", 0, fake.After(3*time.Millisecond, succeed))
 			if err := replica.ShrinkBuffers(); err != nil {
@@ -177,18 +177,18 @@
 			resume := replica.PauseReading()
 			before := program.counters()
 			first.send(queryWithText(strings.Repeat("x", 60_000), "look", "large", 20, large...))
-			waitFor(t, what+": its subqueries are sent", func() bool {
+			waitFor(t, scenario+": its subqueries are sent", func() bool {
 				return program.counters()["legs"]-before["legs"] == len(large)
 			})
 			c.send(query("look", "left", 20, 21))
-			waitFor(t, what+": the request is accepted", func() bool {
+			waitFor(t, scenario+": the request is accepted", func() bool {
 				return program.counters()["taken"]-before["taken"] == 2
 			})
 			c.disconnect(way)
-			waitFor(t, what+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
+			waitFor(t, scenario+": the disconnect is noticed", func() bool { return program.counters()["left"] == 1 })
 			if resumeDelay == 0 {
-				other.send(query("look", "lives", 20, 22))
-				waitFor(t, what+": the other request is accepted", func() bool {
+				other.send(query("look", "connected", 20, 22))
+				waitFor(t, scenario+": the other request is accepted", func() bool {
 					return program.counters()["taken"]-before["taken"] >= 3
 				})
 			}
@@ -198,12 +198,12 @@
 				other.expect(map[int]string{22: value(replica, 22)})
 			}
 			asked := 0
-			waitFor(t, what+": the replica serves", func() bool { // it may be considered unreachable for a while
+			waitFor(t, scenario+": the replica serves", func() bool { // it may be considered unreachable for a while
 				asked++
-				other.send(query("look", fmt.Sprint("lives", asked), 20, 23))
+				other.send(query("look", fmt.Sprint("connected", asked), 20, 23))
 				return other.receive().status == 200
 			})
-			expectNothingSent(t, what, replica, fmt.Sprint("lives", asked))
+			expectNothingSent(t, scenario, replica, fmt.Sprint("connected", asked))
 		}
 	}
 }
--- a/cmd/terntray/clients_test.go
+++ b/cmd/terntray/clients_test.go
@@ -186,7 +186,7 @@
 			client := program.connect()
 			client.Conn.SetDeadline(time.Now().Add(3 * time.Second))
 			misbehave(client)
-			if _, err := io.Copy(io.Discard, client.in); errors.Is(err, os.ErrDeadlineExceeded) {
+			if _, err := io.Copy(io.Discard, client.reader); errors.Is(err, os.ErrDeadlineExceeded) {
 				name += " is not disconnected"
 			}
 			ended <- name
@@ -252,7 +252,7 @@
 		client.send(query("look", fmt.Sprint("q", n), 10, 3))
 		client.expect(map[int]string{3: value(replica, 3)})
 		go func() {
-			client.in.ReadByte()
+			client.reader.ReadByte()
 			open.Add(-1)
 		}()
 		began := time.Now()
@@ -306,22 +306,22 @@
 	}
 	http.DefaultClient.CloseIdleConnections()
 	before := descriptors()
-	for n := range 60 {
+	for index := range 60 {
 		client := program.connect()
-		switch n % 4 {
+		switch index % 4 {
 		case 0: // disconnects after the response
-			client.send(query("look", fmt.Sprint("q", n), 10, 3))
+			client.send(query("look", fmt.Sprint("q", index), 10, 3))
 			client.receive()
 		case 1: // disconnects before the response
-			client.send(query("look", fmt.Sprint("q", n), 10, 3))
+			client.send(query("look", fmt.Sprint("q", index), 10, 3))
 		case 2: // disconnects within a request
-			client.send(query("look", fmt.Sprint("q", n), 10, 3)[:n])
+			client.send(query("look", fmt.Sprint("q", index), 10, 3)[:index])
 		case 3: // sends an invalid request
 			client.send("?\r\n\r\n")
 			client.receive()
 		}
 		client.Conn.Close()
-		if n%10 == 0 {
+		if index%10 == 0 {
 			replica.Mu.Lock()
 			for _, conn := range replica.Conns {
 				conn.Close()
@@ -354,7 +354,7 @@
 			}
 		}()
 		client.Conn.SetReadDeadline(began.Add(3 * time.Second))
-		if _, err := client.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := client.reader.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s byte by byte: neither an error nor a close after 3 s", name)
 		}
 		client.Conn.Close()
--- a/cmd/terntray/deadline_test.go
+++ b/cmd/terntray/deadline_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// The time left that a replica is told must be that at which the call is written, not at which the attempt was decided:
-// a connection may take a second to come up.
-func TestDeadlineSentIsWhatIsLeftWhenTheConnectionIsUp(t *testing.T) {
+// The time left that a replica is sent must be computed when the call is written, not when the attempt was decided: a
+// connection may take a second to come up.
+func TestDeadlineSentIsTheTimeLeftWhenTheCallIsWritten(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
 		slack    = 150 * time.Millisecond
@@ -72,9 +72,9 @@
 		go replica.Accept(listener)
 		waitFor(t, "the call arrives", func() bool { return replica.HasReceived("q1") })
 		left := deadline - time.Since(sent)
-		told := time.Duration(replica.Received()[0].TimeLeftMS) * time.Millisecond
-		if told > left+slack {
-			t.Errorf("%s: the replica was told %v with %v left", model, told, left)
+		sentLeft := time.Duration(replica.Received()[0].TimeLeftMS) * time.Millisecond
+		if sentLeft > left+slack {
+			t.Errorf("%s: the replica was sent %v as the time left, with %v left", model, sentLeft, left)
 		}
 		if time.Since(sent) < 900*time.Millisecond {
 			t.Errorf("%s: the connection came up after %v, without the delay", model, time.Since(sent))
--- a/cmd/terntray/edge_cases_test.go
+++ b/cmd/terntray/edge_cases_test.go
@@ -137,14 +137,14 @@
 	for n := range 9 {
 		cuts = append(cuts, frame-4+n)
 	}
-	for _, n := range cuts {
+	for _, cutAfter := range cuts {
 		for _, replica := range []*fake.Replica{a, b} {
 			replica.Mu.Lock()
-			replica.CutAfter = func() int { return n }
+			replica.CutAfter = func() int { return cutAfter }
 			replica.Mu.Unlock()
-			replica.CloseConnections(n%2 == 0)
+			replica.CloseConnections(cutAfter%2 == 0)
 		}
-		id := fmt.Sprintf("q%02d", n)
+		id := fmt.Sprintf("q%02d", cutAfter)
 		client := program.connect()
 		client.send(query("claim", id, 10, 3))
 		answer := client.receive()
@@ -157,7 +157,7 @@
 			}
 		}
 		if ran > 1 || ran > 0 && answer.status == 503 || answer.status == 200 && ran != 1 {
-			t.Errorf("cut after %d bytes: run %d times, status %d", n, ran, answer.status)
+			t.Errorf("cut after %d bytes: run %d times, status %d", cutAfter, ran, answer.status)
 		}
 		client.Conn.Close()
 	}
@@ -204,7 +204,7 @@
 	client.expect(map[int]string{3: value(replica, 3)})
 }
 
-// The same on a connection that was idle for longer than a whole reply may take.
+// A reply may also arrive in pieces on a connection that was idle for longer than the limit for a complete reply.
 func TestReplyInPiecesOnAnIdleConnectionIsAccepted(t *testing.T) {
 	replica := newReplica(t, "s-a", 0, succeed)
 	program, _ := startDeployment(t,
@@ -218,7 +218,7 @@
 		time.Sleep(20 * time.Millisecond)
 		io.WriteString(call.Conn, text[len(text)/2:])
 	})
-	time.Sleep(600 * time.Millisecond) // a whole reply may take 0.4 s, four times the limit for a part
+	time.Sleep(600 * time.Millisecond) // the limit for a complete reply is 0.4 s, four times that for a part
 	client.send(query("claim", "q2", 10, 3))
 	client.expect(map[int]string{3: value(replica, 3)})
 }
--- a/cmd/terntray/endpoint_list_test.go
+++ b/cmd/terntray/endpoint_list_test.go
@@ -55,10 +55,10 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		a, b := newReplica(t, "s-a", 0, succeed), newReplica(t, "s-b", 0, succeed)
 		program, discovery := startDeployment(t, strings.Replace(settings, `"automatic"`, strconv.Quote(mode), 1), a)
-		at := discovery.Listener.Addr().String()
+		address := discovery.Listener.Addr().String()
 		discovery.Server.Close()
 		waitFor(t, "the failure is noticed", func() bool { return program.counters()["list_failures"] > 0 })
-		again := newDiscovery(t, at, b)
+		again := newDiscovery(t, address, b)
 		again.Mu.Lock()
 		again.Revision = 2
 		again.Mu.Unlock()
--- a/cmd/terntray/harness_test.go
+++ b/cmd/terntray/harness_test.go
@@ -35,11 +35,11 @@
 	os.Exit(m.Run())
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for: %s", what)
+			t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
@@ -186,9 +186,9 @@
 
 // clientConn is a connection to the program.
 type clientConn struct {
-	t    *testing.T
-	Conn net.Conn
-	in   *bufio.Reader
+	t      *testing.T
+	Conn   net.Conn
+	reader *bufio.Reader
 }
 
 func (program *process) connect() *clientConn {
@@ -242,7 +242,7 @@
 
 func (client *clientConn) receive() *response {
 	client.t.Helper()
-	r, err := http.ReadResponse(client.in, nil)
+	r, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
 		client.t.Errorf("no response: %v", err)
 		return &response{}
--- a/cmd/terntray/http2_test.go
+++ b/cmd/terntray/http2_test.go
@@ -196,7 +196,7 @@
 	large.send(fmt.Sprintf(
 		"POST /look HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Deadline: 20\r\nContent-Length: %d\r\n\r\n%s",
 		len(body), body))
-	waitFor(t, "the large subqueries are begun", func() bool {
+	waitFor(t, "the large subqueries have started", func() bool {
 		return replica.MaxStreams() >= 2 || len(replica.Received()) >= 2
 	})
 	began := time.Now()
@@ -241,17 +241,17 @@
 	replica := newHTTP2Replica(t, "s-a", 0, succeed)
 	program, discovery := startDeploymentWith(t, settings, allHTTP2, 1024, replica)
 	client := program.connect()
-	for n, model := range []string{"h2", "frames", "h2"} {
+	for index, model := range []string{"h2", "frames", "h2"} {
 		discovery.Mu.Lock()
 		replica.Model, replica.BootMS = model, time.Now().UnixMilli()
 		discovery.Mu.Unlock()
 		replica.CloseConnections(true)
 		discovery.SetState(replica, "ready")
 		waitFor(t, "the list is applied", func() bool {
-			return strings.Count(program.logText(), "event=endpoint_list ") > n
+			return strings.Count(program.logText(), "event=endpoint_list ") > index
 		})
 		time.Sleep(20 * time.Millisecond)
-		client.send(query("claim", fmt.Sprint("q", n), 10, 3))
+		client.send(query("claim", fmt.Sprint("q", index), 10, 3))
 		client.expect(map[int]string{3: value(replica, 3)})
 	}
 }
--- a/cmd/terntray/main_test.go
+++ b/cmd/terntray/main_test.go
@@ -77,7 +77,7 @@
 	c.send(query("look", "q1", 30, 3))
 	waitFor(t, "the subquery arrives", func() bool { return replica.HasReceived("q1") })
 	program.cmd.Process.Signal(syscall.SIGTERM)
-	if _, err := idle.in.ReadByte(); err == nil {
+	if _, err := idle.reader.ReadByte(); err == nil {
 		t.Error("an idle connection stays open during shutdown")
 	}
 	other := program.connect()
@@ -135,7 +135,7 @@
 			continue
 		}
 		for range 5 { // read the first bytes, and the rest only after the listener is closed
-			c.in.Peek(c.in.Buffered() + 1)
+			c.reader.Peek(c.reader.Buffered() + 1)
 			time.Sleep(200 * time.Millisecond)
 		}
 		if answer := c.receive(); answer.status != 200 || len(answer.values()) != len(shards) {
@@ -189,15 +189,15 @@
 		"unknown flag":    {nil, []string{"serve", "-x"}, 2, "-trace"},
 		"extra argument":  {nil, []string{"serve", "x"}, 2, "-trace"},
 	} {
-		out, err := command(c.env, c.args...).CombinedOutput()
+		output, err := command(c.env, c.args...).CombinedOutput()
 		status := 0
 		if exit, ok := err.(*exec.ExitError); ok {
 			status = exit.ExitCode()
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if status != c.status || !strings.Contains(string(out), c.words) {
-			t.Errorf("%s: status %d, want %d; %q lacks %q", name, status, c.status, out, c.words)
+		if status != c.status || !strings.Contains(string(output), c.words) {
+			t.Errorf("%s: status %d, want %d; %q lacks %q", name, status, c.status, output, c.words)
 		}
 	}
 }
--- a/cmd/terntray/migration_test.go
+++ b/cmd/terntray/migration_test.go
@@ -40,7 +40,7 @@
 	first, _ := startDeploymentWith(t, gossiping, file(one, two), 1024, a, b)
 	second, _ := startDeploymentWith(t, gossiping, file(two, one), 1024, a, b)
 	ask(first, "told")
-	waitFor(t, "step 4, the peer is told of the attempt and of its end", func() bool {
+	waitFor(t, "step 4, the peer is notified of the attempt and of its end", func() bool {
 		return second.counters()["peer_messages"] >= 2
 	})
 	stranger, err := net.Dial("udp4", two)
--- a/cmd/terntray/replicas_test.go
+++ b/cmd/terntray/replicas_test.go
@@ -52,7 +52,7 @@
 		client.send(query("look", fmt.Sprint("q", n), 20, n, n+8))
 		client.expect(map[int]string{n: value(b, n), n + 8: value(b, n+8)})
 	}
-	waitFor(t, "the replica is told that subqueries are abandoned", func() bool {
+	waitFor(t, "the replica is notified that subqueries are abandoned", func() bool {
 		a.Mu.Lock()
 		defer a.Mu.Unlock()
 		return len(a.Abandoned) > 0
--- a/proofs/phases/client.go
+++ b/proofs/phases/client.go
@@ -92,20 +92,20 @@
 }
 
 // request returns the HTTP request of the query.
-func (q query) request() string {
+func (query query) request() string {
 	var segments []string
-	for _, shard := range q.shards {
-		boost := 1 / float64(len(q.shards))
+	for _, shard := range query.shards {
+		boost := 1 / float64(len(query.shards))
 		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%.6f}`, shard, boost))
 	}
 	question := "{}"
-	if q.limit != nil {
-		question = fmt.Sprintf(`{"best":%d}`, *q.limit)
+	if query.limit != nil {
+		question = fmt.Sprintf(`{"best":%d}`, *query.limit)
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":"score>=%g","question":%s}`,
-		strings.Join(segments, ","), q.minScore, question)
+		strings.Join(segments, ","), query.minScore, question)
 	header := fmt.Sprintf(
 		"POST /report HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\nContent-Length: %d\r\n\r\n",
-		q.id, deadline.Seconds(), len(body))
+		query.id, deadline.Seconds(), len(body))
 	return header + body
 }
--- a/proofs/phases/verifier.go
+++ b/proofs/phases/verifier.go
@@ -92,7 +92,7 @@
 	return start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
 }
 
-func (v *verifier) draw(n int) query {
+func (v *verifier) draw(number int) query {
 	count := 1 + v.random.IntN(maxShards)
 	from := v.random.IntN(shardCount - count + 1)
 	minScore := minScores[v.random.IntN(len(minScores))]
@@ -100,7 +100,7 @@
 	if v.random.IntN(3) > 0 {
 		limit = &limits[v.random.IntN(len(limits))]
 	}
-	return query{id: fmt.Sprintf("q%d", n), shards: shardRange(from, count), minScore: minScore, limit: limit}
+	return query{id: fmt.Sprintf("q%d", number), shards: shardRange(from, count), minScore: minScore, limit: limit}
 }
 
 func shardRange(from, count int) (shards []int) {
