--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -55,7 +55,7 @@
 		pool.learnIdleTimeout(ended)
 	}
 	neverRanOutcome := scheduler.Unreachable
-	if errors.Is(cause, ErrShortage) {
+	if errors.Is(cause, ErrOSResourceShortage) {
 		neverRanOutcome = scheduler.NeverSent
 	}
 	ended.state = closing
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -190,7 +190,7 @@
 		if protocol == replicaproto.HTTP2 && conn == 0 {
 			conn = host.opened[0]
 		}
-		host.endConn(conn, fmt.Errorf("%w: simulated", ErrShortage))
+		host.endConn(conn, fmt.Errorf("%w: simulated", ErrOSResourceShortage))
 		if got := host.outcomes[attempt.ID]; len(got) != 1 || got[0] != scheduler.NeverSent {
 			t.Errorf("%s: ended %v", protocol, got)
 		}
--- a/connpool/host.go
+++ b/connpool/host.go
@@ -58,9 +58,9 @@
 	Cause       error // nil if there is none
 }
 
-// ErrShortage is wrapped by the cause of a connection's end if this machine was short of a resource (descriptors,
-// ports, memory). Such an end is no evidence about the replica.
-var ErrShortage = errors.New("this machine lacks a resource for the connection")
+// ErrOSResourceShortage is wrapped by the cause of a connection's end if the operating system of this machine was out
+// of file descriptors, local ports or memory for socket buffers. Such an end is no evidence about the replica.
+var ErrOSResourceShortage = errors.New("the operating system is out of file descriptors, local ports or socket buffers")
 
 // Host carries out the decisions of a Pool. Its methods act immediately and do not call the pool back, except for the
 // notifications that are named below.
--- a/internal/netconn/dial.go
+++ b/internal/netconn/dial.go
@@ -16,13 +16,13 @@
 	maxShortageWait = 80 * time.Millisecond
 )
 
-// ErrShortage is wrapped by the error of a connect that failed because this machine was short of a resource
-// (descriptors, ports, memory). Such an error is no evidence about the peer.
-var ErrShortage = errors.New("this machine lacks a resource for the connection")
+// ErrOSResourceShortage is wrapped by the error of a connect that failed because the operating system of this machine
+// was out of file descriptors, local ports or memory for socket buffers. Such an error is no evidence about the peer.
+var ErrOSResourceShortage = errors.New("the operating system is out of file descriptors, local ports or socket buffers")
 
-// shortages are the errors by which socket(2), bind(2), connect(2) and accept(2) report a temporary shortage of a
-// local resource: descriptors, memory, buffers, ports. They are no evidence about the peer, and nothing was sent.
-var shortages = []syscall.Errno{
+// osResourceErrors are the errors by which socket(2), bind(2), connect(2) and accept(2) report a temporary shortage of
+// a local resource: descriptors, memory, buffers, ports. They are no evidence about the peer, and nothing was sent.
+var osResourceErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
 }
@@ -37,22 +37,22 @@
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// IsShortage reports whether a system call failed because this machine was short of a resource.
-func IsShortage(err error) bool { return isAnyOf(err, shortages) }
+// IsOSResourceShortage reports whether a system call failed for one of osResourceErrors.
+func IsOSResourceShortage(err error) bool { return isAnyOf(err, osResourceErrors) }
 
-// retryShortage retries a call that fails for a local shortage, or for lack of a route, until a deadline or until the
-// context ends. Otherwise a momentary shortage would count against the peer. A lasting shortage is returned as an
-// ErrShortage. The waits between retries limit the processor time that it costs.
-func retryShortage(ctx context.Context, until time.Time, call func() error) error {
+// retryOSResourceShortage retries a call that fails for a shortage of local resources, or for lack of a route, until a
+// deadline or until the context ends. Otherwise a momentary shortage would count against the peer. A lasting shortage
+// is returned as an ErrOSResourceShortage. The waits between retries limit the CPU time that it costs.
+func retryOSResourceShortage(ctx context.Context, until time.Time, call func() error) error {
 	for wait := minShortageWait; ; wait = min(maxShortageWait, 2*wait) {
 		err := call()
-		isShortage := IsShortage(err)
+		isShortage := IsOSResourceShortage(err)
 		if !isShortage && !isAnyOf(err, routeErrors) {
 			return err
 		}
 		if time.Now().Add(wait).After(until) {
 			if isShortage {
-				err = fmt.Errorf("%w: %w", ErrShortage, err)
+				err = fmt.Errorf("%w: %w", ErrOSResourceShortage, err)
 			}
 			return err
 		}
@@ -67,7 +67,7 @@
 // Dial connects to an address, with until as the deadline.
 func Dial(ctx context.Context, addr string, until time.Time) (conn net.Conn, err error) {
 	dialer := net.Dialer{Deadline: until}
-	err = retryShortage(ctx, until, func() error {
+	err = retryOSResourceShortage(ctx, until, func() error {
 		conn, err = dialer.DialContext(ctx, "tcp", addr)
 		return err
 	})
--- a/replicaconn/conn.go
+++ b/replicaconn/conn.go
@@ -87,7 +87,7 @@
 	driver := conn.driver
 	connectDeadline := time.Now().Add(driver.config.Limits.ConnectTimeout)
 	socket, err := netconn.Dial(driver.context, conn.addr, connectDeadline)
-	if errors.Is(err, netconn.ErrShortage) {
+	if errors.Is(err, netconn.ErrOSResourceShortage) {
 		return &shortageError{err}
 	}
 	if err != nil {
@@ -122,17 +122,19 @@
 	return cause
 }
 
-// shortageError is a connect that failed for a shortage of local resources. It wraps the error that package connpool
-// recognises.
+// shortageError reports a connect that failed for a shortage of operating system resources. It wraps the error that
+// package connpool recognises.
 type shortageError struct{ cause error }
 
+// Error returns the text of the failed connect, which already names the shortage.
 func (err *shortageError) Error() string { return err.cause.Error() }
 
-func (err *shortageError) Unwrap() []error { return []error{connpool.ErrShortage, err.cause} }
+func (err *shortageError) Unwrap() []error { return []error{connpool.ErrOSResourceShortage, err.cause} }
 
 // panicError is a panic of the reader, with its stack.
 type panicError string
 
+// Error returns the panic's value and its stack.
 func (err panicError) Error() string { return string(err) }
 
 // setSocket sets the socket of a connection that was dialed, and reports whether the connection is still needed.
--- a/server/listener.go
+++ b/server/listener.go
@@ -25,7 +25,7 @@
 }
 
 func isTransient(err error) bool {
-	return errors.Is(err, syscall.EADDRINUSE) || netconn.IsShortage(err)
+	return errors.Is(err, syscall.EADDRINUSE) || netconn.IsOSResourceShortage(err)
 }
 
 // acceptAll accepts connections until the listener's deadline, which Shutdown sets. After that, the final accept takes
