--- a/connpool/evidence.go
+++ b/connpool/evidence.go
@@ -38,12 +38,12 @@
 type pendingReset struct {
 	replica    *replicaState
 	mayHaveRun []*Attempt
-	at         time.Duration // when the connection ended
+	endedAt    time.Duration // when the connection ended
 }
 
 // ConnEnded notifies the pool that a connection ended, with the cause and the time of its end. Its attempts end or
 // are retransmitted, as described at the head of this file.
-func (pool *Pool) ConnEnded(now time.Duration, id ConnID, cause error, at time.Duration) {
+func (pool *Pool) ConnEnded(now time.Duration, id ConnID, cause error, endedAt time.Duration) {
 	pool.now = now
 	ended := pool.conns[id]
 	if ended == nil {
@@ -59,23 +59,23 @@
 		neverRanOutcome = scheduler.NeverSent
 	}
 	ended.state = closing
-	mayHaveRun, toRetransmit := pool.classifyByEvidence(ended, neverRanOutcome, at)
-	pool.retransmit(ended, toRetransmit, neverRanOutcome, at)
+	mayHaveRun, toRetransmit := pool.classifyByEvidence(ended, neverRanOutcome, endedAt)
+	pool.retransmit(ended, toRetransmit, neverRanOutcome, endedAt)
 	switch {
 	case ended.failed:
-		pool.finishAll(mayHaveRun, scheduler.MalformedReply, at)
+		pool.finishAll(mayHaveRun, scheduler.MalformedReply, endedAt)
 	case pool.replicaIsAlive(ended.replica):
-		pool.pendingResets[id] = &pendingReset{ended.replica, mayHaveRun, at}
+		pool.pendingResets[id] = &pendingReset{ended.replica, mayHaveRun, endedAt}
 		pool.host.ScheduleWakeup(id, resetGrace)
 	default:
-		pool.finishAll(mayHaveRun, scheduler.ConnectionReset, at)
+		pool.finishAll(mayHaveRun, scheduler.ConnectionReset, endedAt)
 	}
 	pool.forgetRemoved(ended.replica)
 }
 
 // classifyByEvidence takes the attempts off a connection that has ended. It ends those that never ran and may not be
 // retransmitted, and returns those that may have run and those to retransmit.
-func (pool *Pool) classifyByEvidence(ended *connection, neverRanOutcome scheduler.Outcome, at time.Duration) (
+func (pool *Pool) classifyByEvidence(ended *connection, neverRanOutcome scheduler.Outcome, endedAt time.Duration) (
 	mayHaveRun, toRetransmit []*Attempt) {
 	outstanding := ended.outstanding
 	ended.outstanding, ended.cancels.pending = nil, nil
@@ -90,7 +90,7 @@
 			rewindCall(attempt.Call)
 			toRetransmit = append(toRetransmit, attempt)
 		default:
-			pool.finish(attempt, neverRanOutcome, at)
+			pool.finish(attempt, neverRanOutcome, endedAt)
 		}
 	}
 	return mayHaveRun, toRetransmit
@@ -106,12 +106,12 @@
 // for which neither is possible end with neverRanOutcome. If the replica's last connection has ended, all waiting
 // attempts end as well, as no connection is left to carry them.
 func (pool *Pool) retransmit(from *connection, attempts []*Attempt, neverRanOutcome scheduler.Outcome,
-	at time.Duration) {
+	endedAt time.Duration) {
 	replica := from.replica
 	if !from.traits.LimitsStreams {
 		for _, attempt := range attempts {
 			if !pool.assignOrEnqueue(attempt, replica) {
-				pool.finish(attempt, neverRanOutcome, at)
+				pool.finish(attempt, neverRanOutcome, endedAt)
 			}
 		}
 		return
@@ -123,11 +123,11 @@
 	if len(replica.conns) == 0 {
 		waiting := replica.waiting
 		replica.waiting = nil
-		pool.finishAll(waiting, neverRanOutcome, at)
+		pool.finishAll(waiting, neverRanOutcome, endedAt)
 	}
 }
 
-// requeueCause is why attempts are taken off a connection before their writing has begun.
+// requeueCause is the reason for taking attempts off a connection before their writing has begun.
 type requeueCause int
 
 const (
@@ -240,7 +240,7 @@
 	if pool.replicaIsAlive(reset.replica) {
 		outcome = scheduler.MalformedReply
 	}
-	pool.finishAll(reset.mayHaveRun, outcome, reset.at)
+	pool.finishAll(reset.mayHaveRun, outcome, reset.endedAt)
 }
 
 // learnIdleTimeout shortens the idle timeout if a connection broke on its first use after being idle: the replica, or
--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -119,7 +119,7 @@
 func TestBreakAfterIdleShortensIdleTimeout(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
-	for n, step := range []struct {
+	for index, step := range []struct {
 		idleBefore, took time.Duration
 		replied          bool
 		want             time.Duration
@@ -130,7 +130,7 @@
 		{8 * time.Second, time.Millisecond, false, 4 * time.Second}, // dropped while idle
 		{time.Second, time.Millisecond, false, time.Second},         // not less than four connect timeouts
 	} {
-		attempt, id := host.send(fmt.Sprint("q.", n), false)
+		attempt, id := host.send(fmt.Sprint("q.", index), false)
 		conn := attempt.conn
 		conn.state, conn.wasEstablished, conn.idleBefore = established, true, step.idleBefore
 		markFullyWritten(attempt)
--- a/connpool/lifecycle.go
+++ b/connpool/lifecycle.go
@@ -135,6 +135,7 @@
 // goAwayError is the detail that a replica gave when it announced that it closes a connection.
 type goAwayError string
 
+// Error returns the detail as the replica sent it.
 func (err goAwayError) Error() string { return string(err) }
 
 // record reports an event of a connection to the host.
--- a/connpool/model_test.go
+++ b/connpool/model_test.go
@@ -182,36 +182,36 @@
 	isUp := m.established[conn]
 	isOpen := conn > 0 && !m.closed[conn]
 	multiplexed := m.protocol == replicaproto.HTTP2
-	n := m.random.IntN(100)
+	draw := m.random.IntN(100)
 	switch {
-	case n < 35:
+	case draw < 35:
 		m.sendOne()
-	case n < 45 && isUp && len(unfinished) > 0:
+	case draw < 45 && isUp && len(unfinished) > 0:
 		m.advanceWrite(unfinished)
-	case n < 60 && isUp && len(unfinished) > 0:
+	case draw < 60 && isUp && len(unfinished) > 0:
 		m.replyToOne(conn, unfinished)
-	case n < 66 && len(m.attempts) > 0:
+	case draw < 66 && len(m.attempts) > 0:
 		m.abandonOne()
-	case n < 74 && isOpen && !isUp:
+	case draw < 74 && isOpen && !isUp:
 		m.established[conn] = true
 		m.connUp(conn)
-	case n < 78 && conn > 0:
+	case draw < 78 && conn > 0:
 		m.ended[conn] = true
 		m.endConn(conn, errors.New("simulated"))
-	case n < 82 && isOpen && isUp && multiplexed:
+	case draw < 82 && isOpen && isUp && multiplexed:
 		m.streamLimit[conn] = m.random.IntN(5)
 		m.pool.StreamLimitChanged(m.now, conn, m.streamLimit[conn])
-	case n < 84 && isOpen && isUp && multiplexed:
+	case draw < 84 && isOpen && isUp && multiplexed:
 		m.pool.GoingAway(m.now, conn, "simulated")
-	case n < 87 && isUp && multiplexed && len(unfinished) > 0:
+	case draw < 87 && isUp && multiplexed && len(unfinished) > 0:
 		m.settleOne(conn, unfinished)
-	case n >= 87 && n < 89:
-		m.listOrRemove(n == 87)
-	case n == 89 && isUp:
+	case draw >= 87 && draw < 89:
+		m.listOrRemove(draw == 87)
+	case draw == 89 && isUp:
 		m.pool.ReplicaRestarted(m.now, testReplica, m.now+time.Second)
-	case n < 95 && isUp:
+	case draw < 95 && isUp:
 		m.pool.BytesReceived(m.now, conn, m.now)
-	case n >= 95:
+	case draw >= 95:
 		m.advance(time.Duration(m.random.IntN(400)) * time.Millisecond)
 	}
 	m.endSomeClosed()
--- a/connpool/replies.go
+++ b/connpool/replies.go
@@ -7,11 +7,11 @@
 	"terntray/scheduler"
 )
 
-// BytesReceived notifies the pool that a connection received any input, including the answer to a ping.
-func (pool *Pool) BytesReceived(now time.Duration, id ConnID, at time.Duration) {
+// BytesReceived notifies the pool that input of any kind, including the answer to a ping, was read from a connection.
+func (pool *Pool) BytesReceived(now time.Duration, id ConnID, readAt time.Duration) {
 	pool.now = now
 	if conn := pool.conns[id]; conn != nil {
-		conn.noteBytes(at)
+		conn.noteBytes(readAt)
 		pool.scheduleWakeup(conn)
 	}
 }
@@ -19,19 +19,19 @@
 // ReplyReceived notifies the pool of a reply and of when it was read. The reply names its attempt or, if attempt is
 // 0, only its subquery. The result is the attempt that it ends, or nil if no attempt is waiting for it. In that case
 // the reply is either late, as its attempt was abandoned, or a protocol error that ends the connection.
-func (pool *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string, at time.Duration) (
-	ended *Attempt, late bool) {
+func (pool *Pool) ReplyReceived(now time.Duration, id ConnID, attempt AttemptID, subquery string,
+	readAt time.Duration) (ended *Attempt, late bool) {
 	pool.now = now
 	conn := pool.conns[id]
 	if conn == nil || conn.failed {
 		return nil, false
 	}
-	conn.noteBytes(at)
+	conn.noteBytes(readAt)
 	answered := conn.find(attempt, subquery)
 	if answered != nil && !answered.finished {
 		answered.finished = true
 		pool.release(answered, replied)
-		pool.noteReply(conn, answered, at)
+		pool.noteReply(conn, answered, readAt)
 		return answered, false
 	}
 	recent := conn.recentFor(subquery)
@@ -39,7 +39,7 @@
 		pool.fail(conn, Malformed, unexpectedReply(subquery))
 		return nil, false
 	}
-	conn.lastReplyAt, conn.overtaken = at, 0
+	conn.lastReplyAt, conn.overtaken = readAt, 0
 	if answered != nil {
 		conn.cancels.pending = without(conn.cancels.pending, answered)
 		pool.release(answered, replied)
@@ -54,15 +54,16 @@
 	return fmt.Errorf("reply to %.60q, which is not outstanding on this connection", subquery)
 }
 
-// AttemptSettled notifies the pool that the replica ended an attempt without an answer at the time at; neverRan is
-// whether it stated that the attempt never ran.
-func (pool *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool, at time.Duration) {
+// AttemptSettled notifies the pool that the replica ended an attempt without an answer at the time settledAt; neverRan
+// reports whether it stated that the attempt never ran.
+func (pool *Pool) AttemptSettled(now time.Duration, id ConnID, attempt AttemptID, neverRan bool,
+	settledAt time.Duration) {
 	pool.now = now
 	conn := pool.conns[id]
 	if conn == nil {
 		return
 	}
-	conn.noteBytes(at)
+	conn.noteBytes(settledAt)
 	settled := conn.find(attempt, "")
 	if settled == nil {
 		return
@@ -72,7 +73,7 @@
 	if neverRan {
 		outcome = scheduler.Overloaded
 	}
-	pool.finish(settled, outcome, at)
+	pool.finish(settled, outcome, settledAt)
 	pool.release(settled, replied)
 }
 
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -203,15 +203,15 @@
 	}
 }
 
-func (driver *Driver) handleEvent(id connpool.ConnID, event *replicaproto.Event, at time.Duration) {
+func (driver *Driver) handleEvent(id connpool.ConnID, event *replicaproto.Event, readAt time.Duration) {
 	now := driver.loop.Now()
 	attempt := connpool.AttemptID(event.Attempt)
 	switch event.Kind {
 	case replicaproto.Reply:
-		driver.handleReply(id, event, at)
+		driver.handleReply(id, event, readAt)
 	case replicaproto.NeverRan, replicaproto.MayHaveRun:
 		neverRan := event.Kind == replicaproto.NeverRan
-		driver.pool.AttemptSettled(now, id, attempt, neverRan, at)
+		driver.pool.AttemptSettled(now, id, attempt, neverRan, readAt)
 	case replicaproto.CallLimit:
 		driver.pool.StreamLimitChanged(now, id, event.MaxCalls)
 	case replicaproto.GoingAway:
@@ -221,20 +221,21 @@
 	}
 }
 
-func (driver *Driver) handleReply(id connpool.ConnID, reply *replicaproto.Event, at time.Duration) {
+func (driver *Driver) handleReply(id connpool.ConnID, reply *replicaproto.Event, readAt time.Duration) {
 	attempt := connpool.AttemptID(reply.Attempt)
-	ended, late := driver.pool.ReplyReceived(driver.loop.Now(), id, attempt, reply.SubqueryID, at)
+	ended, late := driver.pool.ReplyReceived(driver.loop.Now(), id, attempt, reply.SubqueryID, readAt)
 	if late {
 		driver.handler.LateReply()
 	}
 	if ended != nil {
-		driver.handler.ReplyReceived(ended.ID, reply, at)
+		driver.handler.ReplyReceived(ended.ID, reply, readAt)
 	}
 }
 
 // protocolError means that the server at a replica's address does not speak the configured protocol.
 type protocolError struct{ protocol replicaproto.Protocol }
 
+// Error returns the name of the configured protocol.
 func (err *protocolError) Error() string {
 	return fmt.Sprintf("the server at this address does not speak %s", err.protocol)
 }
--- a/replicaconn/tls.go
+++ b/replicaconn/tls.go
@@ -21,12 +21,14 @@
 // tlsError means that a connection was established, but its TLS handshake failed.
 type tlsError struct{ cause error }
 
+// Error returns the cause of the failure, marked as one of TLS.
 func (err *tlsError) Error() string { return "TLS: " + err.cause.Error() }
 func (err *tlsError) Unwrap() error { return err.cause }
 
 // alpnError means that the replica negotiated a protocol other than HTTP/2, or none.
 type alpnError struct{ negotiated string }
 
+// Error returns the negotiated protocol and the required one.
 func (err *alpnError) Error() string {
 	return fmt.Sprintf("the replica negotiated %q by ALPN, not %s", err.negotiated, alpnHTTP2)
 }
