--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,8 +1,8 @@
 // Package overload decides which share of arriving queries a co-ordinator admits while the co-ordinator itself, not
 // its replicas, is short of CPU.
 //
-// The Controller is told how long each admitted query waited for the event loop (ObserveQueueDelay) and how much of
-// its CPU allowance the process uses (ObserveCPUUsage). Two rules set the share:
+// Inputs are the time that each admitted query waited for the event loop (ObserveQueueDelay) and the fraction of its
+// CPU allowance that the process uses (ObserveCPUUsage). Two rules set the share:
 //
 //   - A standing queue lowers it. A queue is standing, as in CoDel (RFC 8289, section 4), if the minimum delay within
 //     a window is above a target. The decrease is multiplicative, as in DAGOR (Zhou et al., SoCC 2018, section 4). A
@@ -23,13 +23,13 @@
 const (
 	window           = 50 * time.Millisecond // for the minimum delay; several iterations of a busy event loop
 	targetDelay      = 20 * time.Millisecond // a minimum delay above it means a standing queue
-	windowsToReact   = 2                     // consecutive windows with a standing queue to react to; a stall affects one
+	windowsToReact   = 2                     // consecutive windows with a standing queue to react to; stalls affect one
 	smallestDecrease = 0.95                  // factor on the share after a window with a delay near the target
 	largestDecrease  = 0.75                  // the same for a delay far above the target
 	delayExponent    = 0.25                  // between the two, the factor is targetDelay/delay to this power
 )
 
-// How the share reacts to CPU usage, which is the used fraction of the process's whole CPU allowance, 0 to 1.
+// How the share reacts to CPU usage, which is the used fraction of the process's CPU allowance, 0 to 1.
 const (
 	cpuUsageWeight    = 0.35  // weight of the latest measurement in the moving average; about three measurements count
 	targetCPUUsage    = 0.92  // while shedding; the rest is left to queries that are already open
@@ -45,8 +45,8 @@
 
 // How long data may wait in sockets before it is read.
 const (
-	busyReadDelay      = 10 * time.Millisecond  // interval at which the Go runtime polls the network while no core is idle
-	saturatedReadDelay = 200 * time.Millisecond // assumed with a saturated CPU or a standing queue; the delay is unknown
+	busyReadDelay      = 10 * time.Millisecond  // interval of the Go runtime's network polls while no core is idle
+	saturatedReadDelay = 200 * time.Millisecond // assumed with a saturated CPU or standing queue; the delay is unknown
 )
 
 // Controller holds the admitted share of one co-ordinator. The zero value admits everything. It must be used from one
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -26,14 +26,14 @@
 // admitted against the estimate, as a trial. A trial tests the estimate; a probe (outlier.go) tests an ejected
 // replica.
 //
-// Other rejections are decided elsewhere; the response body tells them apart:
+// Other rejections are decided elsewhere; the response body distinguishes them:
 //
-//	body                                  decided by                                       counter
-//	turned back                           here; of a two-phase query twophase/query.go     turned_back; refused_questions
-//	busy                                  package overload, by coordinator/admission.go    busy
-//	too much is open                      coordinator/arrival.go                           full
-//	its time was over before it was read  coordinator/arrival.go                           expired
-//	too many large requests               server/reading.go                                bad
+//	body                                  decided by                                  counter
+//	turned back                           here; two-phase queries: twophase/query.go  turned_back; refused_questions
+//	busy                                  overload, by coordinator/admission.go       busy
+//	too much is open                      coordinator/arrival.go                      full
+//	its time was over before it was read  coordinator/arrival.go                      expired
+//	too many large requests               server/reading.go                           bad
 
 import (
 	"math"
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -70,7 +70,7 @@
 // one alone, all together would sustain the congestion. So trials become rarer with the number of co-ordinators, and
 // much rarer for large queries; but small queries are tried often enough that a wrong estimate is corrected soon.
 func TestTrialsBecomeRarerWithMoreCoordinators(t *testing.T) {
-	admitted := func(coordinators, subqueries int) (n int) {
+	admitted := func(coordinators, subqueries int) (count int) {
 		m := newModel(t, 0)
 		m.restartAsOneOf(coordinators, 0)
 		m.keepOnly(102, 105)
@@ -81,11 +81,11 @@
 			query := m.newQuery(0, subqueries, time.Second)
 			m.iterate()
 			if len(query.subqueries[0].attempts) > 0 {
-				n++
+				count++
 			}
 			m.advance(100 * ms)
 		}
-		return n
+		return count
 	}
 	few, many, large := admitted(3, 1), admitted(48, 1), admitted(48, 60)
 	if few < 3 || many > few/2 || many < 1 || large > 1 {
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -100,7 +100,8 @@
 		m.iterate()
 	}
 	if len(lost.attempts) != 1 || answered < 60 {
-		t.Errorf("%d attempts of the lost subquery; %d of 120 later ones answered in 12 s", len(lost.attempts), answered)
+		t.Errorf("%d attempts of the lost subquery; %d of 120 later ones answered in 12 s",
+			len(lost.attempts), answered)
 	}
 }
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -7,11 +7,12 @@
 	"terntray/invariant"
 )
 
-// Config holds the deployment settings of a Scheduler. It does not change while the Scheduler lives. ParseConfig reads
-// it from settings whose keys the field comments give in parentheses; N counts from 0. Code that builds a Config
+// Config holds the deployment settings of a Scheduler. It does not change during the Scheduler's lifetime. ParseConfig
+// reads it from settings whose keys the field comments give in parentheses; N counts from 0. Code that builds a Config
 // directly should call Validate; New rejects invalid ones.
 type Config struct {
-	// Coordinators (balancers) is the number of co-ordinators serving the same replicas, including this one. At least 1.
+	// Coordinators (balancers) is the number of co-ordinators serving the same replicas, including this one. At
+	// least 1.
 	Coordinators int
 
 	// SelfIndex (selfIndex) is this co-ordinator's index among them, from 0. It makes its random draws differ from the
@@ -24,8 +25,8 @@
 	// Cells (familyInfo.cells) is the number of cells into which replicas are grouped. At least 1.
 	Cells int
 
-	// CellsPerShard (familyInfo.span) is the number of consecutive cells that hold a shard: shard n is held by the cells
-	// n, n+1, ..., each modulo Cells. At least 1.
+	// CellsPerShard (familyInfo.span) is the number of consecutive cells that hold a shard: shard n is held by the
+	// cells n, n+1, ..., each modulo Cells. At least 1.
 	CellsPerShard int
 
 	// Classes (lanes.N) lists the query classes, by ClassIndex. At least one.
@@ -45,21 +46,23 @@
 	// Gossip (bounds.peers) allows messages to the other co-ordinators.
 	Gossip bool
 
-	// ListedSizes (weightKind) reports whether Endpoint.Size states how much work a replica can do relative to the others.
+	// ListedSizes (weightKind) reports whether Endpoint.Size states how much work a replica can do relative to the
+	// others.
 	ListedSizes bool
 
-	// MaxAttempts (bounds.maxAttempts) is the maximum number of attempts of a subquery, including the first. 0: no limit.
+	// MaxAttempts (bounds.maxAttempts) is the maximum number of attempts of a subquery, including the first.
+	// 0: no limit.
 	MaxAttempts int
 
 	// CancelAllowed (bounds.mayCancel) allows cancelling attempts whose answers are no longer needed.
 	CancelAllowed bool
 
-	// HedgeAllowed (bounds.secondCopies) allows a further attempt of a subquery while one is in flight, if the subquery is
-	// idempotent, or keyed and within its KeyWindow.
+	// HedgeAllowed (bounds.secondCopies) allows a further attempt of a subquery while one is in flight, if the subquery
+	// is idempotent, or keyed and within its KeyWindow.
 	HedgeAllowed bool
 
-	// MaxRetryAfter (bounds.maxRetryAfter) is the longest time after which a rejected client may be told to retry. 0, also
-	// without bounds.retryAfter: clients are told no time.
+	// MaxRetryAfter (bounds.maxRetryAfter) is the longest retry time that a rejection may give to the client. 0, also
+	// without bounds.retryAfter: rejections give no retry time.
 	MaxRetryAfter time.Duration
 
 	// SlowStart limits the load on replicas that started recently.
@@ -72,14 +75,15 @@
 	// objective. At least 0.
 	CrossZonePrice float64
 
-	// WastePrice (tariffs.waste) is the cost of work whose answer is not used, as a share of a query's value. At least 0.
+	// WastePrice (tariffs.waste) is the cost of work whose answer is not used, as a share of a query's value.
+	// At least 0.
 	WastePrice float64
 }
 
 // ClassConfig is the configuration of one query class.
 type ClassConfig struct {
-	// Name (lanes.N.name) is the class's name in requests. Only the service uses and requires it; the simulator's classes
-	// have none.
+	// Name (lanes.N.name) is the class's name in requests. Only the service uses and requires it; the simulator's
+	// classes have none.
 	Name string
 
 	// Objective (lanes.N.aim) is the latency objective: the time within which an answer has its full value. Above 0.
@@ -117,7 +121,8 @@
 	// replica counts as overloaded. 0 or less: there is no slow start, and the other fields are ignored.
 	OverloadMultiple float64
 
-	// StartCapacity (guarantees.startCapacity) is the share of its full capacity that a replica has at its start. Above 0.
+	// StartCapacity (guarantees.startCapacity) is the share of its full capacity that a replica has at its start.
+	// Above 0.
 	StartCapacity float64
 
 	// WarmAfter (guarantees.warmAfter) is the time from the start of a replica to its full capacity. Above 0.
@@ -132,11 +137,12 @@
 	// Span (guarantees.ratioSpan) is the sliding window over which attempts are counted. Above 0.
 	Span time.Duration
 
-	// Share (guarantees.extraRatio) is the maximum number of retries and hedges within Span, as a share of the queries and
-	// subqueries that arrived. Above 0.
+	// Share (guarantees.extraRatio) is the maximum number of retries and hedges within Span, as a share of the queries
+	// and subqueries that arrived. Above 0.
 	Share float64
 
-	// MinRetries (guarantees.minExtra) is the number of retries and hedges allowed within Span in addition to that share.
+	// MinRetries (guarantees.minExtra) is the number of retries and hedges allowed within Span in addition to that
+	// share.
 	MinRetries float64
 }
 
@@ -156,6 +162,7 @@
 	Wanted string // what is accepted
 }
 
+// Error returns the key of the setting, its value and the accepted values.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s: found %s, wanted %s", e.Key, e.Found, e.Wanted)
 }
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -127,18 +127,18 @@
 	return classes
 }
 
-func (r *settingReader) class(n int) ClassConfig {
+func (r *settingReader) class(index int) ClassConfig {
 	class := ClassConfig{
-		Name:             r.settings[classKey(n, "name")],
-		Objective:        r.duration(classKey(n, "aim")),
-		ObjectivePerHint: r.number(classKey(n, "aimStretch")),
-		Deadline:         r.duration(classKey(n, "deadline")),
-		Effect:           r.effect(classKey(n, "effect")),
-		KeyWindow:        r.duration(classKey(n, "window")),
-		CompleteShare:    r.numberAt("familyInfo.classNeed", n, 1),
-		FetchSubqueries:  int(r.numberAt("familyInfo.classFetch", n, 0)),
-	}
-	class.MinimumShare = min(class.CompleteShare, r.numberAt("familyInfo.leastShare", n, class.CompleteShare))
+		Name:             r.settings[classKey(index, "name")],
+		Objective:        r.duration(classKey(index, "aim")),
+		ObjectivePerHint: r.number(classKey(index, "aimStretch")),
+		Deadline:         r.duration(classKey(index, "deadline")),
+		Effect:           r.effect(classKey(index, "effect")),
+		KeyWindow:        r.duration(classKey(index, "window")),
+		CompleteShare:    r.numberAt("familyInfo.classNeed", index, 1),
+		FetchSubqueries:  int(r.numberAt("familyInfo.classFetch", index, 0)),
+	}
+	class.MinimumShare = min(class.CompleteShare, r.numberAt("familyInfo.leastShare", index, class.CompleteShare))
 	return class
 }
 
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -74,7 +74,7 @@
 	giveUpQuery
 )
 
-// nextAction decides whether the query goes on, is answered or is given up.
+// nextAction decides whether the query continues, is answered or is given up.
 func (q *query) nextAction(now time.Duration) queryAction {
 	if q.ended {
 		return continueQuery
@@ -143,7 +143,7 @@
 	scheduler.end(query, false)
 }
 
-// giveUpIfUnanswerable ends a query if so many of its subqueries are abandoned that no answer is possible.
+// giveUpIfUnanswerable ends a query if too many of its subqueries are abandoned for an answer to be possible.
 func (scheduler *Scheduler) giveUpIfUnanswerable(query *query) {
 	if query.ended || query.reservesAttempt && query.phase == 0 { // see UsePhases
 		return
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -89,7 +89,8 @@
 	scheduler.advanceClock(now)
 	scheduler.replicas.listChanged()
 	if restored {
-		scheduler.lastTickAt = now // the time before this Scheduler was created must not decay the state that it resumes
+		// The time before this Scheduler was created must not decay the state that it resumes.
+		scheduler.lastTickAt = now
 	} else {
 		scheduler.poller.listReceived()
 	}
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -72,7 +72,8 @@
 		for n, want := range test.want {
 			poller.pollFailed(now, test.jitter)
 			if got := poller.nextPollAt - now; !poller.pollPending() || got != want {
-				t.Errorf("interval %v, jitter %v: %v after failure %d, want %v", test.interval, test.jitter, got, n, want)
+				t.Errorf("interval %v, jitter %v: %v after failure %d, want %v",
+					test.interval, test.jitter, got, n, want)
 			}
 			if poller.claimPoll(poller.nextPollAt-1) || !poller.claimPoll(poller.nextPollAt) {
 				t.Errorf("interval %v, jitter %v: not polled when due after failure %d", test.interval, test.jitter, n)
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -29,7 +29,7 @@
 
 	minWork            = time.Millisecond // least work of a subquery; latencies cannot distinguish less from none
 	slowdownStep       = 0.2              // share of a reply's deviation by which the logarithm of the slowdown moves
-	workStep           = 0.02             // share of a reply's log ratio by which the logarithm of the class's work moves
+	workStep           = 0.02             // share of a reply's log ratio by which the log of the class's work moves
 	readDelays         = 3                // read delays that a reply may incur: sending, receiving and forwarding
 	slowdownRegression = 0.01             // share of its logarithm that a slowdown loses with each reply, towards 1
 	maxDeviation       = 2.0              // bounds the effect of one reply, here and in gossip.go: a ratio of about 7
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -101,7 +101,8 @@
 			m.answerAllAfter(500 * ms)
 		}
 		if kept := replica.limit >= before && replica.slowdown < 2; kept != (delay > 0) {
-			t.Errorf("read delay %v: limit %v before, %v after, slowdown %v", delay, before, replica.limit, replica.slowdown)
+			t.Errorf("read delay %v: limit %v before, %v after, slowdown %v",
+				delay, before, replica.limit, replica.slowdown)
 		}
 	}
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Gossip tells each co-ordinator about the work that its peers have sent to the replicas, which it cannot observe
+// Gossip reports to each co-ordinator the work that its peers have sent to the replicas, which it cannot observe
 // itself. Inputs are the start and end of this co-ordinator's attempts, and messages from peers. Outputs are each
 // replica's peerWork, and corrections of its slowdown, of the parallelism and of the tenants' quotas. Messages may be
 // lost, duplicated or late, so the reported work decays with time. gossip_message.go defines the message format.
--- a/scheduler/gossip_message.go
+++ b/scheduler/gossip_message.go
@@ -71,6 +71,7 @@
 	Wanted string
 }
 
+// Error returns the invalid field, its value and the accepted values.
 func (e *GossipError) Error() string {
 	return fmt.Sprintf("gossip message: %s: found %d, wanted %s", e.Field, e.Found, e.Wanted)
 }
--- a/scheduler/gossip_message_test.go
+++ b/scheduler/gossip_message_test.go
@@ -161,7 +161,8 @@
 		m.restartAsOneOf(40, 0)
 		allowance := m.scheduler.quotas.tokens[0]
 		var fault *GossipError
-		if err := m.scheduler.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) || fault.Field != test.field {
+		if err := m.scheduler.GossipReceived(m.now, 7, test.message); !errors.As(err, &fault) ||
+			fault.Field != test.field {
 			t.Errorf("a message %s: error %v, want a *GossipError for field %s", name, err, test.field)
 		}
 		for _, replica := range m.scheduler.replicas.all {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -134,7 +134,8 @@
 		m.receive(tally.flush(attemptsEnded, 3, parallelism)...)
 	}
 	if hundredEnded(4); m.scheduler.estimates.parallelism < 3.5 || m.scheduler.estimates.parallelism > 4 {
-		t.Errorf("parallelism %.2f after a hundred attempts of a peer that reports 4", m.scheduler.estimates.parallelism)
+		t.Errorf("parallelism %.2f after a hundred attempts of a peer that reports 4",
+			m.scheduler.estimates.parallelism)
 	}
 	if hundredEnded(15); m.scheduler.estimates.parallelism > maxParallelism {
 		t.Errorf("parallelism %.2f, above its maximum", m.scheduler.estimates.parallelism)
@@ -158,15 +159,15 @@
 		m.broadcasts = nil
 		return attempts
 	}
-	q := m.newQuery(0, 3, 3*time.Second)
+	query := m.newQuery(0, 3, 3*time.Second)
 	m.iterate()
 	if got := reported(); got != [attemptEventCount]int{attemptsSent: 3} {
 		t.Errorf("reported %v after three attempts were sent", got)
 	}
 	m.now += 60 * ms
-	m.endAttempt(q.subqueries[0], 0, Succeeded)
+	m.endAttempt(query.subqueries[0], 0, Succeeded)
 	m.iterate()
-	m.endAttempt(q.subqueries[1], 0, Cancelled)
+	m.endAttempt(query.subqueries[1], 0, Cancelled)
 	m.iterate()
 	if got := reported(); got[attemptsEnded]+got[attemptsLate] != 0 {
 		t.Errorf("reported %v at once", got)
@@ -176,7 +177,7 @@
 		t.Errorf("reported %v after one attempt ended and one was cancelled early", got)
 	}
 	m.now += 800 * ms
-	m.endAttempt(q.subqueries[2], 0, Succeeded)
+	m.endAttempt(query.subqueries[2], 0, Succeeded)
 	m.iterate()
 	m.advance(120 * ms)
 	if got := reported(); got[attemptsLate] != 1 {
--- a/scheduler/hedge.go
+++ b/scheduler/hedge.go
@@ -33,8 +33,8 @@
 	stragglerFactor     = 6.0 // age of a straggler in a query of few subqueries
 	lastStragglerFactor = 1.5 // age of a straggler among the last twelfth of a query; a slowdown above 1 does not count
 
-	// hedgeSlackFactor is a multiple of a hedge's expected time. While more time than that is left to the objective, the
-	// attempt in flight is waited for.
+	// hedgeSlackFactor is a multiple of a hedge's expected time. While more time than that is left to the objective,
+	// the attempt in flight is waited for.
 	hedgeSlackFactor = 2.5
 
 	hedgeTokensPerReply = 0.3             // hedge tokens that a reply from any replica earns
@@ -107,7 +107,8 @@
 	best := h.placement.cheapest(attempt.subquery, func(replica *replicaState) time.Duration {
 		return h.cost(now, attempt, replica)
 	})
-	if best == nil || attempt.subquery.query.nearlyAnswered(maxMissingTokenFree) || h.tokens*h.headroom(now, best) >= 1 {
+	if best == nil || attempt.subquery.query.nearlyAnswered(maxMissingTokenFree) ||
+		h.tokens*h.headroom(now, best) >= 1 {
 		return best
 	}
 	return nil
--- a/scheduler/hedge_test.go
+++ b/scheduler/hedge_test.go
@@ -76,7 +76,8 @@
 		m.scheduler.hedges.tokens = 0
 		m.iterate()
 		if m.advance(800 * ms); len(query.subqueries[0].attempts) != want {
-			t.Errorf("%d attempts with %d subqueries missing, want %d", len(query.subqueries[0].attempts), missing, want)
+			t.Errorf("%d attempts with %d subqueries missing, want %d",
+				len(query.subqueries[0].attempts), missing, want)
 		}
 	}
 }
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -12,14 +12,14 @@
 	// CancelAttempt cancels an attempt whose answer is no longer needed. Its end is still reported.
 	CancelAttempt(subquery RequestID, attempt AttemptNumber)
 
-	// Complete answers a query with the results of its answered subqueries; complete is false if they are fewer than the
-	// class requires.
+	// Complete answers a query with the results of its answered subqueries; complete is false if they are fewer than
+	// the class requires.
 	Complete(query RequestID, complete bool)
 
-	// Reject tells the client that the query is not served now, and after what time to retry; 0: no time is given.
+	// Reject rejects a query. The client may retry after the given time; 0: no time is given.
 	Reject(query RequestID, retryAfter time.Duration)
 
-	// Fail tells the client that the query could not be served.
+	// Fail answers a query with an error: it could not be served.
 	Fail(query RequestID)
 
 	// ScheduleWakeup requests a call of Wakeup with this name after a time.
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -10,11 +10,11 @@
 // An ejected replica is sent probes, which are attempts of live queries that need one of its shards; without such
 // queries there are none. The first probe is due firstProbeInterval after the ejection. A probe that is sent in place
 // of an attempt at another replica doubles the interval, up to maxProbeInterval; any other resets it. Where hedges are
-// allowed, a subquery that another holder can take is sent there first, and the probe is a further attempt beside that
-// one; its first attempt is the probe only if the probe is overdue by maxProbeInterval. An answer reinstates the
-// replica for the class of the answered attempt, or for all classes, with a concurrency limit of one, if it was ejected
-// for all. A restart of the replica reinstates it at once, without a log line. Inputs are the ends of attempts and the
-// time since the last replies.
+// allowed, a subquery that another holder can take is sent there first, and the probe is a further attempt in parallel
+// with that one; its first attempt is the probe only if the probe is overdue by maxProbeInterval. An answer reinstates
+// the replica for the class of the answered attempt, or for all classes, with a concurrency limit of one, if it was
+// ejected for all. A restart of the replica reinstates it at once, without a log line. Inputs are the ends of attempts
+// and the time since the last replies.
 
 import (
 	"fmt"
@@ -210,8 +210,8 @@
 
 // claimProbe returns the ejected holder to which a subquery is to be sent as a probe now, and schedules that replica's
 // next probe; it returns nil if no probe is due. Where hedges are allowed, the first attempt of a subquery that is
-// queued for a usable replica is sent there, and a second attempt beside it is the probe. The first attempt itself is
-// the probe only if the probe is overdue by maxProbeInterval.
+// queued for a usable replica is sent there, and a second attempt in parallel with it is the probe. The first attempt
+// itself is the probe only if the probe is overdue by maxProbeInterval.
 func (d *outlierDetector) claimProbe(now time.Duration, subquery *subquery) *replicaState {
 	class := subquery.query.class
 	queuedElsewhere := subquery.replica != nil
@@ -231,7 +231,7 @@
 
 // scheduleNextProbe schedules a replica's next probe. The interval doubles if the subquery that is sent as a probe is
 // queued for another replica, and is reset if it is not. A subquery whose first attempt was just sent is not queued for
-// any, so a probe beside that attempt resets the interval.
+// any, so a probe in parallel with that attempt resets the interval.
 func (d *outlierDetector) scheduleNextProbe(now time.Duration, replica *replicaState, queuedElsewhere bool) {
 	replica.nextProbeAt = now + replica.probeInterval
 	replica.probeInterval = min(d.maxInterval(), 2*replica.probeInterval)
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -13,7 +13,7 @@
 	m := newModel(t, 0)
 	m.keepOnly(102, 105)
 	var hung []*modelAttempt
-	for n := range 30 {
+	for round := range 30 {
 		m.newQuery(0, 1, 3*time.Second)
 		m.iterate()
 		m.advance(100 * ms)
@@ -25,7 +25,7 @@
 			}
 		}
 		m.iterate()
-		if n == 20 && !m.ejected(105) {
+		if round == 20 && !m.ejected(105) {
 			t.Fatalf("not ejected, though %d of its attempts hang", len(hung))
 		}
 	}
@@ -173,7 +173,7 @@
 	}{
 		{"in use", false, 0, true, 1, false, 0},
 		{"not due", true, now + 1, true, 1, false, 0},
-		{"due, beside an attempt", true, now, true, 1, true, 2 * firstProbeInterval},
+		{"due, in parallel with an attempt", true, now, true, 1, true, 2 * firstProbeInterval},
 		{"due, in place of an attempt elsewhere", true, now, true, 0, false, 0},
 		{"overdue, in place of an attempt elsewhere", true, now - maxProbeInterval, true, 0, true, 2 * firstProbeInterval},
 		{"due, no holder in use", true, now, false, 0, true, firstProbeInterval},
@@ -217,11 +217,11 @@
 		log:        func(text string) { logs = append(logs, text) },
 	}
 	failing := &class{index: 1}
-	for _, at := range []time.Duration{1, 1, 1, 2, 2, 3} {
+	for _, endedAt := range []time.Duration{1, 1, 1, 2, 2, 3} {
 		if replica.ejectedForAny() {
-			t.Fatalf("ejected before the attempt that ends at %v", at)
+			t.Fatalf("ejected before the attempt that ends at %v", endedAt)
 		}
-		detector.failed(at, replica, failing)
+		detector.failed(endedAt, replica, failing)
 	}
 	if replica.classes[0].ejected || !replica.classes[1].ejected {
 		t.Errorf("ejected by class: %v", replica.classes)
--- a/scheduler/parameters.go
+++ b/scheduler/parameters.go
@@ -11,8 +11,8 @@
 	// shorter, parameters.timeScale shortens those times in proportion.
 	referenceObjective = 1500 * time.Millisecond
 
-	// fewCoordinators is the number of co-ordinators up to which each of them can judge the load on the replicas from its
-	// own attempts.
+	// fewCoordinators is the number of co-ordinators up to which each of them can judge the load on the replicas from
+	// its own attempts.
 	fewCoordinators = 8.0
 
 	// unseenLoadGrowth is added to parameters.unseenLoadFactor each time that the number of co-ordinators beyond
@@ -30,7 +30,7 @@
 )
 
 // parameters holds the settings in the form that the policies use, and values derived from settings alone. They do not
-// change while the Scheduler lives.
+// change during the Scheduler's lifetime.
 type parameters struct {
 	coordinators int // including this one
 	layout       cellLayout
@@ -43,7 +43,7 @@
 	shortestObjective time.Duration // of all classes
 	longestDeadline   time.Duration // of all classes
 	crossZoneDelay    time.Duration // cost of crossing zones, added to the expected time at a replica of another zone
-	maxRetryAfter     time.Duration // 0: rejected clients are not told when to retry
+	maxRetryAfter     time.Duration // 0: rejections give no retry time
 
 	retryBudgetSpan  time.Duration // window over which attempts are counted; 0: no budget
 	retryBudgetShare float64       // retries and hedges within the span, per query and subquery that arrived
@@ -61,8 +61,8 @@
 	timeScale float64
 
 	// fanoutSpread is how much longer the slowest subquery takes, as a multiple of the expected time of one, each time
-	// that the number of subqueries grows by a factor of e. It is 0 with few co-ordinators, as their estimates include the
-	// load of the others.
+	// that the number of subqueries grows by a factor of e. It is 0 with few co-ordinators, as their estimates include
+	// the load of the others.
 	fanoutSpread float64
 
 	// unseenLoadFactor multiplies the expected time at a replica to account for work that other co-ordinators have sent
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -21,7 +21,8 @@
 	m.advance(50 * ms)
 	for _, query := range m.scheduler.open {
 		if len(query.subqueries[0].attempts) == 0 {
-			t.Fatalf("a subquery was not sent; queued for %p, warm replica is %p", query.subqueries[0].replica, m.replica(102))
+			t.Fatalf("a subquery was not sent; queued for %p, warm replica is %p",
+				query.subqueries[0].replica, m.replica(102))
 		}
 	}
 }
@@ -36,14 +37,14 @@
 		m.newSubquery(query, 0, 0.125)
 	}
 	m.iterate()
-	most, at := 0, map[ReplicaID]int{}
+	most, attemptsByReplica := 0, map[ReplicaID]int{}
 	for _, subquery := range query.subqueries {
 		for _, attempt := range subquery.attempts {
-			at[attempt.to]++
-			most = max(most, at[attempt.to])
+			attemptsByReplica[attempt.to]++
+			most = max(most, attemptsByReplica[attempt.to])
 		}
 	}
 	if holders := len(m.holdersOf(0)); most > (8+holders-1)/holders {
-		t.Errorf("8 subqueries over %d equal holders: %v", holders, at)
+		t.Errorf("8 subqueries over %d equal holders: %v", holders, attemptsByReplica)
 	}
 }
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -89,7 +89,7 @@
 	replica       *replicaState
 	sentAt        time.Duration
 	work          time.Duration // expected work of the subquery
-	expected      time.Duration // expected latency at a replica with slowdown 1: its own work and that in flight before it
+	expected      time.Duration // expected latency at a replica with slowdown 1: its work and that in flight before it
 	ended         bool
 	mayHaveRun    bool // its outcome does not prove that the replica never ran it
 	overtaken     int  // number of later attempts at the replica that have been answered since
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -11,7 +11,7 @@
 // admission control allows it a smaller share of the time to its objective.
 type tenantQuotas struct {
 	rates  []float64 // queries per second, by tenant
-	tokens []float64 // queries that may be sent now, by tenant; below 0 if more were sent while the quota was not enforced
+	tokens []float64 // queries that may be sent now, by tenant; below 0 if more were sent with the quota not enforced
 }
 
 func newTenantQuotas(rates []float64) tenantQuotas {
--- a/scheduler/release_test.go
+++ b/scheduler/release_test.go
@@ -56,7 +56,8 @@
 		m.answer(flight)
 		m.iterate()
 		if len(m.sent) == sent && len(replica.outstanding) < int(replica.limit) && replica.queuedWork > 0 {
-			t.Fatalf("no subquery was sent after a reply: %d in flight, limit %v", len(replica.outstanding), replica.limit)
+			t.Fatalf("no subquery was sent after a reply: %d in flight, limit %v",
+				len(replica.outstanding), replica.limit)
 		}
 	}
 }
--- a/scheduler/shadow.go
+++ b/scheduler/shadow.go
@@ -129,14 +129,14 @@
 
 // query returns a copy of a query under the other configuration. The copy's class has the other objective, deadline and
 // number of fetch subqueries, and keeps its learned estimates.
-func (s *shadow) query(q *query) *query {
-	configured := &s.classes[q.class.index]
-	class := *q.class
+func (s *shadow) query(original *query) *query {
+	configured := &s.classes[original.class.index]
+	class := *original.class
 	class.objective = configured.objective
 	class.deadline = configured.deadline
 	class.fetchSubqueries = configured.fetchSubqueries
-	other := *q
+	other := *original
 	other.class = &class
-	other.objectiveAt += class.objective - q.class.objective
+	other.objectiveAt += class.objective - original.class.objective
 	return &other
 }
--- a/scheduler/shadow_test.go
+++ b/scheduler/shadow_test.go
@@ -107,7 +107,8 @@
 		want := ShadowCounts{Queries: counts.Queries, Subqueries: counts.Subqueries, Attempts: test.attempts,
 			WouldTimeOutOtherwise: test.timeouts, WouldNotHedge: test.notHedged, WouldHedge: test.hedged}
 		if attempts != test.attempts || counts != want {
-			t.Errorf("hedges allowed %t, in the shadow %s: %d attempts, %+v", test.allowed, test.shadow, attempts, counts)
+			t.Errorf("hedges allowed %t, in the shadow %s: %d attempts, %+v",
+				test.allowed, test.shadow, attempts, counts)
 		}
 	}
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -9,8 +9,8 @@
 // are two modes.
 //
 // Spacing, if budgetTime is at most the burst: a subquery is sent if the share, including that subquery, is then used
-// up until at most one burst from now. The burst, OverloadFor x (1/slowStartSafety - 1), is how far ahead of its share a
-// co-ordinator may send.
+// up until at most one burst from now. The burst, OverloadFor x (1/slowStartSafety - 1), is how far ahead of its share
+// a co-ordinator may send.
 //
 // Random admission, if budgetTime is more than the burst, as with many co-ordinators: each subquery is sent with
 // probability affordable / arrivalsFor, so that all co-ordinators together send no more than the replica can take.
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -33,16 +33,18 @@
 			}
 		}
 	}
-	for at := from; at < until; at += 100 * ms {
-		n := 0
+	for windowEnd := from; windowEnd < until; windowEnd += 100 * ms {
+		inWindow := 0
 		for _, s := range sent {
-			if s >= at-modelOverloadTime && s < at {
-				n++
+			if s >= windowEnd-modelOverloadTime && s < windowEnd {
+				inWindow++
 			}
 		}
-		share := 0.2 + 0.8*(at-modelOverloadTime-time.Second).Seconds()/modelWarmUpTime.Seconds()
-		if budget := 3 * 2 * share * modelOverloadTime.Seconds(); float64(n)*modelWork.Seconds() > budget || n == 0 {
-			t.Fatalf("%d subqueries in the window before %v, with a budget of %.2f s of work", n, at, budget)
+		share := 0.2 + 0.8*(windowEnd-modelOverloadTime-time.Second).Seconds()/modelWarmUpTime.Seconds()
+		if budget := 3 * 2 * share * modelOverloadTime.Seconds(); float64(inWindow)*modelWork.Seconds() > budget ||
+			inWindow == 0 {
+			t.Fatalf("%d subqueries in the window before %v, with a budget of %.2f s of work",
+				inWindow, windowEnd, budget)
 		}
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -23,8 +23,8 @@
 
 // warmAnswer is an answer of the warm replica that a co-ordinator is to receive.
 type warmAnswer struct {
-	to *Scheduler
-	at time.Duration
+	to         *Scheduler
+	receivedAt time.Duration
 }
 
 const (
@@ -66,7 +66,7 @@
 	member.slowStart.subqueryArrived(0)
 	fleet.nextID++
 	arrived := &subquery{id: fleet.nextID, work: fleetWork}
-	for len(fleet.answers) > 0 && fleet.answers[0].at <= now {
+	for len(fleet.answers) > 0 && fleet.answers[0].receivedAt <= now {
 		fleet.answers[0].to.slowStart.answered(fleet.warm, now)
 		fleet.answers = fleet.answers[1:]
 	}
