--- a/coordinator/attempt_test.go
+++ b/coordinator/attempt_test.go
@@ -42,7 +42,7 @@
 // A subquery with two attempts is answered by the first, and then the connection of the other breaks. The other must
 // not be retransmitted on another connection, whether or not it is partly written.
 func TestOtherAttemptOfAnsweredSubqueryIsNotRetransmitted(t *testing.T) {
-	for _, begun := range []bool{true, false} {
+	for _, partlyWritten := range []bool{true, false} {
 		c := newCoordinatorWith(t, map[string]string{"bounds.mayCancel": "false"})
 		c.receive(c.newClient(), newQuery("q", time.Minute, 0, 2), 0)
 		subquery := c.queriesByRequestID["q"].subqueries[0]
@@ -50,7 +50,7 @@
 		c.StartAttempt(subquery.id, subquery.attempts[0].replica, time.Second)
 		c.loop.Receive()
 		first, other := subquery.attempts[0], subquery.attempts[1]
-		if begun {
+		if partlyWritten {
 			other.call.Stage = replicaproto.Begun
 		}
 		const firstConn, otherConn = 1, 2 // two attempts of a subquery use different connections to a replica
@@ -71,7 +71,8 @@
 		c.loop.RunIteration(func() { c.replicas.ConnEnded(otherConn, io.EOF, c.loop.Now()) }, func() {})
 		c.loop.RunIteration(func() {}, func() {})
 		if !other.ended || c.replicas.ConnCount() > before-1 {
-			t.Errorf("begun %t: ended %t, %d connections, %d before", begun, other.ended, c.replicas.ConnCount(), before)
+			t.Errorf("partly written %t: ended %t, %d connections, %d before",
+				partlyWritten, other.ended, c.replicas.ConnCount(), before)
 		}
 	}
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -69,7 +69,7 @@
 	queriesByRequestID map[string]*queryState // by the Req-Id from the client
 	queriesByClient    map[client]*queryState
 	subqueries         map[scheduler.RequestID]*subqueryState // of open queries, or with attempts in flight
-	arriving           client                                 // whose query is being handled and not open yet; nil: none
+	arriving           client                                 // whose query is handled now and not open yet; nil: none
 	attemptsInFlight   map[connpool.AttemptID]*attemptState   // sent and not ended
 	openWork           int                                    // open queries plus their unanswered subqueries
 	lastID             scheduler.RequestID
--- a/coordinator/gossip.go
+++ b/coordinator/gossip.go
@@ -33,12 +33,12 @@
 }
 
 // openGossip opens the socket. If no peers are configured, it returns nil.
-func openGossip(in config.Gossip) (*gossip, error) {
-	if len(in.Peers) == 0 {
+func openGossip(settings config.Gossip) (*gossip, error) {
+	if len(settings.Peers) == 0 {
 		return nil, nil
 	}
 	opened := &gossip{index: map[netip.AddrPort]scheduler.PeerIndex{}}
-	for index, peer := range in.Peers {
+	for index, peer := range settings.Peers {
 		addr, err := net.ResolveUDPAddr(gossipNetwork, peer)
 		if err != nil {
 			return nil, fmt.Errorf("installation: peers.others[%d]: %w", index, err)
@@ -47,7 +47,7 @@
 		opened.peers = append(opened.peers, peerAddr)
 		opened.index[peerAddr] = scheduler.PeerIndex(index)
 	}
-	addr, err := net.ResolveUDPAddr(gossipNetwork, in.Listen)
+	addr, err := net.ResolveUDPAddr(gossipNetwork, settings.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("installation: peers.listen: %w", err)
 	}
--- a/coordinator/gossip_test.go
+++ b/coordinator/gossip_test.go
@@ -9,7 +9,7 @@
 )
 
 // waitUntil runs iterations until a condition holds, for at most five seconds.
-func (c *Coordinator) waitUntil(t *testing.T, what string, holds func() bool) {
+func (c *Coordinator) waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c.runPosted()
@@ -17,7 +17,7 @@
 			return
 		}
 	}
-	t.Fatalf("timed out waiting until %s", what)
+	t.Fatalf("timed out waiting until %s", condition)
 }
 
 // newWithGossip returns a coordinator with an open gossip socket. Both are closed at the end of the test.
@@ -40,8 +40,8 @@
 	return c
 }
 
-// A co-ordinator tells its peer of the attempts that it sends. Messages from an unknown sender are ignored, and
-// malformed messages from a peer are counted.
+// A co-ordinator reports its attempts to its peer. Messages from an unknown sender are ignored, and malformed messages
+// from a peer are counted.
 func TestCoordinatorsGossipOnLoopback(t *testing.T) {
 	addressA, addressB := fake.FreePort("udp4"), fake.FreePort("udp4")
 	a := newWithGossip(t, addressA, addressB)
@@ -50,7 +50,7 @@
 	if a.counts.Attempts != 1 {
 		t.Fatalf("%d attempts, want 1", a.counts.Attempts)
 	}
-	b.waitUntil(t, "the peer has heard of the attempt", func() bool { return b.counts.GossipReceived == 1 })
+	b.waitUntil(t, "the peer has received the message", func() bool { return b.counts.GossipReceived == 1 })
 	to := b.gossip.socket.LocalAddr().(*net.UDPAddr)
 	stranger := listenUDP(t, fake.FreePort("udp4"))
 	if _, err := stranger.WriteToUDP([]byte("who am I"), to); err != nil {
--- a/coordinator/installation_test.go
+++ b/coordinator/installation_test.go
@@ -56,11 +56,13 @@
 		}
 		c.replicas.Stop()
 		hasSecondStep := func(class scheduler.ClassConfig) bool { return class.FetchSubqueries != 0 }
-		if c.schedulerConfig.Gossip != hasPeers || slices.ContainsFunc(c.schedulerConfig.Classes, hasSecondStep) || c.schedulerConfig.Coordinators != 3 {
+		if c.schedulerConfig.Gossip != hasPeers || slices.ContainsFunc(c.schedulerConfig.Classes, hasSecondStep) ||
+			c.schedulerConfig.Coordinators != 3 {
 			t.Errorf("peers %t: the scheduler has %+v", hasPeers, c.schedulerConfig)
 		}
 		if got := strings.Contains(logged.String(), `setting=bounds.peers value="true" effective="false"`); got == hasPeers {
-			t.Errorf("peers %t: bounds.peers must be logged as unsupported only without peers: %s", hasPeers, logged.String())
+			t.Errorf("peers %t: bounds.peers must be logged as unsupported only without peers: %s",
+				hasPeers, logged.String())
 		}
 		if !strings.Contains(logged.String(), `setting=familyInfo.classFetch value="0,2" effective="0"`) {
 			t.Errorf("the second step is not logged: %s", logged.String())
@@ -98,7 +100,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow, standard, none := installation.SizeOf("slow-2c"), installation.SizeOf("std-2c"), (&config.Config{}).SizeOf("std-2c")
+	slow, standard, none :=
+		installation.SizeOf("slow-2c"), installation.SizeOf("std-2c"), (&config.Config{}).SizeOf("std-2c")
 	if slow != 1.5 || standard != 2 || none != 0 {
 		t.Errorf("sizes %v, %v, %v", slow, standard, none)
 	}
--- a/coordinator/query.go
+++ b/coordinator/query.go
@@ -116,7 +116,8 @@
 	})
 }
 
-// closeQuery closes a query; from then on nothing is sent for it. The caller answers it, unless its client is gone.
+// closeQuery closes a query; from then on nothing is sent for it. The caller answers it, unless its client has
+// disconnected.
 func (c *Coordinator) closeQuery(query *queryState) {
 	query.closed.Store(true)
 	delete(c.queriesByClient, query.client)
--- a/coordinator/query_test.go
+++ b/coordinator/query_test.go
@@ -37,21 +37,21 @@
 func TestStateDoesNotGrowWithPastQueriesAndReplicas(t *testing.T) {
 	c := newCoordinator(t)
 	sizes := ""
-	for n := range 3000 {
+	for round := range 3000 {
 		from := newFakeClient()
-		list := &wire.EndpointList{Revision: int64(n), Endpoints: []wire.Endpoint{
-			{UID: fmt.Sprint("s-", n-1), State: wire.Removed},
-			readyReplica(fmt.Sprint("s-", n), unreachable),
+		list := &wire.EndpointList{Revision: int64(round), Endpoints: []wire.Endpoint{
+			{UID: fmt.Sprint("s-", round-1), State: wire.Removed},
+			readyReplica(fmt.Sprint("s-", round), unreachable),
 		}}
 		c.runIteration(func() {
 			endpointHandler{c}.EndpointsReceived(list)
-			c.queryArrives(from, newQuery(fmt.Sprint("q", n), time.Second, 0), c.loop.Now())
+			c.queryArrives(from, newQuery(fmt.Sprint("q", round), time.Second, 0), c.loop.Now())
 		})
 		c.runIteration(func() { c.clientDisconnected(from) })
 		for c.replicas.EndpointCount() > 2 { // until the connects to removed replicas have failed
 			c.runIteration(c.loop.Receive())
 		}
-		if n%1000 != 999 {
+		if round%1000 != 999 {
 			continue
 		}
 		timers, _ := c.loop.Timers()
@@ -60,7 +60,7 @@
 			sizes = now
 		}
 		if now != sizes {
-			t.Errorf("after %d rounds: sizes %s, want %s", n, now, sizes)
+			t.Errorf("after %d rounds: sizes %s, want %s", round, now, sizes)
 		}
 	}
 	if c.counts.Attempts < 2000 {
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -86,7 +86,8 @@
 func (c *Coordinator) checkNothingIsOpen(t *testing.T) {
 	t.Helper()
 	if len(c.attemptsInFlight)+len(c.subqueries)+len(c.queries) > 0 {
-		t.Errorf("left: %d attempts, %d subqueries, %d queries", len(c.attemptsInFlight), len(c.subqueries), len(c.queries))
+		t.Errorf("left: %d attempts, %d subqueries, %d queries",
+			len(c.attemptsInFlight), len(c.subqueries), len(c.queries))
 	}
 }
 
--- a/coordinator/twophase.go
+++ b/coordinator/twophase.go
@@ -77,6 +77,7 @@
 // twoPhaseClassError reports that the installation file names a class whose queries cannot have two phases.
 type twoPhaseClassError struct{ class string }
 
+// Error returns the path of the setting, the class and the required effect.
 func (err *twoPhaseClassError) Error() string {
 	return fmt.Sprintf("installation: phases.tracks: found %q, wanted a track whose effect is pure", err.class)
 }
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -77,7 +77,7 @@
 }
 
 // A response may be late by the grace period plus a stall of the process. A connection must not be closed while a
-// response is owed, unless the client is gone.
+// response is owed, unless the client has disconnected.
 func TestAnswerAndClientCloseChecks(t *testing.T) {
 	const stall = 100 * time.Millisecond
 	for _, check := range []struct{ got, want Reason }{
--- a/server/connection.go
+++ b/server/connection.go
@@ -131,7 +131,7 @@
 		return proceed, 0
 	}
 	// The connection is about to close. A request may already be on its way, so wait another finalWaitTime, and repeat
-	// that while unread data is available: this process may have been stalled for the whole of the first wait.
+	// that while unread data is available: this process may have been stalled for the entire first wait.
 	if client.finalWaitEnds.IsZero() || netconn.Peek(client.conn) == netconn.Readable {
 		client.finalWaitEnds = time.Now().Add(finalWaitTime)
 		return proceed, 0
--- a/server/server.go
+++ b/server/server.go
@@ -63,7 +63,7 @@
 type Class struct {
 	MaxTimeout time.Duration    // the longest timeout that a client may request
 	TwoPhase   bool             // queries may request two-phase execution
-	TwoStep    bool             // needs a second round of subqueries, which the client protocol lacks: answered with 501
+	TwoStep    bool             // needs a second round of subqueries, which the protocol lacks: answered with 501
 	Effect     invariant.Effect // effect of executing a subquery twice
 }
 
