--- a/connpool/health.go
+++ b/connpool/health.go
@@ -26,8 +26,8 @@
 }
 
 // noteBytes notes that input was received.
-func (seen *liveness) noteBytes(at time.Duration) {
-	seen.lastByteAt = max(seen.lastByteAt, at)
+func (seen *liveness) noteBytes(readAt time.Duration) {
+	seen.lastByteAt = max(seen.lastByteAt, readAt)
 	seen.pingPending = false
 }
 
@@ -37,8 +37,8 @@
 // that attempt was sent become suspect after maxOvertaken such replies: the replica is alive, but nothing arrives on
 // them. This is not needed where the protocol has pings. Attempts whose costs differ widely can have the same effect;
 // the price is a new connection.
-func (pool *Pool) noteReply(conn *connection, replied *Attempt, at time.Duration) {
-	conn.lastReplyAt, conn.overtaken = at, 0
+func (pool *Pool) noteReply(conn *connection, replied *Attempt, readAt time.Duration) {
+	conn.lastReplyAt, conn.overtaken = readAt, 0
 	conn.cancels.tokens += cancelTokensPerReply
 	for _, other := range conn.replica.conns {
 		if other == conn || !other.silentSince(replied.SentAt) {
--- a/connpool/pool.go
+++ b/connpool/pool.go
@@ -109,19 +109,18 @@
 	pool.scheduleWakeup(conn)
 }
 
-// finish reports the outcome of an attempt, unless it has ended or its sender no longer waits for it; at is the time of
-// its end.
-func (pool *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, at time.Duration) {
+// finish reports the outcome of an attempt, unless it has ended or its sender no longer waits for it.
+func (pool *Pool) finish(attempt *Attempt, outcome scheduler.Outcome, endedAt time.Duration) {
 	if !attempt.finished {
 		attempt.finished = true
-		pool.host.AttemptEnded(attempt.ID, outcome, at-attempt.SentAt)
+		pool.host.AttemptEnded(attempt.ID, outcome, endedAt-attempt.SentAt)
 	}
 }
 
 // finishAll reports the end of several attempts.
-func (pool *Pool) finishAll(attempts []*Attempt, outcome scheduler.Outcome, at time.Duration) {
+func (pool *Pool) finishAll(attempts []*Attempt, outcome scheduler.Outcome, endedAt time.Duration) {
 	for _, attempt := range attempts {
-		pool.finish(attempt, outcome, at)
+		pool.finish(attempt, outcome, endedAt)
 	}
 }
 
--- a/replicaconn/driver.go
+++ b/replicaconn/driver.go
@@ -31,7 +31,7 @@
 	// method and those up to CertificatesExpiring are called on the event loop.
 	AttemptEnded(attempt connpool.AttemptID, outcome scheduler.Outcome, took time.Duration)
 	// ReplyReceived reports the reply that ends an attempt, and when it was read.
-	ReplyReceived(attempt connpool.AttemptID, reply *replicaproto.Event, at time.Duration)
+	ReplyReceived(attempt connpool.AttemptID, reply *replicaproto.Event, readAt time.Duration)
 	// LateReply counts a reply to an attempt that was abandoned.
 	LateReply()
 	// ConnUp counts an established connection.
@@ -183,8 +183,8 @@
 }
 
 // ConnEnded removes a connection whose goroutines have ended, with the cause and the time of its end.
-func (driver *Driver) ConnEnded(id connpool.ConnID, cause error, at time.Duration) {
-	driver.pool.ConnEnded(driver.loop.Now(), id, cause, at)
+func (driver *Driver) ConnEnded(id connpool.ConnID, cause error, endedAt time.Duration) {
+	driver.pool.ConnEnded(driver.loop.Now(), id, cause, endedAt)
 	delete(driver.conns, id)
 }
 
--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -79,13 +79,13 @@
 
 func (r *settingReader) boolean(key string) bool { return r.settings[key] == "true" }
 
-// numberAt returns number n of a list, or fallback if it is absent.
-func (r *settingReader) numberAt(key string, n int, fallback float64) float64 {
+// numberAt returns the number at an index of a list, or fallback if it is absent.
+func (r *settingReader) numberAt(key string, index int, fallback float64) float64 {
 	values := strings.Split(r.settings[key], ",")
-	if n >= len(values) || values[n] == "" || values[n] == absent {
+	if index >= len(values) || values[index] == "" || values[index] == absent {
 		return fallback
 	}
-	number, err := strconv.ParseFloat(values[n], 64)
+	number, err := strconv.ParseFloat(values[index], 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 		r.fail(key, wantedNumber)
 	}
--- a/server/listener.go
+++ b/server/listener.go
@@ -87,10 +87,10 @@
 	server.slots.release()
 }
 
-// setAcceptDeadline makes Accept fail after the given time.
-func (server *Server) setAcceptDeadline(in time.Duration) {
+// setAcceptDeadline makes Accept fail after the given wait.
+func (server *Server) setAcceptDeadline(wait time.Duration) {
 	if listener, ok := server.listener.(*net.TCPListener); ok {
-		listener.SetDeadline(time.Now().Add(in))
+		listener.SetDeadline(time.Now().Add(wait))
 	}
 }
 
