--- a/scheduler/config_parse.go
+++ b/scheduler/config_parse.go
@@ -79,13 +79,13 @@
 
 func (r *settingReader) boolean(key string) bool { return r.settings[key] == "true" }
 
-// numberAt returns number n of a list, or fallback if it is absent.
-func (r *settingReader) numberAt(key string, n int, fallback float64) float64 {
+// numberAt returns the number at an index of a list, or fallback if it is absent.
+func (r *settingReader) numberAt(key string, index int, fallback float64) float64 {
 	values := strings.Split(r.settings[key], ",")
-	if n >= len(values) || values[n] == "" || values[n] == absent {
+	if index >= len(values) || values[index] == "" || values[index] == absent {
 		return fallback
 	}
-	number, err := strconv.ParseFloat(values[n], 64)
+	number, err := strconv.ParseFloat(values[index], 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 		r.fail(key, wantedNumber)
 	}
@@ -127,18 +127,18 @@
 	return classes
 }
 
-func (r *settingReader) class(n int) ClassConfig {
+func (r *settingReader) class(index int) ClassConfig {
 	class := ClassConfig{
-		Name:             r.settings[classKey(n, "name")],
-		Objective:        r.duration(classKey(n, "aim")),
-		ObjectivePerHint: r.number(classKey(n, "aimStretch")),
-		Deadline:         r.duration(classKey(n, "deadline")),
-		Effect:           r.effect(classKey(n, "effect")),
-		KeyWindow:        r.duration(classKey(n, "window")),
-		CompleteShare:    r.numberAt("familyInfo.classNeed", n, 1),
-		FetchSubqueries:  int(r.numberAt("familyInfo.classFetch", n, 0)),
-	}
-	class.MinimumShare = min(class.CompleteShare, r.numberAt("familyInfo.leastShare", n, class.CompleteShare))
+		Name:             r.settings[classKey(index, "name")],
+		Objective:        r.duration(classKey(index, "aim")),
+		ObjectivePerHint: r.number(classKey(index, "aimStretch")),
+		Deadline:         r.duration(classKey(index, "deadline")),
+		Effect:           r.effect(classKey(index, "effect")),
+		KeyWindow:        r.duration(classKey(index, "window")),
+		CompleteShare:    r.numberAt("familyInfo.classNeed", index, 1),
+		FetchSubqueries:  int(r.numberAt("familyInfo.classFetch", index, 0)),
+	}
+	class.MinimumShare = min(class.CompleteShare, r.numberAt("familyInfo.leastShare", index, class.CompleteShare))
 	return class
 }
 
