--- a/connpool/evidence_test.go
+++ b/connpool/evidence_test.go
@@ -119,7 +119,7 @@
 func TestBreakAfterIdleShortensIdleTimeout(t *testing.T) {
 	limits := Limits{MaxAttemptsPerConn: 8, MaxConns: 9, IdleTimeout: 15 * time.Second}
 	host := newFakeHostFor(t, replicaproto.Frames, limits)
-	for n, step := range []struct {
+	for index, step := range []struct {
 		idleBefore, took time.Duration
 		replied          bool
 		want             time.Duration
@@ -130,7 +130,7 @@
 		{8 * time.Second, time.Millisecond, false, 4 * time.Second}, // dropped while idle
 		{time.Second, time.Millisecond, false, time.Second},         // not less than four connect timeouts
 	} {
-		attempt, id := host.send(fmt.Sprint("q.", n), false)
+		attempt, id := host.send(fmt.Sprint("q.", index), false)
 		conn := attempt.conn
 		conn.state, conn.wasEstablished, conn.idleBefore = established, true, step.idleBefore
 		markFullyWritten(attempt)
@@ -190,7 +190,7 @@
 		if protocol == replicaproto.HTTP2 && conn == 0 {
 			conn = host.opened[0]
 		}
-		host.endConn(conn, fmt.Errorf("%w: simulated", ErrShortage))
+		host.endConn(conn, fmt.Errorf("%w: simulated", ErrOSResourceShortage))
 		if got := host.outcomes[attempt.ID]; len(got) != 1 || got[0] != scheduler.NeverSent {
 			t.Errorf("%s: ended %v", protocol, got)
 		}
